--- a/src/main/java/io/micatide/rehearsal/VirtualNetwork.java
+++ b/src/main/java/io/micatide/rehearsal/VirtualNetwork.java
@@ -22,6 +22,13 @@
         void answers(VirtualTime.Process from, String endpoint, String path);
     }
 
+    /** Receives every request when it is sent and every response when it is made, in that order, with the virtual time. */
+    public interface Recorder {
+        void request(long atMicros, String method, String endpoint, String path, byte[] body);
+
+        void response(long atMicros, String endpoint, String path, int status, byte[] body);
+    }
+
     /** Who does not reach whom. */
     @FunctionalInterface
     public interface Cut {
@@ -60,6 +67,9 @@
     private double late;
     private final Map<String, Long> slow = new HashMap<>();
     private Observer observer;
+    /** Null unless the messages are recorded. */
+    private Recorder recorder;
+
     private Cut cut = (from, endpoint) -> false;
     private final List<Fates> fates = new ArrayList<>();
 
@@ -110,6 +120,10 @@
         observer = each;
     }
 
+    public void record(Recorder every) {
+        recorder = every;
+    }
+
     public void listen(String endpoint, VirtualTime.Process process, Consumer<Request> handler) {
         hosts.put(endpoint, new Host(process, handler));
     }
@@ -168,6 +182,9 @@
 
         void send(long timeoutMicros) {
             calls.add(this);
+            if (recorder != null) {
+                recorder.request(time.now(), method, endpoint, path, body);
+            }
             if (observer != null) {
                 observer.leaves(from, endpoint, path);
             }
@@ -228,6 +245,9 @@
 
         @Override
         public void answer(int status, byte[] json, int retryAfterSeconds) {
+            if (recorder != null) {
+                recorder.response(time.now(), endpoint, path, status, json);
+            }
             if (observer != null) {
                 observer.answers(from, endpoint, path);
             }
--- a/src/test/java/io/micatide/core/PlannerReferenceTest.java
+++ b/src/test/java/io/micatide/core/PlannerReferenceTest.java
@@ -21,7 +21,7 @@
             List.of(Resources.of(1, 0, 4), Resources.of(2, 0, 30), Resources.of(3, 0, 8), Resources.of(8, 0, 16));
 
     /** Jobs of all kinds, classes, teams and limits on where they may go. */
-    private static JobSpec drawn(Random random, int number) {
+    static JobSpec drawn(Random random, int number) {
         JobKind kind = KINDS.get(random.nextInt(KINDS.size()));
         boolean oneZone = random.nextInt(5) == 0;
         boolean saves = random.nextInt(3) == 0 && kind != JobKind.SERVICE;
--- a/src/test/java/io/micatide/core/World.java
+++ b/src/test/java/io/micatide/core/World.java
@@ -4,6 +4,7 @@
 import io.micatide.wire.Json;
 import io.micatide.wire.MalformedException;
 import io.micatide.wire.StateCodec;
+import io.micatide.wire.WorkerCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -46,6 +47,10 @@
     Scheduler.PlannerFactory planners = Planner::new;
     /** Takes what leaders decide: commands and transactions, in their order. */
     Consumer<String> decisions = decision -> {};
+    /** Takes the same as it goes over the wire. */
+    Consumer<String> messages = message -> {};
+    /** Spot machines with a notice, and the time at which the cloud is to take them away. */
+    final Map<String, Long> notices = new HashMap<>();
 
     Scheduler leader;
     long token;
@@ -167,7 +172,12 @@
             for (Task task : tasks.values()) {
                 list.add(new TaskReport(task.job, task.index, task.attempt, task.state(), task.cause, false));
             }
-            return new MachineReport(name, "x:1", TYPE.name(), zone, spot, session, sequence, seenToken, -1, list);
+            return new MachineReport(
+                    name, "x:1", TYPE.name(), zone, spot, session, sequence, seenToken, notice(), list);
+        }
+
+        private long notice() {
+            return notices.containsKey(name) ? Math.max(0, notices.get(name) - now) : -1;
         }
 
         void execute(long answerToken, List<Command> commands, long sentAt, long ofSession) {
@@ -502,6 +512,7 @@
         if (leader != null) {
             for (CloudCall call : leader.cloudCalls(now)) {
                 decisions.accept(now + " " + call);
+                messages.accept(now + " " + encoded(call));
                 if (!dies()) {
                     cloud(call);
                 }
@@ -509,6 +520,20 @@
         }
     }
 
+    private static String text(byte[] json) {
+        return new String(json, StandardCharsets.UTF_8);
+    }
+
+    private static String encoded(CloudCall call) {
+        if (call instanceof CloudCall.Rent rent) {
+            return String.join(
+                    " ", "rent", rent.booking(), rent.type(), rent.zone(), "" + rent.spot(), "" + rent.count());
+        }
+        return call instanceof CloudCall.Delete delete
+                ? "delete " + delete.machines()
+                : call instanceof CloudCall.ListMachines ? "list" : "types";
+    }
+
     /** The leader loses the state service and all but zone a; another one takes over once its lease is out. */
     void cutOffLeader(long micros) {
         zombie = leader;
@@ -535,6 +560,7 @@
         }
         List<Command> commands = leader.report(report, now);
         decisions.accept(now + " " + worker.name + " " + commands);
+        messages.accept(now + " " + worker.name + " " + text(WorkerCodec.answer(token, commands)));
         if (greets) {
             // The greeting's answer overtakes that of the report: it was made before the commands came.
             leader.greeted(worker.report(), now);
@@ -552,6 +578,7 @@
             return;
         }
         decisions.accept(now + " " + round);
+        messages.accept(now + " " + text(StateCodec.transaction(round)));
         if (dies()) {
             // Killed with the request on its way: it arrives some time later, or never.
             late.add(round);
--- a/src/test/java/io/micatide/history/HistoryDay.java
+++ b/src/test/java/io/micatide/history/HistoryDay.java
@@ -40,7 +40,7 @@
  * A short day of the whole service in virtual time, with small batches so that rows move all the time: users submit, cancel, poll and
  * submit again long after, controllers are killed. What users are told and where tasks run is held against the rules.
  */
-final class HistoryDay {
+public final class HistoryDay {
     static final MachineType TYPE =
             new MachineType("small", Resources.of(8, 0, 64), 25, 0, 0.5, 0.2, Micros.SECOND, List.of("a", "b"));
     private static final int CONTROLLERS = 3;
@@ -96,6 +96,14 @@
         return new HistoryDay(seed, valueBytes, changes, Archivist::new, false);
     }
 
+    /** An ordinary day from a seed, on a network that the recorder hears. */
+    public static void play(long seed, VirtualNetwork.Recorder recorder) {
+        HistoryDay day = new HistoryDay(seed, 2048, 5, Archivist::new);
+        day.network.record(recorder);
+        day.busy(30);
+        day.time.run(30 * Micros.SECOND);
+    }
+
     /** The controllers start with what is stored; users know what they were told by another service. */
     void goesOnAs(HistoryDay other) {
         jobs.putAll(other.jobs);
--- a/src/test/java/io/micatide/rehearsal/BackAtOnceTest.java
+++ b/src/test/java/io/micatide/rehearsal/BackAtOnceTest.java
@@ -19,8 +19,11 @@
 
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
 
-    private static TakeOverDay play(long seed) {
-        TakeOverDay day = new TakeOverDay(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, Copy::new);
+    static TakeOverDay begin(long seed) {
+        return new TakeOverDay(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, Copy::new);
+    }
+
+    static TakeOverDay play(TakeOverDay day) {
         day.deployment.network.losses(0.01, 0.005);
         for (int second = 0; second < 24; second++) {
             if (second > 1) {
@@ -43,7 +46,7 @@
     @Test
     void drawnEndsBreakNoRule() {
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            TakeOverDay day = play(seed);
+            TakeOverDay day = play(begin(seed));
             assertEquals(List.of(), day.verdict(), "seed " + seed + " " + day.deployment.log());
         }
     }
--- a/src/test/java/io/micatide/rehearsal/MeetingTest.java
+++ b/src/test/java/io/micatide/rehearsal/MeetingTest.java
@@ -16,8 +16,11 @@
     private static final int TIGHT_DAYS = (DAYS + 1) / 2;
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
 
-    private static TakeOverDay play(long seed) {
-        TakeOverDay day = new TakeOverDay(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0, Copy::new);
+    static TakeOverDay begin(long seed) {
+        return new TakeOverDay(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0, Copy::new);
+    }
+
+    static TakeOverDay play(TakeOverDay day) {
         for (int second = 0; second < 60; second++) {
             if (second > 1 && second < 50) {
                 day.users.troubledTraffic();
@@ -35,9 +38,12 @@
         return day;
     }
 
+    static TakeOverDay beginTight(long seed) {
+        return TakeOverDay.tight(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0);
+    }
+
     /** Teams at their limits, and two of the troubles that were named since, one of them as often as not a change of hands. */
-    private static TakeOverDay playTight(long seed) {
-        TakeOverDay day = TakeOverDay.tight(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0);
+    static TakeOverDay playTight(TakeOverDay day) {
         for (int second = 0; second < 70; second++) {
             if (second == 3) {
                 day.users.fill();
@@ -68,7 +74,7 @@
     void teamsAtTheirLimitsBreakNoRule() {
         List<String> failed = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + TIGHT_DAYS; seed++) {
-            TakeOverDay day = playTight(seed);
+            TakeOverDay day = playTight(beginTight(seed));
             if (!day.verdict().isEmpty()) {
                 failed.add("seed " + seed + " " + day.verdict() + " " + day.deployment.log());
             }
@@ -80,7 +86,7 @@
     void twoTroublesBreakNoRule() {
         List<String> failed = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            TakeOverDay day = play(seed);
+            TakeOverDay day = play(begin(seed));
             if (!day.verdict().isEmpty()) {
                 failed.add("seed " + seed + " " + day.verdict() + " " + day.deployment.log());
             }
--- a/src/test/java/io/micatide/rehearsal/RolloutTest.java
+++ b/src/test/java/io/micatide/rehearsal/RolloutTest.java
@@ -26,10 +26,13 @@
     private static final List<Abilities> VERSIONS =
             List.of(Abilities.FORMER, Abilities.without(Feature.LEARNED), Abilities.ALL);
 
-    private static RolloutDay play(long seed) {
-        int controllers = seed % 2 == 0 ? 3 : 5;
-        RolloutDay roll = new RolloutDay(seed, controllers, VERSIONS.get((int) (seed / 2 % 3)));
+    static RolloutDay begin(long seed) {
+        return new RolloutDay(seed, seed % 2 == 0 ? 3 : 5, VERSIONS.get((int) (seed / 2 % 3)));
+    }
+
+    static RolloutDay play(RolloutDay roll) {
         TakeOverDay day = roll.day;
+        int controllers = day.count;
         day.deployment.network.losses(0.01, 0.005);
         Feature asked = day.random.nextBoolean() ? Feature.LEARNED : Feature.BOOKING_FENCE;
         for (int second = 0; second < 26; second++) {
@@ -63,7 +66,7 @@
     @Test
     void drawnRollsBreakNoRule() {
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            RolloutDay roll = play(seed);
+            RolloutDay roll = play(begin(seed));
             assertEquals(List.of(), roll.verdict(), "seed " + seed + " " + roll.day.deployment.log());
             for (Feature feature : List.of(Feature.LEARNED, Feature.BOOKING_FENCE, Feature.RETURNS)) {
                 assertEquals(Stage.ON, roll.stage(feature), "seed " + seed + ": in the end all have it");
--- a/src/test/java/io/micatide/rehearsal/TakeOverTest.java
+++ b/src/test/java/io/micatide/rehearsal/TakeOverTest.java
@@ -18,8 +18,11 @@
 
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
 
-    private static TakeOverDay play(long seed, int controllers, int former, Copy.Maker copies) {
-        TakeOverDay day = new TakeOverDay(seed, controllers, former, copies);
+    static TakeOverDay begin(long seed) {
+        return new TakeOverDay(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, Copy::new);
+    }
+
+    static TakeOverDay play(TakeOverDay day) {
         day.deployment.network.losses(0.01, 0.005);
         for (int second = 0; second < 24; second++) {
             if (second > 1) {
@@ -39,7 +42,7 @@
     void drawnFailuresBreakNoRule() {
         int brought = 0;
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            TakeOverDay day = play(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, Copy::new);
+            TakeOverDay day = play(begin(seed));
             assertEquals(List.of(), day.verdict(), "seed " + seed + " " + day.deployment.log());
             brought += day.brought;
         }
@@ -53,7 +56,7 @@
     @ParameterizedTest
     @CsvSource({"17245", "33680", "51766", "69078", "84555"})
     void daysThatOnceBrokeSomething(long seed) {
-        TakeOverDay day = play(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, Copy::new);
+        TakeOverDay day = play(begin(seed));
         assertEquals(List.of(), day.verdict(), day.deployment.log().toString());
     }
 
@@ -62,7 +65,7 @@
     void aCopyThatIsNotAsNewAsTheClaimIsFound() {
         boolean found = false;
         for (int seed = 0; seed < 60 && !found; seed++) {
-            found = !play(seed, 3, 0, (prefix, most) -> new Copy(prefix, most) {
+            found = !play(new TakeOverDay(seed, 3, 0, (prefix, most) -> new Copy(prefix, most) {
                         private int reads;
 
                         @Override
@@ -76,7 +79,7 @@
                         public boolean wholeAt(long asOf) {
                             return whole();
                         }
-                    })
+                    }))
                     .verdict()
                     .isEmpty();
         }
