--- a/src/main/java/io/micatide/history/Archived.java
+++ b/src/main/java/io/micatide/archive/Archived.java
@@ -1,6 +1,6 @@
-package io.micatide.history;
+package io.micatide.archive;
 
-import io.micatide.core.Outcome;
+import io.micatide.store.Outcome;
 
 /** A job in a segment. */
 public record Archived(String id, Outcome outcome) {}
--- a/src/main/java/io/micatide/history/Archivist.java
+++ b/src/main/java/io/micatide/archive/Archivist.java
@@ -1,9 +1,9 @@
-package io.micatide.history;
+package io.micatide.archive;
 
-import io.micatide.core.Outcome;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.store.Outcome;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/io/micatide/history/DamagedException.java
+++ b/src/main/java/io/micatide/archive/DamagedException.java
@@ -1,4 +1,4 @@
-package io.micatide.history;
+package io.micatide.archive;
 
 /** A stored segment is not what was written; the message names its key and what is wrong. */
 public final class DamagedException extends Exception {
--- a/src/main/java/io/micatide/history/Filters.java
+++ b/src/main/java/io/micatide/archive/Filters.java
@@ -1,9 +1,9 @@
-package io.micatide.history;
+package io.micatide.archive;
 
 import com.google.common.hash.BloomFilter;
 import com.google.common.hash.Funnels;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/io/micatide/history/Merge.java
+++ b/src/main/java/io/micatide/archive/Merge.java
@@ -1,7 +1,7 @@
-package io.micatide.history;
+package io.micatide.archive;
 
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
--- a/src/main/java/io/micatide/history/Segments.java
+++ b/src/main/java/io/micatide/archive/Segments.java
@@ -1,8 +1,8 @@
-package io.micatide.history;
+package io.micatide.archive;
 
-import io.micatide.core.JobState;
-import io.micatide.core.Outcome;
-import io.micatide.core.Row;
+import io.micatide.model.JobState;
+import io.micatide.store.Outcome;
+import io.micatide.store.Row;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/main/java/io/micatide/history/Spread.java
+++ b/src/main/java/io/micatide/archive/Spread.java
@@ -1,8 +1,8 @@
-package io.micatide.history;
+package io.micatide.archive;
 
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
-import io.micatide.core.Row;
+import io.micatide.store.Row;
 import java.nio.charset.StandardCharsets;
 
 /**
--- a/src/main/java/io/micatide/history/package-info.java
+++ b/src/main/java/io/micatide/archive/package-info.java
@@ -3,4 +3,4 @@
  * or written it says as a step, and is told the outcome. Spoken to by {@code node} alone. Knows rows and keys of {@code core};
  * may not know wire words, users or the scheduler.
  */
-package io.micatide.history;
+package io.micatide.archive;
--- a/src/main/java/io/micatide/cli/LocalCommand.java
+++ b/src/main/java/io/micatide/cli/LocalCommand.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.rehearsal.LocalService;
+import io.micatide.simulation.LocalService;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.URI;
--- a/src/main/java/io/micatide/cli/Main.java
+++ b/src/main/java/io/micatide/cli/Main.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.core.Settings;
+import io.micatide.model.Settings;
 import java.util.Locale;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
--- a/src/main/java/io/micatide/cli/PacedCalls.java
+++ b/src/main/java/io/micatide/cli/PacedCalls.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 import io.micatide.net.HttpClient;
 import io.micatide.net.Reply;
 import io.micatide.snapshot.StateCalls;
--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -1,18 +1,18 @@
 package io.micatide.cli;
 
-import io.micatide.core.Row;
-import io.micatide.core.Settings;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.model.Settings;
 import io.micatide.net.Reply;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.StateCodec;
 import io.micatide.rollout.Abilities;
 import io.micatide.rollout.Feature;
 import io.micatide.rollout.Roster;
 import io.micatide.rollout.Stage;
 import io.micatide.rollout.Switches;
 import io.micatide.snapshot.StateCalls;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.StateCodec;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.time.Instant;
--- a/src/main/java/io/micatide/cli/ScaleCommand.java
+++ b/src/main/java/io/micatide/cli/ScaleCommand.java
@@ -1,8 +1,8 @@
 package io.micatide.cli;
 
-import io.micatide.rehearsal.scale.Scale;
-import io.micatide.rehearsal.scale.ScalePlan;
-import io.micatide.rehearsal.scale.ScaleReport;
+import io.micatide.simulation.scale.Scale;
+import io.micatide.simulation.scale.ScalePlan;
+import io.micatide.simulation.scale.ScaleReport;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/io/micatide/cli/ServeCommand.java
+++ b/src/main/java/io/micatide/cli/ServeCommand.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.node.Node;
+import io.micatide.controller.Node;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
--- a/src/main/java/io/micatide/cli/SettingsFiles.java
+++ b/src/main/java/io/micatide/cli/SettingsFiles.java
@@ -1,11 +1,11 @@
 package io.micatide.cli;
 
-import io.micatide.core.CancelProof;
-import io.micatide.core.Settings;
-import io.micatide.core.Tuning;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.SettingsReader;
-import io.micatide.wire.TuningReader;
+import io.micatide.election.CancelProof;
+import io.micatide.model.Settings;
+import io.micatide.model.Tuning;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.SettingsReader;
+import io.micatide.protocol.TuningReader;
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
--- a/src/main/java/io/micatide/cli/SnapshotCommand.java
+++ b/src/main/java/io/micatide/cli/SnapshotCommand.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.core.Settings;
+import io.micatide.model.Settings;
 import io.micatide.snapshot.Image;
 import io.micatide.snapshot.ImageTaker;
 import io.micatide.snapshot.Restorer;
--- a/src/main/java/io/micatide/cli/WarmUp.java
+++ b/src/main/java/io/micatide/cli/WarmUp.java
@@ -1,14 +1,14 @@
 package io.micatide.cli;
 
-import io.micatide.core.Settings;
+import io.micatide.controller.Node;
+import io.micatide.model.Settings;
 import io.micatide.net.HttpClient;
 import io.micatide.net.HttpServer;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
-import io.micatide.node.Node;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.SettingsReader;
-import io.micatide.wire.TuningReader;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.SettingsReader;
+import io.micatide.protocol.TuningReader;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/io/micatide/cli/WarmUpCommand.java
+++ b/src/main/java/io/micatide/cli/WarmUpCommand.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.wire.MalformedException;
+import io.micatide.protocol.MalformedException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
--- a/src/main/java/io/micatide/node/Accepted.java
+++ b/src/main/java/io/micatide/controller/Accepted.java
@@ -1,8 +1,8 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Outcome;
 import io.micatide.net.Request;
-import io.micatide.wire.JobCodec;
+import io.micatide.protocol.JobCodec;
+import io.micatide.store.Outcome;
 
 /** A submission of a job that was accepted before gets 200 and how it stands. */
 abstract class Accepted implements Place {
--- a/src/main/java/io/micatide/node/Actor.java
+++ b/src/main/java/io/micatide/controller/Actor.java
@@ -1,4 +1,4 @@
-package io.micatide.node;
+package io.micatide.controller;
 
 import io.micatide.net.Reply;
 import java.util.function.Consumer;
--- a/src/main/java/io/micatide/node/Archiving.java
+++ b/src/main/java/io/micatide/controller/Archiving.java
@@ -1,10 +1,10 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.Scheduler;
-import io.micatide.core.Tuning;
-import io.micatide.history.Archivist;
+import io.micatide.archive.Archivist;
+import io.micatide.model.Micros;
+import io.micatide.model.Tuning;
+import io.micatide.scheduler.Scheduler;
+import io.micatide.store.Row;
 import java.util.List;
 
 /** A term's part in the archive: begins to keep it once all is read, offers it what is over and tells it what the rate leaves. */
--- a/src/main/java/io/micatide/node/Build.java
+++ b/src/main/java/io/micatide/controller/Build.java
@@ -1,4 +1,4 @@
-package io.micatide.node;
+package io.micatide.controller;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/io/micatide/node/Claims.java
+++ b/src/main/java/io/micatide/controller/Claims.java
@@ -1,14 +1,14 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Leadership;
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.election.Leadership;
+import io.micatide.model.Micros;
 import io.micatide.net.Reply;
 import io.micatide.net.StateClient;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.StateCodec;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.StateCodec;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
--- a/src/main/java/io/micatide/node/Clock.java
+++ b/src/main/java/io/micatide/controller/Clock.java
@@ -1,6 +1,6 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 
 /** The steady clock, and the time of day for what has to hold over a change of controllers. */
 public final class Clock {
--- a/src/main/java/io/micatide/node/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -1,17 +1,17 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.CloudCall;
-import io.micatide.core.ListedMachine;
-import io.micatide.core.MachineType;
-import io.micatide.core.Row;
-import io.micatide.core.Scheduler;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.model.CloudCall;
+import io.micatide.model.ListedMachine;
+import io.micatide.model.MachineType;
 import io.micatide.net.CloudClient;
 import io.micatide.net.Reply;
 import io.micatide.net.StateClient;
-import io.micatide.wire.CloudCodec;
-import io.micatide.wire.MalformedException;
+import io.micatide.protocol.CloudCodec;
+import io.micatide.protocol.MalformedException;
+import io.micatide.scheduler.Scheduler;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
--- a/src/main/java/io/micatide/node/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -1,18 +1,18 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Settings;
-import io.micatide.core.TakeOverTimes;
-import io.micatide.core.Tuning;
-import io.micatide.history.Archivist;
+import io.micatide.archive.Archivist;
+import io.micatide.model.Settings;
+import io.micatide.model.Tuning;
 import io.micatide.net.CloudClient;
 import io.micatide.net.Http;
 import io.micatide.net.Request;
 import io.micatide.net.StateClient;
+import io.micatide.protocol.Description;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.StateCodec;
 import io.micatide.rollout.Abilities;
+import io.micatide.scheduler.TakeOverTimes;
 import io.micatide.standby.Copy;
-import io.micatide.wire.Description;
-import io.micatide.wire.Json;
-import io.micatide.wire.StateCodec;
 import java.util.List;
 import java.util.function.BiConsumer;
 
--- a/src/main/java/io/micatide/node/Following.java
+++ b/src/main/java/io/micatide/controller/Following.java
@@ -1,16 +1,16 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Settings;
+import io.micatide.model.Settings;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
+import io.micatide.protocol.HintCodec;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.PeerCodec;
 import io.micatide.standby.Heirs;
 import io.micatide.standby.HintSender;
 import io.micatide.standby.StandbyReadiness;
 import io.micatide.standby.Succession;
-import io.micatide.wire.HintCodec;
-import io.micatide.wire.Json;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.PeerCodec;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/io/micatide/node/Greeter.java
+++ b/src/main/java/io/micatide/controller/Greeter.java
@@ -1,13 +1,13 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Greeting;
-import io.micatide.core.MachineReport;
-import io.micatide.core.Micros;
-import io.micatide.core.Scheduler;
-import io.micatide.core.Settings;
+import io.micatide.model.Greeting;
+import io.micatide.model.MachineReport;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
 import io.micatide.net.Http;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.WorkerCodec;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.WorkerCodec;
+import io.micatide.scheduler.Scheduler;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/io/micatide/node/HandOver.java
+++ b/src/main/java/io/micatide/controller/HandOver.java
@@ -1,6 +1,6 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 
 /**
  * An orderly end, step by step: the round that is under way is answered or left, an heir catches up, the lease goes back. Each step
--- a/src/main/java/io/micatide/node/HistoryReader.java
+++ b/src/main/java/io/micatide/controller/HistoryReader.java
@@ -1,17 +1,17 @@
-package io.micatide.node;
+package io.micatide.controller;
 
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
-import io.micatide.core.Micros;
-import io.micatide.core.Outcome;
-import io.micatide.core.Row;
-import io.micatide.history.DamagedException;
-import io.micatide.history.Filters;
-import io.micatide.history.Segments;
+import io.micatide.archive.DamagedException;
+import io.micatide.archive.Filters;
+import io.micatide.archive.Segments;
+import io.micatide.model.Micros;
 import io.micatide.net.Reply;
 import io.micatide.net.StateClient;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.StateCodec;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.StateCodec;
+import io.micatide.store.Outcome;
+import io.micatide.store.Row;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/io/micatide/node/Learning.java
+++ b/src/main/java/io/micatide/controller/Learning.java
@@ -1,15 +1,15 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Hint;
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.Scheduler;
-import io.micatide.core.Settings;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.model.Hint;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
 import io.micatide.net.StateClient;
+import io.micatide.protocol.StateCodec;
 import io.micatide.rollout.Feature;
-import io.micatide.wire.StateCodec;
+import io.micatide.scheduler.Scheduler;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/io/micatide/node/Loop.java
+++ b/src/main/java/io/micatide/controller/Loop.java
@@ -1,4 +1,4 @@
-package io.micatide.node;
+package io.micatide.controller;
 
 /** What runs a controller's actors, one message at a time, and its clocks. Times in microseconds. */
 public interface Loop {
--- a/src/main/java/io/micatide/node/NettyLoop.java
+++ b/src/main/java/io/micatide/controller/NettyLoop.java
@@ -1,4 +1,4 @@
-package io.micatide.node;
+package io.micatide.controller;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/io/micatide/node/Node.java
+++ b/src/main/java/io/micatide/controller/Node.java
@@ -1,7 +1,7 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Settings;
-import io.micatide.core.Tuning;
+import io.micatide.model.Settings;
+import io.micatide.model.Tuning;
 import io.micatide.net.HttpClient;
 import io.micatide.net.HttpServer;
 import io.netty.channel.EventLoop;
--- a/src/main/java/io/micatide/node/Place.java
+++ b/src/main/java/io/micatide/controller/Place.java
@@ -1,6 +1,6 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Outcome;
+import io.micatide.store.Outcome;
 
 /** Where a job is. */
 interface Place {
--- a/src/main/java/io/micatide/node/Rollout.java
+++ b/src/main/java/io/micatide/controller/Rollout.java
@@ -1,17 +1,17 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.Settings;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
 import io.micatide.net.Reply;
 import io.micatide.net.StateClient;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.StateCodec;
 import io.micatide.rollout.Abilities;
 import io.micatide.rollout.Registration;
 import io.micatide.rollout.Switches;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.StateCodec;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.List;
 import java.util.Map;
 import org.slf4j.Logger;
--- a/src/main/java/io/micatide/node/Rounds.java
+++ b/src/main/java/io/micatide/controller/Rounds.java
@@ -1,15 +1,15 @@
-package io.micatide.node;
-
-import io.micatide.core.Micros;
-import io.micatide.core.ReadBack;
-import io.micatide.core.Row;
-import io.micatide.core.Scheduler;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+package io.micatide.controller;
+
+import io.micatide.model.Micros;
 import io.micatide.net.Reply;
 import io.micatide.net.StateClient;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.StateCodec;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.StateCodec;
+import io.micatide.scheduler.Scheduler;
+import io.micatide.store.ReadBack;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.slf4j.Logger;
--- a/src/main/java/io/micatide/node/Siblings.java
+++ b/src/main/java/io/micatide/controller/Siblings.java
@@ -1,12 +1,12 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.JobProgress;
-import io.micatide.core.Micros;
-import io.micatide.core.Settings;
+import io.micatide.model.JobProgress;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
 import io.micatide.net.Http;
+import io.micatide.protocol.HintCodec;
+import io.micatide.protocol.PeerCodec;
 import io.micatide.standby.HintSender;
-import io.micatide.wire.HintCodec;
-import io.micatide.wire.PeerCodec;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/io/micatide/node/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -1,17 +1,17 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Settings;
-import io.micatide.core.StoreKeys;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
 import io.micatide.net.StateClient;
+import io.micatide.protocol.HintCodec;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.StateCodec;
 import io.micatide.standby.Copy;
 import io.micatide.standby.HintsHeld;
-import io.micatide.wire.HintCodec;
-import io.micatide.wire.Json;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.StateCodec;
+import io.micatide.store.StoreKeys;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
--- a/src/main/java/io/micatide/node/TakeOver.java
+++ b/src/main/java/io/micatide/controller/TakeOver.java
@@ -1,13 +1,13 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
 import io.micatide.net.Reply;
 import io.micatide.net.StateClient;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.StateCodec;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.StateCodec;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
 import java.util.List;
 
 /**
--- a/src/main/java/io/micatide/node/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -1,16 +1,16 @@
-package io.micatide.node;
-
-import io.micatide.core.CloudCall;
-import io.micatide.core.Greeting;
-import io.micatide.core.Hint;
-import io.micatide.core.ListedMachine;
-import io.micatide.core.MachineType;
-import io.micatide.core.Row;
-import io.micatide.core.Transaction;
-import io.micatide.history.Archivist;
+package io.micatide.controller;
+
+import io.micatide.archive.Archivist;
+import io.micatide.model.CloudCall;
+import io.micatide.model.Greeting;
+import io.micatide.model.Hint;
+import io.micatide.model.ListedMachine;
+import io.micatide.model.MachineType;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.wire.StateCodec;
+import io.micatide.protocol.StateCodec;
+import io.micatide.store.Row;
+import io.micatide.store.Transaction;
 import java.util.List;
 
 /** What concerns one term only: dropped once that term is over. */
--- a/src/main/java/io/micatide/node/Testimonies.java
+++ b/src/main/java/io/micatide/controller/Testimonies.java
@@ -1,12 +1,12 @@
-package io.micatide.node;
+package io.micatide.controller;
 
-import io.micatide.core.CancelProof;
-import io.micatide.core.Settings;
-import io.micatide.core.Testimony;
+import io.micatide.election.CancelProof;
+import io.micatide.model.Settings;
+import io.micatide.model.Testimony;
 import io.micatide.net.Request;
-import io.micatide.wire.Json;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.PeerCodec;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.PeerCodec;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/io/micatide/core/CancelProof.java
+++ b/src/main/java/io/micatide/election/CancelProof.java
@@ -1,5 +1,8 @@
-package io.micatide.core;
+package io.micatide.election;
 
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.model.Testimony;
 import java.util.Arrays;
 import java.util.List;
 
--- a/src/main/java/io/micatide/core/Leadership.java
+++ b/src/main/java/io/micatide/election/Leadership.java
@@ -1,4 +1,6 @@
-package io.micatide.core;
+package io.micatide.election;
+
+import io.micatide.model.Micros;
 
 /**
  * Who leads, decided by one row of the state service that is attached to a short lease. The revision of the put that
--- a/src/main/java/io/micatide/core/StateReach.java
+++ b/src/main/java/io/micatide/election/StateReach.java
@@ -1,4 +1,6 @@
-package io.micatide.core;
+package io.micatide.election;
+
+import io.micatide.model.Micros;
 
 /**
  * Whether this controller alone has lost the state service. It cannot tell that from an outage by itself; a sibling that
--- a/src/main/java/io/micatide/core/WorkerReach.java
+++ b/src/main/java/io/micatide/election/WorkerReach.java
@@ -1,5 +1,8 @@
-package io.micatide.core;
+package io.micatide.election;
 
+import io.micatide.model.MachineReport;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
 import java.util.HashMap;
 import java.util.Map;
 
--- a/src/main/java/io/micatide/core/Admission.java
+++ b/src/main/java/io/micatide/jobs/Admission.java
@@ -1,5 +1,9 @@
-package io.micatide.core;
+package io.micatide.jobs;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.MachineType;
+import io.micatide.model.Team;
 import java.util.Collection;
 import java.util.Map;
 
--- a/src/main/java/io/micatide/core/CancelLog.java
+++ b/src/main/java/io/micatide/jobs/CancelLog.java
@@ -1,5 +1,6 @@
-package io.micatide.core;
+package io.micatide.jobs;
 
+import io.micatide.model.Testimony;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -18,7 +19,7 @@
     /** Above this revision nothing is missing: what was dropped was older, and so was what a read of all rows could not show any more. */
     private long wholeAbove;
 
-    void cancelled(String job, long version) {
+    public void cancelled(String job, long version) {
         newest.addLast(new Testimony.Cancelled(job, version));
         if (newest.size() > MOST) {
             wholeAbove = Math.max(wholeAbove, newest.removeFirst().version());
@@ -26,7 +27,7 @@
     }
 
     /** All rows were read as of this revision: what was cancelled and archived before it may not have been among them. */
-    void readWholeAt(long revision) {
+    public void readWholeAt(long revision) {
         wholeAbove = Math.max(wholeAbove, revision);
     }
 
--- a/src/main/java/io/micatide/core/Dependencies.java
+++ b/src/main/java/io/micatide/jobs/Dependencies.java
@@ -1,5 +1,7 @@
-package io.micatide.core;
+package io.micatide.jobs;
 
+import io.micatide.model.JobState;
+import io.micatide.store.Row;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/src/main/java/io/micatide/core/PipelineAdmission.java
+++ b/src/main/java/io/micatide/jobs/PipelineAdmission.java
@@ -1,5 +1,10 @@
-package io.micatide.core;
+package io.micatide.jobs;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.JobState;
+import io.micatide.store.Outcome;
+import io.micatide.store.Row;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/io/micatide/core/Command.java
+++ b/src/main/java/io/micatide/model/Command.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** A command to a worker. */
 public sealed interface Command {
--- a/src/main/java/io/micatide/core/ExitCause.java
+++ b/src/main/java/io/micatide/model/ExitCause.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** Why a task exited; the last three are refused starts. */
 public enum ExitCause {
--- a/src/main/java/io/micatide/core/Greeting.java
+++ b/src/main/java/io/micatide/model/Greeting.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /**
  * A machine that a new leader does not wait for: told the new token it answers with its report, which confirms it.
--- a/src/main/java/io/micatide/core/JobKind.java
+++ b/src/main/java/io/micatide/model/JobKind.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** How the tasks of a job belong together. */
 public enum JobKind {
--- a/src/main/java/io/micatide/core/JobProgress.java
+++ b/src/main/java/io/micatide/model/JobProgress.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** Counts of a job's tasks for display. */
 public record JobProgress(String id, int done, int running) {}
--- a/src/main/java/io/micatide/core/JobState.java
+++ b/src/main/java/io/micatide/model/JobState.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** What is stored of a job; whether an open one is queued or running is only known to the leader. */
 public enum JobState {
--- a/src/main/java/io/micatide/core/ListedMachine.java
+++ b/src/main/java/io/micatide/model/ListedMachine.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** A line of the cloud's list. */
 public record ListedMachine(String name, String type, String zone, boolean spot, State state, long ageMicros) {
--- a/src/main/java/io/micatide/core/MachineReport.java
+++ b/src/main/java/io/micatide/model/MachineReport.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 import java.util.List;
 
--- a/src/main/java/io/micatide/core/Micros.java
+++ b/src/main/java/io/micatide/model/Micros.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** Durations and instants in whole microseconds. */
 public final class Micros {
--- a/src/main/java/io/micatide/core/Priority.java
+++ b/src/main/java/io/micatide/model/Priority.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** Priorities, highest first. */
 public enum Priority {
--- a/src/main/java/io/micatide/core/Resources.java
+++ b/src/main/java/io/micatide/model/Resources.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** What a task takes or a machine has, in thousandths, so that sums against a team's limit are exact. */
 public record Resources(long cpus, long cards, long memory) {
--- a/src/main/java/io/micatide/core/Settings.java
+++ b/src/main/java/io/micatide/model/Settings.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 import java.util.List;
 import java.util.Map;
@@ -46,9 +46,9 @@
 
     /** The layout that this version reads; the first that is marked is 2. */
     public static final int LAYOUT = 3;
-    /** Jobs that need others, names of machines in short: marked by {@link StoreKeys#LAYOUT}. */
+    /** Jobs that need others, names of machines in short: marked by a row of its own. */
     public static final int LAYOUT_NEEDS = 2;
-    /** Final states in the archive: marked by its manifest, {@link StoreKeys#HISTORY}. */
+    /** Final states in the archive: marked by its manifest, a row as well. */
     public static final int LAYOUT_HISTORY = 3;
 
     /**
--- a/src/main/java/io/micatide/core/TaskState.java
+++ b/src/main/java/io/micatide/model/TaskState.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** What a worker says of a task. */
 public enum TaskState {
--- a/src/main/java/io/micatide/core/Team.java
+++ b/src/main/java/io/micatide/model/Team.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /** A team's guarantee and limit in thousandths; a limit of 0 means that there is none. */
 public record Team(String name, long cpus, long cards, long cpusMax, long cardsMax) {
--- a/src/main/java/io/micatide/core/Tuning.java
+++ b/src/main/java/io/micatide/model/Tuning.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.model;
 
 /**
  * What an operator may set beyond the platform's file; every default is derived from the platform's settings.
--- a/src/main/java/io/micatide/net/CloudClient.java
+++ b/src/main/java/io/micatide/net/CloudClient.java
@@ -1,9 +1,9 @@
 package io.micatide.net;
 
-import io.micatide.core.CloudCall;
-import io.micatide.core.Micros;
-import io.micatide.core.Settings;
-import io.micatide.wire.CloudCodec;
+import io.micatide.model.CloudCall;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.protocol.CloudCodec;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
--- a/src/main/java/io/micatide/net/Pacer.java
+++ b/src/main/java/io/micatide/net/Pacer.java
@@ -1,6 +1,6 @@
 package io.micatide.net;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 
 /**
  * Keeps a client under a service's rate. Guava's limiter blocks its caller, which an event loop cannot afford.
--- a/src/main/java/io/micatide/net/StateClient.java
+++ b/src/main/java/io/micatide/net/StateClient.java
@@ -1,10 +1,10 @@
 package io.micatide.net;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Settings;
-import io.micatide.core.StateReach;
-import io.micatide.core.Transaction;
-import io.micatide.wire.StateCodec;
+import io.micatide.election.StateReach;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.protocol.StateCodec;
+import io.micatide.store.Transaction;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
--- a/src/main/java/io/micatide/wire/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -1,11 +1,11 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.CloudCall;
-import io.micatide.core.ListedMachine;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
+import io.micatide.model.CloudCall;
+import io.micatide.model.ListedMachine;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/io/micatide/wire/CloudSide.java
+++ b/src/main/java/io/micatide/protocol/CloudSide.java
@@ -1,10 +1,10 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.CloudCall;
-import io.micatide.core.ListedMachine;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
+import io.micatide.model.CloudCall;
+import io.micatide.model.ListedMachine;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
 import java.util.List;
 import java.util.Locale;
 
@@ -61,7 +61,7 @@
     }
 
     /** The description of a job from its row in the state service, or null if the row keeps none. */
-    public static io.micatide.core.JobSpec described(byte[] row) throws MalformedException {
+    public static io.micatide.model.JobSpec described(byte[] row) throws MalformedException {
         JsonNode spec = Json.tree(row).path("spec");
         return spec.isObject() ? JobCodec.spec(spec) : null;
     }
--- a/src/main/java/io/micatide/wire/Description.java
+++ b/src/main/java/io/micatide/protocol/Description.java
@@ -1,4 +1,4 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/main/java/io/micatide/wire/Fields.java
+++ b/src/main/java/io/micatide/protocol/Fields.java
@@ -1,7 +1,7 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/io/micatide/wire/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -1,8 +1,8 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.Hint;
+import io.micatide.model.Hint;
 import io.micatide.standby.HintSender.Part;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/io/micatide/wire/HistoryCodec.java
+++ b/src/main/java/io/micatide/protocol/HistoryCodec.java
@@ -1,8 +1,8 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.Row;
+import io.micatide.store.Row;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Base64;
--- a/src/main/java/io/micatide/wire/JobCodec.java
+++ b/src/main/java/io/micatide/protocol/JobCodec.java
@@ -1,12 +1,12 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.JobKind;
-import io.micatide.core.JobSpec;
-import io.micatide.core.Micros;
-import io.micatide.core.Priority;
-import io.micatide.core.Resources;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
 import java.io.IOException;
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/src/main/java/io/micatide/wire/Json.java
+++ b/src/main/java/io/micatide/protocol/Json.java
@@ -1,4 +1,4 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/src/main/java/io/micatide/wire/MalformedException.java
+++ b/src/main/java/io/micatide/protocol/MalformedException.java
@@ -1,4 +1,4 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 /** A message or a settings file that does not follow its protocol; names the field. */
 public final class MalformedException extends Exception {
--- a/src/main/java/io/micatide/wire/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -1,9 +1,9 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.JobProgress;
-import io.micatide.core.Testimony;
+import io.micatide.model.JobProgress;
+import io.micatide.model.Testimony;
 import io.micatide.standby.StandbyReadiness;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/io/micatide/wire/RawState.java
+++ b/src/main/java/io/micatide/protocol/RawState.java
@@ -1,4 +1,4 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/io/micatide/wire/RolloutCodec.java
+++ b/src/main/java/io/micatide/protocol/RolloutCodec.java
@@ -1,9 +1,9 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/io/micatide/wire/StateCodec.java
+++ b/src/main/java/io/micatide/protocol/StateCodec.java
@@ -1,15 +1,15 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.JobState;
-import io.micatide.core.MachineNames;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.model.JobState;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.store.MachineNames;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/io/micatide/wire/TuningReader.java
+++ b/src/main/java/io/micatide/protocol/TuningReader.java
@@ -1,9 +1,9 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import io.micatide.core.Settings;
-import io.micatide.core.Tuning;
+import io.micatide.model.Settings;
+import io.micatide.model.Tuning;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/io/micatide/wire/UserSide.java
+++ b/src/main/java/io/micatide/protocol/UserSide.java
@@ -1,6 +1,6 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
-import io.micatide.core.JobSpec;
+import io.micatide.model.JobSpec;
 
 /** The protocol between users and controllers as a user sees it: for stand-ins of users. */
 public final class UserSide {
--- a/src/main/java/io/micatide/wire/WorkerSide.java
+++ b/src/main/java/io/micatide/protocol/WorkerSide.java
@@ -1,12 +1,12 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.Command;
-import io.micatide.core.ExitCause;
-import io.micatide.core.MachineReport;
-import io.micatide.core.Micros;
-import io.micatide.core.TaskReport;
-import io.micatide.core.TaskState;
+import io.micatide.model.Command;
+import io.micatide.model.ExitCause;
+import io.micatide.model.MachineReport;
+import io.micatide.model.Micros;
+import io.micatide.model.TaskReport;
+import io.micatide.model.TaskState;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/io/micatide/rollout/Registration.java
+++ b/src/main/java/io/micatide/rollout/Registration.java
@@ -1,9 +1,9 @@
 package io.micatide.rollout;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.model.Micros;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.List;
 
 /**
--- a/src/main/java/io/micatide/rollout/Roster.java
+++ b/src/main/java/io/micatide/rollout/Roster.java
@@ -1,8 +1,8 @@
 package io.micatide.rollout;
 
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/io/micatide/rollout/Switches.java
+++ b/src/main/java/io/micatide/rollout/Switches.java
@@ -1,6 +1,6 @@
 package io.micatide.rollout;
 
-import io.micatide.core.Row;
+import io.micatide.store.Row;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/io/micatide/core/Blocked.java
+++ b/src/main/java/io/micatide/scheduler/Blocked.java
@@ -1,5 +1,6 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.Priority;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/io/micatide/core/Deadlines.java
+++ b/src/main/java/io/micatide/scheduler/Deadlines.java
@@ -1,5 +1,6 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.Priority;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/io/micatide/core/Fleet.java
+++ b/src/main/java/io/micatide/scheduler/Fleet.java
@@ -1,5 +1,7 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/micatide/core/Health.java
+++ b/src/main/java/io/micatide/scheduler/Health.java
@@ -1,5 +1,8 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.Micros;
+import io.micatide.model.TaskState;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/io/micatide/core/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -1,7 +1,10 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Priority;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
--- a/src/main/java/io/micatide/core/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -1,7 +1,16 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
+import io.micatide.model.JobSpec;
+import io.micatide.model.JobState;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.store.MachineNames;
+import io.micatide.store.Ranges;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
--- a/src/main/java/io/micatide/core/JobShape.java
+++ b/src/main/java/io/micatide/scheduler/JobShape.java
@@ -1,5 +1,7 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.JobSpec;
+import io.micatide.model.Resources;
 import java.util.List;
 
 /**
--- a/src/main/java/io/micatide/core/LikelyMachines.java
+++ b/src/main/java/io/micatide/scheduler/LikelyMachines.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/io/micatide/core/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -1,5 +1,10 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/micatide/core/Pipelines.java
+++ b/src/main/java/io/micatide/scheduler/Pipelines.java
@@ -1,5 +1,8 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/io/micatide/core/Placement.java
+++ b/src/main/java/io/micatide/scheduler/Placement.java
@@ -1,4 +1,7 @@
-package io.micatide.core;
+package io.micatide.scheduler;
+
+import io.micatide.model.TaskReport;
+import io.micatide.model.TaskState;
 
 /** One attempt of one task on one machine, from the decision to the end that was read back. */
 final class Placement {
--- a/src/main/java/io/micatide/core/PlanPass.java
+++ b/src/main/java/io/micatide/scheduler/PlanPass.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import java.util.HashSet;
 import java.util.Set;
--- a/src/main/java/io/micatide/core/Planner.java
+++ b/src/main/java/io/micatide/scheduler/Planner.java
@@ -1,5 +1,13 @@
-package io.micatide.core;
-
+package io.micatide.scheduler;
+
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.Team;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/io/micatide/core/Recovery.java
+++ b/src/main/java/io/micatide/scheduler/Recovery.java
@@ -1,5 +1,6 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.Micros;
 import java.util.Locale;
 
 /**
--- a/src/main/java/io/micatide/core/Rentals.java
+++ b/src/main/java/io/micatide/scheduler/Rentals.java
@@ -1,5 +1,10 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/io/micatide/core/Renter.java
+++ b/src/main/java/io/micatide/scheduler/Renter.java
@@ -1,7 +1,18 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import com.google.common.collect.HashMultiset;
 import com.google.common.collect.Multiset;
+import io.micatide.model.CloudCall;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.ListedMachine;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.Team;
+import io.micatide.model.Tuning;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/io/micatide/core/RoomDemand.java
+++ b/src/main/java/io/micatide/scheduler/RoomDemand.java
@@ -1,4 +1,7 @@
-package io.micatide.core;
+package io.micatide.scheduler;
+
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
 
 /**
  * Room for one task of a kind: free room, with or without what could be freed for it.
--- a/src/main/java/io/micatide/core/RoomIndex.java
+++ b/src/main/java/io/micatide/scheduler/RoomIndex.java
@@ -1,5 +1,10 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
--- a/src/main/java/io/micatide/core/RunTimes.java
+++ b/src/main/java/io/micatide/scheduler/RunTimes.java
@@ -1,5 +1,8 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
+import io.micatide.model.Hint;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/io/micatide/core/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -1,5 +1,26 @@
-package io.micatide.core;
-
+package io.micatide.scheduler;
+
+import io.micatide.jobs.JobDirectory;
+import io.micatide.model.CloudCall;
+import io.micatide.model.Command;
+import io.micatide.model.ExitCause;
+import io.micatide.model.Greeting;
+import io.micatide.model.Hint;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobProgress;
+import io.micatide.model.JobState;
+import io.micatide.model.ListedMachine;
+import io.micatide.model.MachineReport;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.TaskReport;
+import io.micatide.model.TaskState;
+import io.micatide.model.Tuning;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/io/micatide/core/TakeOverTimes.java
+++ b/src/main/java/io/micatide/scheduler/TakeOverTimes.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 /** How a term got back what the one before knew. Times in microseconds since the claim, -1 for what has not happened. */
 public interface TakeOverTimes {
--- a/src/main/java/io/micatide/core/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -1,4 +1,9 @@
-package io.micatide.core;
+package io.micatide.scheduler;
+
+import io.micatide.model.JobKind;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.TaskState;
 
 /** What a leader tells of its term in one line of the log: counts of jobs, machines and what runs on them, at one moment. */
 final class TermSummary {
--- a/src/main/java/io/micatide/core/package-info.java
+++ b/src/main/java/io/micatide/scheduler/package-info.java
@@ -3,4 +3,4 @@
  * out. Nothing here reads a clock, a socket or a file; times are whole microseconds of a steady clock unless a name
  * says {@code wall}.
  */
-package io.micatide.core;
+package io.micatide.scheduler;
--- a/src/main/java/io/micatide/rehearsal/CloudStandIn.java
+++ b/src/main/java/io/micatide/simulation/CloudStandIn.java
@@ -1,14 +1,14 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
-import io.micatide.core.CloudCall;
-import io.micatide.core.ListedMachine;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
+import io.micatide.controller.Loop;
+import io.micatide.model.CloudCall;
+import io.micatide.model.ListedMachine;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
 import io.micatide.net.Request;
-import io.micatide.node.Loop;
-import io.micatide.wire.CloudSide;
-import io.micatide.wire.Json;
-import io.micatide.wire.MalformedException;
+import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/io/micatide/rehearsal/Deployment.java
+++ b/src/main/java/io/micatide/simulation/Deployment.java
@@ -1,20 +1,20 @@
-package io.micatide.rehearsal;
-
-import io.micatide.core.JobSpec;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.Settings;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Tuning;
-import io.micatide.history.Archivist;
+package io.micatide.simulation;
+
+import io.micatide.archive.Archivist;
+import io.micatide.controller.Controller;
+import io.micatide.model.JobSpec;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.model.Tuning;
 import io.micatide.net.Http;
-import io.micatide.node.Controller;
+import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.StateCodec;
 import io.micatide.rollout.Abilities;
 import io.micatide.standby.Copy;
-import io.micatide.wire.CloudSide;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.StateCodec;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/main/java/io/micatide/rehearsal/Gangs.java
+++ b/src/main/java/io/micatide/simulation/Gangs.java
@@ -1,8 +1,8 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
-import io.micatide.core.ExitCause;
-import io.micatide.core.Settings;
-import io.micatide.node.Loop;
+import io.micatide.controller.Loop;
+import io.micatide.model.ExitCause;
+import io.micatide.model.Settings;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -40,7 +40,7 @@
         } else {
             loop.later(
                     () -> {
-                        if (task.state == io.micatide.core.TaskState.WAITING) {
+                        if (task.state == io.micatide.model.TaskState.WAITING) {
                             worker.exit(task, ExitCause.ALONE);
                         }
                     },
@@ -52,7 +52,7 @@
     void left(WorkerStandIn.Task task, ExitCause cause) {
         // Nobody of an attempt has arrived if its first task is stopped while it fetches.
         Map<WorkerStandIn.Task, WorkerStandIn> peers = present.get(attempt(task));
-        boolean ran = task.state == io.micatide.core.TaskState.RUNNING;
+        boolean ran = task.state == io.micatide.model.TaskState.RUNNING;
         if (peers == null || peers.remove(task) == null || !ran) {
             return;
         }
--- a/src/main/java/io/micatide/rehearsal/LocalService.java
+++ b/src/main/java/io/micatide/simulation/LocalService.java
@@ -1,21 +1,21 @@
-package io.micatide.rehearsal;
-
-import io.micatide.core.ExitCause;
-import io.micatide.core.JobSpec;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Settings;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Team;
-import io.micatide.core.Tuning;
+package io.micatide.simulation;
+
+import io.micatide.controller.NettyLoop;
+import io.micatide.controller.Node;
+import io.micatide.model.ExitCause;
+import io.micatide.model.JobSpec;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.Team;
+import io.micatide.model.Tuning;
 import io.micatide.net.Http;
 import io.micatide.net.HttpClient;
 import io.micatide.net.HttpServer;
-import io.micatide.node.NettyLoop;
-import io.micatide.node.Node;
-import io.micatide.wire.CloudSide;
-import io.micatide.wire.MalformedException;
+import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.MalformedException;
+import io.micatide.store.StoreKeys;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
--- a/src/main/java/io/micatide/rehearsal/RefusedHttp.java
+++ b/src/main/java/io/micatide/simulation/RefusedHttp.java
@@ -1,9 +1,9 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
-import io.micatide.core.Micros;
+import io.micatide.controller.Loop;
+import io.micatide.model.Micros;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.node.Loop;
 import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
--- a/src/main/java/io/micatide/rehearsal/RuleChecker.java
+++ b/src/main/java/io/micatide/simulation/RuleChecker.java
@@ -1,11 +1,11 @@
-package io.micatide.rehearsal;
-
-import io.micatide.core.ExitCause;
-import io.micatide.core.JobKind;
-import io.micatide.core.JobSpec;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Team;
+package io.micatide.simulation;
+
+import io.micatide.model.ExitCause;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Team;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/io/micatide/rehearsal/StateStandIn.java
+++ b/src/main/java/io/micatide/simulation/StateStandIn.java
@@ -1,12 +1,12 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.Micros;
+import io.micatide.controller.Loop;
+import io.micatide.model.Micros;
 import io.micatide.net.Pacer;
 import io.micatide.net.Request;
-import io.micatide.node.Loop;
-import io.micatide.wire.Json;
-import io.micatide.wire.MalformedException;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/main/java/io/micatide/rehearsal/TakeOverMeasure.java
+++ b/src/main/java/io/micatide/simulation/TakeOverMeasure.java
@@ -1,14 +1,14 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
-import io.micatide.core.ExitCause;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Settings;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.TakeOverTimes;
-import io.micatide.core.Team;
-import io.micatide.core.Tuning;
+import io.micatide.model.ExitCause;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.Team;
+import io.micatide.model.Tuning;
+import io.micatide.scheduler.TakeOverTimes;
+import io.micatide.store.StoreKeys;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,7 +21,7 @@
  * How long a take-over takes, phase by phase, in virtual time with so many machines: the leader is killed, or ended in order, again and
  * again. Virtual processes take no time to compute, so these are the times of messages, leases and reports; what the actors took of this
  * machine's processor is told beside, and what users see in each second: polls of open jobs and submissions through those controllers that
- * a load balancer takes for healthy. Not a test: run it as {@code java -cp target/micatide.jar io.micatide.rehearsal.TakeOverMeasure
+ * a load balancer takes for healthy. Not a test: run it as {@code java -cp target/micatide.jar io.micatide.simulation.TakeOverMeasure
  * on|off TAKEOVERS MACHINES...}, with {@code off} for controllers without a standby.
  */
 public final class TakeOverMeasure implements Deployment.Plan {
--- a/src/main/java/io/micatide/rehearsal/VirtualNetwork.java
+++ b/src/main/java/io/micatide/simulation/VirtualNetwork.java
@@ -1,6 +1,6 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
--- a/src/main/java/io/micatide/rehearsal/VirtualTime.java
+++ b/src/main/java/io/micatide/simulation/VirtualTime.java
@@ -1,6 +1,6 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
-import io.micatide.node.Loop;
+import io.micatide.controller.Loop;
 import java.util.PriorityQueue;
 
 /** Time that passes only when there is nothing left to do at its present moment; the same events in the same order each time. */
--- a/src/main/java/io/micatide/rehearsal/WorkerStandIn.java
+++ b/src/main/java/io/micatide/simulation/WorkerStandIn.java
@@ -1,21 +1,21 @@
-package io.micatide.rehearsal;
-
-import io.micatide.core.Command;
-import io.micatide.core.ExitCause;
-import io.micatide.core.JobKind;
-import io.micatide.core.JobSpec;
-import io.micatide.core.MachineReport;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Settings;
-import io.micatide.core.TaskReport;
-import io.micatide.core.TaskState;
+package io.micatide.simulation;
+
+import io.micatide.controller.Loop;
+import io.micatide.model.Command;
+import io.micatide.model.ExitCause;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.MachineReport;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.TaskReport;
+import io.micatide.model.TaskState;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
-import io.micatide.node.Loop;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.WorkerSide;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.WorkerSide;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/io/micatide/rehearsal/package-info.java
+++ b/src/main/java/io/micatide/simulation/package-info.java
@@ -3,4 +3,4 @@
  * loopback sockets, or in virtual time where a seed decides every delay and loss. Speak to controllers by the protocol alone; a
  * controller knows nothing of them, and loads nothing of this package.
  */
-package io.micatide.rehearsal;
+package io.micatide.simulation;
--- a/src/main/java/io/micatide/rehearsal/scale/ControllerProcess.java
+++ b/src/main/java/io/micatide/simulation/scale/ControllerProcess.java
@@ -1,4 +1,4 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
 import java.io.File;
 import java.io.IOException;
--- a/src/main/java/io/micatide/rehearsal/scale/CountedHttp.java
+++ b/src/main/java/io/micatide/simulation/scale/CountedHttp.java
@@ -1,8 +1,8 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
+import io.micatide.controller.Loop;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.node.Loop;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
--- a/src/main/java/io/micatide/rehearsal/scale/HollowWorkers.java
+++ b/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
@@ -1,15 +1,15 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
-import io.micatide.core.JobSpec;
-import io.micatide.core.Settings;
+import io.micatide.controller.Loop;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Settings;
 import io.micatide.net.Http;
 import io.micatide.net.HttpClient;
 import io.micatide.net.HttpServer;
 import io.micatide.net.Request;
-import io.micatide.node.Loop;
-import io.micatide.rehearsal.CloudStandIn;
-import io.micatide.rehearsal.Gangs;
-import io.micatide.rehearsal.WorkerStandIn;
+import io.micatide.simulation.CloudStandIn;
+import io.micatide.simulation.Gangs;
+import io.micatide.simulation.WorkerStandIn;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
--- a/src/main/java/io/micatide/rehearsal/scale/LeastSquares.java
+++ b/src/main/java/io/micatide/simulation/scale/LeastSquares.java
@@ -1,4 +1,4 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
 /**
  * A straight line through points, by least squares.
--- a/src/main/java/io/micatide/rehearsal/scale/ScaleLimits.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleLimits.java
@@ -1,4 +1,4 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
 import com.sun.management.OperatingSystemMXBean;
 import com.sun.management.UnixOperatingSystemMXBean;
--- a/src/main/java/io/micatide/rehearsal/scale/ScaleReport.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleReport.java
@@ -1,4 +1,4 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/src/main/java/io/micatide/rehearsal/scale/ScaleSettings.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleSettings.java
@@ -1,12 +1,12 @@
-package io.micatide.rehearsal.scale;
-
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Settings;
-import io.micatide.rehearsal.StateStandIn;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.SettingsReader;
+package io.micatide.simulation.scale;
+
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.SettingsReader;
+import io.micatide.simulation.StateStandIn;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/io/micatide/rehearsal/scale/ScaleUsers.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
@@ -1,15 +1,15 @@
-package io.micatide.rehearsal.scale;
-
-import io.micatide.core.JobKind;
-import io.micatide.core.JobSpec;
-import io.micatide.core.Micros;
-import io.micatide.core.Priority;
-import io.micatide.core.Resources;
+package io.micatide.simulation.scale;
+
+import io.micatide.controller.Loop;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.node.Loop;
-import io.micatide.rehearsal.RuleChecker;
-import io.micatide.wire.UserSide;
+import io.micatide.protocol.UserSide;
+import io.micatide.simulation.RuleChecker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/io/micatide/rehearsal/scale/Traffic.java
+++ b/src/main/java/io/micatide/simulation/scale/Traffic.java
@@ -1,6 +1,6 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 import java.util.EnumMap;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
--- a/src/main/java/io/micatide/rehearsal/scale/package-info.java
+++ b/src/main/java/io/micatide/simulation/scale/package-info.java
@@ -3,4 +3,4 @@
  * loopback. Owns the load, what is measured and the processes; speaks to controllers through the protocol only. The service itself loads
  * nothing of it.
  */
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
--- a/src/main/java/io/micatide/snapshot/Image.java
+++ b/src/main/java/io/micatide/snapshot/Image.java
@@ -1,7 +1,7 @@
 package io.micatide.snapshot;
 
-import io.micatide.core.StoreKeys;
-import io.micatide.wire.RawState;
+import io.micatide.protocol.RawState;
+import io.micatide.store.StoreKeys;
 import java.util.List;
 import java.util.Map;
 import java.util.SortedMap;
--- a/src/main/java/io/micatide/snapshot/ImageTaker.java
+++ b/src/main/java/io/micatide/snapshot/ImageTaker.java
@@ -1,8 +1,8 @@
 package io.micatide.snapshot;
 
 import io.micatide.net.Reply;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.RawState;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.RawState;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/io/micatide/snapshot/Restorer.java
+++ b/src/main/java/io/micatide/snapshot/Restorer.java
@@ -1,10 +1,10 @@
 package io.micatide.snapshot;
 
-import io.micatide.core.StoreKeys;
 import io.micatide.net.Reply;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.RawState;
-import io.micatide.wire.StateCodec;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.RawState;
+import io.micatide.protocol.StateCodec;
+import io.micatide.store.StoreKeys;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/io/micatide/snapshot/SnapshotFile.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotFile.java
@@ -1,9 +1,9 @@
 package io.micatide.snapshot;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.wire.Json;
-import io.micatide.wire.MalformedException;
-import io.micatide.wire.RawState;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.RawState;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/main/java/io/micatide/standby/Copy.java
+++ b/src/main/java/io/micatide/standby/Copy.java
@@ -1,6 +1,6 @@
 package io.micatide.standby;
 
-import io.micatide.core.Row;
+import io.micatide.store.Row;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/io/micatide/standby/Heirs.java
+++ b/src/main/java/io/micatide/standby/Heirs.java
@@ -1,7 +1,7 @@
 package io.micatide.standby;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Settings;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/io/micatide/standby/HintsHeld.java
+++ b/src/main/java/io/micatide/standby/HintsHeld.java
@@ -1,6 +1,6 @@
 package io.micatide.standby;
 
-import io.micatide.core.Hint;
+import io.micatide.model.Hint;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/io/micatide/standby/Succession.java
+++ b/src/main/java/io/micatide/standby/Succession.java
@@ -1,6 +1,6 @@
 package io.micatide.standby;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 import java.util.List;
 
 /**
--- a/src/main/java/io/micatide/core/MachineNames.java
+++ b/src/main/java/io/micatide/store/MachineNames.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.store;
 
 import com.google.common.base.Splitter;
 import java.util.ArrayList;
@@ -146,7 +146,7 @@
     }
 
     /** What the groups take as JSON, with quotes and commas. */
-    static int bytes(Collection<String> names) {
+    public static int bytes(Collection<String> names) {
         int bytes = 0;
         for (String group : shorten(names)) {
             bytes += group.length() + 3;
--- a/src/main/java/io/micatide/core/Outcome.java
+++ b/src/main/java/io/micatide/store/Outcome.java
@@ -1,4 +1,7 @@
-package io.micatide.core;
+package io.micatide.store;
+
+import io.micatide.model.JobKind;
+import io.micatide.model.JobState;
 
 /**
  * What is told of a job that is over, for ever.
--- a/src/main/java/io/micatide/core/ReadBack.java
+++ b/src/main/java/io/micatide/store/ReadBack.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.store;
 
 import java.util.ArrayDeque;
 import java.util.Collection;
--- a/src/main/java/io/micatide/core/Row.java
+++ b/src/main/java/io/micatide/store/Row.java
@@ -1,5 +1,9 @@
-package io.micatide.core;
+package io.micatide.store;
 
+import io.micatide.model.Hint;
+import io.micatide.model.JobSpec;
+import io.micatide.model.JobState;
+import io.micatide.model.MachineType;
 import java.util.List;
 import java.util.Map;
 
--- a/src/main/java/io/micatide/core/StoreKeys.java
+++ b/src/main/java/io/micatide/store/StoreKeys.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.store;
 
 /** The layout of the state service: one prefix per owner of the writes. */
 public final class StoreKeys {
--- a/src/test/java/io/micatide/history/ArchivistTest.java
+++ b/src/test/java/io/micatide/archive/ArchivistTest.java
@@ -1,4 +1,4 @@
-package io.micatide.history;
+package io.micatide.archive;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.JobState;
-import io.micatide.core.Outcome;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
-import io.micatide.wire.StateCodec;
+import io.micatide.model.JobState;
+import io.micatide.protocol.StateCodec;
+import io.micatide.store.Outcome;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/io/micatide/history/HistoryFailureTest.java
+++ b/src/test/java/io/micatide/archive/HistoryFailureTest.java
@@ -1,11 +1,11 @@
-package io.micatide.history;
+package io.micatide.archive;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.Micros;
-import io.micatide.core.StoreKeys;
+import io.micatide.model.Micros;
+import io.micatide.store.StoreKeys;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/io/micatide/history/SnapshotTest.java
+++ b/src/test/java/io/micatide/archive/SnapshotTest.java
@@ -1,22 +1,22 @@
-package io.micatide.history;
+package io.micatide.archive;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.Micros;
-import io.micatide.core.StoreKeys;
+import io.micatide.model.Micros;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.rehearsal.StateStandIn;
+import io.micatide.protocol.RawState;
+import io.micatide.simulation.StateStandIn;
 import io.micatide.snapshot.Image;
 import io.micatide.snapshot.ImageTaker;
 import io.micatide.snapshot.Restorer;
 import io.micatide.snapshot.SnapshotException;
 import io.micatide.snapshot.SnapshotFile;
 import io.micatide.snapshot.StateCalls;
-import io.micatide.wire.RawState;
+import io.micatide.store.StoreKeys;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/io/micatide/core/CancelProofTest.java
+++ b/src/test/java/io/micatide/election/CancelProofTest.java
@@ -1,7 +1,11 @@
-package io.micatide.core;
+package io.micatide.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.micatide.jobs.CancelLog;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.model.Testimony;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/io/micatide/core/LeadershipTest.java
+++ b/src/test/java/io/micatide/election/LeadershipTest.java
@@ -1,7 +1,8 @@
-package io.micatide.core;
+package io.micatide.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.micatide.model.Micros;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
--- a/src/test/java/io/micatide/core/WorkerReachTest.java
+++ b/src/test/java/io/micatide/election/WorkerReachTest.java
@@ -1,14 +1,18 @@
-package io.micatide.core;
+package io.micatide.election;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.micatide.model.MachineReport;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.model.SettingsBuilder;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Reports come every 0.8 s; the fleet counts as silent after 2 s. */
 class WorkerReachTest {
-    private static final Settings SETTINGS = new World(1, 0).settings;
+    private static final Settings SETTINGS = new SettingsBuilder().build();
     private static final long NOW = 100 * Micros.SECOND;
 
     private static long ago(double seconds) {
--- a/src/test/java/io/micatide/wire/CodecTest.java
+++ b/src/test/java/io/micatide/protocol/CodecTest.java
@@ -1,18 +1,18 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.micatide.core.Admission;
-import io.micatide.core.Command;
-import io.micatide.core.JobSpec;
-import io.micatide.core.JobState;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Row;
-import io.micatide.core.Team;
-import io.micatide.core.Transaction;
+import io.micatide.jobs.Admission;
+import io.micatide.model.Command;
+import io.micatide.model.JobSpec;
+import io.micatide.model.JobState;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Team;
+import io.micatide.store.Row;
+import io.micatide.store.Transaction;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/io/micatide/wire/DescriptionTest.java
+++ b/src/test/java/io/micatide/protocol/DescriptionTest.java
@@ -1,4 +1,4 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/io/micatide/wire/SettingsTest.java
+++ b/src/test/java/io/micatide/protocol/SettingsTest.java
@@ -1,9 +1,9 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.micatide.core.Settings;
+import io.micatide.model.Settings;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/io/micatide/wire/StoredTextTest.java
+++ b/src/test/java/io/micatide/protocol/StoredTextTest.java
@@ -1,22 +1,22 @@
-package io.micatide.wire;
+package io.micatide.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.JobDirectory;
-import io.micatide.core.JobKind;
-import io.micatide.core.JobProgress;
-import io.micatide.core.JobSpec;
-import io.micatide.core.JobState;
-import io.micatide.core.Priority;
-import io.micatide.core.Resources;
-import io.micatide.core.Row;
-import io.micatide.core.Settings;
-import io.micatide.core.Testimony;
-import io.micatide.core.Transaction;
+import io.micatide.jobs.JobDirectory;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobProgress;
+import io.micatide.model.JobSpec;
+import io.micatide.model.JobState;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.Testimony;
 import io.micatide.standby.StandbyReadiness;
+import io.micatide.store.Row;
+import io.micatide.store.Transaction;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/io/micatide/rollout/PlanTest.java
+++ b/src/test/java/io/micatide/rollout/PlanTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
-import io.micatide.core.Transaction;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/io/micatide/core/BlockedTest.java
+++ b/src/test/java/io/micatide/scheduler/BlockedTest.java
@@ -1,7 +1,11 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.Priority;
+import io.micatide.model.Settings;
+import io.micatide.model.Tuning;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/io/micatide/core/CancelledUseTest.java
+++ b/src/test/java/io/micatide/scheduler/CancelledUseTest.java
@@ -1,8 +1,22 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.micatide.jobs.JobDirectory;
+import io.micatide.model.ExitCause;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.JobState;
+import io.micatide.model.MachineReport;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Settings;
+import io.micatide.model.TaskReport;
+import io.micatide.model.TaskState;
+import io.micatide.model.Tuning;
+import io.micatide.store.Row;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/io/micatide/core/DeadlinesTest.java
+++ b/src/test/java/io/micatide/scheduler/DeadlinesTest.java
@@ -1,7 +1,10 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/io/micatide/core/DependenciesTest.java
+++ b/src/test/java/io/micatide/scheduler/DependenciesTest.java
@@ -1,9 +1,18 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.micatide.jobs.JobDirectory;
+import io.micatide.jobs.PipelineAdmission;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.JobState;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Settings;
+import io.micatide.store.Row;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/io/micatide/core/FailureTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureTest.java
@@ -1,8 +1,18 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.micatide.model.CloudCall;
+import io.micatide.model.Hint;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobState;
+import io.micatide.model.MachineReport;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/io/micatide/core/JobLedgersTest.java
+++ b/src/test/java/io/micatide/scheduler/JobLedgersTest.java
@@ -1,9 +1,19 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.wire.StateCodec;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.JobState;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Settings;
+import io.micatide.protocol.StateCodec;
+import io.micatide.store.Ranges;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
--- a/src/test/java/io/micatide/core/PlanPassTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanPassTest.java
@@ -1,8 +1,13 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
--- a/src/test/java/io/micatide/core/RentalsTest.java
+++ b/src/test/java/io/micatide/scheduler/RentalsTest.java
@@ -1,9 +1,12 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
+import io.micatide.store.Transaction;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/io/micatide/core/RoomIndexTest.java
+++ b/src/test/java/io/micatide/scheduler/RoomIndexTest.java
@@ -1,7 +1,11 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.MachineType;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/io/micatide/core/RunTimesTest.java
+++ b/src/test/java/io/micatide/scheduler/RunTimesTest.java
@@ -1,8 +1,12 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.micatide.model.JobKind;
+import io.micatide.model.JobState;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/io/micatide/core/SchedulerDigestTest.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerDigestTest.java
@@ -1,8 +1,9 @@
-package io.micatide.core;
+package io.micatide.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.rehearsal.RecordedDigests;
+import io.micatide.model.Micros;
+import io.micatide.simulation.RecordedDigests;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/io/micatide/rehearsal/BehaviorDigestTest.java
+++ b/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
@@ -1,7 +1,7 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
-import io.micatide.core.Micros;
-import io.micatide.history.HistoryDay;
+import io.micatide.archive.HistoryDay;
+import io.micatide.model.Micros;
 import java.util.Arrays;
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/io/micatide/rehearsal/ClaimReadTest.java
+++ b/src/test/java/io/micatide/simulation/ClaimReadTest.java
@@ -1,9 +1,9 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 import io.micatide.standby.Copy;
 import java.util.Arrays;
 import java.util.List;
--- a/src/test/java/io/micatide/rehearsal/ContractTest.java
+++ b/src/test/java/io/micatide/simulation/ContractTest.java
@@ -1,4 +1,4 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,9 +14,9 @@
 import com.networknt.schema.SchemaLocation;
 import com.networknt.schema.SchemaValidatorsConfig;
 import com.networknt.schema.oas.OpenApi30;
-import io.micatide.wire.Description;
-import io.micatide.wire.JobCodec;
-import io.micatide.wire.MalformedException;
+import io.micatide.protocol.Description;
+import io.micatide.protocol.JobCodec;
+import io.micatide.protocol.MalformedException;
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
--- a/src/test/java/io/micatide/rehearsal/CutZoneTest.java
+++ b/src/test/java/io/micatide/simulation/CutZoneTest.java
@@ -1,20 +1,20 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.ExitCause;
-import io.micatide.core.JobSpec;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Settings;
-import io.micatide.core.Team;
-import io.micatide.core.Tuning;
+import io.micatide.controller.Controller;
+import io.micatide.model.ExitCause;
+import io.micatide.model.JobSpec;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.Team;
+import io.micatide.model.Tuning;
 import io.micatide.net.Http;
-import io.micatide.node.Controller;
-import io.micatide.wire.CloudSide;
-import io.micatide.wire.MalformedException;
+import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.MalformedException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/test/java/io/micatide/rehearsal/DayUsers.java
+++ b/src/test/java/io/micatide/simulation/DayUsers.java
@@ -1,11 +1,11 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.wire.Json;
-import io.micatide.wire.MalformedException;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collections;
--- a/src/test/java/io/micatide/rehearsal/FormerReader.java
+++ b/src/test/java/io/micatide/simulation/FormerReader.java
@@ -1,4 +1,4 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
--- a/src/test/java/io/micatide/rehearsal/LateRows.java
+++ b/src/test/java/io/micatide/simulation/LateRows.java
@@ -1,8 +1,8 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
+import io.micatide.controller.Loop;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.node.Loop;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
--- a/src/test/java/io/micatide/rehearsal/OneTaskJobsTest.java
+++ b/src/test/java/io/micatide/simulation/OneTaskJobsTest.java
@@ -1,12 +1,12 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.JobState;
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
+import io.micatide.model.JobState;
+import io.micatide.model.Micros;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
--- a/src/test/java/io/micatide/rehearsal/RecordedDigests.java
+++ b/src/test/java/io/micatide/simulation/RecordedDigests.java
@@ -1,4 +1,4 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/io/micatide/rehearsal/RolloutDay.java
+++ b/src/test/java/io/micatide/simulation/RolloutDay.java
@@ -1,12 +1,12 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
+import io.micatide.model.Micros;
 import io.micatide.rollout.Abilities;
 import io.micatide.rollout.Feature;
 import io.micatide.rollout.Stage;
 import io.micatide.standby.Copy;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/io/micatide/rehearsal/RolloutTest.java
+++ b/src/test/java/io/micatide/simulation/RolloutTest.java
@@ -1,14 +1,14 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.StoreKeys;
+import io.micatide.model.Micros;
 import io.micatide.rollout.Abilities;
 import io.micatide.rollout.Feature;
 import io.micatide.rollout.Stage;
+import io.micatide.store.Row;
+import io.micatide.store.StoreKeys;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/io/micatide/rehearsal/RuleCheckerTest.java
+++ b/src/test/java/io/micatide/simulation/RuleCheckerTest.java
@@ -1,15 +1,15 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.micatide.core.ExitCause;
-import io.micatide.core.JobKind;
-import io.micatide.core.JobSpec;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Priority;
-import io.micatide.core.Resources;
-import io.micatide.core.Team;
+import io.micatide.model.ExitCause;
+import io.micatide.model.JobKind;
+import io.micatide.model.JobSpec;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Priority;
+import io.micatide.model.Resources;
+import io.micatide.model.Team;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/io/micatide/rehearsal/TakeOverDay.java
+++ b/src/test/java/io/micatide/simulation/TakeOverDay.java
@@ -1,17 +1,17 @@
-package io.micatide.rehearsal;
-
-import io.micatide.core.JobSpec;
-import io.micatide.core.MachineType;
-import io.micatide.core.Micros;
-import io.micatide.core.Resources;
-import io.micatide.core.Settings;
-import io.micatide.core.Team;
-import io.micatide.core.Tuning;
+package io.micatide.simulation;
+
+import io.micatide.controller.Controller;
+import io.micatide.model.JobSpec;
+import io.micatide.model.MachineType;
+import io.micatide.model.Micros;
+import io.micatide.model.Resources;
+import io.micatide.model.Settings;
+import io.micatide.model.Team;
+import io.micatide.model.Tuning;
 import io.micatide.net.Http;
-import io.micatide.node.Controller;
+import io.micatide.protocol.StateCodec;
 import io.micatide.rollout.Abilities;
 import io.micatide.standby.Copy;
-import io.micatide.wire.StateCodec;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -188,9 +188,9 @@
                     }
 
                     @Override
-                    public void over(String task, long attempt, String machine, io.micatide.core.ExitCause cause) {
+                    public void over(String task, long attempt, String machine, io.micatide.model.ExitCause cause) {
                         rules[0].over(task, attempt, machine, cause);
-                        if (cause == io.micatide.core.ExitCause.DONE) {
+                        if (cause == io.micatide.model.ExitCause.DONE) {
                             users.ended(task.substring(0, task.indexOf('/')));
                         }
                     }
--- a/src/test/java/io/micatide/rehearsal/UnequalTasksTest.java
+++ b/src/test/java/io/micatide/simulation/UnequalTasksTest.java
@@ -1,8 +1,8 @@
-package io.micatide.rehearsal;
+package io.micatide.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.micatide.core.Micros;
+import io.micatide.model.Micros;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
--- a/src/test/java/io/micatide/rehearsal/scale/ScalePlanTest.java
+++ b/src/test/java/io/micatide/simulation/scale/ScalePlanTest.java
@@ -1,4 +1,4 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/io/micatide/rehearsal/scale/ScaleShapeTest.java
+++ b/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
@@ -1,20 +1,20 @@
-package io.micatide.rehearsal.scale;
+package io.micatide.simulation.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.ExitCause;
-import io.micatide.core.JobSpec;
-import io.micatide.core.Micros;
-import io.micatide.core.Settings;
-import io.micatide.core.Tuning;
+import io.micatide.model.ExitCause;
+import io.micatide.model.JobSpec;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.model.Tuning;
 import io.micatide.net.Http;
-import io.micatide.rehearsal.CloudStandIn;
-import io.micatide.rehearsal.Deployment;
-import io.micatide.rehearsal.RuleChecker;
-import io.micatide.rehearsal.VirtualNetwork;
-import io.micatide.rehearsal.VirtualTime;
-import io.micatide.rehearsal.WorkerStandIn;
+import io.micatide.simulation.CloudStandIn;
+import io.micatide.simulation.Deployment;
+import io.micatide.simulation.RuleChecker;
+import io.micatide.simulation.VirtualNetwork;
+import io.micatide.simulation.VirtualTime;
+import io.micatide.simulation.WorkerStandIn;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/io/micatide/standby/HintsTest.java
+++ b/src/test/java/io/micatide/standby/HintsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.Hint;
-import io.micatide.wire.HintCodec;
-import io.micatide.wire.MalformedException;
+import io.micatide.model.Hint;
+import io.micatide.protocol.HintCodec;
+import io.micatide.protocol.MalformedException;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/io/micatide/standby/SuccessionTest.java
+++ b/src/test/java/io/micatide/standby/SuccessionTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.core.Micros;
-import io.micatide.core.Row;
-import io.micatide.core.Settings;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.store.Row;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/io/micatide/core/ReadBackTest.java
+++ b/src/test/java/io/micatide/store/ReadBackTest.java
@@ -1,4 +1,4 @@
-package io.micatide.core;
+package io.micatide.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
