--- a/src/clients/java/io/micatide/clients/GeneratedClientTest.java
+++ b/src/clients/java/io/micatide/clients/GeneratedClientTest.java
@@ -20,8 +20,8 @@
 import io.micatide.model.ExitCause;
 import io.micatide.net.HttpServer;
 import io.micatide.net.Request;
-import io.micatide.simulation.LocalService;
-import io.micatide.simulation.WorkerStandIn;
+import io.micatide.simulation.LocalDeployment;
+import io.micatide.simulation.SimulatedWorker;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -56,12 +56,12 @@
     private static final int MOST_TRIES = 2_000;
     private static final Map<String, Integer> RUNS = new ConcurrentHashMap<>();
 
-    private static LocalService service;
+    private static LocalDeployment service;
     private static int number;
 
     @BeforeAll
     static void start() throws Exception {
-        service = new LocalService(2, 0, true, new WorkerStandIn.Witness() {
+        service = new LocalDeployment(2, 0, true, new SimulatedWorker.Witness() {
             @Override
             public void started(String task, long attempt, String machine) {
                 RUNS.merge(task, 1, Integer::sum);
@@ -135,7 +135,7 @@
         return new Job()
                 .nameId("wk-g" + ++number)
                 .roster("demo")
-                .crew(LocalService.TEAM)
+                .crew(LocalDeployment.TEAM)
                 .form(Job.FormEnum.BATCH)
                 .rank(Job.RankEnum.NORMAL)
                 .legs(tasks)
--- a/src/clients/java/io/micatide/clients/LibraryTest.java
+++ b/src/clients/java/io/micatide/clients/LibraryTest.java
@@ -10,8 +10,8 @@
 import io.micatide.client.Transport;
 import io.micatide.client.model.Job;
 import io.micatide.model.ExitCause;
-import io.micatide.simulation.LocalService;
-import io.micatide.simulation.WorkerStandIn;
+import io.micatide.simulation.LocalDeployment;
+import io.micatide.simulation.SimulatedWorker;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -42,7 +42,7 @@
     private static final Map<String, Integer> RUNS = new ConcurrentHashMap<>();
     private static final ScheduledExecutorService TIMERS = Executors.newSingleThreadScheduledExecutor();
 
-    private static LocalService service;
+    private static LocalDeployment service;
     private static int number;
 
     /** A clock that runs faster than the service's. */
@@ -126,7 +126,7 @@
 
     @BeforeAll
     static void start() throws Exception {
-        service = new LocalService(3, 0, false, new WorkerStandIn.Witness() {
+        service = new LocalDeployment(3, 0, false, new SimulatedWorker.Witness() {
             @Override
             public void started(String task, long attempt, String machine) {
                 RUNS.merge(task, 1, Integer::sum);
@@ -156,7 +156,7 @@
         return new Job()
                 .nameId("wk-l" + ++number)
                 .roster("demo")
-                .crew(LocalService.TEAM)
+                .crew(LocalDeployment.TEAM)
                 .form(Job.FormEnum.BATCH)
                 .rank(Job.RankEnum.NORMAL)
                 .legs(1)
--- a/src/main/java/io/micatide/archive/Archivist.java
+++ b/src/main/java/io/micatide/archive/Archiver.java
@@ -1,8 +1,8 @@
 package io.micatide.archive;
 
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.store.JobOutcome;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * the rows that was read after that shows no open job that needs it. Every write has the leader's token as a condition, and no name of
  * a run is ever used again. One step is under way at a time, and a step of unknown outcome is repeated until it is known.
  */
-public class Archivist {
+public class Archiver {
     /** What the archivist wants done next. */
     public sealed interface Step {}
 
@@ -47,13 +47,18 @@
      * @param outcome null of a row that a late write of a former version brought back: the job is archived, the row just goes
      * @param furtherRows how many rows of names belong to it
      */
-    public record Ended(String id, long version, Outcome outcome, int furtherRows) {}
+    public record Ended(String id, long version, JobOutcome outcome, int furtherRows) {}
 
     /** Makes a term's archivist; a rehearsal may plant a fault in one. */
     @FunctionalInterface
     public interface Maker {
-        Archivist make(
-                long token, int valueBytes, int changes, int worthARun, Row.History manifest, long manifestVersion);
+        Archiver make(
+                long token,
+                int valueBytes,
+                int changes,
+                int worthARun,
+                StoredRecord.History manifest,
+                long manifestVersion);
     }
 
     /** What one run takes of rows at most: as much as a small heap holds easily. */
@@ -79,11 +84,11 @@
 
     private final long token;
     private final int worthARun;
-    private final Spread spread;
+    private final HashPartitioner spread;
     private final int mostRuns;
     private int segmentBytes;
     private int mostChanges;
-    private Row.History manifest;
+    private StoredRecord.History manifest;
     private long manifestVersion;
     private boolean manifestInDoubt;
     private String sweptTo = StoreKeys.SEGMENTS;
@@ -109,16 +114,16 @@
     private static final class Build {
         final String name;
         final int segments;
-        final List<Row.Run> merged;
+        final List<StoredRecord.Run> merged;
         final List<Ended> rows;
-        final Merge content;
+        final SegmentMerger content;
         int next;
         long jobs;
         long bytes;
-        Row.Segment packed;
+        StoredRecord.Segment packed;
         int packedJobs;
 
-        Build(String name, int segments, List<Row.Run> merged, List<Ended> rows, Merge content) {
+        Build(String name, int segments, List<StoredRecord.Run> merged, List<Ended> rows, SegmentMerger content) {
             this.name = name;
             this.segments = segments;
             this.merged = merged;
@@ -130,8 +135,8 @@
             return StoreKeys.segment(name, next);
         }
 
-        Row.Run run() {
-            return new Row.Run(name, segments, jobs, bytes);
+        StoredRecord.Run run() {
+            return new StoredRecord.Run(name, segments, jobs, bytes);
         }
     }
 
@@ -141,8 +146,13 @@
      * @param changes what a transaction may change
      * @param worthARun how many rows are worth a run, which takes two writes
      */
-    public Archivist(
-            long token, int valueBytes, int changes, int worthARun, Row.History manifest, long manifestVersion) {
+    public Archiver(
+            long token,
+            int valueBytes,
+            int changes,
+            int worthARun,
+            StoredRecord.History manifest,
+            long manifestVersion) {
         this.token = token;
         this.worthARun = worthARun;
         this.segmentBytes = Math.min(valueBytes, MOST_SEGMENT_BYTES);
@@ -150,12 +160,12 @@
         this.mostChanges = changes;
         this.manifest = manifest;
         this.manifestVersion = manifestVersion;
-        this.spread = new Spread(manifest);
+        this.spread = new HashPartitioner(manifest);
     }
 
     /** Of a manifest that nobody has written yet; the salt need only differ between installations. */
-    public static Row.History first(long saltA, long saltB) {
-        return new Row.History(0, saltA & Long.MAX_VALUE, saltB & Long.MAX_VALUE, List.of());
+    public static StoredRecord.History first(long saltA, long saltB) {
+        return new StoredRecord.History(0, saltA & Long.MAX_VALUE, saltB & Long.MAX_VALUE, List.of());
     }
 
     /**
@@ -258,8 +268,8 @@
     private void begin() {
         if (worthIt && !offered.isEmpty()) {
             List<Ended> rows = offered.subList(0, Math.min(offered.size(), MOST_ROWS));
-            List<Archived> jobs = rows.stream()
-                    .map(each -> new Archived(each.id(), each.outcome()))
+            List<ArchivedJob> jobs = rows.stream()
+                    .map(each -> new ArchivedJob(each.id(), each.outcome()))
                     .toList();
             int segments = 1;
             while (!fits(jobs, segments)) {
@@ -269,12 +279,12 @@
             worthIt = false;
             return;
         }
-        List<Row.Run> merged = mergeable();
+        List<StoredRecord.Run> merged = mergeable();
         if (!merged.isEmpty()) {
             start(
                     segments(
-                            merged.stream().mapToLong(Row.Run::jobs).sum(),
-                            merged.stream().mapToLong(Row.Run::bytes).sum()),
+                            merged.stream().mapToLong(StoredRecord.Run::jobs).sum(),
+                            merged.stream().mapToLong(StoredRecord.Run::bytes).sum()),
                     merged,
                     List.of(),
                     List.of());
@@ -296,27 +306,27 @@
         return (int) Math.max(1, Math.ceil(jobs / Math.max(1, root * root)));
     }
 
-    private void start(int segments, List<Row.Run> merged, List<Ended> rows, List<Archived> jobs) {
+    private void start(int segments, List<StoredRecord.Run> merged, List<Ended> rows, List<ArchivedJob> jobs) {
         String name =
                 Long.toString(token, Character.MAX_RADIX) + "-" + Integer.toString(++runsBegun, Character.MAX_RADIX);
-        build = new Build(name, segments, merged, rows, new Merge(spread, segments, merged, jobs));
+        build = new Build(name, segments, merged, rows, new SegmentMerger(spread, segments, merged, jobs));
     }
 
     private int room() {
         return (segmentBytes - FRAME_BYTES) * 3 / 4;
     }
 
-    private boolean fits(List<Archived> jobs, int segments) {
-        Merge content = new Merge(spread, segments, List.of(), jobs);
+    private boolean fits(List<ArchivedJob> jobs, int segments) {
+        SegmentMerger content = new SegmentMerger(spread, segments, List.of(), jobs);
         for (int number = 0; number < segments; number++) {
-            if (Segments.pack("", content.take(number)).packed().length > room()) {
+            if (SegmentCodec.pack("", content.take(number)).packed().length > room()) {
                 return false;
             }
         }
         return true;
     }
 
-    private int size(Row.Run run) {
+    private int size(StoredRecord.Run run) {
         int size = 0;
         for (long jobs = run.jobs() / worthARun; jobs >= FAN; jobs /= FAN) {
             size++;
@@ -325,14 +335,14 @@
     }
 
     /** Runs of like size once there are enough of them, or the smallest when the manifest gets long. */
-    private List<Row.Run> mergeable() {
-        Map<Integer, List<Row.Run>> bySize = new TreeMap<>();
-        for (Row.Run run : manifest.runs()) {
+    private List<StoredRecord.Run> mergeable() {
+        Map<Integer, List<StoredRecord.Run>> bySize = new TreeMap<>();
+        for (StoredRecord.Run run : manifest.runs()) {
             if (!damagedRuns.contains(run.name())) {
                 bySize.computeIfAbsent(size(run), k -> new ArrayList<>()).add(run);
             }
         }
-        for (List<Row.Run> like : bySize.values()) {
+        for (List<StoredRecord.Run> like : bySize.values()) {
             if (like.size() >= FAN) {
                 return List.copyOf(like.subList(0, Math.min(like.size(), MOST_MERGED)));
             }
@@ -340,9 +350,9 @@
         if (manifest.runs().size() < mostRuns - 1) {
             return List.of();
         }
-        List<Row.Run> smallest = new ArrayList<>();
+        List<StoredRecord.Run> smallest = new ArrayList<>();
         bySize.values().forEach(smallest::addAll);
-        smallest.sort(Comparator.comparingLong(Row.Run::jobs));
+        smallest.sort(Comparator.comparingLong(StoredRecord.Run::jobs));
         return smallest.size() < 2 ? List.of() : List.copyOf(smallest.subList(0, Math.min(smallest.size(), FAN)));
     }
 
@@ -359,8 +369,8 @@
             if (unread != null) {
                 return new ReadSegment(unread);
             }
-            List<Archived> jobs = build.content.take(build.next);
-            build.packed = Segments.pack(build.key(), jobs);
+            List<ArchivedJob> jobs = build.content.take(build.next);
+            build.packed = SegmentCodec.pack(build.key(), jobs);
             build.packedJobs = jobs.size();
             if (build.packed.packed().length > room()) {
                 again(more(build.segments));
@@ -380,11 +390,11 @@
     }
 
     /** The manifest with the run that was built and without those that went into it. */
-    private Row.History named() {
-        List<Row.Run> runs = new ArrayList<>(manifest.runs());
+    private StoredRecord.History named() {
+        List<StoredRecord.Run> runs = new ArrayList<>(manifest.runs());
         runs.removeAll(build.merged);
         runs.add(build.run());
-        return new Row.History(
+        return new StoredRecord.History(
                 manifest.sinceVersion() == 0 ? manifestVersion : manifest.sinceVersion(),
                 manifest.saltA(),
                 manifest.saltB(),
@@ -395,8 +405,8 @@
     private void again(int segments) {
         Build before = build;
         abandon();
-        List<Archived> jobs = before.rows.stream()
-                .map(each -> new Archived(each.id(), each.outcome()))
+        List<ArchivedJob> jobs = before.rows.stream()
+                .map(each -> new ArchivedJob(each.id(), each.outcome()))
                 .toList();
         start(segments, before.merged, before.rows, jobs);
     }
@@ -428,7 +438,7 @@
         }
     }
 
-    public void segment(String key, List<Archived> jobs) {
+    public void segment(String key, List<ArchivedJob> jobs) {
         underWay = false;
         if (build != null) {
             build.content.read(key, jobs);
@@ -448,9 +458,9 @@
     public void written(long revision) {
         underWay = false;
         Transaction.Write first = writing.writes().get(0);
-        if (first.row() instanceof Row.Segment) {
+        if (first.row() instanceof StoredRecord.Segment) {
             segmentStored();
-        } else if (first.row() instanceof Row.History history) {
+        } else if (first.row() instanceof StoredRecord.History history) {
             stored(history, revision);
         } else {
             writing.writes().forEach(this::removed);
@@ -464,10 +474,10 @@
         build.next++;
     }
 
-    private void stored(Row.History history, long version) {
+    private void stored(StoredRecord.History history, long version) {
         manifest = history;
         manifestVersion = version;
-        for (Row.Run run : build.merged) {
+        for (StoredRecord.Run run : build.merged) {
             for (int number = 0; number < run.segments(); number++) {
                 leftovers.add(StoreKeys.segment(run.name(), number));
             }
@@ -499,7 +509,7 @@
     public void conflict(Collection<String> keys) {
         underWay = false;
         Transaction.Write first = writing.writes().get(0);
-        if (first.row() instanceof Row.Segment && !keys.contains(StoreKeys.HISTORY)) {
+        if (first.row() instanceof StoredRecord.Segment && !keys.contains(StoreKeys.HISTORY)) {
             // An earlier try was carried out after all: nobody else uses the name.
             segmentStored();
         } else if (first.row() != null) {
@@ -515,11 +525,11 @@
     /** The outcome of the step under way is not known, or it was certainly not carried out: it is tried again. */
     public void repeat() {
         underWay = false;
-        manifestInDoubt |= writing != null && writing.writes().get(0).row() instanceof Row.History;
+        manifestInDoubt |= writing != null && writing.writes().get(0).row() instanceof StoredRecord.History;
     }
 
     /** The manifest as it is stored. A try of ours may still arrive, so it is written again until one try is seen. */
-    public void manifestRead(Row.History stored, long version) {
+    public void manifestRead(StoredRecord.History stored, long version) {
         underWay = false;
         manifestInDoubt = false;
         if (build != null && stored.runs().stream().anyMatch(run -> run.name().equals(build.name))) {
@@ -538,7 +548,7 @@
     public boolean refused() {
         underWay = false;
         Transaction.Write first = writing.writes().get(0);
-        if (first.row() instanceof Row.Segment && segmentBytes > LEAST_SEGMENT_BYTES) {
+        if (first.row() instanceof StoredRecord.Segment && segmentBytes > LEAST_SEGMENT_BYTES) {
             segmentBytes = Math.max(LEAST_SEGMENT_BYTES, segmentBytes * 3 / 4);
             again(more(build.segments));
             return true;
@@ -551,7 +561,7 @@
     }
 
     /** The manifest as far as this leader knows it. */
-    public Row.History manifest() {
+    public StoredRecord.History manifest() {
         return manifest;
     }
 }
--- a/src/main/java/io/micatide/archive/Spread.java
+++ b/src/main/java/io/micatide/archive/HashPartitioner.java
@@ -2,19 +2,19 @@
 
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hashing;
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.nio.charset.StandardCharsets;
 
 /**
  * Which segment of a run has an id: the segments share the range of a keyed hash evenly, so a run needs no index, and nobody who
  * chooses ids can fill one segment. The hash of an archive never changes: its key stands in the manifest.
  */
-final class Spread {
+final class HashPartitioner {
     private static final int HALF = 32;
 
     private final HashFunction hash;
 
-    Spread(Row.History manifest) {
+    HashPartitioner(StoredRecord.History manifest) {
         hash = Hashing.sipHash24(manifest.saltA(), manifest.saltB());
     }
 
--- a/src/main/java/io/micatide/archive/Filters.java
+++ b/src/main/java/io/micatide/archive/MembershipFilters.java
@@ -2,8 +2,8 @@
 
 import com.google.common.hash.BloomFilter;
 import com.google.common.hash.Funnels;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -15,7 +15,7 @@
  * by reading its segments once, small runs first, and used when it is whole; until then, and where there is no room for one, the run
  * has to be read for each question.
  */
-public final class Filters {
+public final class MembershipFilters {
     /** One question in a hundred about an id that a run does not hold costs a read: 9.6 bits a job. */
     private static final double MISTAKEN = 0.01;
 
@@ -26,15 +26,15 @@
     /** Runs with a segment that could not be read: looking there says what is wrong. */
     private final Set<String> unreadable = new HashSet<>();
 
-    private Row.History manifest;
-    private Spread spread;
+    private StoredRecord.History manifest;
+    private HashPartitioner spread;
 
     private static final class Filter {
         final BloomFilter<Long> ids;
-        final Row.Run run;
+        final StoredRecord.Run run;
         int read;
 
-        Filter(Row.Run run) {
+        Filter(StoredRecord.Run run) {
             this.run = run;
             ids = BloomFilter.create(Funnels.longFunnel(), Math.max(1, run.jobs()), MISTAKEN);
         }
@@ -45,14 +45,14 @@
     }
 
     /** @param mostBytes what all filters together may take */
-    public Filters(long mostBytes) {
+    public MembershipFilters(long mostBytes) {
         this.mostBytes = mostBytes;
     }
 
     /** From now on questions are about this manifest. */
-    public void manifest(Row.History now) {
+    public void manifest(StoredRecord.History now) {
         if (manifest == null || manifest.saltA() != now.saltA() || manifest.saltB() != now.saltB()) {
-            spread = new Spread(now);
+            spread = new HashPartitioner(now);
         }
         manifest = now;
         Set<String> names = new HashSet<>();
@@ -66,16 +66,16 @@
         long hash = spread.hash(id);
         return manifest.runs().stream()
                 .filter(run -> mayHold(run, hash))
-                .map(run -> StoreKeys.segment(run.name(), Spread.segment(hash, run.segments())))
+                .map(run -> StoreKeys.segment(run.name(), HashPartitioner.segment(hash, run.segments())))
                 .toList();
     }
 
-    private boolean mayHold(Row.Run run, long hash) {
+    private boolean mayHold(StoredRecord.Run run, long hash) {
         Filter filter = byRun.get(run.name());
         return filter == null || !filter.whole() || filter.ids.mightContain(hash);
     }
 
-    private static long bytes(Row.Run run) {
+    private static long bytes(StoredRecord.Run run) {
         return run.jobs() * BITS_A_JOB / Byte.SIZE + 64;
     }
 
@@ -85,8 +85,8 @@
             return null;
         }
         long used = 0;
-        Row.Run next = null;
-        for (Row.Run run : manifest.runs()) {
+        StoredRecord.Run next = null;
+        for (StoredRecord.Run run : manifest.runs()) {
             Filter filter = byRun.get(run.name());
             if (filter != null) {
                 used += bytes(run);
@@ -112,7 +112,7 @@
     }
 
     /** The segment that {@link #wanted} named. */
-    public void read(String key, List<Archived> jobs) {
+    public void read(String key, List<ArchivedJob> jobs) {
         for (Filter filter : byRun.values()) {
             if (!filter.whole() && key.equals(StoreKeys.segment(filter.run.name(), filter.read))) {
                 jobs.forEach(job -> filter.ids.put(spread.hash(job.id())));
--- a/src/main/java/io/micatide/archive/Segments.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -1,8 +1,8 @@
 package io.micatide.archive;
 
 import io.micatide.model.JobState;
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.store.JobOutcome;
+import io.micatide.store.StoredRecord;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
  * Packs a segment: jobs in the order of their ids, each id without what it shares with the one before, then the outcomes, all of it
  * deflated. Some 2.5 bytes a job with ids of six digits.
  */
-public final class Segments {
+public final class SegmentCodec {
     /** Bytes of a digest; enough that no two values of an archive are taken for each other by chance. */
     private static final int DIGEST_BYTES = 16;
     /** What unpacking may give at most; a value of 64 KiB cannot hold more in this format but by damage. */
@@ -31,14 +31,14 @@
     private static final int LOW_SEVEN = 0x7f;
     private static final int MORE = 0x80;
 
-    private Segments() {}
+    private SegmentCodec() {}
 
     /** The value to store under {@code key}; {@code jobs} in the order of their ids, each once. */
-    public static Row.Segment pack(String key, List<Archived> jobs) {
+    public static StoredRecord.Segment pack(String key, List<ArchivedJob> jobs) {
         ByteArrayOutputStream plain = new ByteArrayOutputStream(jobs.size() * 8 + 8);
         number(plain, jobs.size());
         byte[] before = new byte[0];
-        for (Archived job : jobs) {
+        for (ArchivedJob job : jobs) {
             byte[] id = job.id().getBytes(StandardCharsets.UTF_8);
             int shared = 0;
             while (shared < id.length && shared < before.length && id[shared] == before[shared]) {
@@ -49,31 +49,31 @@
             plain.write(id, shared, id.length - shared);
             before = id;
         }
-        for (Archived job : jobs) {
+        for (ArchivedJob job : jobs) {
             number(plain, job.outcome().tasks() << OUTCOME_BITS | kind(job.outcome()));
         }
         byte[] packed = deflated(plain.toByteArray());
-        return new Row.Segment(digest(key, packed), packed);
+        return new StoredRecord.Segment(digest(key, packed), packed);
     }
 
-    private static int kind(Outcome outcome) {
+    private static int kind(JobOutcome outcome) {
         return outcome.state() == JobState.DONE ? DONE : outcome.service() ? CANCELLED_SERVICE : CANCELLED;
     }
 
     /**
      * The jobs of a stored segment.
      *
-     * @throws DamagedException its digest is wrong, or it does not unpack; the message names the key
+     * @throws DamagedSegmentException its digest is wrong, or it does not unpack; the message names the key
      */
-    public static List<Archived> unpack(String key, Row.Segment segment) throws DamagedException {
+    public static List<ArchivedJob> unpack(String key, StoredRecord.Segment segment) throws DamagedSegmentException {
         if (!digest(key, segment.packed()).equals(segment.digest())) {
-            throw new DamagedException(key, "digest is wrong");
+            throw new DamagedSegmentException(key, "digest is wrong");
         }
         byte[] plain = inflated(key, segment.packed());
         Reader in = new Reader(key, plain);
         int count = in.number();
         if (count < 0 || count > plain.length) {
-            throw new DamagedException(key, "does not unpack");
+            throw new DamagedSegmentException(key, "does not unpack");
         }
         List<String> ids = new ArrayList<>(count);
         byte[] id = new byte[0];
@@ -81,13 +81,13 @@
             id = in.id(id);
             ids.add(new String(id, StandardCharsets.UTF_8));
         }
-        List<Archived> jobs = new ArrayList<>(count);
+        List<ArchivedJob> jobs = new ArrayList<>(count);
         for (String each : ids) {
             int number = in.number();
             int kind = number & (1 << OUTCOME_BITS) - 1;
-            jobs.add(new Archived(
+            jobs.add(new ArchivedJob(
                     each,
-                    new Outcome(
+                    new JobOutcome(
                             kind == DONE ? JobState.DONE : JobState.CANCELLED,
                             kind == CANCELLED_SERVICE,
                             number >>> OUTCOME_BITS)));
@@ -98,10 +98,10 @@
     /**
      * What a stored segment says of one id, or null if it does not hold it.
      *
-     * @throws DamagedException as {@link #unpack}
+     * @throws DamagedSegmentException as {@link #unpack}
      */
-    public static Outcome find(String key, Row.Segment segment, String id) throws DamagedException {
-        for (Archived job : unpack(key, segment)) {
+    public static JobOutcome find(String key, StoredRecord.Segment segment, String id) throws DamagedSegmentException {
+        for (ArchivedJob job : unpack(key, segment)) {
             if (job.id().equals(id)) {
                 return job.outcome();
             }
@@ -144,7 +144,7 @@
         }
     }
 
-    private static byte[] inflated(String key, byte[] packed) throws DamagedException {
+    private static byte[] inflated(String key, byte[] packed) throws DamagedSegmentException {
         Inflater inflater = new Inflater(true);
         try {
             inflater.setInput(packed);
@@ -154,13 +154,13 @@
                 int some = inflater.inflate(buffer);
                 if ((some == 0 && (inflater.needsInput() || inflater.needsDictionary()))
                         || out.size() > MOST_UNPACKED) {
-                    throw new DamagedException(key, "does not unpack");
+                    throw new DamagedSegmentException(key, "does not unpack");
                 }
                 out.write(buffer, 0, some);
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
-            throw new DamagedException(key, "does not unpack");
+            throw new DamagedSegmentException(key, "does not unpack");
         } finally {
             inflater.end();
         }
@@ -177,7 +177,7 @@
             this.plain = plain;
         }
 
-        int number() throws DamagedException {
+        int number() throws DamagedSegmentException {
             int number = 0;
             for (int shift = 0; shift < Integer.SIZE; shift += SEVEN) {
                 if (at >= plain.length) {
@@ -189,14 +189,14 @@
                     return number;
                 }
             }
-            throw new DamagedException(key, "does not unpack");
+            throw new DamagedSegmentException(key, "does not unpack");
         }
 
-        byte[] id(byte[] before) throws DamagedException {
+        byte[] id(byte[] before) throws DamagedSegmentException {
             int shared = number();
             int rest = number();
             if (shared < 0 || shared > before.length || rest < 0 || rest > plain.length - at) {
-                throw new DamagedException(key, "does not unpack");
+                throw new DamagedSegmentException(key, "does not unpack");
             }
             byte[] id = new byte[shared + rest];
             System.arraycopy(before, 0, id, 0, shared);
--- a/src/main/java/io/micatide/archive/Merge.java
+++ b/src/main/java/io/micatide/archive/SegmentMerger.java
@@ -1,7 +1,7 @@
 package io.micatide.archive;
 
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -10,22 +10,22 @@
  * Content for a new run: the segments of several runs, poured together in the order of the hash, so that no more than about one
  * segment of each is held at a time. Or jobs that come from their rows, with no run to read.
  */
-final class Merge {
-    private final Spread spread;
+final class SegmentMerger {
+    private final HashPartitioner spread;
     private final int segments;
     private final List<Source> sources = new ArrayList<>();
 
     private static final class Source {
-        final Row.Run run;
+        final StoredRecord.Run run;
         int read;
-        List<Archived> held = new ArrayList<>();
+        List<ArchivedJob> held = new ArrayList<>();
 
-        Source(Row.Run run) {
+        Source(StoredRecord.Run run) {
             this.run = run;
         }
     }
 
-    Merge(Spread spread, int segments, List<Row.Run> runs, List<Archived> jobs) {
+    SegmentMerger(HashPartitioner spread, int segments, List<StoredRecord.Run> runs, List<ArchivedJob> jobs) {
         this.spread = spread;
         this.segments = segments;
         runs.forEach(run -> sources.add(new Source(run)));
@@ -39,14 +39,14 @@
         for (Source source : sources) {
             if (source.run != null
                     && source.read < source.run.segments()
-                    && Spread.startsBeforeEnd(source.read, source.run.segments(), number, segments)) {
+                    && HashPartitioner.startsBeforeEnd(source.read, source.run.segments(), number, segments)) {
                 return StoreKeys.segment(source.run.name(), source.read);
             }
         }
         return null;
     }
 
-    void read(String key, List<Archived> jobs) {
+    void read(String key, List<ArchivedJob> jobs) {
         for (Source source : sources) {
             if (source.run != null
                     && source.read < source.run.segments()
@@ -59,12 +59,12 @@
     }
 
     /** What segment {@code number} holds, in the order of the ids, each once; must be asked once, in the order of the numbers. */
-    List<Archived> take(int number) {
-        TreeMap<String, Archived> taken = new TreeMap<>();
+    List<ArchivedJob> take(int number) {
+        TreeMap<String, ArchivedJob> taken = new TreeMap<>();
         for (Source source : sources) {
-            List<Archived> rest = new ArrayList<>();
-            for (Archived job : source.held) {
-                if (Spread.segment(spread.hash(job.id()), segments) == number) {
+            List<ArchivedJob> rest = new ArrayList<>();
+            for (ArchivedJob job : source.held) {
+                if (HashPartitioner.segment(spread.hash(job.id()), segments) == number) {
                     taken.putIfAbsent(job.id(), job);
                 } else {
                     rest.add(job);
--- a/src/main/java/io/micatide/archive/package-info.java
+++ b/src/main/java/io/micatide/archive/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The archive of final states: how they are packed, found again, written and merged. Owns no sockets and no clock: what it wants read
- * or written it says as a step, and is told the outcome. Spoken to by {@code node} alone. Knows rows and keys of {@code core};
- * may not know wire words, users or the scheduler.
+ * The archive of final job states: packing them into segments, finding them again, writing and merging runs. Owns no sockets and no
+ * clock: {@link io.micatide.archive.Archiver} returns each read or write as a step and is told its outcome. Used by
+ * {@code controller} alone. Depends on {@code model} and {@code store}; must not know the wire format, users or the scheduler.
  */
 package io.micatide.archive;
--- a/src/main/java/io/micatide/cli/LocalCommand.java
+++ b/src/main/java/io/micatide/cli/LocalCommand.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.simulation.LocalService;
+import io.micatide.simulation.LocalDeployment;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.URI;
@@ -38,7 +38,7 @@
                             : "--port: must be from 0 to 65535");
             return Main.EXIT_SETTINGS;
         }
-        try (LocalService service = LocalService.start(controllers, port, true)) {
+        try (LocalDeployment service = LocalDeployment.start(controllers, port, true)) {
             for (String endpoint : service.endpoints()) {
                 if (!healthy(endpoint)) {
                     System.err.println(endpoint + ": does not serve within " + PATIENCE_S + " s");
@@ -46,7 +46,7 @@
                 }
                 System.out.println("http://" + endpoint);
             }
-            System.out.println("team: " + LocalService.TEAM);
+            System.out.println("team: " + LocalDeployment.TEAM);
             System.out.flush();
             new CountDownLatch(1).await();
             return 0;
--- a/src/main/java/io/micatide/cli/PacedCalls.java
+++ b/src/main/java/io/micatide/cli/RateLimitedCalls.java
@@ -3,7 +3,7 @@
 import io.micatide.model.Micros;
 import io.micatide.net.HttpClient;
 import io.micatide.net.Reply;
-import io.micatide.snapshot.StateCalls;
+import io.micatide.snapshot.StoreCalls;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 
 /** Calls of a state service from a command line: one after the other, no more than so many a second. */
-final class PacedCalls implements StateCalls, AutoCloseable {
+final class RateLimitedCalls implements StoreCalls, AutoCloseable {
     private static final long PATIENCE_MICROS = 10 * Micros.SECOND;
     private static final long PAUSE_MILLIS = 500;
 
@@ -21,7 +21,7 @@
     private final long gapNanos;
     private long nextNanos = System.nanoTime();
 
-    PacedCalls(String endpoint, double callsASecond) {
+    RateLimitedCalls(String endpoint, double callsASecond) {
         this.http = new HttpClient(group.next(), endpoint, 1);
         this.gapNanos = (long) (1e9 / callsASecond);
     }
--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -3,15 +3,15 @@
 import io.micatide.model.Settings;
 import io.micatide.net.Reply;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.rollout.Abilities;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.rollout.Capabilities;
+import io.micatide.rollout.ControllerRegistry;
 import io.micatide.rollout.Feature;
-import io.micatide.rollout.Roster;
-import io.micatide.rollout.Stage;
-import io.micatide.rollout.Switches;
-import io.micatide.snapshot.StateCalls;
-import io.micatide.store.Row;
+import io.micatide.rollout.FeatureFlags;
+import io.micatide.rollout.FeatureStage;
+import io.micatide.snapshot.StoreCalls;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.io.PrintStream;
 import java.nio.file.Path;
@@ -52,7 +52,7 @@
     /** What a command does with the state service. */
     @FunctionalInterface
     private interface Work {
-        void run(StateCalls calls, Settings settings) throws RefusedException, MalformedException;
+        void run(StoreCalls calls, Settings settings) throws RefusedException, MalformedException;
     }
 
     @Command(
@@ -69,7 +69,7 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, Row.Wish.HOLD, System.out));
+        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.Wish.HOLD, System.out));
     }
 
     @Command(description = "Let a feature go on that was held or taken back.", mixinStandardHelpOptions = true)
@@ -77,7 +77,7 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, Row.Wish.NONE, System.out));
+        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.Wish.NONE, System.out));
     }
 
     @Command(
@@ -87,7 +87,7 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, Row.Wish.BACK, System.out));
+        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.Wish.BACK, System.out));
     }
 
     private int run(Path config, Work work) {
@@ -95,7 +95,7 @@
         if (loaded == null) {
             return Main.EXIT_SETTINGS;
         }
-        try (PacedCalls calls = new PacedCalls(loaded.settings().state(), CALLS_A_SECOND)) {
+        try (RateLimitedCalls calls = new RateLimitedCalls(loaded.settings().state(), CALLS_A_SECOND)) {
             work.run(calls, loaded.settings());
             return 0;
         } catch (RefusedException | MalformedException e) {
@@ -104,7 +104,7 @@
         }
     }
 
-    private static Reply get(StateCalls calls, String path) throws RefusedException {
+    private static Reply get(StoreCalls calls, String path) throws RefusedException {
         Reply reply = calls.get(path);
         for (int tries = 1; reply.status() != 200 && reply.status() != 404; tries++) {
             if (tries == TRIES) {
@@ -116,34 +116,36 @@
         return reply;
     }
 
-    private static StateCodec.Item item(StateCalls calls, String key) throws RefusedException, MalformedException {
+    private static StoreCodec.Item item(StoreCalls calls, String key) throws RefusedException, MalformedException {
         Reply reply = get(calls, "/store/" + key);
-        return reply.ok() ? StateCodec.item(reply.body()) : new StateCodec.Item(key, null, 0);
+        return reply.ok() ? StoreCodec.item(reply.body()) : new StoreCodec.Item(key, null, 0);
     }
 
-    private static Switches switches(StateCalls calls) throws RefusedException, MalformedException {
-        Switches switches = new Switches(Abilities.ALL);
-        StateCodec.Item item = item(calls, StoreKeys.FEATURES);
-        switches.seen(item.version(), item.row() == null ? new Row.Features(Map.of()) : (Row.Features) item.row());
+    private static FeatureFlags switches(StoreCalls calls) throws RefusedException, MalformedException {
+        FeatureFlags switches = new FeatureFlags(Capabilities.ALL);
+        StoreCodec.Item item = item(calls, StoreKeys.FEATURES);
+        switches.seen(
+                item.version(),
+                item.row() == null ? new StoredRecord.Features(Map.of()) : (StoredRecord.Features) item.row());
         return switches;
     }
 
-    static void status(StateCalls calls, Settings settings, PrintStream out)
+    static void status(StoreCalls calls, Settings settings, PrintStream out)
             throws RefusedException, MalformedException {
         List<String> labels = new ArrayList<>(List.of(settings.label()));
         settings.siblings().forEach(sibling -> labels.add(sibling.label()));
         labels.sort(null);
-        Switches switches = switches(calls);
-        Roster roster = new Roster(labels);
-        for (StateCodec.Item item : StateCodec.page(get(calls, "/store?starts=" + StoreKeys.ROLLOUT + "&most=1000")
+        FeatureFlags switches = switches(calls);
+        ControllerRegistry roster = new ControllerRegistry(labels);
+        for (StoreCodec.Item item : StoreCodec.page(get(calls, "/store?starts=" + StoreKeys.ROLLOUT + "&most=1000")
                         .body())
                 .items()) {
             roster.add(item.key(), item.row(), item.version());
         }
-        StateCodec.Item leader = item(calls, StoreKeys.LEADER);
-        String leads = leader.row() == null ? "" : ((Row.Leader) leader.row()).owner();
+        StoreCodec.Item leader = item(calls, StoreKeys.LEADER);
+        String leads = leader.row() == null ? "" : ((StoredRecord.Leader) leader.row()).owner();
         for (String label : labels) {
-            Row.Here here = roster.here().get(label);
+            StoredRecord.Here here = roster.here().get(label);
             out.println(label + (label.equals(leads) ? ", leads" : "") + ": "
                     + (here == null
                             ? "not registered"
@@ -157,37 +159,39 @@
         boolean needs = item(calls, StoreKeys.LAYOUT).row() != null;
         boolean history = item(calls, StoreKeys.HISTORY).row() != null;
         for (Feature feature : Feature.values()) {
-            Stage stage = feature == Feature.NEEDS
+            FeatureStage stage = feature == Feature.NEEDS
                     ? marked(needs)
                     : feature == Feature.HISTORY ? marked(history) : switches.stage(feature);
-            Row.Wish wish = roster.asked(feature);
+            StoredRecord.Wish wish = roster.asked(feature);
             List<String> missing = feature.next(stage) == null ? List.of() : roster.missing(feature);
             out.println(feature.key() + ": " + stage
-                    + (wish == Row.Wish.NONE ? "" : ", asked to " + (wish == Row.Wish.HOLD ? "stay" : "go back"))
+                    + (wish == StoredRecord.Wish.NONE
+                            ? ""
+                            : ", asked to " + (wish == StoredRecord.Wish.HOLD ? "stay" : "go back"))
                     + (missing.isEmpty() ? "" : ", waits: " + String.join(", ", missing)));
         }
         switches.unknown().forEach(each -> out.println(each + ": in use, and not known to this version"));
     }
 
-    private static Stage marked(boolean there) {
-        return there ? Stage.CLEAN : Stage.OFF;
+    private static FeatureStage marked(boolean there) {
+        return there ? FeatureStage.CLEAN : FeatureStage.OFF;
     }
 
     /**
      * On condition of the row as it was read, and the row never goes: what an operator asked for first and that arrives minutes late must not
      * undo what was asked for since.
      */
-    private static void write(StateCalls calls, String name, Row.Wish wish)
+    private static void write(StoreCalls calls, String name, StoredRecord.Wish wish)
             throws RefusedException, MalformedException {
         String key = StoreKeys.asked(name);
         for (int tries = 0; tries < TRIES; tries++) {
-            StateCodec.Item there = item(calls, key);
-            if (there.row() instanceof Row.Ask ask && ask.wish() == wish) {
+            StoreCodec.Item there = item(calls, key);
+            if (there.row() instanceof StoredRecord.Ask ask && ask.wish() == wish) {
                 return;
             }
-            byte[] body = StateCodec.transaction(new Transaction(
+            byte[] body = StoreCodec.transaction(new Transaction(
                     List.of(new Transaction.Compare(key, there.version())),
-                    List.of(new Transaction.Write(key, new Row.Ask(wish), 0))));
+                    List.of(new Transaction.Write(key, new StoredRecord.Ask(wish), 0))));
             if (calls.post("/txn", body).ok()) {
                 return;
             }
@@ -197,18 +201,18 @@
                 "the state service does not take it; nothing is known to have changed, ask for the status");
     }
 
-    static void ask(StateCalls calls, String name, Row.Wish wish, PrintStream out)
+    static void ask(StoreCalls calls, String name, StoredRecord.Wish wish, PrintStream out)
             throws RefusedException, MalformedException {
         Feature feature = Feature.of(name);
         if (feature == null) {
             throw new RefusedException(
-                    name + " is no feature of this version; there are " + String.join(", ", Abilities.ALL.names()));
+                    name + " is no feature of this version; there are " + String.join(", ", Capabilities.ALL.names()));
         }
         if (feature.isMark()) {
             throw new RefusedException(name + " comes with the layout: it can be neither held nor taken back");
         }
-        Stage stage = switches(calls).stage(feature);
-        if (wish == Row.Wish.BACK && stage == Stage.CLEAN) {
+        FeatureStage stage = switches(calls).stage(feature);
+        if (wish == StoredRecord.Wish.BACK && stage == FeatureStage.CLEAN) {
             throw new RefusedException(name + " cannot go back: its former form is gone");
         }
         write(calls, name, wish);
--- a/src/main/java/io/micatide/cli/ServeCommand.java
+++ b/src/main/java/io/micatide/cli/ServeCommand.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.controller.Node;
+import io.micatide.controller.ControllerServer;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -25,7 +25,7 @@
         if (loaded == null) {
             return Main.EXIT_SETTINGS;
         }
-        try (Node node = new Node(loaded.settings(), loaded.tuning())) {
+        try (ControllerServer node = new ControllerServer(loaded.settings(), loaded.tuning())) {
             node.start();
             if (loaded.tuning().standby()) {
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> end(node), "end"));
@@ -38,7 +38,7 @@
         }
     }
 
-    private static void end(Node node) {
+    private static void end(ControllerServer node) {
         try {
             node.end(END_MICROS);
         } catch (InterruptedException e) {
--- a/src/main/java/io/micatide/cli/SettingsFiles.java
+++ b/src/main/java/io/micatide/cli/SettingsFiles.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.election.CancelProof;
+import io.micatide.election.CancellationHorizon;
 import io.micatide.model.Settings;
 import io.micatide.model.Tuning;
 import io.micatide.protocol.MalformedException;
@@ -22,7 +22,7 @@
         Path file = config;
         try {
             Settings settings = SettingsReader.read(config);
-            String unkept = CancelProof.unkept(settings);
+            String unkept = CancellationHorizon.unkept(settings);
             if (unkept != null) {
                 System.err.println(config + ": " + unkept);
             }
--- a/src/main/java/io/micatide/cli/SnapshotCommand.java
+++ b/src/main/java/io/micatide/cli/SnapshotCommand.java
@@ -1,11 +1,11 @@
 package io.micatide.cli;
 
 import io.micatide.model.Settings;
-import io.micatide.snapshot.Image;
-import io.micatide.snapshot.ImageTaker;
-import io.micatide.snapshot.Restorer;
 import io.micatide.snapshot.SnapshotException;
 import io.micatide.snapshot.SnapshotFile;
+import io.micatide.snapshot.SnapshotRestorer;
+import io.micatide.snapshot.SnapshotTaker;
+import io.micatide.snapshot.StoreImage;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -52,8 +52,8 @@
                     if (Files.exists(file)) {
                         throw new SnapshotException(file + ": is there already");
                     }
-                    try (PacedCalls calls = new PacedCalls(settings.state(), rate(rate, settings))) {
-                        Image image = new ImageTaker(calls, System.err::println).take();
+                    try (RateLimitedCalls calls = new RateLimitedCalls(settings.state(), rate(rate, settings))) {
+                        StoreImage image = new SnapshotTaker(calls, System.err::println).take();
                         SnapshotFile.write(
                                 file,
                                 image,
@@ -105,8 +105,9 @@
                                 "say either --machines-gone or --advance: workers that have seen the former service's tokens,"
                                         + " up to " + content.image().revision() + ", listen to no lower one");
                     }
-                    try (PacedCalls calls = new PacedCalls(settings.state(), rate(rate, settings))) {
-                        new Restorer(calls, settings.transactionOps(), settings.writableBytes(), System.err::println)
+                    try (RateLimitedCalls calls = new RateLimitedCalls(settings.state(), rate(rate, settings))) {
+                        new SnapshotRestorer(
+                                        calls, settings.transactionOps(), settings.writableBytes(), System.err::println)
                                 .restore(content.image(), content.digest(), advance);
                     }
                 });
--- a/src/main/java/io/micatide/cli/WarmUp.java
+++ b/src/main/java/io/micatide/cli/WarmUp.java
@@ -1,6 +1,6 @@
 package io.micatide.cli;
 
-import io.micatide.controller.Node;
+import io.micatide.controller.ControllerServer;
 import io.micatide.model.Settings;
 import io.micatide.net.HttpClient;
 import io.micatide.net.HttpServer;
@@ -45,8 +45,8 @@
                     .replace("@sibling@", "127.0.0.1:" + ports[2])
                     .replace("@services@", "127.0.0.1:" + ports[0]);
             Settings parsed = SettingsReader.parse(settings);
-            try (Node node =
-                    new Node(parsed, TuningReader.parse("idle_s = 20.0\nstandby = true\nrollout = true", parsed))) {
+            try (ControllerServer node = new ControllerServer(
+                    parsed, TuningReader.parse("idle_s = 20.0\nstandby = true\nrollout = true", parsed))) {
                 node.start();
                 HttpClient client = new HttpClient(group.next(), "127.0.0.1:" + ports[1], 1);
                 for (int round = 0; round < 8; round++) {
--- a/src/main/java/io/micatide/cli/package-info.java
+++ b/src/main/java/io/micatide/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line. */
+/** The command line: one class per command, each of which parses its arguments and delegates. */
 package io.micatide.cli;
--- a/src/main/java/io/micatide/controller/Actor.java
+++ b/src/main/java/io/micatide/controller/Actor.java
@@ -9,9 +9,9 @@
 /** Owns its state; everything that happens to it is a message, taken one at a time from the event loop. */
 abstract class Actor<M> {
     protected final Logger log = LoggerFactory.getLogger(getClass());
-    private final Loop loop;
+    private final ActorExecutor loop;
 
-    Actor(Loop loop) {
+    Actor(ActorExecutor loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/io/micatide/controller/Loop.java
+++ b/src/main/java/io/micatide/controller/ActorExecutor.java
@@ -1,7 +1,7 @@
 package io.micatide.controller;
 
 /** What runs a controller's actors, one message at a time, and its clocks. Times in microseconds. */
-public interface Loop {
+public interface ActorExecutor {
     /** Runs it after what was given before. May be called from any thread. */
     void execute(Runnable what);
 
--- a/src/main/java/io/micatide/controller/HistoryReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -2,16 +2,16 @@
 
 import com.google.common.cache.Cache;
 import com.google.common.cache.CacheBuilder;
-import io.micatide.archive.DamagedException;
-import io.micatide.archive.Filters;
-import io.micatide.archive.Segments;
+import io.micatide.archive.DamagedSegmentException;
+import io.micatide.archive.MembershipFilters;
+import io.micatide.archive.SegmentCodec;
 import io.micatide.model.Micros;
 import io.micatide.net.Reply;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.store.JobOutcome;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -24,11 +24,11 @@
  * Finds jobs in the archive. Owns the filters and a bounded cache; questions about the same segment share its read, and their number is
  * bounded. Nothing of it is loaded while there is no archive.
  */
-final class HistoryReader extends Actor<HistoryReader.Message> {
+final class ArchiveReader extends Actor<ArchiveReader.Message> {
     sealed interface Message {}
 
     /** Questions from now on are about this manifest. */
-    record Manifest(Row.History manifest) implements Message {}
+    record Manifest(StoredRecord.History manifest) implements Message {}
 
     /** Asks for a job by the last manifest told; {@code then} is called on the event loop, once. */
     record Find(String id, Consumer<Found> then) implements Message {}
@@ -41,7 +41,7 @@
     sealed interface Found {}
 
     /** It is over. */
-    record Archived(Outcome outcome) implements Found {}
+    record Archived(JobOutcome outcome) implements Found {}
 
     /** The archive does not hold it. */
     record Nowhere() implements Found {}
@@ -73,15 +73,15 @@
     private static final long FILTER_PAUSE_MICROS = 50 * Micros.MILLISECOND;
     private static final long RETRY_MICROS = Micros.SECOND;
 
-    private final StateClient state;
+    private final StoreClient state;
     private final Map<String, List<Question>> reading = new HashMap<>();
     private final Set<String> damaged = new HashSet<>();
-    private Filters filters;
-    private Cache<String, Outcome> cache;
+    private MembershipFilters filters;
+    private Cache<String, JobOutcome> cache;
     private String filterKey;
     private boolean filterDue;
 
-    HistoryReader(Loop loop, StateClient state) {
+    ArchiveReader(ActorExecutor loop, StoreClient state) {
         super(loop);
         this.state = state;
     }
@@ -100,9 +100,9 @@
         }
     }
 
-    private void manifest(Row.History manifest) {
+    private void manifest(StoredRecord.History manifest) {
         if (filters == null) {
-            filters = new Filters(FILTER_BYTES);
+            filters = new MembershipFilters(FILTER_BYTES);
             cache = CacheBuilder.newBuilder()
                     .maximumSize(CACHED)
                     .concurrencyLevel(1)
@@ -118,7 +118,7 @@
             message.then().accept(new Nowhere());
             return;
         }
-        Outcome known = cache.getIfPresent(message.id());
+        JobOutcome known = cache.getIfPresent(message.id());
         if (known != null) {
             message.then().accept(new Archived(known));
             return;
@@ -150,11 +150,11 @@
         String key = message.key();
         List<Question> waiting = reading.remove(key);
         Reply reply = message.reply();
-        Row.Segment segment = null;
+        StoredRecord.Segment segment = null;
         Found failure = new Unavailable();
         try {
             if (reply.ok()) {
-                segment = (Row.Segment) StateCodec.item(reply.body()).row();
+                segment = (StoredRecord.Segment) StoreCodec.item(reply.body()).row();
             } else if (reply.status() == 404) {
                 failure = new Moved();
             }
@@ -169,7 +169,7 @@
             return;
         } catch (MalformedException e) {
             damaged(key, key + ": " + e.getMessage());
-        } catch (DamagedException e) {
+        } catch (DamagedSegmentException e) {
             damaged(key, e.getMessage());
         }
         if (key.equals(filterKey)) {
@@ -181,8 +181,8 @@
         }
     }
 
-    private Found found(String key, Row.Segment segment, String id) throws DamagedException {
-        Outcome outcome = Segments.find(key, segment, id);
+    private Found found(String key, StoredRecord.Segment segment, String id) throws DamagedSegmentException {
+        JobOutcome outcome = SegmentCodec.find(key, segment, id);
         if (outcome == null) {
             return new Nowhere();
         }
@@ -232,10 +232,10 @@
         tellLater(new FilterDue(), micros);
     }
 
-    private void filterRead(String key, Row.Segment segment) throws DamagedException {
+    private void filterRead(String key, StoredRecord.Segment segment) throws DamagedSegmentException {
         filterKey = null;
         if (segment != null) {
-            filters.read(key, Segments.unpack(key, segment));
+            filters.read(key, SegmentCodec.unpack(key, segment));
             later(FILTER_PAUSE_MICROS);
         } else {
             // Gone with its run, which the next manifest tells, or not to be had now.
--- a/src/main/java/io/micatide/controller/ArchivistActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -1,54 +1,59 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archivist;
-import io.micatide.archive.DamagedException;
-import io.micatide.archive.Segments;
+import io.micatide.archive.Archiver;
+import io.micatide.archive.DamagedSegmentException;
+import io.micatide.archive.SegmentCodec;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
 import io.micatide.net.Reply;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
 /**
- * Carries out the steps of a leader's {@link Archivist}, one at a time, with the changes and the requests that are left over. Owned by
+ * Carries out the steps of a leader's {@link Archiver}, one at a time, with the changes and the requests that are left over. Owned by
  * a term: what is answered after it is dropped.
  */
-final class ArchivistActor extends Actor<ArchivistActor.Message> {
+final class ArchiverActor extends Actor<ArchiverActor.Message> {
     sealed interface Message {}
 
     /** A term whose leader keeps the archive begins, or the archive itself does. */
-    record Begin(long token, Row.History manifest, long version) implements Message {}
+    record Begin(long token, StoredRecord.History manifest, long version) implements Message {}
 
     record End() implements Message {}
 
     /** What may be archived, by a copy that had this manifest. */
-    record Offer(long token, List<Archivist.Ended> ended, long copyOfVersion, boolean anyway) implements Message {}
+    record Offer(long token, List<Archiver.Ended> ended, long copyOfVersion, boolean anyway) implements Message {}
 
     /** So many changes are left over now. */
     record Spare(long token, int writes) implements Message {}
 
-    record Answered(Reply reply, long token, Archivist.Step step) implements Message {}
+    record Answered(Reply reply, long token, Archiver.Step step) implements Message {}
 
     /** After a step that failed, so that an outage is not asked all the time. */
     private static final long PAUSE_MICROS = Micros.SECOND;
 
     private final Settings settings;
     private final int worthARun;
-    private final Archivist.Maker maker;
-    private final StateClient state;
+    private final Archiver.Maker maker;
+    private final StoreClient state;
     private final LeaderActor leader;
     private long token;
-    private Archivist archivist;
+    private Archiver archivist;
     private long resumesMicros;
 
-    ArchivistActor(
-            Loop loop, Settings settings, int worthARun, Archivist.Maker maker, StateClient state, LeaderActor leader) {
+    ArchiverActor(
+            ActorExecutor loop,
+            Settings settings,
+            int worthARun,
+            Archiver.Maker maker,
+            StoreClient state,
+            LeaderActor leader) {
         super(loop);
         this.settings = settings;
         this.worthARun = worthARun;
@@ -84,39 +89,39 @@
         if (now() < resumesMicros || !state.idle()) {
             return;
         }
-        Archivist.Step step = archivist.next(writes);
-        if (step instanceof Archivist.Write write) {
+        Archiver.Step step = archivist.next(writes);
+        if (step instanceof Archiver.Write write) {
             leader.tell(
                     new TermMessage.Spent(token, write.transaction().writes().size()));
             state.transaction(write.transaction(), then(step));
-        } else if (step instanceof Archivist.ReadSegment read) {
+        } else if (step instanceof Archiver.ReadSegment read) {
             state.read(read.key(), then(step));
-        } else if (step instanceof Archivist.FindAfter find) {
+        } else if (step instanceof Archiver.FindAfter find) {
             state.after(StoreKeys.SEGMENTS, find.key(), then(step));
-        } else if (step instanceof Archivist.ReadManifest) {
+        } else if (step instanceof Archiver.ReadManifest) {
             state.read(StoreKeys.HISTORY, then(step));
         }
     }
 
-    private java.util.function.Consumer<Reply> then(Archivist.Step step) {
+    private java.util.function.Consumer<Reply> then(Archiver.Step step) {
         long term = token;
         return answer(r -> new Answered(r, term, step));
     }
 
-    private void answered(Archivist.Step step, Reply reply) throws MalformedException {
+    private void answered(Archiver.Step step, Reply reply) throws MalformedException {
         if (!reply.ok() && !(reply.status() == 409 || reply.status() == 404 || reply.status() == 400)) {
             resumesMicros = now() + PAUSE_MICROS;
             archivist.repeat();
-        } else if (step instanceof Archivist.Write write) {
+        } else if (step instanceof Archiver.Write write) {
             written(write.transaction(), reply);
-        } else if (step instanceof Archivist.ReadSegment read) {
+        } else if (step instanceof Archiver.ReadSegment read) {
             segment(read.key(), reply);
-        } else if (step instanceof Archivist.FindAfter && reply.ok()) {
-            List<StateCodec.Item> items = StateCodec.page(reply.body()).items();
+        } else if (step instanceof Archiver.FindAfter && reply.ok()) {
+            List<StoreCodec.Item> items = StoreCodec.page(reply.body()).items();
             archivist.listed(items.isEmpty() ? null : items.get(0).key());
-        } else if (step instanceof Archivist.ReadManifest && reply.ok()) {
-            StateCodec.Item item = StateCodec.item(reply.body());
-            archivist.manifestRead((Row.History) item.row(), item.version());
+        } else if (step instanceof Archiver.ReadManifest && reply.ok()) {
+            StoreCodec.Item item = StoreCodec.item(reply.body());
+            archivist.manifestRead((StoredRecord.History) item.row(), item.version());
         } else {
             resumesMicros = now() + PAUSE_MICROS;
             archivist.repeat();
@@ -125,9 +130,9 @@
 
     private void written(Transaction transaction, Reply reply) throws MalformedException {
         if (reply.ok()) {
-            archivist.written(StateCodec.revision(reply.body()));
+            archivist.written(StoreCodec.revision(reply.body()));
         } else if (reply.status() == 409) {
-            List<String> failed = StateCodec.failed(reply.body());
+            List<String> failed = StoreCodec.failed(reply.body());
             if (failed.contains(StoreKeys.LEADER)) {
                 // Fenced; the leader finds out by itself.
                 resumesMicros = now() + PAUSE_MICROS;
@@ -150,12 +155,12 @@
     private void segment(String key, Reply reply) {
         try {
             if (reply.ok()) {
-                archivist.segment(key, Segments.unpack(key, (Row.Segment)
-                        StateCodec.item(reply.body()).row()));
+                archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.Segment)
+                        StoreCodec.item(reply.body()).row()));
                 return;
             }
             log.error("archive: {} is missing", key);
-        } catch (MalformedException | DamagedException e) {
+        } catch (MalformedException | DamagedSegmentException e) {
             log.error("archive: {}", e.getMessage());
         }
         archivist.damaged(key);
--- a/src/main/java/io/micatide/controller/Build.java
+++ b/src/main/java/io/micatide/controller/BuildVersion.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 
 /** The version of this program, as the build wrote it. */
-final class Build {
-    private Build() {}
+final class BuildVersion {
+    private BuildVersion() {}
 
     static String name() {
-        try (InputStream in = Build.class.getResourceAsStream("/micatide-version.txt")) {
+        try (InputStream in = BuildVersion.class.getResourceAsStream("/micatide-version.txt")) {
             return in == null ? "unknown" : new String(in.readAllBytes(), StandardCharsets.UTF_8).trim();
         } catch (IOException e) {
             return "unknown";
--- a/src/main/java/io/micatide/controller/Testimonies.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -1,8 +1,8 @@
 package io.micatide.controller;
 
-import io.micatide.election.CancelProof;
+import io.micatide.election.CancellationHorizon;
+import io.micatide.model.CancellationDigest;
 import io.micatide.model.Settings;
-import io.micatide.model.Testimony;
 import io.micatide.net.Request;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
@@ -12,23 +12,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What controllers tell each other of cancellations, and the {@link CancelProof} that rests on it. A leader's news ask for it; whatever a
+ * What controllers tell each other of cancellations, and the {@link CancellationHorizon} that rests on it. A leader's news ask for it; whatever a
  * sibling names is taken into the copy of the rows first and counted then, so nothing is proved that the term does not act on. Part of
  * the leader's actor.
  */
-final class Testimonies {
+final class CancellationExchange {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
 
     private final Settings settings;
     private final UsersActor users;
-    private final CancelProof proof;
+    private final CancellationHorizon proof;
     private long revision;
     private boolean stopped;
 
-    Testimonies(Settings settings, UsersActor users) {
+    CancellationExchange(Settings settings, UsersActor users) {
         this.settings = settings;
         this.users = users;
-        this.proof = new CancelProof(settings);
+        this.proof = new CancellationHorizon(settings);
     }
 
     /** Up to which the state service has been read: siblings name what came later. */
@@ -44,7 +44,7 @@
     // ---- a leader
 
     /** A sibling's answer to news that left at {@code askedMicros}. */
-    void heard(int sibling, Testimony word, long askedMicros, long now) {
+    void heard(int sibling, CancellationDigest word, long askedMicros, long now) {
         if (word != null) {
             users.tell(
                     new UsersActor.TakeIn(word.cancelled(), new LeaderActor.TakenIn(sibling, word, askedMicros, now)));
@@ -104,7 +104,7 @@
     }
 
     /** Tells whoever leads what was confirmed here. */
-    void confirmed(Testimony.Cancelled job, String leader, Siblings siblings) {
+    void confirmed(CancellationDigest.Cancelled job, String leader, PeerChannel siblings) {
         if (leader != null && !leader.equals(settings.label())) {
             siblings.withdrawn(leader, new PeerCodec.Withdrawn(List.of(job)));
         }
--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -1,17 +1,17 @@
 package io.micatide.controller;
 
-import io.micatide.jobs.JobDirectory;
+import io.micatide.jobs.JobCache;
+import io.micatide.model.CancellationDigest;
 import io.micatide.model.JobState;
 import io.micatide.model.Settings;
-import io.micatide.model.Testimony;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.JobCodec;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.List;
 import org.slf4j.Logger;
@@ -23,12 +23,12 @@
 
     private final UsersActor owner;
     private final Settings settings;
-    private final StateClient state;
-    private final JobDirectory directory;
-    private final JobRows rows;
+    private final StoreClient state;
+    private final JobCache directory;
+    private final JobCacheRefresher rows;
     private LeaderActor own;
 
-    Cancellations(UsersActor owner, Settings settings, StateClient state, JobDirectory directory, JobRows rows) {
+    Cancellations(UsersActor owner, Settings settings, StoreClient state, JobCache directory, JobCacheRefresher rows) {
         this.owner = owner;
         this.settings = settings;
         this.state = state;
@@ -46,11 +46,11 @@
             request.answer(404, UsersActor.NO_SUCH_JOB);
             return;
         }
-        JobDirectory.Entry entry = directory.get(id);
+        JobCache.Entry entry = directory.get(id);
         if (entry == null || (tries > 0 && !directory.state(id).isFinal())) {
             rows.whenFresh(
                     request,
-                    () -> owner.locate(request, id, 0, new Accepted(owner, request, id) {
+                    () -> owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
                         @Override
                         public void inCopy() {
                             tryCancel(request, id, tries);
@@ -67,12 +67,12 @@
     }
 
     private void tryCancel(Request request, String id, int tries) {
-        JobDirectory.Entry entry = directory.get(id);
+        JobCache.Entry entry = directory.get(id);
         if (directory.state(id).isFinal()) {
             request.answer(200, JobCodec.accepted(id, owner.standing(entry)));
             return;
         }
-        Row.JobRow row = cancelledRow(entry);
+        StoredRecord.JobRow row = cancelledRow(entry);
         Transaction put = new Transaction(
                 List.of(new Transaction.Compare(StoreKeys.job(id), entry.version())),
                 List.of(new Transaction.Write(StoreKeys.job(id), row, 0)));
@@ -83,15 +83,16 @@
      * The description stays: a leader that finds tasks of the job has to know what they take of their team's limit. What was
      * accepted under a larger limit of the state service keeps only that.
      */
-    private Row.JobRow cancelledRow(JobDirectory.Entry entry) {
-        Row.JobRow open = entry.row();
+    private StoredRecord.JobRow cancelledRow(JobCache.Entry entry) {
+        StoredRecord.JobRow open = entry.row();
         boolean checked = directory.history() != null;
-        Row.JobRow whole = new Row.JobRow(
+        StoredRecord.JobRow whole = new StoredRecord.JobRow(
                         JobState.CANCELLED, open.spec().withNeeds(List.of()), open.submittedWall(), open.tasks())
                 .asChecked(checked);
-        return StateCodec.size(whole) <= settings.writableBytes()
+        return StoreCodec.size(whole) <= settings.writableBytes()
                 ? whole
-                : new Row.JobRow(JobState.CANCELLED, open.spec().essentials(), open.submittedWall(), open.tasks())
+                : new StoredRecord.JobRow(
+                                JobState.CANCELLED, open.spec().essentials(), open.submittedWall(), open.tasks())
                         .asChecked(checked);
     }
 
@@ -100,9 +101,9 @@
         String id = message.id();
         if (reply.ok()) {
             try {
-                long version = StateCodec.revision(reply.body());
+                long version = StoreCodec.revision(reply.body());
                 rows.apply(id, message.row(), version);
-                own.tell(new LeaderActor.Confirmed(new Testimony.Cancelled(id, version)));
+                own.tell(new LeaderActor.Confirmed(new CancellationDigest.Cancelled(id, version)));
                 message.request().answer(200, JobCodec.accepted(id, JobCodec.Standing.CANCELLED));
                 return;
             } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -5,12 +5,12 @@
 import io.micatide.model.MachineType;
 import io.micatide.net.CloudClient;
 import io.micatide.net.Reply;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.CloudCodec;
 import io.micatide.protocol.MalformedException;
 import io.micatide.scheduler.Scheduler;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,11 +24,11 @@
     private final LeaderActor owner;
     private final Scheduler scheduler;
     private final CloudClient cloud;
-    private final StateClient state;
+    private final StoreClient state;
     private final UsersActor users;
     private List<MachineType> storedTypes = List.of();
 
-    CloudCalls(LeaderActor owner, Scheduler scheduler, CloudClient cloud, StateClient state, UsersActor users) {
+    CloudCalls(LeaderActor owner, Scheduler scheduler, CloudClient cloud, StoreClient state, UsersActor users) {
         this.owner = owner;
         this.scheduler = scheduler;
         this.cloud = cloud;
@@ -92,7 +92,7 @@
             state.transaction(
                     new Transaction(
                             List.of(new Transaction.Compare(StoreKeys.LEADER, token)),
-                            List.of(new Transaction.Write(StoreKeys.TYPES, new Row.Types(types), 0))),
+                            List.of(new Transaction.Write(StoreKeys.TYPES, new StoredRecord.Types(types), 0))),
                     owner.answer(r -> new TermMessage.TypesStored(r, token)));
         }
     }
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -1,18 +1,18 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archivist;
+import io.micatide.archive.Archiver;
 import io.micatide.model.Settings;
 import io.micatide.model.Tuning;
 import io.micatide.net.CloudClient;
 import io.micatide.net.Http;
 import io.micatide.net.Request;
-import io.micatide.net.StateClient;
-import io.micatide.protocol.Description;
+import io.micatide.net.StoreClient;
+import io.micatide.protocol.ApiDescription;
 import io.micatide.protocol.Json;
-import io.micatide.protocol.StateCodec;
-import io.micatide.rollout.Abilities;
-import io.micatide.scheduler.TakeOverTimes;
-import io.micatide.standby.Copy;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.rollout.Capabilities;
+import io.micatide.scheduler.FailoverTimings;
+import io.micatide.standby.KeyspaceReplica;
 import java.util.List;
 import java.util.function.BiConsumer;
 
@@ -24,32 +24,33 @@
     private final UsersActor users;
     private final LeaderActor leader;
 
-    public Controller(Settings settings, Tuning tuning, Loop loop, Http.Connector connector) {
-        this(settings, tuning, loop, connector, Archivist::new);
+    public Controller(Settings settings, Tuning tuning, ActorExecutor loop, Http.Connector connector) {
+        this(settings, tuning, loop, connector, Archiver::new);
     }
 
     /** With another archivist, as a rehearsal plants it. */
-    public Controller(Settings settings, Tuning tuning, Loop loop, Http.Connector connector, Archivist.Maker maker) {
-        this(settings, tuning, loop, connector, maker, Copy::new, Abilities.ALL);
+    public Controller(
+            Settings settings, Tuning tuning, ActorExecutor loop, Http.Connector connector, Archiver.Maker maker) {
+        this(settings, tuning, loop, connector, maker, KeyspaceReplica::new, Capabilities.ALL);
     }
 
     /** With another copy for the standby too, and with what a version can do. */
     public Controller(
             Settings settings,
             Tuning tuning,
-            Loop loop,
+            ActorExecutor loop,
             Http.Connector connector,
-            Archivist.Maker maker,
-            Copy.Maker copies,
-            Abilities abilities) {
-        StateClient state = new StateClient(settings, connector, loop::now);
+            Archiver.Maker maker,
+            KeyspaceReplica.Maker copies,
+            Capabilities abilities) {
+        StoreClient state = new StoreClient(settings, connector, loop::now);
         CloudClient cloud = new CloudClient(settings, connector, loop::now);
-        this.users = new UsersActor(loop, settings, state, cloud, tuning.description() ? new Description() : null);
+        this.users = new UsersActor(loop, settings, state, cloud, tuning.description() ? new ApiDescription() : null);
         this.leader = new LeaderActor(loop, settings, tuning, state, cloud, users, connector, maker, copies, abilities);
     }
 
     /** How this controller's term began, null if it does not lead. For rehearsals; on the loop. */
-    public TakeOverTimes takeOver() {
+    public FailoverTimings takeOver() {
         return leader.takeOver();
     }
 
@@ -59,7 +60,7 @@
     }
 
     /** Sees what a standby's copies bring to each take-over on this controller. */
-    public void witness(BiConsumer<String, List<StateCodec.Item>> each) {
+    public void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
         leader.witness(each);
     }
 
@@ -96,11 +97,11 @@
         } else if (request.path().equals("/withdrawn") && request.method().equals("POST")) {
             leader.tell(new LeaderActor.TakeWithdrawn(request));
         } else if (request.path().equals("/hints") && request.method().equals("POST")) {
-            leader.tell(new FollowMessage.TakeHints(request));
+            leader.tell(new StandbyMessage.TakeHints(request));
         } else if (request.path().equals("/standby")) {
             leader.tell(new LeaderActor.AskReadiness(request));
         } else if (request.path().equals("/handover") && request.method().equals("POST")) {
-            leader.tell(new FollowMessage.TakeHandOver(request));
+            leader.tell(new StandbyMessage.TakeHandOver(request));
         } else {
             request.answer(404, NO_SUCH_PATH);
         }
--- a/src/main/java/io/micatide/controller/Node.java
+++ b/src/main/java/io/micatide/controller/ControllerServer.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /** A controller with its sockets: servers, clients and actors on one event loop. */
-public final class Node implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class ControllerServer implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
 
     private final Settings settings;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -23,11 +23,14 @@
     private final EventLoop loop;
     private volatile String failure;
 
-    public Node(Settings settings, Tuning tuning) {
+    public ControllerServer(Settings settings, Tuning tuning) {
         this.settings = settings;
         this.loop = group.next();
         this.controller = new Controller(
-                settings, tuning, new NettyLoop(loop), (endpoint, most) -> new HttpClient(loop, endpoint, most));
+                settings,
+                tuning,
+                new NettyActorExecutor(loop),
+                (endpoint, most) -> new HttpClient(loop, endpoint, most));
     }
 
     /**
--- a/src/main/java/io/micatide/controller/TakeOver.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -3,11 +3,11 @@
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
 import io.micatide.net.Reply;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.util.List;
 
 /**
@@ -15,7 +15,7 @@
  * standby's copies prove to hold and reads the rest, trying again until each is read; tells the leader what it finds and when a part is
  * whole. One for each term.
  */
-final class TakeOver extends Actor<TakeOver.Message> {
+final class FailoverLoader extends Actor<FailoverLoader.Message> {
     sealed interface Message {}
 
     /** The term has begun. */
@@ -25,7 +25,7 @@
     record JobsKnown() implements Message {}
 
     /** What the standby's copy of a prefix holds as of the claim or later; null if there is no such copy. */
-    record Brought(String prefix, List<StateCodec.Item> rows) implements Message {}
+    record Brought(String prefix, List<StoreCodec.Item> rows) implements Message {}
 
     record Read(String prefix, String after) implements Message {}
 
@@ -33,7 +33,7 @@
 
     private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
 
-    private final StateClient state;
+    private final StoreClient state;
     private final LeaderActor leader;
     /** Null where there is no standby to ask. */
     private final StandbyActor standby;
@@ -42,7 +42,7 @@
     private boolean jobsKnown;
     private Brought ledgers;
 
-    TakeOver(Loop loop, StateClient state, LeaderActor leader, StandbyActor standby, long token) {
+    FailoverLoader(ActorExecutor loop, StoreClient state, LeaderActor leader, StandbyActor standby, long token) {
         super(loop);
         this.state = state;
         this.leader = leader;
@@ -118,7 +118,8 @@
 
     private void types(Read asked, Reply reply) throws MalformedException {
         if (reply.ok()) {
-            List<MachineType> types = ((Row.Types) StateCodec.item(reply.body()).row()).types();
+            List<MachineType> types =
+                    ((StoredRecord.Types) StoreCodec.item(reply.body()).row()).types();
             leader.tell(new TermMessage.TypesLoaded(token, types));
         } else if (reply.status() != 404) {
             tellLater(asked, RETRY_MICROS);
@@ -141,7 +142,7 @@
             tellLater(asked, RETRY_MICROS);
             return;
         }
-        StateCodec.Items page = StateCodec.page(reply.body());
+        StoreCodec.Items page = StoreCodec.page(reply.body());
         leader.tell(new TermMessage.RowsLoaded(token, page.items()));
         if (page.more() && !page.items().isEmpty()) {
             tell(new Read(
--- a/src/main/java/io/micatide/controller/HandOver.java
+++ b/src/main/java/io/micatide/controller/GracefulHandover.java
@@ -6,7 +6,7 @@
  * An orderly end, step by step: the round that is under way is answered or left, an heir catches up, the lease goes back. Each step
  * has its time, so that a state service or an heir that does not answer costs no more than it. Part of the leader's actor.
  */
-final class HandOver {
+final class GracefulHandover {
     private static final long ROUND_MICROS = 300 * Micros.MILLISECOND;
     private static final long HEIR_MICROS = 350 * Micros.MILLISECOND;
 
@@ -17,7 +17,7 @@
     }
 
     /** Null of a controller that does not lead. */
-    private final Term term;
+    private final LeaderTerm term;
 
     private final String heir;
     private final Runnable tellHeir;
@@ -26,7 +26,7 @@
     private long sinceMicros;
 
     /** @param heir label of the one that is warm, or null */
-    HandOver(Term term, String heir, long nowMicros, Runnable tellHeir, Runnable giveBack) {
+    GracefulHandover(LeaderTerm term, String heir, long nowMicros, Runnable tellHeir, Runnable giveBack) {
         this.term = term;
         this.heir = heir;
         this.tellHeir = tellHeir;
--- a/src/main/java/io/micatide/controller/JobRows.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -1,19 +1,19 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archivist;
-import io.micatide.jobs.JobDirectory;
+import io.micatide.archive.Archiver;
+import io.micatide.jobs.JobCache;
+import io.micatide.model.CancellationDigest;
 import io.micatide.model.JobState;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.model.Testimony;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.store.JobOutcome;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -27,7 +27,7 @@
  * shows. Questions that came in before a read of the changes began are answered after it, all of them by the same read. Part of the
  * users' actor.
  */
-final class JobRows {
+final class JobCacheRefresher {
     /** What to do with a question once the copy is fresh. */
     private record Question(Request request, Runnable fresh) {}
 
@@ -39,9 +39,9 @@
     private static final int MOST_WAITING = 400;
 
     private final UsersActor owner;
-    private final StateClient state;
-    private final HistoryReader history;
-    private final JobDirectory directory;
+    private final StoreClient state;
+    private final ArchiveReader history;
+    private final JobCache directory;
     private final long refreshEveryMicros;
     private final List<Question> arriving = new ArrayList<>();
     private List<Question> asking = List.of();
@@ -58,7 +58,8 @@
     private boolean keepUp;
     private long refreshedMicros;
 
-    JobRows(UsersActor owner, Settings settings, StateClient state, HistoryReader history, JobDirectory directory) {
+    JobCacheRefresher(
+            UsersActor owner, Settings settings, StoreClient state, ArchiveReader history, JobCache directory) {
         this.owner = owner;
         this.state = state;
         this.history = history;
@@ -84,14 +85,14 @@
         followMicros = owner.now();
         List<String> cancelled = directory.openAndCancelled().stream()
                 .filter(job -> job.state() == JobState.CANCELLED)
-                .map(JobDirectory.View::id)
+                .map(JobCache.View::id)
                 .toList();
         leader.tell(new LeaderActor.CancelledKnown(cancelled));
         refresh();
     }
 
     /** Jobs that a sibling knows as cancelled; {@code then} is told to the leader's actor after what follows from them. */
-    void takeIn(List<Testimony.Cancelled> jobs, LeaderActor.Message then) {
+    void takeIn(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then) {
         jobs.forEach(job -> changed(directory.cancelledElsewhere(job.job(), job.version())));
         if (then != null) {
             own.tell(then);
@@ -125,12 +126,12 @@
             return;
         }
         try {
-            StateCodec.Items page = StateCodec.page(reply.body());
+            StoreCodec.Items page = StoreCodec.page(reply.body());
             if (message.after() == null) {
                 directory.restartAt(page.revision());
             }
             String last = null;
-            for (StateCodec.Item item : page.items()) {
+            for (StoreCodec.Item item : page.items()) {
                 apply(item);
                 last = item.key();
             }
@@ -149,46 +150,46 @@
         }
     }
 
-    private void apply(StateCodec.Item item) {
+    private void apply(StoreCodec.Item item) {
         String name = item.key().substring(StoreKeys.JOBS.length());
         if (item.row() == null) {
             if (name.indexOf('/') < 0) {
                 directory.removed(name, item.version());
                 owner.over(name);
             }
-        } else if (item.row() instanceof Row.History manifest) {
+        } else if (item.row() instanceof StoredRecord.History manifest) {
             historyKnown(item.version(), manifest);
-        } else if (item.row() instanceof Row.Features features) {
+        } else if (item.row() instanceof StoredRecord.Features features) {
             own.tell(new LeaderActor.SwitchesSeen(item.version(), features));
-        } else if (item.row() instanceof Row.JobRow row) {
+        } else if (item.row() instanceof StoredRecord.JobRow row) {
             apply(name, row, item.version());
-        } else if (item.row() instanceof Row.Needs needs) {
+        } else if (item.row() instanceof StoredRecord.Needs needs) {
             int slash = name.indexOf('/');
             changed(directory.applyNeeds(
                     name.substring(0, slash),
                     Integer.parseInt(name.substring(name.lastIndexOf('/') + 1)),
                     needs.names()));
-        } else if (item.row() instanceof Row.Layout layout) {
+        } else if (item.row() instanceof StoredRecord.Layout layout) {
             layoutKnown(item.version(), layout);
         }
     }
 
-    private void historyKnown(long version, Row.History manifest) {
+    private void historyKnown(long version, StoredRecord.History manifest) {
         directory.historyKnown(version, manifest);
-        history.tell(new HistoryReader.Manifest(manifest));
+        history.tell(new ArchiveReader.Manifest(manifest));
         if (leader != null) {
             leader.tell(new LeaderActor.HistorySeen(version, manifest));
         }
     }
 
-    void layoutKnown(long version, Row.Layout layout) {
+    void layoutKnown(long version, StoredRecord.Layout layout) {
         directory.layoutMarked(version, layout);
         if (leader != null) {
             leader.tell(new LeaderActor.LayoutSeen(version, layout));
         }
     }
 
-    void apply(String id, Row.JobRow row, long version) {
+    void apply(String id, StoredRecord.JobRow row, long version) {
         changed(directory.apply(id, row, version));
     }
 
@@ -237,10 +238,10 @@
         boolean fresh = false;
         if (reply.ok()) {
             try {
-                StateCodec.Items changes = StateCodec.changes(reply.body());
+                StoreCodec.Items changes = StoreCodec.changes(reply.body());
                 // In the order in which they were made: a row may come and go between two reads.
                 changes.items().stream()
-                        .sorted(Comparator.comparingLong(StateCodec.Item::version))
+                        .sorted(Comparator.comparingLong(StoreCodec.Item::version))
                         .forEach(this::apply);
                 directory.upTo(changes.revision());
                 settleDoubts();
@@ -287,9 +288,9 @@
 
     /** Rows of a former version may be of jobs that were archived long ago: nothing of them is told or started before that is known. */
     void settleDoubts() {
-        for (JobDirectory.Entry entry : directory.doubtful()) {
+        for (JobCache.Entry entry : directory.doubtful()) {
             if (doubts.add(entry.id())) {
-                history.tell(new HistoryReader.Find(
+                history.tell(new ArchiveReader.Find(
                         entry.id(), found -> owner.tell(new UsersActor.DoubtSettled(entry.id(), found))));
             }
         }
@@ -297,10 +298,10 @@
 
     void doubtSettled(UsersActor.DoubtSettled message) {
         doubts.remove(message.id());
-        if (message.found() instanceof HistoryReader.Archived) {
+        if (message.found() instanceof ArchiveReader.Archived) {
             LOG.warn("{} has a row again although it is archived: a former version wrote it; it will go", message.id());
             directory.ghost(message.id());
-        } else if (message.found() instanceof HistoryReader.Nowhere) {
+        } else if (message.found() instanceof ArchiveReader.Nowhere) {
             changed(directory.sound(message.id()));
         } else {
             owner.tellLater(new UsersActor.DoubtsDue(), DOUBTS_MICROS);
@@ -314,17 +315,17 @@
             return;
         }
         Set<String> needed = directory.needed();
-        List<Archivist.Ended> result = new ArrayList<>();
-        for (JobDirectory.Entry entry : directory.ended()) {
+        List<Archiver.Ended> result = new ArrayList<>();
+        for (JobCache.Entry entry : directory.ended()) {
             if (result.size() >= MOST_ENDED) {
                 break;
             }
             if (!needed.contains(entry.id())) {
-                result.add(new Archivist.Ended(
-                        entry.id(), entry.version(), Outcome.of(entry.row()), directory.furtherRows(entry.id())));
+                result.add(new Archiver.Ended(
+                        entry.id(), entry.version(), JobOutcome.of(entry.row()), directory.furtherRows(entry.id())));
             }
         }
-        directory.ghosts().forEach((id, version) -> result.add(new Archivist.Ended(id, version, null, 0)));
+        directory.ghosts().forEach((id, version) -> result.add(new Archiver.Ended(id, version, null, 0)));
         leader.tell(new TermMessage.EndedFound(token, result, directory.historyVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/Place.java
+++ b/src/main/java/io/micatide/controller/JobLookup.java
@@ -1,13 +1,13 @@
 package io.micatide.controller;
 
-import io.micatide.store.Outcome;
+import io.micatide.store.JobOutcome;
 
 /** Where a job is. */
-interface Place {
+interface JobLookup {
     /** The copy holds it. */
     void inCopy();
 
-    void archived(Outcome outcome);
+    void archived(JobOutcome outcome);
 
     /** It was never accepted, as far as the copy is fresh. */
     void nowhere();
--- a/src/main/java/io/micatide/controller/Accepted.java
+++ b/src/main/java/io/micatide/controller/KnownJobReply.java
@@ -2,15 +2,15 @@
 
 import io.micatide.net.Request;
 import io.micatide.protocol.JobCodec;
-import io.micatide.store.Outcome;
+import io.micatide.store.JobOutcome;
 
 /** A submission of a job that was accepted before gets 200 and how it stands. */
-abstract class Accepted implements Place {
+abstract class KnownJobReply implements JobLookup {
     private final UsersActor owner;
     private final Request request;
     private final String id;
 
-    Accepted(UsersActor owner, Request request, String id) {
+    KnownJobReply(UsersActor owner, Request request, String id) {
         this.owner = owner;
         this.request = request;
         this.id = id;
@@ -23,7 +23,7 @@
     }
 
     @Override
-    public void archived(Outcome outcome) {
+    public void archived(JobOutcome outcome) {
         request.answer(200, JobCodec.accepted(id, owner.standing(outcome)));
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -1,35 +1,35 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archivist;
-import io.micatide.election.Leadership;
-import io.micatide.election.WorkerReach;
-import io.micatide.jobs.JobDirectory;
+import io.micatide.archive.Archiver;
+import io.micatide.election.LeaderElection;
+import io.micatide.election.WorkerConnectivity;
+import io.micatide.jobs.JobCache;
+import io.micatide.model.CancellationDigest;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.JobProgress;
-import io.micatide.model.MachineReport;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.model.Testimony;
 import io.micatide.model.Tuning;
 import io.micatide.net.CloudClient;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
 import io.micatide.protocol.PeerCodec;
-import io.micatide.protocol.StateCodec;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.protocol.WorkerCodec;
-import io.micatide.rollout.Abilities;
+import io.micatide.rollout.Capabilities;
+import io.micatide.scheduler.FailoverTimings;
 import io.micatide.scheduler.Scheduler;
-import io.micatide.scheduler.TakeOverTimes;
-import io.micatide.standby.Copy;
-import io.micatide.store.Row;
+import io.micatide.standby.KeyspaceReplica;
+import io.micatide.store.StoredRecord;
 import java.util.List;
 import java.util.function.BiConsumer;
 
 /**
- * Whether this controller leads, and who else does. Answers workers and siblings; the lead itself is a {@link Term}, which lasts from
+ * Whether this controller leads, and who else does. Answers workers and siblings; the lead itself is a {@link LeaderTerm}, which lasts from
  * the claim until it is fenced.
  */
 final class LeaderActor extends Actor<LeaderActor.Message> {
@@ -61,7 +61,7 @@
                     TakenIn,
                     Confirmed,
                     TakeWithdrawn,
-                    FollowMessage,
+                    StandbyMessage,
                     TermMessage {}
 
     record Tick() implements Message {}
@@ -72,18 +72,18 @@
 
     record PeerNews(Request request) implements Message {}
 
-    record JobSeen(JobDirectory.View view) implements Message {}
+    record JobSeen(JobCache.View view) implements Message {}
 
-    record JobsSeen(List<JobDirectory.View> jobs) implements Message {}
+    record JobsSeen(List<JobCache.View> jobs) implements Message {}
 
     /** The mark that every controller reads the present layout is in the state service. */
-    record LayoutSeen(long version, Row.Layout layout) implements Message {}
+    record LayoutSeen(long version, StoredRecord.Layout layout) implements Message {}
 
     /** The archive's manifest, as the copy of the rows has it. */
-    record HistorySeen(long version, Row.History manifest) implements Message {}
+    record HistorySeen(long version, StoredRecord.History manifest) implements Message {}
 
     /** The switches, as the copy of the rows has them. */
-    record SwitchesSeen(long version, Row.Features row) implements Message {}
+    record SwitchesSeen(long version, StoredRecord.Features row) implements Message {}
 
     record SwitchesRead(Reply reply) implements Message {}
 
@@ -98,10 +98,10 @@
     record CancelledKnown(List<String> jobs) implements Message {}
 
     /** What a sibling said of cancellations is in the copy. */
-    record TakenIn(int sibling, Testimony word, long askedMicros, long heardMicros) implements Message {}
+    record TakenIn(int sibling, CancellationDigest word, long askedMicros, long heardMicros) implements Message {}
 
     /** A user of this controller was told that a job is cancelled. */
-    record Confirmed(Testimony.Cancelled job) implements Message {}
+    record Confirmed(CancellationDigest.Cancelled job) implements Message {}
 
     /** The same from a sibling. */
     record TakeWithdrawn(Request request) implements Message {}
@@ -134,39 +134,39 @@
     /** No message for so long, with a timer every 50 ms, means that the process stood still. */
     private static final long STALL_MICROS = Micros.SECOND;
 
-    private final Loop loop;
+    private final ActorExecutor loop;
     private final Settings settings;
     private final Tuning tuning;
-    private final StateClient state;
+    private final StoreClient state;
     private final CloudClient cloud;
     private final UsersActor users;
-    private final ArchivistActor archivist;
+    private final ArchiverActor archivist;
     private final Http.Connector connector;
-    private final Siblings siblings;
-    private final Leadership leadership;
-    private final Claims claims;
-    private final Rollout rollout;
-    private final WorkerReach reach;
-    private final Testimonies testimonies;
-    private final Following following;
+    private final PeerChannel siblings;
+    private final LeaderElection leadership;
+    private final LeaderLease claims;
+    private final RolloutParticipant rollout;
+    private final WorkerConnectivity reach;
+    private final CancellationExchange testimonies;
+    private final StandbyCoordinator following;
     /** Null until this process is told to end. */
-    private HandOver handOver;
+    private GracefulHandover handOver;
 
     private long activeMicros;
     /** Null while another controller leads, or nobody. */
-    private Term term;
+    private LeaderTerm term;
 
     LeaderActor(
-            Loop loop,
+            ActorExecutor loop,
             Settings settings,
             Tuning tuning,
-            StateClient state,
+            StoreClient state,
             CloudClient cloud,
             UsersActor users,
             Http.Connector connector,
-            Archivist.Maker maker,
-            Copy.Maker copies,
-            Abilities abilities) {
+            Archiver.Maker maker,
+            KeyspaceReplica.Maker copies,
+            Capabilities abilities) {
         super(loop);
         this.loop = loop;
         this.settings = settings;
@@ -175,20 +175,20 @@
         this.cloud = cloud;
         this.users = users;
         this.connector = connector;
-        this.siblings = new Siblings(this, settings, connector);
+        this.siblings = new PeerChannel(this, settings, connector);
         this.activeMicros = now();
-        this.archivist = new ArchivistActor(loop, settings, tuning.historyBatch(), maker, state, this);
-        this.reach = new WorkerReach(settings, now());
-        this.testimonies = new Testimonies(settings, users);
-        this.leadership = new Leadership(settings.label(), tuning.leaderLeaseMicros());
-        this.rollout = new Rollout(this, settings, abilities, state, users);
-        this.claims = new Claims(this, settings.label(), state, leadership, rollout);
+        this.archivist = new ArchiverActor(loop, settings, tuning.historyBatch(), maker, state, this);
+        this.reach = new WorkerConnectivity(settings, now());
+        this.testimonies = new CancellationExchange(settings, users);
+        this.leadership = new LeaderElection(settings.label(), tuning.leaderLeaseMicros());
+        this.rollout = new RolloutParticipant(this, settings, abilities, state, users);
+        this.claims = new LeaderLease(this, settings.label(), state, leadership, rollout);
         StandbyActor standby = tuning.standby() ? new StandbyActor(loop, settings, state, users, this, copies) : null;
-        this.following = new Following(this, settings, siblings, claims, standby, now());
+        this.following = new StandbyCoordinator(this, settings, siblings, claims, standby, now());
     }
 
     /** How this controller's term began, null if it does not lead. */
-    TakeOverTimes takeOver() {
+    FailoverTimings takeOver() {
         return term == null ? null : term.takeOver();
     }
 
@@ -198,7 +198,7 @@
     }
 
     /** Sees what is brought to each take-over on this controller. */
-    void witness(BiConsumer<String, List<StateCodec.Item>> each) {
+    void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
         following.standby().witness(each);
     }
 
@@ -252,7 +252,7 @@
             if (term != null) {
                 rowsSeen(message);
             }
-        } else if (message instanceof FollowMessage m) {
+        } else if (message instanceof StandbyMessage m) {
             following.receive(m, term == null ? 0 : term.token());
             advance();
         } else if (message instanceof AskReadiness m) {
@@ -305,7 +305,7 @@
     private void noticeStall() {
         long now = now();
         if (now - activeMicros > STALL_MICROS) {
-            log.warn("stood still for {} ms", (now - activeMicros) / Micros.MILLISECOND);
+            log.warn("process paused for {} ms", (now - activeMicros) / Micros.MILLISECOND);
             reach.stalled(now);
             if (term != null) {
                 term.resumed(now);
@@ -344,23 +344,23 @@
 
     /** The claim with this token was answered. */
     void begin(long token, long now) {
-        log.info("leads with token {}", token);
+        log.info("became leader with fencing token {}", token);
         Scheduler scheduler = new Scheduler(settings, tuning, token, now);
         scheduler.holdsUntil(leadership.holdsUntilMicros());
         siblings.begin();
         following.begin(token, now);
         reach.begin(now);
-        term = new Term(
+        term = new LeaderTerm(
                 this,
                 users,
                 scheduler,
-                new TakeOver(loop, state, this, following.standby(), token),
-                new Rounds(this, scheduler, state, users),
+                new FailoverLoader(loop, state, this, following.standby(), token),
+                new LedgerCommitter(this, scheduler, state, users),
                 new CloudCalls(this, scheduler, cloud, state, users),
-                new Steps(this, settings, tuning, scheduler, state, users, rollout),
-                new Archiving(this, tuning, scheduler, users, archivist),
-                new Learning(this, settings, scheduler, state, rollout),
-                new Greeter(this, settings, scheduler, connector, following.handedOver(now)));
+                new RolloutDriver(this, settings, tuning, scheduler, state, users, rollout),
+                new TermArchiving(this, tuning, scheduler, users, archivist),
+                new LearnedStateWriter(this, settings, scheduler, state, rollout),
+                new TermAnnouncer(this, settings, scheduler, connector, following.handedOver(now)));
         term.begin();
     }
 
@@ -400,8 +400,8 @@
         }
     }
 
-    private Siblings.Now newsOf(long now) {
-        return new Siblings.Now(
+    private PeerChannel.Now newsOf(long now) {
+        return new PeerChannel.Now(
                 term.token(),
                 state.reach().reached(now),
                 reach.silentMicros(now),
@@ -413,7 +413,7 @@
     // ---- workers
 
     private void report(Request request) {
-        MachineReport report;
+        Heartbeat report;
         try {
             report = WorkerCodec.report(request.body());
         } catch (MalformedException e) {
@@ -508,7 +508,7 @@
                                         ? ", to nobody in particular"
                                         : " to " + settings.siblings().get(heir).label()));
         users.tell(new UsersActor.Closing());
-        handOver = new HandOver(
+        handOver = new GracefulHandover(
                 term,
                 heir < 0 ? null : settings.siblings().get(heir).label(),
                 now,
--- a/src/main/java/io/micatide/controller/Claims.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -1,21 +1,21 @@
 package io.micatide.controller;
 
-import io.micatide.election.Leadership;
+import io.micatide.election.LeaderElection;
 import io.micatide.model.Micros;
 import io.micatide.net.Reply;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What {@link Leadership} constraints of the state service, and what becomes of it. Part of the leader's actor. */
-final class Claims {
+/** What {@link LeaderElection} constraints of the state service, and what becomes of it. Part of the leader's actor. */
+final class LeaderLease {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
     private static final long PAUSE_MICROS = 200 * Micros.MILLISECOND;
@@ -23,15 +23,16 @@
 
     private final LeaderActor owner;
     private final String label;
-    private final StateClient state;
-    private final Leadership leadership;
-    private final Rollout rollout;
+    private final StoreClient state;
+    private final LeaderElection leadership;
+    private final RolloutParticipant rollout;
     private boolean watching;
     private long watchFrom;
     /** The lease that the row of this controller's former life is attached to, 0 once it is known to be none of that. */
     private long formerLease;
 
-    Claims(LeaderActor owner, String label, StateClient state, Leadership leadership, Rollout rollout) {
+    LeaderLease(
+            LeaderActor owner, String label, StoreClient state, LeaderElection leadership, RolloutParticipant rollout) {
         this.owner = owner;
         this.label = label;
         this.state = state;
@@ -77,7 +78,7 @@
             case GRANT_LEASE -> state.grant(leadership.ttlMicros(), owner.answer(r -> new LeaderActor.Granted(r, now)));
             case TOUCH -> state.touch(leadership.lease(), owner.answer(r -> new LeaderActor.Touched(r, now)));
             case CLAIM -> {
-                Row row = new Row.Leader(label);
+                StoredRecord row = new StoredRecord.Leader(label);
                 List<Transaction.Compare> conditions = new ArrayList<>(rollout.claimConditions());
                 conditions.add(new Transaction.Compare(StoreKeys.LEADER, leadership.rowVersion()));
                 state.transaction(
@@ -97,7 +98,7 @@
                 rowRead(m.reply(), now);
             } else if (message instanceof LeaderActor.Granted m) {
                 if (m.reply().ok()) {
-                    leadership.granted(StateCodec.granted(m.reply().body()), m.askedMicros());
+                    leadership.granted(StoreCodec.granted(m.reply().body()), m.askedMicros());
                 } else {
                     leadership.failed(now, PAUSE_MICROS);
                 }
@@ -116,10 +117,10 @@
 
     private void rowRead(Reply reply, long now) throws MalformedException {
         if (reply.ok()) {
-            StateCodec.Item item = StateCodec.item(reply.body());
+            StoreCodec.Item item = StoreCodec.item(reply.body());
             watchFrom = Math.max(watchFrom, item.version());
-            String rowOwner = ((Row.Leader) item.row()).owner();
-            formerLease = label.equals(rowOwner) && !leadership.leads() ? StateCodec.hold(reply.body()) : 0;
+            String rowOwner = ((StoredRecord.Leader) item.row()).owner();
+            formerLease = label.equals(rowOwner) && !leadership.leads() ? StoreCodec.hold(reply.body()) : 0;
             leadership.rowRead(rowOwner, item.version());
         } else if (reply.status() == 404) {
             leadership.rowRead(null, 0);
@@ -141,12 +142,12 @@
 
     private void claimed(Reply reply, long now) throws MalformedException {
         if (reply.ok()) {
-            long token = StateCodec.revision(reply.body());
+            long token = StoreCodec.revision(reply.body());
             watchFrom = Math.max(watchFrom, token);
             leadership.claimed(token);
             owner.begin(token, now);
         } else if (reply.status() == 409) {
-            if (StateCodec.failed(reply.body()).contains(StoreKeys.FEATURES)) {
+            if (StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURES)) {
                 rollout.newerThere(rollout.switches().version() + 1);
             }
             leadership.claimRefused();
@@ -162,11 +163,11 @@
     private void watched(Reply reply) throws MalformedException {
         watching = false;
         if (reply.ok()) {
-            StateCodec.Items changes = StateCodec.changes(reply.body());
-            for (StateCodec.Item item : changes.items()) {
+            StoreCodec.Items changes = StoreCodec.changes(reply.body());
+            for (StoreCodec.Item item : changes.items()) {
                 if (item.version() >= leadership.rowVersion()) {
                     leadership.row(
-                            item.row() instanceof Row.Leader row ? row.owner() : null,
+                            item.row() instanceof StoredRecord.Leader row ? row.owner() : null,
                             item.row() == null ? 0 : item.version());
                 }
             }
--- a/src/main/java/io/micatide/controller/Term.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -1,22 +1,22 @@
 package io.micatide.controller;
 
-import io.micatide.jobs.JobDirectory;
+import io.micatide.jobs.JobCache;
 import io.micatide.model.CloudCall;
 import io.micatide.model.Command;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Hint;
 import io.micatide.model.JobProgress;
 import io.micatide.model.JobState;
-import io.micatide.model.MachineReport;
 import io.micatide.model.Micros;
-import io.micatide.model.TaskReport;
 import io.micatide.model.TaskState;
+import io.micatide.model.TaskStatus;
 import io.micatide.net.Reply;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.scheduler.FailoverTimings;
 import io.micatide.scheduler.Scheduler;
-import io.micatide.scheduler.TakeOverTimes;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -25,7 +25,7 @@
 import org.slf4j.LoggerFactory;
 
 /** What a controller does from its claim until it is fenced: reads, confirms, decides, writes. Part of the leader's actor. */
-final class Term {
+final class LeaderTerm {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long SUMMARY_MICROS = 5 * Micros.SECOND;
     /** Jobs, ledgers, bookings, types, machines that are given back. */
@@ -34,13 +34,13 @@
     private final LeaderActor owner;
     private final UsersActor users;
     private final Scheduler scheduler;
-    private final TakeOver takeOver;
-    private final Rounds rounds;
+    private final FailoverLoader takeOver;
+    private final LedgerCommitter rounds;
     private final CloudCalls cloud;
-    private final Steps steps;
-    private final Archiving archiving;
-    private final Learning learning;
-    private final Greeter greeter;
+    private final RolloutDriver steps;
+    private final TermArchiving archiving;
+    private final LearnedStateWriter learning;
+    private final TermAnnouncer greeter;
     /** What still has to be read before the scheduler may act. */
     private int loading = PARTS;
 
@@ -48,17 +48,17 @@
     /** Jobs known as cancelled until all is read; from then on the scheduler has them. */
     private final Set<String> cancelled = new HashSet<>();
 
-    Term(
+    LeaderTerm(
             LeaderActor owner,
             UsersActor users,
             Scheduler scheduler,
-            TakeOver takeOver,
-            Rounds rounds,
+            FailoverLoader takeOver,
+            LedgerCommitter rounds,
             CloudCalls cloud,
-            Steps steps,
-            Archiving archiving,
-            Learning learning,
-            Greeter greeter) {
+            RolloutDriver steps,
+            TermArchiving archiving,
+            LearnedStateWriter learning,
+            TermAnnouncer greeter) {
         this.owner = owner;
         this.users = users;
         this.scheduler = scheduler;
@@ -73,7 +73,7 @@
 
     void begin() {
         users.tell(new UsersActor.Follow(owner));
-        takeOver.tell(new TakeOver.Begin());
+        takeOver.tell(new FailoverLoader.Begin());
     }
 
     /** Whether the outcome of a write is still to come. */
@@ -111,11 +111,11 @@
         scheduler.stateFresh(askedMicros);
     }
 
-    void layoutSeen(long version, Row.Layout layout) {
+    void layoutSeen(long version, StoredRecord.Layout layout) {
         steps.layoutSeen(version, layout);
     }
 
-    void historySeen(long version, Row.History manifest) {
+    void historySeen(long version, StoredRecord.History manifest) {
         steps.historySeen();
         archiving.historySeen(version, manifest);
     }
@@ -124,7 +124,7 @@
         steps.switchesChanged();
     }
 
-    TakeOverTimes takeOver() {
+    FailoverTimings takeOver() {
         return scheduler.takeOver();
     }
 
@@ -141,12 +141,12 @@
      * While something is still to be read a report renews the worker's lease and is told only what to stop of jobs that are known as
      * cancelled: what an answer prolongs must not be one of them. The rest of what it says is taken from the next one.
      */
-    List<Command> report(MachineReport report) {
+    List<Command> report(Heartbeat report) {
         if (loaded()) {
             return scheduler.report(report, owner.now());
         }
         List<Command> stops = new ArrayList<>();
-        for (TaskReport line : report.tasks()) {
+        for (TaskStatus line : report.tasks()) {
             if (line.state() != TaskState.EXITED && cancelled.contains(line.job())) {
                 stops.add(new Command.Stop(line.job(), line.index(), line.attempt(), 0));
             }
@@ -209,7 +209,7 @@
         }
     }
 
-    void jobSeen(JobDirectory.View view) {
+    void jobSeen(JobCache.View view) {
         if (!loaded() && view.state() == JobState.CANCELLED) {
             cancelled.add(view.id());
         }
@@ -217,25 +217,25 @@
     }
 
     /** The open and the cancelled jobs by a read that began after our claim: every start of an earlier leader belongs to one of them. */
-    void jobsSeen(List<JobDirectory.View> jobs) {
+    void jobsSeen(List<JobCache.View> jobs) {
         if (loading > 0) {
             jobs.forEach(this::jobSeen);
-            takeOver.tell(new TakeOver.JobsKnown());
+            takeOver.tell(new FailoverLoader.JobsKnown());
             loadedOne();
         }
     }
 
-    private void rowsLoaded(List<StateCodec.Item> rows) {
+    private void rowsLoaded(List<StoreCodec.Item> rows) {
         long now = owner.now();
-        for (StateCodec.Item item : rows) {
-            if (item.row() instanceof Row.Ledger ledger) {
+        for (StoreCodec.Item item : rows) {
+            if (item.row() instanceof StoredRecord.Ledger ledger) {
                 scheduler.ledgerLoaded(item.key(), ledger, item.version(), now);
-            } else if (item.row() instanceof Row.Booking booking) {
+            } else if (item.row() instanceof StoredRecord.Booking booking) {
                 scheduler.bookingLoaded(
                         item.key().substring(StoreKeys.BOOKINGS.length()), booking, item.version(), now);
-            } else if (item.row() instanceof Row.Returned returned) {
+            } else if (item.row() instanceof StoredRecord.Returned returned) {
                 scheduler.returnLoaded(item.key(), returned, item.version(), now);
-            } else if (item.row() instanceof Row.Learned learned) {
+            } else if (item.row() instanceof StoredRecord.Learned learned) {
                 learning.found(item.key(), learned);
                 scheduler.hinted(learned.hints(), true, now);
             }
@@ -246,8 +246,8 @@
     private void fenceRead(Reply reply) {
         try {
             if (reply.ok()) {
-                StateCodec.Item item = StateCodec.item(reply.body());
-                scheduler.fenceKnown(item.version(), ((Row.Fence) item.row()).number());
+                StoreCodec.Item item = StoreCodec.item(reply.body());
+                scheduler.fenceKnown(item.version(), ((StoredRecord.Fence) item.row()).number());
             } else if (reply.status() == 404) {
                 scheduler.fenceKnown(0, 0);
             }
--- a/src/main/java/io/micatide/controller/Learning.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -3,12 +3,12 @@
 import io.micatide.model.Hint;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.net.StateClient;
-import io.micatide.protocol.StateCodec;
+import io.micatide.net.StoreClient;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.rollout.Feature;
 import io.micatide.scheduler.Scheduler;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
  * told knows them too. One row at a time, only what changed, and only with changes that rounds and users leave over. As hints these rows
  * speed up and never allow.
  */
-final class Learning {
+final class LearnedStateWriter {
     /** All of them in a minute and no more than a change each two seconds. */
     private static final long EVERY_MICROS = 2 * Micros.SECOND;
 
@@ -32,14 +32,15 @@
     private final LeaderActor owner;
     private final Settings settings;
     private final Scheduler scheduler;
-    private final StateClient state;
-    private final Rollout rollout;
-    private final Map<String, Row.Learned> stored = new HashMap<>();
+    private final StoreClient state;
+    private final RolloutParticipant rollout;
+    private final Map<String, StoredRecord.Learned> stored = new HashMap<>();
     private boolean writing;
     private int next;
     private long triedMicros = Long.MIN_VALUE / 2;
 
-    Learning(LeaderActor owner, Settings settings, Scheduler scheduler, StateClient state, Rollout rollout) {
+    LearnedStateWriter(
+            LeaderActor owner, Settings settings, Scheduler scheduler, StoreClient state, RolloutParticipant rollout) {
         this.owner = owner;
         this.settings = settings;
         this.scheduler = scheduler;
@@ -48,7 +49,7 @@
     }
 
     /** A row as an earlier leader left it. */
-    void found(String key, Row.Learned row) {
+    void found(String key, StoredRecord.Learned row) {
         stored.put(key, row);
     }
 
@@ -61,8 +62,8 @@
         for (int tries = 0; tries < KEYS.size(); tries++) {
             String key = KEYS.get(next);
             next = (next + 1) % KEYS.size();
-            Row.Learned row = row(key, lasting);
-            if (!row.equals(stored.getOrDefault(key, new Row.Learned(List.of())))) {
+            StoredRecord.Learned row = row(key, lasting);
+            if (!row.equals(stored.getOrDefault(key, new StoredRecord.Learned(List.of())))) {
                 if (scheduler.spareWrites(now) >= 1) {
                     write(key, row);
                 }
@@ -72,22 +73,22 @@
     }
 
     /** As much as a value takes; what is left out is learned anew. */
-    private Row.Learned row(String key, List<Hint> lasting) {
+    private StoredRecord.Learned row(String key, List<Hint> lasting) {
         List<Hint> hints = new ArrayList<>();
         int bytes = FRAME_BYTES;
         for (Hint hint : lasting) {
             if (key.equals(KEYS.get(hint instanceof Hint.OfClass ? 0 : hint instanceof Hint.OfJob ? 1 : 2))) {
-                bytes += StateCodec.size(new Row.Learned(List.of(hint)));
+                bytes += StoreCodec.size(new StoredRecord.Learned(List.of(hint)));
                 if (bytes > settings.writableBytes()) {
                     break;
                 }
                 hints.add(hint);
             }
         }
-        return new Row.Learned(List.copyOf(hints));
+        return new StoredRecord.Learned(List.copyOf(hints));
     }
 
-    private void write(String key, Row.Learned row) {
+    private void write(String key, StoredRecord.Learned row) {
         long token = scheduler.token();
         writing = true;
         scheduler.spent(1);
--- a/src/main/java/io/micatide/controller/Rounds.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -2,13 +2,13 @@
 
 import io.micatide.model.Micros;
 import io.micatide.net.Reply;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.scheduler.Scheduler;
-import io.micatide.store.ReadBack;
-import io.micatide.store.Row;
+import io.micatide.store.PendingReads;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -16,20 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /** A term's writes: one transaction at a time, and what is read back after one whose outcome is unknown. */
-final class Rounds {
+final class LedgerCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
 
     private final LeaderActor owner;
     private final Scheduler scheduler;
-    private final StateClient state;
+    private final StoreClient state;
     private final UsersActor users;
-    private ReadBack unread = new ReadBack(List.of());
+    private PendingReads unread = new PendingReads(List.of());
     private boolean rateRefused;
     private boolean writing;
     private long lastRevision;
 
-    Rounds(LeaderActor owner, Scheduler scheduler, StateClient state, UsersActor users) {
+    LedgerCommitter(LeaderActor owner, Scheduler scheduler, StoreClient state, UsersActor users) {
         this.owner = owner;
         this.scheduler = scheduler;
         this.state = state;
@@ -61,7 +61,7 @@
         writing = false;
         try {
             if (reply.ok()) {
-                lastRevision = StateCodec.revision(reply.body());
+                lastRevision = StoreCodec.revision(reply.body());
                 scheduler.roundConfirmed(lastRevision, now);
                 tellEnded();
                 if (!owner.ending()) {
@@ -83,14 +83,14 @@
                 return;
             }
             if (reply.status() == 409) {
-                refused(StateCodec.failed(reply.body()), now);
+                refused(StoreCodec.failed(reply.body()), now);
                 return;
             }
         } catch (MalformedException e) {
             LOG.error("transaction answer: {}", e.getMessage());
         }
         LOG.warn("round of unknown outcome ({}): reading back", reply.status());
-        unread = new ReadBack(scheduler.roundUnresolved());
+        unread = new PendingReads(scheduler.roundUnresolved());
         readBack();
     }
 
@@ -127,7 +127,7 @@
         for (Transaction.Write write : round.writes()) {
             text.append(' ')
                     .append(write.key())
-                    .append(write.row() == null ? " deleted" : " " + StateCodec.size(write.row()));
+                    .append(write.row() == null ? " deleted" : " " + StoreCodec.size(write.row()));
         }
         LOG.warn(
                 "the state service takes no such transaction: {}; {} conditions, {} changes, bytes of each:{}",
@@ -169,13 +169,13 @@
     private boolean takeIn(String key, Reply reply) {
         try {
             if (Scheduler.isOfDuties(key) && (reply.ok() || reply.status() == 404)) {
-                StateCodec.Item item = reply.ok() ? StateCodec.item(reply.body()) : null;
+                StoreCodec.Item item = reply.ok() ? StoreCodec.item(reply.body()) : null;
                 scheduler.dutyReadBack(key, item == null ? null : item.row(), item == null ? 0 : item.version());
             } else if (reply.ok()) {
-                StateCodec.Item item = StateCodec.item(reply.body());
-                if (item.row() instanceof Row.Ledger ledger) {
+                StoreCodec.Item item = StoreCodec.item(reply.body());
+                if (item.row() instanceof StoredRecord.Ledger ledger) {
                     scheduler.ledgerReadBack(item.key(), ledger, item.version());
-                } else if (item.row() instanceof Row.JobRow row) {
+                } else if (item.row() instanceof StoredRecord.JobRow row) {
                     scheduler.jobReadBack(
                             item.key().substring(StoreKeys.JOBS.length()), row, item.version(), owner.now());
                 }
--- a/src/main/java/io/micatide/controller/NettyLoop.java
+++ b/src/main/java/io/micatide/controller/NettyActorExecutor.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.TimeUnit;
 
 /** A loop that sockets share, with this machine's clocks. */
-public final class NettyLoop implements Loop {
+public final class NettyActorExecutor implements ActorExecutor {
     private final EventLoop loop;
 
-    public NettyLoop(EventLoop loop) {
+    public NettyActorExecutor(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/io/micatide/controller/Siblings.java
+++ b/src/main/java/io/micatide/controller/PeerChannel.java
@@ -14,7 +14,7 @@
  * What this controller tells the others: a leader's news of who leads, who is to follow it and the counts that users are shown; a cold
  * one's question whether others would lead better. Part of the leader's actor.
  */
-final class Siblings {
+final class PeerChannel {
     private static final long NEWS_MICROS = Micros.SECOND;
     private static final long ASK_WARMTH_MICROS = 500 * Micros.MILLISECOND;
     /** An heir needs one read; who has not answered by then is not waited for. */
@@ -34,7 +34,7 @@
     private long urgentNewsMicros;
     private long askedWarmthMicros;
 
-    Siblings(LeaderActor owner, Settings settings, Http.Connector connector) {
+    PeerChannel(LeaderActor owner, Settings settings, Http.Connector connector) {
         this.owner = owner;
         this.settings = settings;
         for (Settings.Sibling sibling : settings.siblings()) {
@@ -80,7 +80,10 @@
         for (int each = 0; each < siblings.size(); each++) {
             int sibling = each;
             siblings.get(sibling)
-                    .get("/standby", Http.PATIENCE_MICROS, owner.answer(r -> new FollowMessage.WarmthTold(r, sibling)));
+                    .get(
+                            "/standby",
+                            Http.PATIENCE_MICROS,
+                            owner.answer(r -> new StandbyMessage.WarmthTold(r, sibling)));
         }
     }
 
@@ -93,7 +96,7 @@
                                 "/hints",
                                 HintCodec.part(part),
                                 Http.PATIENCE_MICROS,
-                                owner.answer(r -> new FollowMessage.HintsAnswered(r, token, heir)));
+                                owner.answer(r -> new StandbyMessage.HintsAnswered(r, token, heir)));
             }
         }
     }
--- a/src/main/java/io/micatide/controller/Steps.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -1,19 +1,19 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archivist;
+import io.micatide.archive.Archiver;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
 import io.micatide.model.Tuning;
 import io.micatide.net.Reply;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.rollout.ControllerRegistry;
 import io.micatide.rollout.Feature;
-import io.micatide.rollout.Plan;
-import io.micatide.rollout.Roster;
+import io.micatide.rollout.RolloutPlan;
 import io.micatide.scheduler.Scheduler;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,7 +24,7 @@
  * A term's part in the roll-out: reads who is registered and what operators ask for, and takes the next step, one at a time, on condition of
  * the token and of the row that it changes. Marks first, which former versions know too; then the features of the switches.
  */
-final class Steps {
+final class RolloutDriver {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     /** How often it looks: soon while something moves, rarely while nothing does. */
     private static final long SOON_MICROS = 500 * Micros.MILLISECOND;
@@ -42,12 +42,12 @@
     private final Settings settings;
     private final Tuning tuning;
     private final Scheduler scheduler;
-    private final StateClient state;
+    private final StoreClient state;
     private final UsersActor users;
-    private final Rollout rollout;
+    private final RolloutParticipant rollout;
     private final List<String> labels = new ArrayList<>();
     private long markVersion;
-    private Row.Layout mark;
+    private StoredRecord.Layout mark;
     private boolean historyThere;
     private boolean loaded;
     private boolean looking;
@@ -58,14 +58,14 @@
     private long saidMicros;
     private String said = "";
 
-    Steps(
+    RolloutDriver(
             LeaderActor owner,
             Settings settings,
             Tuning tuning,
             Scheduler scheduler,
-            StateClient state,
+            StoreClient state,
             UsersActor users,
-            Rollout rollout) {
+            RolloutParticipant rollout) {
         this.owner = owner;
         this.settings = settings;
         this.tuning = tuning;
@@ -92,7 +92,7 @@
                 rollout.switches().on(Feature.RETURNS));
     }
 
-    void layoutSeen(long version, Row.Layout seen) {
+    void layoutSeen(long version, StoredRecord.Layout seen) {
         markVersion = version;
         mark = seen;
         scheduler.layoutMarked(version, seen);
@@ -118,9 +118,9 @@
         if (!reply.ok()) {
             return;
         }
-        Roster roster = new Roster(labels);
+        ControllerRegistry roster = new ControllerRegistry(labels);
         try {
-            for (StateCodec.Item item : StateCodec.page(reply.body()).items()) {
+            for (StoreCodec.Item item : StoreCodec.page(reply.body()).items()) {
                 roster.add(item.key(), item.row(), item.version());
             }
         } catch (MalformedException e) {
@@ -141,7 +141,7 @@
         }
     }
 
-    private boolean everyoneKnows(Feature feature, Roster roster) {
+    private boolean everyoneKnows(Feature feature, ControllerRegistry roster) {
         List<String> missing = roster.missing(feature);
         say(missing.isEmpty() ? "" : feature.key() + " waits: " + String.join(", ", missing));
         return missing.isEmpty();
@@ -157,7 +157,7 @@
         said = what;
     }
 
-    private List<Transaction.Compare> conditions(Roster roster, Transaction.Compare... own) {
+    private List<Transaction.Compare> conditions(ControllerRegistry roster, Transaction.Compare... own) {
         List<Transaction.Compare> conditions =
                 new ArrayList<>(List.of(new Transaction.Compare(StoreKeys.LEADER, scheduler.token())));
         conditions.addAll(List.of(own));
@@ -166,9 +166,9 @@
     }
 
     /** From the mark on, and only then, jobs that need others are accepted and names are written in short. */
-    private void markLayout(Roster roster) {
+    private void markLayout(ControllerRegistry roster) {
         long token = scheduler.token();
-        Row.Layout first = new Row.Layout(Settings.LAYOUT_NEEDS, settings.pageTasks());
+        StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_NEEDS, settings.pageTasks());
         stepping = true;
         state.transaction(
                 new Transaction(
@@ -183,7 +183,7 @@
             if (message.reply().ok()) {
                 LOG.info("all {} controllers read layout {}: marked", labels.size(), Settings.LAYOUT_NEEDS);
                 users.tell(new UsersActor.LayoutKnown(
-                        StateCodec.revision(message.reply().body()), message.layout()));
+                        StoreCodec.revision(message.reply().body()), message.layout()));
             }
         } catch (MalformedException e) {
             LOG.error("transaction answer: {}", e.getMessage());
@@ -191,12 +191,12 @@
     }
 
     /** The archive begins with an empty manifest, once every controller reads it. */
-    private void beginHistory(Roster roster) {
+    private void beginHistory(ControllerRegistry roster) {
         long token = scheduler.token();
         // The mark is written anew along with it: what a former version writes of jobs that need others has the mark's
         // version as
         // a condition, and may arrive minutes late.
-        Row.Layout renewed = new Row.Layout(Settings.LAYOUT_HISTORY, mark.pageTasks());
+        StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_HISTORY, mark.pageTasks());
         stepping = true;
         state.transaction(
                 new Transaction(
@@ -206,7 +206,7 @@
                                 new Transaction.Compare(StoreKeys.HISTORY, 0)),
                         List.of(
                                 new Transaction.Write(StoreKeys.LAYOUT, renewed, 0),
-                                new Transaction.Write(StoreKeys.HISTORY, Archivist.first(token, owner.wall()), 0))),
+                                new Transaction.Write(StoreKeys.HISTORY, Archiver.first(token, owner.wall()), 0))),
                 owner.answer(r -> new TermMessage.HistoryBegun(r, token)));
     }
 
@@ -218,8 +218,8 @@
         }
     }
 
-    private void features(Roster roster) {
-        Plan plan = Plan.of(rollout.switches(), roster, tuning.rollout());
+    private void features(ControllerRegistry roster) {
+        RolloutPlan plan = RolloutPlan.of(rollout.switches(), roster, tuning.rollout());
         say(String.join("; ", plan.waits()));
         pending = plan.row() != null || !plan.waits().isEmpty();
         if (plan.row() == null) {
@@ -243,7 +243,7 @@
         try {
             if (message.reply().ok()) {
                 LOG.info("roll-out: {}", String.join(", ", message.moves()));
-                rollout.seen(StateCodec.revision(message.reply().body()), message.row());
+                rollout.seen(StoreCodec.revision(message.reply().body()), message.row());
                 return;
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/Rollout.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -3,14 +3,14 @@
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
 import io.micatide.net.Reply;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.rollout.Abilities;
-import io.micatide.rollout.Registration;
-import io.micatide.rollout.Switches;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.rollout.Capabilities;
+import io.micatide.rollout.ControllerRegistration;
+import io.micatide.rollout.FeatureFlags;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
  * The switches as this controller has them, and its registration. Does not lead before it has read them, and neither leads nor serves while
  * they name what this version does not know. Part of the leader's actor.
  */
-final class Rollout {
+final class RolloutParticipant {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
     /** A start waits for the first read: after an outage a claim came a quarter of a second later than the row allowed. */
@@ -30,11 +30,11 @@
     private static final long SAID_MICROS = 30 * Micros.SECOND;
 
     private final LeaderActor owner;
-    private final StateClient state;
+    private final StoreClient state;
     private final UsersActor users;
-    private final Abilities abilities;
-    private final Switches switches;
-    private final Registration registration;
+    private final Capabilities abilities;
+    private final FeatureFlags switches;
+    private final ControllerRegistration registration;
     private boolean reading;
     private long readAgainMicros = Long.MIN_VALUE / 2;
     /** A version of the switches that somebody knows of; read if it is newer. */
@@ -43,16 +43,17 @@
     private boolean blocked;
     private long saidMicros = Long.MIN_VALUE / 2;
 
-    Rollout(LeaderActor owner, Settings settings, Abilities abilities, StateClient state, UsersActor users) {
+    RolloutParticipant(
+            LeaderActor owner, Settings settings, Capabilities abilities, StoreClient state, UsersActor users) {
         this.owner = owner;
         this.state = state;
         this.users = users;
         this.abilities = abilities;
-        this.switches = new Switches(abilities);
-        this.registration = new Registration(settings.label(), Build.name(), abilities, owner.wall());
+        this.switches = new FeatureFlags(abilities);
+        this.registration = new ControllerRegistration(settings.label(), BuildVersion.name(), abilities, owner.wall());
     }
 
-    Switches switches() {
+    FeatureFlags switches() {
         return switches;
     }
 
@@ -79,7 +80,7 @@
     }
 
     /** The switches as the copy of the job rows, a read or an own step shows them. */
-    void seen(long version, Row.Features row) {
+    void seen(long version, StoredRecord.Features row) {
         if (!switches.seen(version, row)) {
             return;
         }
@@ -124,13 +125,13 @@
         reading = false;
         try {
             if (reply.ok()) {
-                StateCodec.Item item = StateCodec.item(reply.body());
-                seen(item.version(), (Row.Features) item.row());
+                StoreCodec.Item item = StoreCodec.item(reply.body());
+                seen(item.version(), (StoredRecord.Features) item.row());
                 heardOf = Math.min(heardOf, item.version());
                 return;
             }
             if (reply.status() == 404) {
-                seen(0, new Row.Features(Map.of()));
+                seen(0, new StoredRecord.Features(Map.of()));
                 heardOf = 0;
                 return;
             }
@@ -143,7 +144,7 @@
     void ownRowRead(Reply reply) {
         try {
             if (reply.ok()) {
-                registration.read(StateCodec.item(reply.body()).version());
+                registration.read(StoreCodec.item(reply.body()).version());
                 return;
             }
         } catch (MalformedException e) {
@@ -160,10 +161,10 @@
         long now = owner.now();
         try {
             if (reply.ok()) {
-                registration.registered(StateCodec.revision(reply.body()));
+                registration.registered(StoreCodec.revision(reply.body()));
                 return;
             }
-            if (reply.status() == 409 && StateCodec.failed(reply.body()).contains(StoreKeys.FEATURES)) {
+            if (reply.status() == 409 && StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURES)) {
                 newerThere(switches.version() + 1);
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -4,20 +4,20 @@
 import io.micatide.model.Settings;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.HintCodec;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.standby.Copy;
-import io.micatide.standby.HintsHeld;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.standby.KeyspaceReplica;
+import io.micatide.standby.ReceivedHints;
 import io.micatide.store.StoreKeys;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
 
 /**
- * Keeps the copies of ledgers and bookings while this controller is appointed to take over, and brings them to a {@link TakeOver} on
+ * Keeps the copies of ledgers and bookings while this controller is appointed to take over, and brings them to a {@link FailoverLoader} on
  * this controller. Costs nothing while it is not appointed: no reads, no rows.
  */
 final class StandbyActor extends Actor<StandbyActor.Message> {
@@ -28,18 +28,18 @@
 
     record Due(long life) implements Message {}
 
-    record PageRead(Reply reply, long life, Copy copy, boolean first) implements Message {}
+    record PageRead(Reply reply, long life, KeyspaceReplica copy, boolean first) implements Message {}
 
-    record ReadAnew(long life, Copy copy) implements Message {}
+    record ReadAnew(long life, KeyspaceReplica copy) implements Message {}
 
-    record ChangesRead(Reply reply, long life, Copy copy, long askedMicros) implements Message {}
+    record ChangesRead(Reply reply, long life, KeyspaceReplica copy, long askedMicros) implements Message {}
 
     /** This controller has claimed the lead: the copies, brought up to the claim, are wanted now. */
-    record Bring(long token, TakeOver to) implements Message {}
+    record Bring(long token, FailoverLoader to) implements Message {}
 
-    record BroughtUp(Reply reply, Copy copy, long token, TakeOver to, int tries) implements Message {}
+    record BroughtUp(Reply reply, KeyspaceReplica copy, long token, FailoverLoader to, int tries) implements Message {}
 
-    record BringAgain(Copy copy, long token, TakeOver to, int tries) implements Message {}
+    record BringAgain(KeyspaceReplica copy, long token, FailoverLoader to, int tries) implements Message {}
 
     /** A leader that ends tells the last revision of its writes, and waits for the answer. */
     record CatchUp(Request request, long revision) implements Message {}
@@ -47,7 +47,7 @@
     /** The leader's hints. */
     record Hinted(Request request) implements Message {}
 
-    record CaughtUp(Reply reply, long life, Copy copy, Request request, long revision) implements Message {}
+    record CaughtUp(Reply reply, long life, KeyspaceReplica copy, Request request, long revision) implements Message {}
 
     /** Two followers, each with two of these reads and one of the job rows, take a twentieth of the requests at most. */
     private static final double READS = 6 * 20;
@@ -65,12 +65,12 @@
     private static final double MOST_MB = 10;
     private static final byte[] NOT_WARM = Json.error(null, "follows nothing");
 
-    private final StateClient state;
+    private final StoreClient state;
     private final UsersActor users;
     private final LeaderActor leader;
     private final long everyMicros;
-    private final List<Copy> copies;
-    private final HintsHeld hints = new HintsHeld();
+    private final List<KeyspaceReplica> copies;
+    private final ReceivedHints hints = new ReceivedHints();
     private boolean following;
     /** Answers to what an earlier following asked are dropped. */
     private long life;
@@ -78,10 +78,15 @@
     private long saidMicros;
     private long freshMicros;
     /** Sees what is brought to a take-over, for rehearsals that hold it against the store. */
-    private BiConsumer<String, List<StateCodec.Item>> witness = (prefix, rows) -> {};
+    private BiConsumer<String, List<StoreCodec.Item>> witness = (prefix, rows) -> {};
 
     StandbyActor(
-            Loop loop, Settings settings, StateClient state, UsersActor users, LeaderActor leader, Copy.Maker maker) {
+            ActorExecutor loop,
+            Settings settings,
+            StoreClient state,
+            UsersActor users,
+            LeaderActor leader,
+            KeyspaceReplica.Maker maker) {
         super(loop);
         this.state = state;
         this.users = users;
@@ -91,7 +96,7 @@
         this.copies = List.of(maker.make(StoreKeys.LEDGERS, most * 9 / 10), maker.make(StoreKeys.BOOKINGS, most / 10));
     }
 
-    void witness(BiConsumer<String, List<StateCodec.Item>> each) {
+    void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
         witness = each;
     }
 
@@ -136,7 +141,7 @@
         }
         following = now;
         life++;
-        copies.forEach(Copy::clear);
+        copies.forEach(KeyspaceReplica::clear);
         hints.clear();
         tellWhole();
         if (now) {
@@ -151,23 +156,23 @@
     }
 
     private boolean whole() {
-        return following && copies.stream().allMatch(Copy::whole);
+        return following && copies.stream().allMatch(KeyspaceReplica::whole);
     }
 
     private void tellWhole() {
-        leader.tell(new FollowMessage.CopyIs(whole()));
+        leader.tell(new StandbyMessage.CopyIs(whole()));
     }
 
     // ---- following
 
-    private void readPage(Copy copy, String after) {
+    private void readPage(KeyspaceReplica copy, String after) {
         long of = life;
         state.list(copy.prefix(), after, answer(r -> new PageRead(r, of, copy, after == null)));
     }
 
     private void due() {
         long now = now();
-        for (Copy copy : copies) {
+        for (KeyspaceReplica copy : copies) {
             if (copy.whole()) {
                 long of = life;
                 state.changes(copy.prefix(), copy.revision(), answer(r -> new ChangesRead(r, of, copy, now)));
@@ -178,8 +183,8 @@
             saidMicros = now;
             log.info(
                     "standby: {} rows, {} KB, {} hints, as of {} ms ago at revision {}{}",
-                    copies.stream().mapToInt(Copy::size).sum(),
-                    copies.stream().mapToLong(Copy::bytes).sum() >> 10,
+                    copies.stream().mapToInt(KeyspaceReplica::size).sum(),
+                    copies.stream().mapToLong(KeyspaceReplica::bytes).sum() >> 10,
                     hints.size(),
                     (now - freshMicros) / Micros.MILLISECOND,
                     copies.get(0).revision(),
@@ -189,7 +194,7 @@
     }
 
     private void pageRead(PageRead message) {
-        Copy copy = message.copy();
+        KeyspaceReplica copy = message.copy();
         if (!message.reply().ok()) {
             // From the beginning: a page that follows on another is worth nothing once the first is old, and this is
             // rare.
@@ -197,7 +202,7 @@
             return;
         }
         try {
-            StateCodec.Items page = StateCodec.page(message.reply().body());
+            StoreCodec.Items page = StoreCodec.page(message.reply().body());
             boolean more = page.more() && !page.items().isEmpty();
             copy.page(entries(page), message.first(), !more, page.revision());
             if (copy.flaw() != null) {
@@ -213,19 +218,19 @@
         }
     }
 
-    private void readLater(Copy copy, long delayMicros) {
+    private void readLater(KeyspaceReplica copy, long delayMicros) {
         copy.clear();
         tellLater(new ReadAnew(life, copy), delayMicros);
     }
 
-    private static List<Copy.Entry> entries(StateCodec.Items items) {
-        List<Copy.Entry> result = new ArrayList<>(items.items().size());
-        items.items().forEach(item -> result.add(new Copy.Entry(item.key(), item.row(), item.version())));
+    private static List<KeyspaceReplica.Entry> entries(StoreCodec.Items items) {
+        List<KeyspaceReplica.Entry> result = new ArrayList<>(items.items().size());
+        items.items().forEach(item -> result.add(new KeyspaceReplica.Entry(item.key(), item.row(), item.version())));
         return result;
     }
 
     /** Takes an answer to a read of the changes in. */
-    private boolean apply(Copy copy, Reply reply) {
+    private boolean apply(KeyspaceReplica copy, Reply reply) {
         if (reply.status() == 410) {
             copy.missedChanges();
             return true;
@@ -234,7 +239,7 @@
             return false;
         }
         try {
-            StateCodec.Items changes = StateCodec.changes(reply.body());
+            StoreCodec.Items changes = StoreCodec.changes(reply.body());
             copy.changes(entries(changes), changes.revision());
             return true;
         } catch (MalformedException e) {
@@ -245,7 +250,7 @@
     }
 
     private void changesRead(ChangesRead message) {
-        Copy copy = message.copy();
+        KeyspaceReplica copy = message.copy();
         if (!copy.whole() || !apply(copy, message.reply())) {
             return;
         }
@@ -256,15 +261,15 @@
         }
     }
 
-    private void flawed(Copy copy) {
-        Copy.Flaw flaw = copy.flaw();
+    private void flawed(KeyspaceReplica copy) {
+        KeyspaceReplica.Flaw flaw = copy.flaw();
         log.warn(
                 "the copy of {} is worth nothing ({}), {} rows, {} KB: read anew",
                 copy.prefix(),
                 flaw,
                 copy.size(),
                 copy.bytes() >> 10);
-        readLater(copy, flaw == Copy.Flaw.TOO_LARGE ? TOO_LARGE_MICROS : everyMicros);
+        readLater(copy, flaw == KeyspaceReplica.Flaw.TOO_LARGE ? TOO_LARGE_MICROS : everyMicros);
         tellWhole();
     }
 
@@ -274,17 +279,17 @@
         boolean had = following;
         following = false;
         life++;
-        for (Copy copy : copies) {
+        for (KeyspaceReplica copy : copies) {
             if (had && copy.whole()) {
                 bringUp(copy, message.token(), message.to(), 1);
             } else {
-                message.to().tell(new TakeOver.Brought(copy.prefix(), null));
+                message.to().tell(new FailoverLoader.Brought(copy.prefix(), null));
                 copy.clear();
             }
         }
         leader.tell(new TermMessage.HintsKept(message.token(), hints.all()));
         hints.clear();
-        leader.tell(new FollowMessage.CopyIs(false));
+        leader.tell(new StandbyMessage.CopyIs(false));
     }
 
     /** Whoever leads by the latest token tells; an heir that was not told of its appointment yet holds nothing. */
@@ -296,7 +301,7 @@
         }
     }
 
-    private void bringUp(Copy copy, long token, TakeOver to, int tries) {
+    private void bringUp(KeyspaceReplica copy, long token, FailoverLoader to, int tries) {
         state.changes(copy.prefix(), copy.revision(), answer(r -> new BroughtUp(r, copy, token, to, tries)));
     }
 
@@ -305,16 +310,16 @@
      * reaches the claim's revision is what a full read would give, and any other is not used.
      */
     private void broughtUp(BroughtUp message) {
-        Copy copy = message.copy();
+        KeyspaceReplica copy = message.copy();
         if (!apply(copy, message.reply()) && message.tries() < BRING_TRIES) {
             tellLater(new BringAgain(copy, message.token(), message.to(), message.tries() + 1), AGAIN_MICROS);
             return;
         }
-        List<StateCodec.Item> items = null;
+        List<StoreCodec.Item> items = null;
         if (copy.wholeAt(message.token())) {
             items = new ArrayList<>(copy.size());
-            for (Copy.Entry entry : copy.entries()) {
-                items.add(new StateCodec.Item(entry.key(), entry.row(), entry.version()));
+            for (KeyspaceReplica.Entry entry : copy.entries()) {
+                items.add(new StoreCodec.Item(entry.key(), entry.row(), entry.version()));
             }
         } else {
             log.warn(
@@ -327,7 +332,7 @@
         if (items != null) {
             witness.accept(copy.prefix(), items);
         }
-        message.to().tell(new TakeOver.Brought(copy.prefix(), items));
+        message.to().tell(new FailoverLoader.Brought(copy.prefix(), items));
         copy.clear();
     }
 
@@ -339,14 +344,14 @@
             return;
         }
         users.tell(new UsersActor.KeepUp());
-        Copy ledgers = copies.get(0);
+        KeyspaceReplica ledgers = copies.get(0);
         long of = life;
         state.changes(
                 ledgers.prefix(), ledgers.revision(), answer(r -> new CaughtUp(r, of, ledgers, request, revision)));
     }
 
     private void caughtUp(CaughtUp message) {
-        Copy copy = message.copy();
+        KeyspaceReplica copy = message.copy();
         if (message.life() == life
                 && copy.whole()
                 && apply(copy, message.reply())
--- a/src/main/java/io/micatide/controller/Following.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -1,16 +1,16 @@
 package io.micatide.controller;
 
 import io.micatide.model.Settings;
+import io.micatide.model.StandbyReadiness;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
 import io.micatide.protocol.HintCodec;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
 import io.micatide.protocol.PeerCodec;
-import io.micatide.standby.Heirs;
+import io.micatide.standby.ElectionDelay;
 import io.micatide.standby.HintSender;
-import io.micatide.standby.StandbyReadiness;
-import io.micatide.standby.Succession;
+import io.micatide.standby.StandbySelector;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -19,30 +19,37 @@
  * Who follows whom: a leader's heirs and what it tells them, a follower's place among them and its standby. Part of the leader's actor.
  * Without a standby it appoints nobody, says nothing of its readiness and waits as every version did.
  */
-final class Following {
+final class StandbyCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final byte[] FOLLOWS_NOTHING = Json.error(null, "follows nothing");
 
     private final LeaderActor owner;
     private final Settings settings;
-    private final Siblings siblings;
-    private final Claims claims;
+    private final PeerChannel siblings;
+    private final LeaderLease claims;
     /** Null where the operator wants none. */
     private final StandbyActor standby;
 
-    private final Succession succession;
-    private final Heirs heirs;
+    private final ElectionDelay succession;
+    private final StandbySelector heirs;
     /** Of the present term. */
     private HintSender hints;
 
-    Following(LeaderActor owner, Settings settings, Siblings siblings, Claims claims, StandbyActor standby, long now) {
+    StandbyCoordinator(
+            LeaderActor owner,
+            Settings settings,
+            PeerChannel siblings,
+            LeaderLease claims,
+            StandbyActor standby,
+            long now) {
         this.owner = owner;
         this.settings = settings;
         this.siblings = siblings;
         this.claims = claims;
         this.standby = standby;
-        this.succession = new Succession(settings.label(), settings.siblings().size(), now);
-        this.heirs = new Heirs(settings);
+        this.succession =
+                new ElectionDelay(settings.label(), settings.siblings().size(), now);
+        this.heirs = new StandbySelector(settings);
     }
 
     /** Null where the operator wants none. */
@@ -51,17 +58,17 @@
     }
 
     /** @param token of this controller's term, 0 if it does not lead */
-    void receive(FollowMessage message, long token) {
+    void receive(StandbyMessage message, long token) {
         long now = owner.now();
-        if (message instanceof FollowMessage.CopyIs m) {
+        if (message instanceof StandbyMessage.CopyIs m) {
             succession.copyIs(m.whole());
-        } else if (message instanceof FollowMessage.WarmthTold m) {
+        } else if (message instanceof StandbyMessage.WarmthTold m) {
             warmthTold(m.reply(), m.sibling(), now);
-        } else if (message instanceof FollowMessage.TakeHandOver m) {
+        } else if (message instanceof StandbyMessage.TakeHandOver m) {
             takeHandOver(m.request(), token != 0, now);
-        } else if (message instanceof FollowMessage.TakeHints m) {
+        } else if (message instanceof StandbyMessage.TakeHints m) {
             takeHints(m.request());
-        } else if (message instanceof FollowMessage.HintsAnswered m && m.token() == token) {
+        } else if (message instanceof StandbyMessage.HintsAnswered m && m.token() == token) {
             hintsAnswered(m.sibling(), m.reply());
         }
     }
@@ -71,7 +78,7 @@
     /** For how long a free row is left to others; asks them if this process is cold. */
     long waits(boolean reached, long now) {
         if (standby == null) {
-            return Succession.waitsOfAnyone(reached);
+            return ElectionDelay.waitsOfAnyone(reached);
         }
         long claimable = claims.claimableFor(now);
         boolean cold = succession.readiness(now) == StandbyReadiness.COLD;
@@ -176,7 +183,7 @@
     }
 
     /** Tells the heirs what no row holds. */
-    void tellHints(Term term, long now) {
+    void tellHints(LeaderTerm term, long now) {
         if (!heirs.appointed().isEmpty()) {
             hints.picture(term.hints(now));
             siblings.hints(heirs.appointed(), hints, term.token());
--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -1,22 +1,22 @@
 package io.micatide.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.jobs.Admission;
-import io.micatide.jobs.JobDirectory;
-import io.micatide.jobs.PipelineAdmission;
+import io.micatide.jobs.DependencyAdmission;
+import io.micatide.jobs.JobAdmission;
+import io.micatide.jobs.JobCache;
 import io.micatide.model.JobSpec;
 import io.micatide.model.JobState;
 import io.micatide.model.Settings;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
 import io.micatide.protocol.JobCodec;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.store.JobOutcome;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,7 +36,7 @@
     record Submission(Request request, JobSpec spec, long historyVersion, int tries) {}
 
     /** A submission whose needs are looked up in the archive, one after the other. */
-    record Needs(Submission submission, List<String> left, Map<String, Outcome> archived) {}
+    record Needs(Submission submission, List<String> left, Map<String, JobOutcome> archived) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
     private static final byte[] UPGRADING =
@@ -45,18 +45,18 @@
 
     private final UsersActor owner;
     private final Settings settings;
-    private final StateClient state;
-    private final HistoryReader history;
-    private final JobDirectory directory;
-    private final JobRows rows;
+    private final StoreClient state;
+    private final ArchiveReader history;
+    private final JobCache directory;
+    private final JobCacheRefresher rows;
 
     Submissions(
             UsersActor owner,
             Settings settings,
-            StateClient state,
-            HistoryReader history,
-            JobDirectory directory,
-            JobRows rows) {
+            StoreClient state,
+            ArchiveReader history,
+            JobCache directory,
+            JobCacheRefresher rows) {
         this.owner = owner;
         this.settings = settings;
         this.state = state;
@@ -94,7 +94,7 @@
             refuse(request, id, 503, Json.error(null, "the machine types are not known yet"));
             return;
         }
-        String refusal = Admission.refusal(spec, settings.teams(), settings.zones(), owner.types());
+        String refusal = JobAdmission.refusal(spec, settings.teams(), settings.zones(), owner.types());
         if (refusal != null) {
             refuse(request, id, 422, Json.error(null, refusal));
             return;
@@ -102,12 +102,12 @@
         // The copy may be old, and may get newer while the archive is asked: what is written holds only by the manifest
         // that was asked.
         long version = directory.historyVersion();
-        owner.locate(request, id, 0, new Accepted(owner, request, id) {
+        owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
             @Override
             public void nowhere() {
                 Submission submission = new Submission(request, spec, version, tries);
                 if (spec.needs().isEmpty()) {
-                    put(submission, new Row.JobRow(JobState.OPEN, spec, owner.wall(), spec.tasks()));
+                    put(submission, new StoredRecord.JobRow(JobState.OPEN, spec, owner.wall(), spec.tasks()));
                 } else {
                     submitDependent(submission);
                 }
@@ -122,8 +122,8 @@
     private void submitDependent(Submission submission) {
         Request request = submission.request();
         JobSpec spec = submission.spec();
-        PipelineAdmission admission = PipelineAdmission.of(spec, directory);
-        if (admission instanceof PipelineAdmission.Accepted accepted) {
+        DependencyAdmission admission = DependencyAdmission.of(spec, directory);
+        if (admission instanceof DependencyAdmission.Accepted accepted) {
             put(submission, accepted.row(owner.wall()));
             return;
         }
@@ -146,14 +146,14 @@
         if (!needs.left().isEmpty()) {
             String next = needs.left().remove(needs.left().size() - 1);
             history.tell(
-                    new HistoryReader.Find(next, found -> owner.tell(new UsersActor.NeedLocated(needs, next, found))));
+                    new ArchiveReader.Find(next, found -> owner.tell(new UsersActor.NeedLocated(needs, next, found))));
             return;
         }
         Request request = needs.submission().request();
-        PipelineAdmission now = PipelineAdmission.of(needs.submission().spec(), directory, needs.archived());
-        if (now instanceof PipelineAdmission.Accepted accepted) {
+        DependencyAdmission now = DependencyAdmission.of(needs.submission().spec(), directory, needs.archived());
+        if (now instanceof DependencyAdmission.Accepted accepted) {
             put(needs.submission(), accepted.row(owner.wall()));
-        } else if (now instanceof PipelineAdmission.Refused refused) {
+        } else if (now instanceof DependencyAdmission.Refused refused) {
             request.answer(422, Json.error("awaits", refused.reason()));
         } else {
             request.answer(503, UPGRADING, UPGRADING_RETRY_S);
@@ -162,22 +162,22 @@
 
     void needLocated(UsersActor.NeedLocated message) {
         Needs needs = message.needs();
-        if (message.found() instanceof HistoryReader.Archived archived) {
+        if (message.found() instanceof ArchiveReader.Archived archived) {
             needs.archived().put(message.id(), archived.outcome());
             lookUpNeeds(needs);
-        } else if (message.found() instanceof HistoryReader.Nowhere) {
+        } else if (message.found() instanceof ArchiveReader.Nowhere) {
             lookUpNeeds(needs);
-        } else if (message.found() instanceof HistoryReader.Moved) {
+        } else if (message.found() instanceof ArchiveReader.Moved) {
             again(needs.submission());
         } else {
             needs.submission().request().answer(503, UsersActor.UNAVAILABLE, 1);
         }
     }
 
-    private void put(Submission submission, Row.JobRow unchecked) {
+    private void put(Submission submission, StoredRecord.JobRow unchecked) {
         Request request = submission.request();
         String id = submission.spec().id();
-        Row.JobRow row = unchecked.asChecked(submission.historyVersion() > 0);
+        StoredRecord.JobRow row = unchecked.asChecked(submission.historyVersion() > 0);
         // Should the archive change meanwhile, or should this arrive minutes late, it is refused.
         List<Transaction.Compare> conditions = new ArrayList<>(List.of(
                 new Transaction.Compare(StoreKeys.job(id), 0),
@@ -187,7 +187,7 @@
             conditions.add(new Transaction.Compare(StoreKeys.LAYOUT, directory.layoutVersion()));
         }
         // What the state service would refuse each time is refused here, or the user would try again for nothing.
-        List<Transaction.Write> rows = StateCodec.jobRows(id, row, settings.writableBytes());
+        List<Transaction.Write> rows = StoreCodec.jobRows(id, row, settings.writableBytes());
         if (rows == null) {
             refuse(request, id, 400, Json.error("body", "body: is too long to be kept"));
         } else if (rows.size() > settings.transactionOps()) {
@@ -202,7 +202,7 @@
     private void refuse(Request request, String id, int status, byte[] json) {
         rows.whenFresh(
                 request,
-                () -> owner.locate(request, id, 0, new Accepted(owner, request, id) {
+                () -> owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
                     @Override
                     public void nowhere() {
                         request.answer(status, json, status == 503 ? 1 : 0);
@@ -216,7 +216,7 @@
         Reply reply = message.reply();
         if (reply.ok()) {
             try {
-                rows.apply(id, message.row(), StateCodec.revision(reply.body()));
+                rows.apply(id, message.row(), StoreCodec.revision(reply.body()));
                 request.answer(201, JobCodec.accepted(id, owner.standing(directory.get(id))));
                 return;
             } catch (MalformedException e) {
@@ -235,7 +235,7 @@
         Submission submission = message.submission();
         String id = submission.spec().id();
         try {
-            if (!StateCodec.failed(message.reply().body()).contains(StoreKeys.job(id))) {
+            if (!StoreCodec.failed(message.reply().body()).contains(StoreKeys.job(id))) {
                 again(submission);
                 return;
             }
@@ -261,14 +261,14 @@
     }
 
     private void answerKnown(Request request, String id) {
-        JobDirectory.Entry known = directory.get(id);
+        JobCache.Entry known = directory.get(id);
         if (known != null && directory.state(id).isFinal()) {
             request.answer(200, JobCodec.accepted(id, owner.standing(known)));
             return;
         }
         rows.whenFresh(
                 request,
-                () -> owner.locate(request, id, 0, new Accepted(owner, request, id) {
+                () -> owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
                     @Override
                     public void nowhere() {
                         request.answer(503, UsersActor.UNAVAILABLE, 1);
--- a/src/main/java/io/micatide/controller/Greeter.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -1,9 +1,9 @@
 package io.micatide.controller;
 
-import io.micatide.model.Greeting;
-import io.micatide.model.MachineReport;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
+import io.micatide.model.TermAnnouncement;
 import io.micatide.net.Http;
 import io.micatide.protocol.MalformedException;
 import io.micatide.protocol.WorkerCodec;
@@ -21,7 +21,7 @@
  * greetings only made their reports wait (90% of 640 machines confirmed after 3.1 s instead of 2.2). Only after an orderly end does
  * nobody look, and all are greeted at whatever rate.
  */
-final class Greeter {
+final class TermAnnouncer {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     /** What a greeting with its connection takes of a core, and about as much as a report with all that follows from it. */
     private static final double CORE_SECONDS = 0.001;
@@ -41,7 +41,8 @@
     private int waiting;
 
     /** @param handedOver whether the leader before ended in order, so that no worker looks for another one yet */
-    Greeter(LeaderActor owner, Settings settings, Scheduler scheduler, Http.Connector connector, boolean handedOver) {
+    TermAnnouncer(
+            LeaderActor owner, Settings settings, Scheduler scheduler, Http.Connector connector, boolean handedOver) {
         this.owner = owner;
         this.scheduler = scheduler;
         this.connector = connector;
@@ -58,7 +59,7 @@
         if (most < 1) {
             return;
         }
-        for (Greeting greeting : scheduler.greetings(most)) {
+        for (TermAnnouncement greeting : scheduler.greetings(most)) {
             due--;
             greet(greeting, connector.to(greeting.address(), 1));
         }
@@ -74,7 +75,7 @@
         return most * interval < scheduler.machines() ? 0 : most;
     }
 
-    private void greet(Greeting greeting, Http worker) {
+    private void greet(TermAnnouncement greeting, Http worker) {
         waiting++;
         long token = scheduler.token();
         worker.post(
@@ -86,14 +87,16 @@
 
     void answered(TermMessage.Greeted message) {
         waiting--;
-        Greeting greeting = message.greeting();
+        TermAnnouncement greeting = message.greeting();
         try {
             if (message.reply().ok()) {
                 scheduler.greeted(WorkerCodec.report(message.reply().body()), owner.now());
             } else if (message.reply().status() == 409) {
-                MachineReport report = WorkerCodec.report(message.reply().body());
+                Heartbeat report = WorkerCodec.report(message.reply().body());
                 if (report.token() <= message.token() && report.session() > greeting.session()) {
-                    greet(new Greeting(greeting.machine(), greeting.address(), report.session()), message.worker());
+                    greet(
+                            new TermAnnouncement(greeting.machine(), greeting.address(), report.session()),
+                            message.worker());
                     return;
                 }
                 owner.tokenSeen(report.token());
--- a/src/main/java/io/micatide/controller/Archiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -1,14 +1,14 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archivist;
+import io.micatide.archive.Archiver;
 import io.micatide.model.Micros;
 import io.micatide.model.Tuning;
 import io.micatide.scheduler.Scheduler;
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.util.List;
 
 /** A term's part in the archive: begins to keep it once all is read, offers it what is over and tells it what the rate leaves. */
-final class Archiving {
+final class TermArchiving {
     private static final long ENDED_MICROS = Micros.SECOND;
     /** A few finished jobs are archived after so long, lest the last of a busy day keep their rows. */
     private static final long FEW_MICROS = 600 * Micros.SECOND;
@@ -17,15 +17,15 @@
     private final Tuning tuning;
     private final Scheduler scheduler;
     private final UsersActor users;
-    private final ArchivistActor archivist;
+    private final ArchiverActor archivist;
     private long historyVersion;
-    private Row.History history;
+    private StoredRecord.History history;
     private boolean loaded;
     private boolean archiving;
     private long endedAskedMicros;
     private long fewSinceMicros;
 
-    Archiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchivistActor archivist) {
+    TermArchiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchiverActor archivist) {
         this.owner = owner;
         this.tuning = tuning;
         this.scheduler = scheduler;
@@ -42,11 +42,11 @@
 
     /** The term is over. */
     void end() {
-        archivist.tell(new ArchivistActor.End());
+        archivist.tell(new ArchiverActor.End());
         archiving = false;
     }
 
-    void historySeen(long version, Row.History manifest) {
+    void historySeen(long version, StoredRecord.History manifest) {
         historyVersion = version;
         history = manifest;
         scheduler.historyKept();
@@ -57,7 +57,7 @@
     private void archive() {
         if (tuning.history() && loaded && history != null && !archiving) {
             archiving = true;
-            archivist.tell(new ArchivistActor.Begin(scheduler.token(), history, historyVersion));
+            archivist.tell(new ArchiverActor.Begin(scheduler.token(), history, historyVersion));
         }
     }
 
@@ -71,14 +71,14 @@
             endedAskedMicros = now;
             users.tell(new UsersActor.FindEnded(token));
         }
-        archivist.tell(new ArchivistActor.Spare(token, scheduler.spareWrites(now)));
+        archivist.tell(new ArchiverActor.Spare(token, scheduler.spareWrites(now)));
     }
 
     void endedFound(TermMessage.EndedFound message) {
         if (!archiving) {
             return;
         }
-        List<Archivist.Ended> settled = message.ended().stream()
+        List<Archiver.Ended> settled = message.ended().stream()
                 .filter(each -> each.outcome() == null || scheduler.settled(each.id()))
                 .toList();
         long now = owner.now();
@@ -86,6 +86,6 @@
         if (anyway || settled.isEmpty() || settled.size() >= tuning.historyBatch()) {
             fewSinceMicros = now;
         }
-        archivist.tell(new ArchivistActor.Offer(message.token(), settled, message.copyOfVersion(), anyway));
+        archivist.tell(new ArchiverActor.Offer(message.token(), settled, message.copyOfVersion(), anyway));
     }
 }
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -1,15 +1,15 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archivist;
+import io.micatide.archive.Archiver;
 import io.micatide.model.CloudCall;
-import io.micatide.model.Greeting;
 import io.micatide.model.Hint;
 import io.micatide.model.ListedMachine;
 import io.micatide.model.MachineType;
+import io.micatide.model.TermAnnouncement;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.List;
 
@@ -19,7 +19,7 @@
     long token();
 
     /** Ledgers or bookings that a new leader has read. */
-    record RowsLoaded(long token, List<StateCodec.Item> rows) implements TermMessage {}
+    record RowsLoaded(long token, List<StoreCodec.Item> rows) implements TermMessage {}
 
     record TypesLoaded(long token, List<MachineType> types) implements TermMessage {}
 
@@ -30,7 +30,7 @@
     record PartLoaded(long token) implements TermMessage {}
 
     /** Jobs that are over and that no open job needs, by a copy of the rows with this manifest. */
-    record EndedFound(long token, List<Archivist.Ended> ended, long copyOfVersion) implements TermMessage {}
+    record EndedFound(long token, List<Archiver.Ended> ended, long copyOfVersion) implements TermMessage {}
 
     /** The archive has used so many changes. */
     record Spent(long token, int writes) implements TermMessage {}
@@ -40,16 +40,16 @@
     /** Who is registered and what operators ask for. */
     record RosterRead(Reply reply, long token) implements TermMessage {}
 
-    record Stepped(Reply reply, long token, Row.Features row, List<String> moves) implements TermMessage {}
+    record Stepped(Reply reply, long token, StoredRecord.Features row, List<String> moves) implements TermMessage {}
 
     record FenceRead(Reply reply, long token) implements TermMessage {}
 
-    record LearnedStored(Reply reply, long token, String key, Row.Learned row) implements TermMessage {}
+    record LearnedStored(Reply reply, long token, String key, StoredRecord.Learned row) implements TermMessage {}
 
-    record LayoutMarked(Reply reply, long token, Row.Layout layout) implements TermMessage {}
+    record LayoutMarked(Reply reply, long token, StoredRecord.Layout layout) implements TermMessage {}
 
     /** A worker's answer to a greeting. */
-    record Greeted(Reply reply, long token, Greeting greeting, Http worker) implements TermMessage {}
+    record Greeted(Reply reply, long token, TermAnnouncement greeting, Http worker) implements TermMessage {}
 
     record RoundAnswered(Reply reply, long token, Transaction round) implements TermMessage {}
 
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -1,26 +1,26 @@
 package io.micatide.controller;
 
-import io.micatide.jobs.JobDirectory;
+import io.micatide.jobs.JobCache;
+import io.micatide.model.CancellationDigest;
 import io.micatide.model.JobProgress;
 import io.micatide.model.JobState;
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.model.Testimony;
 import io.micatide.net.CloudClient;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
-import io.micatide.net.StateClient;
+import io.micatide.net.StoreClient;
+import io.micatide.protocol.ApiDescription;
 import io.micatide.protocol.CloudCodec;
-import io.micatide.protocol.Description;
 import io.micatide.protocol.JobCodec;
 import io.micatide.protocol.JobCodec.Standing;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.store.JobOutcome;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -47,18 +47,19 @@
 
     record ChangesRead(Reply reply, long askedMicros) implements Message {}
 
-    record Submitted(Reply reply, Submissions.Submission submission, Row.JobRow row) implements Message {}
+    record Submitted(Reply reply, Submissions.Submission submission, StoredRecord.JobRow row) implements Message {}
 
-    record Cancelled(Reply reply, Request request, Row.JobRow row, String id, int tries) implements Message {}
+    record Cancelled(Reply reply, Request request, StoredRecord.JobRow row, String id, int tries) implements Message {}
 
     /** What the archive says of a job that the copy does not hold. */
-    record Located(Request request, String id, int tries, HistoryReader.Found found, Place then) implements Message {}
+    record Located(Request request, String id, int tries, ArchiveReader.Found found, JobLookup then)
+            implements Message {}
 
     /** What the archive says of one of the jobs that a submission needs. */
-    record NeedLocated(Submissions.Needs needs, String id, HistoryReader.Found found) implements Message {}
+    record NeedLocated(Submissions.Needs needs, String id, ArchiveReader.Found found) implements Message {}
 
     /** What the archive says of a job whose row a former version wrote. */
-    record DoubtSettled(String id, HistoryReader.Found found) implements Message {}
+    record DoubtSettled(String id, ArchiveReader.Found found) implements Message {}
 
     record DoubtsDue() implements Message {}
 
@@ -88,18 +89,18 @@
     record BelongsTo(LeaderActor leader) implements Message {}
 
     /** What do users of this controller know of cancellations by rows above this revision? */
-    record Testify(long revision, Consumer<Testimony> then) implements Message {}
+    record Testify(long revision, Consumer<CancellationDigest> then) implements Message {}
 
     /** A sibling knows these jobs as cancelled; {@code then}, if any, is told to the leader's actor once they are taken in. */
-    record TakeIn(List<Testimony.Cancelled> jobs, LeaderActor.Message then) implements Message {}
+    record TakeIn(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then) implements Message {}
 
     /** This process ends: users are sent to the others. */
     record Closing() implements Message {}
 
     /** A final row that the leader on this controller knows to be stored. */
-    record Stored(String id, Row.JobRow row, long version) implements Message {}
+    record Stored(String id, StoredRecord.JobRow row, long version) implements Message {}
 
-    record LayoutKnown(long version, Row.Layout layout) implements Message {}
+    record LayoutKnown(long version, StoredRecord.Layout layout) implements Message {}
 
     /** How often a question that met a change of the archive is tried again before its user is asked to come back. */
     static final int MOST_TRIES = 4;
@@ -116,14 +117,14 @@
 
     private final String label;
     private final long startedMicros;
-    private final StateClient state;
+    private final StoreClient state;
     private final CloudClient cloud;
-    private final JobDirectory directory = new JobDirectory();
+    private final JobCache directory = new JobCache();
     private Map<String, JobProgress> progress = new HashMap<>();
     private List<MachineType> types = List.of();
-    private final Description description;
-    private final HistoryReader history;
-    private final JobRows rows;
+    private final ApiDescription description;
+    private final ArchiveReader history;
+    private final JobCacheRefresher rows;
     private final Submissions submissions;
     private final Cancellations cancellations;
     private boolean typesAsked;
@@ -131,15 +132,16 @@
     private boolean blocked;
 
     /** @param description what is served of the interface itself, null for nothing */
-    UsersActor(Loop loop, Settings settings, StateClient state, CloudClient cloud, Description description) {
+    UsersActor(
+            ActorExecutor loop, Settings settings, StoreClient state, CloudClient cloud, ApiDescription description) {
         super(loop);
         this.label = settings.label();
         this.startedMicros = now();
         this.state = state;
         this.cloud = cloud;
         this.description = description;
-        this.history = new HistoryReader(loop, state);
-        this.rows = new JobRows(this, settings, state, history, directory);
+        this.history = new ArchiveReader(loop, state);
+        this.rows = new JobCacheRefresher(this, settings, state, history, directory);
         this.submissions = new Submissions(this, settings, state, history, directory, rows);
         this.cancellations = new Cancellations(this, settings, state, directory, rows);
     }
@@ -220,7 +222,7 @@
         }
         if (reply.ok()) {
             try {
-                types = ((Row.Types) StateCodec.item(reply.body()).row()).types();
+                types = ((StoredRecord.Types) StoreCodec.item(reply.body()).row()).types();
                 return;
             } catch (MalformedException e) {
                 log.error("stored machine types: {}", e.getMessage());
@@ -247,7 +249,7 @@
 
     // ---- what its parts ask of it
 
-    JobDirectory directory() {
+    JobCache directory() {
         return directory;
     }
 
@@ -305,7 +307,7 @@
             }
             return;
         }
-        if (path.equals(Description.PATH) && description != null) {
+        if (path.equals(ApiDescription.PATH) && description != null) {
             if (request.method().equals("GET")) {
                 request.answer(200, description.bytes());
             } else {
@@ -339,7 +341,7 @@
     }
 
     private void poll(Request request, String id) {
-        JobDirectory.Entry entry = directory.get(id);
+        JobCache.Entry entry = directory.get(id);
         if (entry != null && directory.state(id).isFinal()) {
             tellStatus(request, entry);
         } else if (!JobCodec.isId(id)) {
@@ -347,14 +349,14 @@
         } else {
             rows.whenFresh(
                     request,
-                    () -> locate(request, id, 0, new Place() {
+                    () -> locate(request, id, 0, new JobLookup() {
                         @Override
                         public void inCopy() {
                             tellStatus(request, directory.get(id));
                         }
 
                         @Override
-                        public void archived(Outcome outcome) {
+                        public void archived(JobOutcome outcome) {
                             request.answer(
                                     200,
                                     JobCodec.status(
@@ -378,7 +380,7 @@
      * Looks for a job in the copy as it is and in the archive by the copy's manifest. Said to be nowhere by a copy that was read
      * after the question, it was not accepted before it.
      */
-    void locate(Request request, String id, int tries, Place then) {
+    void locate(Request request, String id, int tries, JobLookup then) {
         if (directory.get(id) != null) {
             then.inCopy();
         } else if (directory.isDoubtful(id)) {
@@ -386,28 +388,28 @@
         } else if (directory.history() == null) {
             then.nowhere();
         } else {
-            history.tell(new HistoryReader.Find(id, found -> tell(new Located(request, id, tries, found, then))));
+            history.tell(new ArchiveReader.Find(id, found -> tell(new Located(request, id, tries, found, then))));
         }
     }
 
     private void located(Located message) {
         Request request = message.request();
-        if (message.found() instanceof HistoryReader.Archived archived) {
+        if (message.found() instanceof ArchiveReader.Archived archived) {
             message.then().archived(archived.outcome());
-        } else if (message.found() instanceof HistoryReader.Nowhere) {
+        } else if (message.found() instanceof ArchiveReader.Nowhere) {
             message.then().nowhere();
-        } else if (message.found() instanceof HistoryReader.Moved && message.tries() < MOST_TRIES) {
+        } else if (message.found() instanceof ArchiveReader.Moved && message.tries() < MOST_TRIES) {
             rows.whenFresh(request, () -> locate(request, message.id(), message.tries() + 1, message.then()));
         } else {
             request.answer(503, UNAVAILABLE, 1);
         }
     }
 
-    Standing standing(Outcome outcome) {
+    Standing standing(JobOutcome outcome) {
         return outcome.state() == JobState.DONE ? Standing.DONE : Standing.CANCELLED;
     }
 
-    private void tellStatus(Request request, JobDirectory.Entry entry) {
+    private void tellStatus(Request request, JobCache.Entry entry) {
         JobProgress counts = progress.get(entry.id());
         JobState state = directory.state(entry.id());
         boolean done = state == JobState.DONE;
@@ -420,7 +422,7 @@
                         done || counts == null || state == JobState.CANCELLED ? 0 : counts.running()));
     }
 
-    Standing standing(JobDirectory.Entry entry) {
+    Standing standing(JobCache.Entry entry) {
         JobProgress counts = progress.get(entry.id());
         return switch (directory.state(entry.id())) {
             case DONE -> Standing.DONE;
--- a/src/main/java/io/micatide/election/CancelProof.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -1,8 +1,8 @@
 package io.micatide.election;
 
+import io.micatide.model.CancellationDigest;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.model.Testimony;
 import java.util.Arrays;
 import java.util.List;
 
@@ -14,14 +14,14 @@
  *
  * <p>Whoever can confirm a cancellation is a process in the place of one of the siblings, or a former one in our own place. For each place
  * this keeps up to when all is known that was confirmed there. A read of the state service shows everything, as of when it was asked for.
- * While there is none, a sibling's {@link Testimony} goes on from there, as of when it was asked for, if it leaves no gap: whole, and
+ * While there is none, a sibling's {@link CancellationDigest} goes on from there, as of when it was asked for, if it leaves no gap: whole, and
  * of a process that was already alive at the moment up to which all is known. One that was started since cannot know what the process before
  * it told users; that time is missing until the next read.
  *
  * <p>That nobody is served <em>now</em> proves nothing: a sibling that was served for half a second after our last read, and confirmed
  * cancellations, says the same in the outage that follows (tasks of cancelled jobs ran on for a whole outage).
  */
-public final class CancelProof {
+public final class CancellationHorizon {
     /** What lies between the end of a worker's lease and the end of its tasks, and clocks. */
     private static final long MARGIN_MICROS = Micros.SECOND;
     /** A read is never longer ago than this while the state service answers; settings that leave less cannot be kept. */
@@ -34,7 +34,7 @@
     private final long[] knownMicros;
     private boolean read;
 
-    public CancelProof(Settings settings) {
+    public CancellationHorizon(Settings settings) {
         siblings = settings.siblings();
         limitMicros = Math.max(LEAST_MICROS, allowedMicros(settings));
         knownMicros = new long[siblings.size()];
@@ -75,7 +75,7 @@
      * @param heardMicros when the answer came
      * @return whether it proves anything
      */
-    public boolean testified(int sibling, Testimony word, long askedMicros, long heardMicros) {
+    public boolean testified(int sibling, CancellationDigest word, long askedMicros, long heardMicros) {
         // Counted back from when the answer came and with the shortest that its clock allows, it was born no later than
         // this.
         long bornMicros = heardMicros - Micros.withoutDrift(word.livedMicros());
--- a/src/main/java/io/micatide/election/Leadership.java
+++ b/src/main/java/io/micatide/election/LeaderElection.java
@@ -6,7 +6,7 @@
  * Who leads, decided by one row of the state service that is attached to a short lease. The revision of the put that
  * made us leader is the fencing token of all our writes and the token of all our commands.
  */
-public final class Leadership {
+public final class LeaderElection {
     /** What the node should do next. */
     public enum Wish {
         NOTHING,
@@ -34,7 +34,7 @@
     /** Having given the lead up, this controller leaves it to others until then. */
     private long claimsAfterMicros = Long.MIN_VALUE;
 
-    public Leadership(String label, long ttlMicros) {
+    public LeaderElection(String label, long ttlMicros) {
         this.label = label;
         this.ttlMicros = ttlMicros;
     }
--- a/src/main/java/io/micatide/election/StateReach.java
+++ b/src/main/java/io/micatide/election/StoreConnectivity.java
@@ -6,7 +6,7 @@
  * Whether this controller alone has lost the state service. It cannot tell that from an outage by itself; a sibling that
  * is served can tell it. In an outage it has to stay healthy, since nobody could serve users better.
  */
-public final class StateReach {
+public final class StoreConnectivity {
     private static final long PATIENCE_MICROS = 2 * Micros.SECOND;
 
     private long servedMicros = Long.MIN_VALUE / 2;
--- a/src/main/java/io/micatide/election/WorkerReach.java
+++ b/src/main/java/io/micatide/election/WorkerConnectivity.java
@@ -1,6 +1,6 @@
 package io.micatide.election;
 
-import io.micatide.model.MachineReport;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * that are all gone; a sibling that the workers turn to instead can tell it. The same object keeps both sides: what a
  * follower sees of workers that should be with the leader, and what a leader knows of its own silence.
  */
-public final class WorkerReach {
+public final class WorkerConnectivity {
     /** So many workers that left the leader within {@link #RECENT_MICROS} show that it is not they who are cut off. */
     private static final int MANY_STRAYS = 3;
 
@@ -37,7 +37,7 @@
     private long heardMicros;
     private long strayedElsewhereMicros = Long.MIN_VALUE / 2;
 
-    public WorkerReach(Settings settings, long nowMicros) {
+    public WorkerConnectivity(Settings settings, long nowMicros) {
         startedMicros = nowMicros;
         // Reports are up to a quarter late; a fleet of any size is never silent for longer than one of them and a
         // pause.
@@ -51,7 +51,7 @@
      * the leader, or comes back from it, has lost it. A copy of an older report that arrives once more says nothing: taken for a worker that
      * came back, three of them made this controller send all others away to look for themselves.
      */
-    public void cameHere(MachineReport report, long leaderToken, long nowMicros) {
+    public void cameHere(Heartbeat report, long leaderToken, long nowMicros) {
         String machine = report.machine();
         long seen = report.token();
         Sent before = sent.get(machine);
