--- a/src/main/java/io/micatide/jobs/CancelLog.java
+++ b/src/main/java/io/micatide/jobs/CancellationLog.java
@@ -1,6 +1,6 @@
 package io.micatide.jobs;
 
-import io.micatide.model.Testimony;
+import io.micatide.model.CancellationDigest;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -11,16 +11,16 @@
  * word. Whatever it tells a user of a cancellation it has entered here before. Kept beside the copy of the rows, since a row that
  * is archived leaves the copy.
  */
-public final class CancelLog {
+public final class CancellationLog {
     /** What a leader that is not served misses is seconds' worth; so many names fill a third of what a sibling may say at once. */
     static final int MOST = 1_000;
 
-    private final Deque<Testimony.Cancelled> newest = new ArrayDeque<>();
+    private final Deque<CancellationDigest.Cancelled> newest = new ArrayDeque<>();
     /** Above this revision nothing is missing: what was dropped was older, and so was what a read of all rows could not show any more. */
     private long wholeAbove;
 
     public void cancelled(String job, long version) {
-        newest.addLast(new Testimony.Cancelled(job, version));
+        newest.addLast(new CancellationDigest.Cancelled(job, version));
         if (newest.size() > MOST) {
             wholeAbove = Math.max(wholeAbove, newest.removeFirst().version());
         }
@@ -32,13 +32,13 @@
     }
 
     /** @param livedMicros how long the process has lived */
-    public Testimony above(long revision, String label, long livedMicros) {
-        List<Testimony.Cancelled> names = new ArrayList<>();
-        for (Testimony.Cancelled each : newest) {
+    public CancellationDigest above(long revision, String label, long livedMicros) {
+        List<CancellationDigest.Cancelled> names = new ArrayList<>();
+        for (CancellationDigest.Cancelled each : newest) {
             if (each.version() > revision) {
                 names.add(each);
             }
         }
-        return new Testimony(label, livedMicros, revision >= wholeAbove, names);
+        return new CancellationDigest(label, livedMicros, revision >= wholeAbove, names);
     }
 }
--- a/src/main/java/io/micatide/jobs/PipelineAdmission.java
+++ b/src/main/java/io/micatide/jobs/DependencyAdmission.java
@@ -3,38 +3,38 @@
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
 import io.micatide.model.JobState;
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.store.JobOutcome;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
 /** Whether a job that needs others can be accepted, as far as one copy of the job rows tells. */
-public sealed interface PipelineAdmission {
+public sealed interface DependencyAdmission {
     /** It may be stored as {@code stored} with this state. */
-    record Accepted(JobState state, JobSpec stored, int tasks) implements PipelineAdmission {
-        public Row.JobRow row(long submittedWall) {
-            return new Row.JobRow(state, stored, submittedWall, tasks);
+    record Accepted(JobState state, JobSpec stored, int tasks) implements DependencyAdmission {
+        public StoredRecord.JobRow row(long submittedWall) {
+            return new StoredRecord.JobRow(state, stored, submittedWall, tasks);
         }
     }
 
     /** It can never run, if the copy is fresh. */
-    record Refused(String reason) implements PipelineAdmission {}
+    record Refused(String reason) implements DependencyAdmission {}
 
     /** A controller of a former version may be about, which would start it at once. */
-    record NotYet() implements PipelineAdmission {}
+    record NotYet() implements DependencyAdmission {}
 
-    static PipelineAdmission of(JobSpec spec, JobDirectory directory) {
+    static DependencyAdmission of(JobSpec spec, JobCache directory) {
         return of(spec, directory, Map.of());
     }
 
     /** @param archived what the archive says of the needed jobs that the copy does not hold */
-    static PipelineAdmission of(JobSpec spec, JobDirectory directory, Map<String, Outcome> archived) {
+    static DependencyAdmission of(JobSpec spec, JobCache directory, Map<String, JobOutcome> archived) {
         List<String> left = new ArrayList<>();
         boolean withdrawn = false;
         for (String need : spec.needs()) {
-            JobDirectory.Entry entry = directory.get(need);
-            Outcome outcome = entry == null ? archived.get(need) : null;
+            JobCache.Entry entry = directory.get(need);
+            JobOutcome outcome = entry == null ? archived.get(need) : null;
             if (outcome != null) {
                 if (outcome.service()) {
                     return new Refused("awaits: " + need + " is a service and never done");
--- a/src/main/java/io/micatide/jobs/Dependencies.java
+++ b/src/main/java/io/micatide/jobs/DependencyGraph.java
@@ -1,7 +1,7 @@
 package io.micatide.jobs;
 
 import io.micatide.model.JobState;
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -16,7 +16,7 @@
  * cancelling writes one row, however many jobs go with it, and every controller that has read that row tells all of them
  * alike. Each edge is looked at once when its job is seen and once when the job that it needs ends.
  */
-final class Dependencies {
+final class DependencyGraph {
     /** What each waiting job still needs. */
     private final Map<String, Set<String>> missing = new HashMap<>();
 
@@ -30,7 +30,7 @@
     @FunctionalInterface
     interface Ends {
         /** The row of a job that ended, or null while it has not. */
-        Row.JobRow of(String id);
+        StoredRecord.JobRow of(String id);
     }
 
     boolean waits(String id) {
@@ -49,7 +49,7 @@
     List<String> opened(String id, List<String> needs, Ends ends) {
         Set<String> left = new HashSet<>();
         for (String need : needs) {
-            Row.JobRow end = ends.of(need);
+            StoredRecord.JobRow end = ends.of(need);
             if (withdrawn.contains(need) || (end != null && end.state() == JobState.CANCELLED)) {
                 withdrawn.add(id);
                 return cancelled(id);
@@ -68,12 +68,12 @@
         return List.of();
     }
 
-    private void done(String id, Row.JobRow end) {
+    private void done(String id, StoredRecord.JobRow end) {
         readyWall.merge(id, end.endedWall(), Math::max);
     }
 
     /** Returns the jobs that wait for nothing any more. */
-    List<String> completed(String id, Row.JobRow row) {
+    List<String> completed(String id, StoredRecord.JobRow row) {
         List<String> ready = new ArrayList<>();
         List<String> after = dependents.remove(id);
         if (after != null) {
--- a/src/main/java/io/micatide/jobs/Admission.java
+++ b/src/main/java/io/micatide/jobs/JobAdmission.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /** Whether a job can ever run. */
-public final class Admission {
-    private Admission() {}
+public final class JobAdmission {
+    private JobAdmission() {}
 
     /** The reason why it never can, or null. */
     public static String refusal(
--- a/src/main/java/io/micatide/jobs/JobDirectory.java
+++ b/src/main/java/io/micatide/jobs/JobCache.java
@@ -1,7 +1,7 @@
 package io.micatide.jobs;
 
 import io.micatide.model.JobState;
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -20,9 +20,9 @@
  * manifest of the archive is read with the rows, a job that a fresh copy does not hold is either in a run of the copy's manifest or was
  * never accepted.
  */
-public final class JobDirectory {
+public final class JobCache {
     /** A job's row and its version. */
-    public record Entry(String id, Row.JobRow row, long version) {}
+    public record Entry(String id, StoredRecord.JobRow row, long version) {}
 
     /**
      * A job as it stands by its own row and by the rows of the jobs that it needs.
@@ -31,14 +31,15 @@
      * @param waits some job that it needs is not done
      * @param readyWall from when its times count: its submission, or the end of the last job that it needs
      */
-    public record View(String id, Row.JobRow row, long version, JobState state, boolean waits, long readyWall) {}
+    public record View(
+            String id, StoredRecord.JobRow row, long version, JobState state, boolean waits, long readyWall) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
     private final Map<String, Entry> open = new HashMap<>();
     /** Jobs that are over and still have their rows, in the order in which that was seen. */
     private final Map<String, Entry> ended = new LinkedHashMap<>();
 
-    private final Dependencies dependencies = new Dependencies();
+    private final DependencyGraph dependencies = new DependencyGraph();
     /** Rows that came before all their names, and names that came before their rows; empty between two reads. */
     private final Map<String, Entry> incomplete = new HashMap<>();
 
@@ -50,15 +51,15 @@
     /** What was found to be archived although it has a row, with the row's version. */
     private final Map<String, Long> ghosts = new HashMap<>();
 
-    private final CancelLog cancelLog = new CancelLog();
+    private final CancellationLog cancelLog = new CancellationLog();
     /** What the full read under way has shown, null between two. */
     private Set<String> seen;
 
     private long revision;
     private long layoutVersion;
-    private Row.Layout layout;
+    private StoredRecord.Layout layout;
     private long historyVersion;
-    private Row.History history;
+    private StoredRecord.History history;
 
     public long revision() {
         return revision;
@@ -89,7 +90,7 @@
     }
 
     /** What this copy has come to know as cancelled, also of jobs that it does not hold any more. */
-    public CancelLog cancelLog() {
+    public CancellationLog cancelLog() {
         return cancelLog;
     }
 
@@ -102,10 +103,14 @@
         if (known == null || known.row().state().isFinal()) {
             return List.of();
         }
-        Row.JobRow open = known.row();
+        StoredRecord.JobRow open = known.row();
         return apply(
                 id,
-                new Row.JobRow(JobState.CANCELLED, open.spec().withNeeds(List.of()), open.submittedWall(), open.tasks())
+                new StoredRecord.JobRow(
+                                JobState.CANCELLED,
+                                open.spec().withNeeds(List.of()),
+                                open.submittedWall(),
+                                open.tasks())
                         .asChecked(open.checked()),
                 version);
     }
@@ -142,11 +147,11 @@
     }
 
     /** The mark, or null while there is none. */
-    public Row.Layout layout() {
+    public StoredRecord.Layout layout() {
         return layout;
     }
 
-    public void layoutMarked(long version, Row.Layout mark) {
+    public void layoutMarked(long version, StoredRecord.Layout mark) {
         layoutVersion = version;
         layout = mark;
     }
@@ -157,11 +162,11 @@
     }
 
     /** The archive's manifest, or null while there is none. */
-    public Row.History history() {
+    public StoredRecord.History history() {
         return history;
     }
 
-    public void historyKnown(long version, Row.History manifest) {
+    public void historyKnown(long version, StoredRecord.History manifest) {
         if (version > historyVersion) {
             historyVersion = version;
             history = manifest;
@@ -196,7 +201,7 @@
         return result;
     }
 
-    private Row.JobRow end(String id) {
+    private StoredRecord.JobRow end(String id) {
         Entry entry = entries.get(id);
         return entry == null || !entry.row().state().isFinal() ? null : entry.row();
     }
@@ -213,7 +218,7 @@
     }
 
     /** The row with all names that belong to it, or null while some are missing. */
-    private Row.JobRow complete(String id, Row.JobRow row, long version) {
+    private StoredRecord.JobRow complete(String id, StoredRecord.JobRow row, long version) {
         if (row.furtherNeeds() == 0 || row.state().isFinal()) {
             return row;
         }
@@ -228,7 +233,7 @@
     }
 
     /** Applies a row unless a newer one is known; returns the jobs that stand otherwise than before, itself first. */
-    public List<String> apply(String id, Row.JobRow stored, long version) {
+    public List<String> apply(String id, StoredRecord.JobRow stored, long version) {
         if (seen != null) {
             seen.add(id);
         }
@@ -244,15 +249,15 @@
     }
 
     /** Of a former version, which does not ask the archive; whoever writes a row now says that it did. */
-    private boolean mayBeArchived(Row.JobRow stored, long version) {
+    private boolean mayBeArchived(StoredRecord.JobRow stored, long version) {
         return history != null
                 && !stored.checked()
                 && version > (history.sinceVersion() == 0 ? historyVersion : history.sinceVersion());
     }
 
-    private List<String> applySound(String id, Row.JobRow stored, long version) {
+    private List<String> applySound(String id, StoredRecord.JobRow stored, long version) {
         Entry known = entries.get(id);
-        Row.JobRow row = complete(id, stored, version);
+        StoredRecord.JobRow row = complete(id, stored, version);
         if (row == null) {
             return List.of();
         }
--- a/src/main/java/io/micatide/model/Testimony.java
+++ b/src/main/java/io/micatide/model/CancellationDigest.java
@@ -11,7 +11,7 @@
  *     otherwise the names are true and prove nothing
  * @param cancelled those jobs, each with the version of its row
  */
-public record Testimony(String label, long livedMicros, boolean whole, List<Cancelled> cancelled) {
+public record CancellationDigest(String label, long livedMicros, boolean whole, List<Cancelled> cancelled) {
     /** A job whose row says at this version that it is cancelled. */
     public record Cancelled(String job, long version) {}
 }
--- a/src/main/java/io/micatide/model/MachineReport.java
+++ b/src/main/java/io/micatide/model/Heartbeat.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A worker's report. {@code noticeMicros} is -1 without a spot notice. */
-public record MachineReport(
+public record Heartbeat(
         String machine,
         String address,
         String type,
@@ -13,7 +13,7 @@
         long sequence,
         long token,
         long noticeMicros,
-        List<TaskReport> tasks) {
+        List<TaskStatus> tasks) {
 
     public boolean newerThan(long otherSession, long otherSequence) {
         return session > otherSession || (session == otherSession && sequence > otherSequence);
--- a/src/main/java/io/micatide/standby/StandbyReadiness.java
+++ b/src/main/java/io/micatide/model/StandbyReadiness.java
@@ -1,4 +1,4 @@
-package io.micatide.standby;
+package io.micatide.model;
 
 /** How well a controller could lead from this moment on, from worst to best. */
 public enum StandbyReadiness {
--- a/src/main/java/io/micatide/model/Greeting.java
+++ b/src/main/java/io/micatide/model/TermAnnouncement.java
@@ -6,4 +6,4 @@
  * @param address where its worker takes commands
  * @param session of its worker, as far as is known; another one is refused and tells its own
  */
-public record Greeting(String machine, String address, long session) {}
+public record TermAnnouncement(String machine, String address, long session) {}
--- a/src/main/java/io/micatide/net/CloudClient.java
+++ b/src/main/java/io/micatide/net/CloudClient.java
@@ -9,7 +9,7 @@
 import java.util.function.LongSupplier;
 
 /** The cloud's calls, paced under its rate. */
-public final class CloudClient extends PacedClient {
+public final class CloudClient extends RateLimitedClient {
     public static final int PAGE = 500;
     private static final long PATIENCE_MICROS = 5 * Micros.SECOND;
 
--- a/src/main/java/io/micatide/net/PacedClient.java
+++ b/src/main/java/io/micatide/net/RateLimitedClient.java
@@ -4,14 +4,14 @@
 import java.util.function.LongSupplier;
 
 /** A client that answers a request itself, as the service would, when the request would be above the service's rate. */
-abstract class PacedClient {
+abstract class RateLimitedClient {
     private static final Reply ABOVE_RATE = new Reply(429, new byte[0], false);
 
-    private final Pacer pacer;
+    private final RateLimiter pacer;
     private final LongSupplier clock;
 
-    PacedClient(double rate, double burst, LongSupplier clock) {
-        this.pacer = new Pacer(rate, burst, clock.getAsLong());
+    RateLimitedClient(double rate, double burst, LongSupplier clock) {
+        this.pacer = new RateLimiter(rate, burst, clock.getAsLong());
         this.clock = clock;
     }
 
--- a/src/main/java/io/micatide/net/Pacer.java
+++ b/src/main/java/io/micatide/net/RateLimiter.java
@@ -5,13 +5,13 @@
 /**
  * Keeps a client under a service's rate. Guava's limiter blocks its caller, which an event loop cannot afford.
  */
-public final class Pacer {
+public final class RateLimiter {
     private final double rate;
     private final double burst;
     private double tokens;
     private long atMicros;
 
-    public Pacer(double rate, double burst, long nowMicros) {
+    public RateLimiter(double rate, double burst, long nowMicros) {
         this.rate = rate;
         this.burst = burst;
         this.tokens = burst;
--- a/src/main/java/io/micatide/net/StateClient.java
+++ b/src/main/java/io/micatide/net/StoreClient.java
@@ -1,21 +1,21 @@
 package io.micatide.net;
 
-import io.micatide.election.StateReach;
+import io.micatide.election.StoreConnectivity;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.protocol.StateCodec;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.store.Transaction;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
 /** The state service's calls, paced so that the controllers together stay under its rate. */
-public final class StateClient extends PacedClient {
+public final class StoreClient extends RateLimitedClient {
     private final Http http;
     private final Http watches;
     private final LongSupplier clock;
-    private final StateReach reach = new StateReach();
+    private final StoreConnectivity reach = new StoreConnectivity();
 
-    public StateClient(Settings settings, Http.Connector connector, LongSupplier clock) {
+    public StoreClient(Settings settings, Http.Connector connector, LongSupplier clock) {
         // One controller alone may need most of the rate; 429 and a second try settle the rare sum above it.
         super(settings.stateRate() * 0.6, settings.stateRate() * 0.3, clock);
         this.http = connector.to(settings.state(), 12);
@@ -24,7 +24,7 @@
     }
 
     /** What is known of this controller's and its siblings' way to the state service. */
-    public StateReach reach() {
+    public StoreConnectivity reach() {
         return reach;
     }
 
@@ -39,7 +39,7 @@
 
     public void transaction(Transaction transaction, Consumer<Reply> then) {
         if (!over(then)) {
-            http.post("/txn", StateCodec.transaction(transaction), Http.PATIENCE_MICROS, noting(then));
+            http.post("/txn", StoreCodec.transaction(transaction), Http.PATIENCE_MICROS, noting(then));
         }
     }
 
@@ -83,7 +83,7 @@
 
     /** Leases are not paced: losing the lead costs more than the requests. */
     public void grant(long ttlMicros, Consumer<Reply> then) {
-        http.post("/grants", StateCodec.grant(ttlMicros), Http.PATIENCE_MICROS, noting(then));
+        http.post("/grants", StoreCodec.grant(ttlMicros), Http.PATIENCE_MICROS, noting(then));
     }
 
     public void touch(long lease, Consumer<Reply> then) {
--- a/src/main/java/io/micatide/protocol/Description.java
+++ b/src/main/java/io/micatide/protocol/ApiDescription.java
@@ -5,7 +5,7 @@
 import java.io.UncheckedIOException;
 
 /** The users' interface as it is described for those who write or generate clients: OpenAPI, read when it is first asked for. */
-public final class Description {
+public final class ApiDescription {
     /** Where controllers serve it, if they do. */
     public static final String PATH = "/v1/openapi.json";
 
@@ -15,7 +15,7 @@
 
     public byte[] bytes() {
         if (bytes == null) {
-            try (InputStream in = Description.class.getResourceAsStream(RESOURCE)) {
+            try (InputStream in = ApiDescription.class.getResourceAsStream(RESOURCE)) {
                 bytes = in.readAllBytes();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
--- a/src/main/java/io/micatide/protocol/HistoryCodec.java
+++ b/src/main/java/io/micatide/protocol/ArchiveCodec.java
@@ -2,22 +2,22 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
 
 /** The rows of the archive. Runs are written as lists, since a manifest of many has to fit a small value. */
-final class HistoryCodec {
+final class ArchiveCodec {
     /** The format of the archive; a reader that does not know it must not go on. */
     private static final int FORMAT = 1;
 
     private static final int RUN_FIELDS = 4;
 
-    private HistoryCodec() {}
+    private ArchiveCodec() {}
 
-    static void write(JsonGenerator out, Row.History history) throws IOException {
+    static void write(JsonGenerator out, StoredRecord.History history) throws IOException {
         out.writeNumberField("history", FORMAT);
         out.writeNumberField("since", history.sinceVersion());
         out.writeArrayFieldStart("salt");
@@ -25,7 +25,7 @@
         out.writeNumber(history.saltB());
         out.writeEndArray();
         out.writeArrayFieldStart("runs");
-        for (Row.Run run : history.runs()) {
+        for (StoredRecord.Run run : history.runs()) {
             out.writeStartArray();
             out.writeString(run.name());
             out.writeNumber(run.segments());
@@ -36,40 +36,41 @@
         out.writeEndArray();
     }
 
-    static Row.History manifest(Fields in, JsonNode data) throws MalformedException {
+    static StoredRecord.History manifest(JsonFields in, JsonNode data) throws MalformedException {
         in.count("history", FORMAT, FORMAT);
         JsonNode salt = data.path("salt");
         if (salt.size() != 2) {
             throw new MalformedException(in.path("salt"), "must be two numbers");
         }
-        List<Row.Run> runs = new ArrayList<>();
+        List<StoredRecord.Run> runs = new ArrayList<>();
         for (JsonNode each : data.path("runs")) {
             if (each.size() != RUN_FIELDS
                     || !each.get(0).isTextual()
                     || each.get(1).asInt() < 1) {
                 throw new MalformedException(in.path("runs"), "must be lists of name, segments, jobs and bytes");
             }
-            runs.add(new Row.Run(
+            runs.add(new StoredRecord.Run(
                     each.get(0).textValue(),
                     each.get(1).asInt(),
                     each.get(2).asLong(),
                     each.get(3).asLong()));
         }
-        return new Row.History(
+        return new StoredRecord.History(
                 in.count("since", 0, Long.MAX_VALUE),
                 salt.get(0).asLong(),
                 salt.get(1).asLong(),
                 List.copyOf(runs));
     }
 
-    static void write(JsonGenerator out, Row.Segment segment) throws IOException {
+    static void write(JsonGenerator out, StoredRecord.Segment segment) throws IOException {
         out.writeStringField("digest", segment.digest());
         out.writeStringField("packed", Base64.getEncoder().encodeToString(segment.packed()));
     }
 
-    static Row.Segment segment(Fields in) throws MalformedException {
+    static StoredRecord.Segment segment(JsonFields in) throws MalformedException {
         try {
-            return new Row.Segment(in.text("digest"), Base64.getDecoder().decode(in.text("packed")));
+            return new StoredRecord.Segment(
+                    in.text("digest"), Base64.getDecoder().decode(in.text("packed")));
         } catch (IllegalArgumentException e) {
             throw new MalformedException(in.path("packed"), "must be base64");
         }
--- a/src/main/java/io/micatide/protocol/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -19,16 +19,16 @@
 
     public static List<MachineType> types(byte[] body) throws MalformedException {
         List<MachineType> types = new ArrayList<>();
-        for (Fields type : new Fields(Json.tree(body), "").objects("builds")) {
+        for (JsonFields type : new JsonFields(Json.tree(body), "").objects("builds")) {
             types.add(type(type));
         }
         return types;
     }
 
-    static MachineType type(Fields in) throws MalformedException {
+    static MachineType type(JsonFields in) throws MalformedException {
         return new MachineType(
                 in.text("label"),
-                StateCodec.size(in),
+                StoreCodec.size(in),
                 in.has("localGb") ? in.amount("localGb") : 0,
                 in.has("pullGbPerS") ? in.amount("pullGbPerS") : 0,
                 in.amount("hourly"),
@@ -69,7 +69,7 @@
     }
 
     public static List<String> rented(byte[] body) throws MalformedException {
-        return new Fields(Json.tree(body), "").texts("berths");
+        return new JsonFields(Json.tree(body), "").texts("berths");
     }
 
     /** Tells "no capacity" from an outage: both are 503. */
@@ -96,7 +96,7 @@
     public static Page page(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         List<ListedMachine> machines = new ArrayList<>();
-        for (Fields in : new Fields(tree, "").objects("berths")) {
+        for (JsonFields in : new JsonFields(tree, "").objects("berths")) {
             machines.add(new ListedMachine(
                     in.text("nameId"),
                     in.text("build"),
--- a/src/main/java/io/micatide/protocol/CloudSide.java
+++ b/src/main/java/io/micatide/protocol/CloudSideCodec.java
@@ -9,8 +9,8 @@
 import java.util.Locale;
 
 /** The protocol of the cloud as the cloud sees it: for its stand-in. */
-public final class CloudSide {
-    private CloudSide() {}
+public final class CloudSideCodec {
+    private CloudSideCodec() {}
 
     public static byte[] types(List<MachineType> types) {
         return Json.bytes(out -> {
@@ -25,13 +25,13 @@
     }
 
     public static CloudCall.Rent rent(byte[] body) throws MalformedException {
-        Fields in = new Fields(Json.tree(body), "");
+        JsonFields in = new JsonFields(Json.tree(body), "");
         return new CloudCall.Rent(in.text("booking"), in.text("build"), in.text("ground"), in.flag("loaners"), (int)
                 in.count("howMany", 1, 50));
     }
 
     public static CloudCall.Delete delete(byte[] body) throws MalformedException {
-        return new CloudCall.Delete(new Fields(Json.tree(body), "").texts("berths"));
+        return new CloudCall.Delete(new JsonFields(Json.tree(body), "").texts("berths"));
     }
 
     /** The answer to a rental. */
--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -77,7 +77,7 @@
 
     public static Part part(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        Fields in = new Fields(tree, "");
+        JsonFields in = new JsonFields(tree, "");
         return new Part(
                 in.count("token", 1, Long.MAX_VALUE),
                 in.count("number", 1, Long.MAX_VALUE),
@@ -143,6 +143,6 @@
 
     /** What an heir answered with {@link #held}. */
     public static long held(byte[] body) throws MalformedException {
-        return new Fields(Json.tree(body), "").count("held", 0, Long.MAX_VALUE);
+        return new JsonFields(Json.tree(body), "").count("held", 0, Long.MAX_VALUE);
     }
 }
--- a/src/main/java/io/micatide/protocol/JobCodec.java
+++ b/src/main/java/io/micatide/protocol/JobCodec.java
@@ -43,7 +43,7 @@
 
     /** The id alone: a retry of a known job is answered whatever else it says. */
     public static String id(JsonNode body) throws MalformedException {
-        String id = new Fields(body, "").text("nameId");
+        String id = new JsonFields(body, "").text("nameId");
         if (!isId(id)) {
             throw new MalformedException("nameId", "is not a job id");
         }
@@ -51,7 +51,7 @@
     }
 
     public static JobSpec spec(JsonNode body) throws MalformedException {
-        Fields in = new Fields(body, "");
+        JsonFields in = new JsonFields(body, "");
         return new JobSpec(
                 id(body),
                 in.text("roster"),
@@ -75,7 +75,7 @@
     }
 
     /** Names of other jobs, each once. */
-    private static List<String> needs(Fields in) throws MalformedException {
+    private static List<String> needs(JsonFields in) throws MalformedException {
         if (!in.has("awaits")) {
             return List.of();
         }
--- a/src/main/java/io/micatide/protocol/Fields.java
+++ b/src/main/java/io/micatide/protocol/JsonFields.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /** Checked access to the fields of an object; every complaint names the field. */
-final class Fields {
+final class JsonFields {
     private final JsonNode node;
     private final String path;
 
-    Fields(JsonNode node, String path) throws MalformedException {
+    JsonFields(JsonNode node, String path) throws MalformedException {
         if (node == null || !node.isObject()) {
             throw new MalformedException(path.isEmpty() ? "body" : path, "is not an object");
         }
@@ -93,9 +93,9 @@
         return List.copyOf(result);
     }
 
-    List<Fields> objects(String name) throws MalformedException {
+    List<JsonFields> objects(String name) throws MalformedException {
         JsonNode value = node.get(name);
-        List<Fields> result = new ArrayList<>();
+        List<JsonFields> result = new ArrayList<>();
         if (value == null || value.isNull()) {
             return result;
         }
@@ -103,12 +103,12 @@
             throw new MalformedException(path + name, "must be a list");
         }
         for (int i = 0; i < value.size(); i++) {
-            result.add(new Fields(value.get(i), path + name + "[" + i + "]"));
+            result.add(new JsonFields(value.get(i), path + name + "[" + i + "]"));
         }
         return result;
     }
 
-    Fields object(String name) throws MalformedException {
-        return new Fields(required(name), path + name);
+    JsonFields object(String name) throws MalformedException {
+        return new JsonFields(required(name), path + name);
     }
 }
--- a/src/main/java/io/micatide/protocol/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
+import io.micatide.model.CancellationDigest;
 import io.micatide.model.JobProgress;
-import io.micatide.model.Testimony;
-import io.micatide.standby.StandbyReadiness;
+import io.micatide.model.StandbyReadiness;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -43,7 +43,7 @@
     }
 
     /** A controller's word, unasked, that these jobs are cancelled. */
-    public record Withdrawn(List<Testimony.Cancelled> jobs) {}
+    public record Withdrawn(List<CancellationDigest.Cancelled> jobs) {}
 
     /**
      * What a sibling answers: the highest token that it knows of, and how long ago a worker that had lost the leader came to
@@ -57,12 +57,12 @@
             int layout,
             boolean served,
             StandbyReadiness readiness,
-            Testimony testimony) {
+            CancellationDigest testimony) {
         public Answer(long token, long strayedAgoMicros, int layout, boolean served, StandbyReadiness readiness) {
             this(token, strayedAgoMicros, layout, served, readiness, null);
         }
 
-        public Answer with(Testimony word) {
+        public Answer with(CancellationDigest word) {
             return new Answer(token, strayedAgoMicros, layout, served, readiness, word);
         }
     }
@@ -103,7 +103,7 @@
 
     public static News news(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        Fields in = new Fields(tree, "");
+        JsonFields in = new JsonFields(tree, "");
         List<JobProgress> jobs = new ArrayList<>();
         for (JsonNode job : tree.path("jobs")) {
             jobs.add(new JobProgress(
@@ -134,7 +134,7 @@
                 out.writeStringField("standby", answer.readiness().name());
             }
             if (answer.testimony() != null) {
-                Testimony word = answer.testimony();
+                CancellationDigest word = answer.testimony();
                 out.writeObjectFieldStart("testimony");
                 out.writeStringField("by", word.label());
                 out.writeNumberField("livedUs", word.livedMicros());
@@ -148,7 +148,7 @@
 
     public static Answer answer(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        Fields in = new Fields(tree, "");
+        JsonFields in = new JsonFields(tree, "");
         return new Answer(
                 in.count("token", 0, Long.MAX_VALUE),
                 tree.path("strayedUs").asLong(-1),
@@ -158,17 +158,17 @@
                 in.has("testimony") ? testimony(in.object("testimony"), tree.path("testimony")) : null);
     }
 
-    private static Testimony testimony(Fields in, JsonNode tree) throws MalformedException {
-        return new Testimony(
+    private static CancellationDigest testimony(JsonFields in, JsonNode tree) throws MalformedException {
+        return new CancellationDigest(
                 in.text("by"),
                 in.count("livedUs", 0, Long.MAX_VALUE),
                 in.flag("whole"),
                 cancelled(tree, in.path("cancelled")));
     }
 
-    private static void writeCancelled(JsonGenerator out, List<Testimony.Cancelled> jobs) throws IOException {
+    private static void writeCancelled(JsonGenerator out, List<CancellationDigest.Cancelled> jobs) throws IOException {
         out.writeArrayFieldStart("cancelled");
-        for (Testimony.Cancelled each : jobs) {
+        for (CancellationDigest.Cancelled each : jobs) {
             out.writeStartArray();
             out.writeString(each.job());
             out.writeNumber(each.version());
@@ -177,12 +177,12 @@
         out.writeEndArray();
     }
 
-    private static List<Testimony.Cancelled> cancelled(JsonNode tree, String path) throws MalformedException {
+    private static List<CancellationDigest.Cancelled> cancelled(JsonNode tree, String path) throws MalformedException {
         JsonNode list = tree.path("cancelled");
         if (!list.isArray()) {
             throw new MalformedException(path, "must be a list of jobs with their versions");
         }
-        List<Testimony.Cancelled> result = new ArrayList<>();
+        List<CancellationDigest.Cancelled> result = new ArrayList<>();
         for (JsonNode each : list) {
             String job = each.path(0).asText("");
             if (!JobCodec.isId(job)
@@ -191,7 +191,7 @@
                 throw new MalformedException(
                         path + "[" + result.size() + "]", "must be a job's id and its row's version");
             }
-            result.add(new Testimony.Cancelled(job, each.path(1).asLong()));
+            result.add(new CancellationDigest.Cancelled(job, each.path(1).asLong()));
         }
         return result;
     }
@@ -206,7 +206,7 @@
 
     public static Withdrawn withdrawn(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        return new Withdrawn(cancelled(tree, new Fields(tree, "").path("cancelled")));
+        return new Withdrawn(cancelled(tree, new JsonFields(tree, "").path("cancelled")));
     }
 
     /** Null where nothing is said, or a word of a later version. */
@@ -232,6 +232,6 @@
 
     /** The revision of a {@link #handOver}. */
     public static long handedRevision(byte[] body) throws MalformedException {
-        return new Fields(Json.tree(body), "").count("revision", 0, Long.MAX_VALUE);
+        return new JsonFields(Json.tree(body), "").count("revision", 0, Long.MAX_VALUE);
     }
 }
--- a/src/main/java/io/micatide/protocol/RawState.java
+++ b/src/main/java/io/micatide/protocol/RawStoreCodec.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /** The state service's messages with values as they are stored, whatever they mean: for copies that have to be exact. */
-public final class RawState {
-    private RawState() {}
+public final class RawStoreCodec {
+    private RawStoreCodec() {}
 
     /** A value as compact JSON; {@code json} null of a deletion. */
     public record Value(String key, String json, long stamp) {}
@@ -25,7 +25,7 @@
                     each.path("data").toString(),
                     each.path("stamp").asLong()));
         }
-        return new Values(values, tree.path("truncated").asBoolean(), StateCodec.revision(body));
+        return new Values(values, tree.path("truncated").asBoolean(), StoreCodec.revision(body));
     }
 
     public static Values changes(byte[] body) throws MalformedException {
@@ -38,7 +38,7 @@
                     each.path("stamp").asLong()));
         }
         values.sort(Comparator.comparingLong(Value::stamp));
-        return new Values(values, false, StateCodec.revision(body));
+        return new Values(values, false, StoreCodec.revision(body));
     }
 
     /** A value read by its key. */
--- a/src/main/java/io/micatide/protocol/SettingsReader.java
+++ b/src/main/java/io/micatide/protocol/SettingsReader.java
@@ -36,15 +36,15 @@
                     "is not TOML: "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
-        Fields in = new Fields(tree, "");
+        JsonFields in = new JsonFields(tree, "");
         List<Settings.Sibling> siblings = new ArrayList<>();
-        for (Fields each : in.objects("siblings")) {
+        for (JsonFields each : in.objects("siblings")) {
             siblings.add(new Settings.Sibling(each.text("label"), each.text("site"), address(each, "endpoint")));
         }
-        Fields services = in.object("services");
-        Fields deployment = in.object("deployment");
+        JsonFields services = in.object("services");
+        JsonFields deployment = in.object("deployment");
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (Fields each : deployment.objects("teams")) {
+        for (JsonFields each : deployment.objects("teams")) {
             teams.put(
                     each.text("name"),
                     new Team(
@@ -55,18 +55,18 @@
                             thousandths(each, "gpus_max")));
         }
         List<Settings.Objective> objectives = new ArrayList<>();
-        for (Fields each : deployment.objects("objectives")) {
+        for (JsonFields each : deployment.objects("objectives")) {
             objectives.add(new Settings.Objective(
                     each.text("kind"),
                     each.has("class") ? each.text("class") : "",
                     each.has("within_s") ? each.seconds("within_s") : -1,
                     each.has("share") ? each.amount("share") : 1));
         }
-        Fields workers = deployment.object("workers");
-        Fields state = deployment.object("state");
-        Fields next = state.has("next") ? state.object("next") : null;
-        Fields cloud = deployment.object("cloud");
-        Fields limits = deployment.object("limits");
+        JsonFields workers = deployment.object("workers");
+        JsonFields state = deployment.object("state");
+        JsonFields next = state.has("next") ? state.object("next") : null;
+        JsonFields cloud = deployment.object("cloud");
+        JsonFields limits = deployment.object("limits");
         return new Settings(
                 in.text("label"),
                 in.text("site"),
@@ -96,7 +96,7 @@
                 (int) limits.count("max_connections", 10, 1 << 30));
     }
 
-    private static long positive(Fields in, String name) throws MalformedException {
+    private static long positive(JsonFields in, String name) throws MalformedException {
         long micros = in.seconds(name);
         if (micros <= 0) {
             throw new MalformedException(name, "must be above 0");
@@ -107,16 +107,17 @@
     /** Reads one limit of the state service. */
     @FunctionalInterface
     private interface Limit {
-        double read(Fields in, String name) throws MalformedException;
+        double read(JsonFields in, String name) throws MalformedException;
     }
 
     /** The smaller of a limit that is in force and the one that the service will have some day without notice. */
-    private static double smaller(Fields state, Fields next, String name, Limit limit) throws MalformedException {
+    private static double smaller(JsonFields state, JsonFields next, String name, Limit limit)
+            throws MalformedException {
         double today = limit.read(state, name);
         return next == null || !next.has(name) ? today : Math.min(today, limit.read(next, name));
     }
 
-    private static int valueBytes(Fields in, String name) throws MalformedException {
+    private static int valueBytes(JsonFields in, String name) throws MalformedException {
         double kilobytes = in.amount(name);
         if (kilobytes < 1 || kilobytes > 1 << 20) {
             throw new MalformedException(in.path(name), "must be from 1 to 1048576");
@@ -124,7 +125,7 @@
         return (int) Math.round(kilobytes * 1024);
     }
 
-    private static double rate(Fields in, String name) throws MalformedException {
+    private static double rate(JsonFields in, String name) throws MalformedException {
         double rate = in.amount(name);
         if (rate <= 0) {
             throw new MalformedException(in.path(name), "must be above 0");
@@ -132,7 +133,7 @@
         return rate;
     }
 
-    private static String address(Fields in, String name) throws MalformedException {
+    private static String address(JsonFields in, String name) throws MalformedException {
         String address = in.text(name);
         int colon = address.lastIndexOf(':');
         try {
@@ -146,7 +147,7 @@
         throw new MalformedException(name, "must be host:port");
     }
 
-    private static long thousandths(Fields in, String name) throws MalformedException {
+    private static long thousandths(JsonFields in, String name) throws MalformedException {
         return in.has(name) ? Math.round(in.amount(name) * 1000) : 0;
     }
 }
--- a/src/main/java/io/micatide/protocol/StateCodec.java
+++ b/src/main/java/io/micatide/protocol/StoreCodec.java
@@ -6,23 +6,23 @@
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
 import io.micatide.model.Resources;
-import io.micatide.store.MachineNames;
-import io.micatide.store.Row;
+import io.micatide.store.MachineNameCodec;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 
 /** The state service's messages, and the rows that micatide keeps there. */
-public final class StateCodec {
+public final class StoreCodec {
     /** What the frame of a list of names and the number of further rows take at most. */
     private static final int FURTHER_BYTES = 48;
 
-    private StateCodec() {}
+    private StoreCodec() {}
 
     /** A key with its row; {@code row} is null if the key does not exist or was deleted. */
-    public record Item(String key, Row row, long version) {}
+    public record Item(String key, StoredRecord row, long version) {}
 
     /** A page of keys, or the changes since a revision. */
     public record Items(List<Item> items, boolean more, long revision) {}
@@ -58,11 +58,11 @@
         });
     }
 
-    private static void write(JsonGenerator out, Row row) throws IOException {
+    private static void write(JsonGenerator out, StoredRecord row) throws IOException {
         out.writeStartObject();
-        if (row instanceof Row.Leader leader) {
+        if (row instanceof StoredRecord.Leader leader) {
             out.writeStringField("owner", leader.owner());
-        } else if (row instanceof Row.JobRow job) {
+        } else if (row instanceof StoredRecord.JobRow job) {
             out.writeStringField("state", job.state().name());
             out.writeNumberField("tasks", job.tasks());
             out.writeNumberField("submitted", job.submittedWall());
@@ -79,41 +79,41 @@
                 out.writeFieldName("spec");
                 JobCodec.writeSpec(out, job.spec());
             }
-        } else if (row instanceof Row.Needs needs) {
+        } else if (row instanceof StoredRecord.Needs needs) {
             out.writeArrayFieldStart("awaits");
             for (String name : needs.names()) {
                 out.writeString(name);
             }
             out.writeEndArray();
-        } else if (row instanceof Row.Layout layout) {
+        } else if (row instanceof StoredRecord.Layout layout) {
             out.writeNumberField("layout", layout.number());
             out.writeNumberField("pageTasks", layout.pageTasks());
-        } else if (row instanceof Row.History history) {
-            HistoryCodec.write(out, history);
-        } else if (row instanceof Row.Segment segment) {
-            HistoryCodec.write(out, segment);
-        } else if (row instanceof Row.Ledger ledger) {
+        } else if (row instanceof StoredRecord.History history) {
+            ArchiveCodec.write(out, history);
+        } else if (row instanceof StoredRecord.Segment segment) {
+            ArchiveCodec.write(out, segment);
+        } else if (row instanceof StoredRecord.Ledger ledger) {
             out.writeArrayFieldStart(ledger.dense() ? "fleet" : "machines");
-            for (String text : ledger.dense() ? MachineNames.shorten(ledger.machines()) : ledger.machines()) {
+            for (String text : ledger.dense() ? MachineNameCodec.shorten(ledger.machines()) : ledger.machines()) {
                 out.writeString(text);
             }
             out.writeEndArray();
             out.writeNumberField("gang", ledger.gangAttempt());
             out.writeStringField("done", ledger.done());
-        } else if (row instanceof Row.Booking booking) {
+        } else if (row instanceof StoredRecord.Booking booking) {
             out.writeStringField("state", booking.state());
             out.writeStringField("type", booking.type());
             out.writeStringField("zone", booking.zone());
             out.writeBooleanField("spot", booking.spot());
             out.writeNumberField("count", booking.count());
-        } else if (row instanceof Row.Features
-                || row instanceof Row.Here
-                || row instanceof Row.Ask
-                || row instanceof Row.Fence
-                || row instanceof Row.Learned
-                || row instanceof Row.Returned) {
+        } else if (row instanceof StoredRecord.Features
+                || row instanceof StoredRecord.Here
+                || row instanceof StoredRecord.Ask
+                || row instanceof StoredRecord.Fence
+                || row instanceof StoredRecord.Learned
+                || row instanceof StoredRecord.Returned) {
             RolloutCodec.write(out, row);
-        } else if (row instanceof Row.Types types) {
+        } else if (row instanceof StoredRecord.Types types) {
             out.writeArrayFieldStart("types");
             for (MachineType type : types.types()) {
                 CloudCodec.writeType(out, type);
@@ -126,7 +126,7 @@
     /**
      * A new job's rows: its own and, for names that it has no room for, further ones. Null if the job itself does not fit.
      */
-    public static List<Transaction.Write> jobRows(String id, Row.JobRow row, int mostBytes) {
+    public static List<Transaction.Write> jobRows(String id, StoredRecord.JobRow row, int mostBytes) {
         List<Transaction.Write> rows = new ArrayList<>();
         if (size(row) <= mostBytes) {
             rows.add(new Transaction.Write(StoreKeys.job(id), row, 0));
@@ -147,40 +147,40 @@
         }
         rows.add(new Transaction.Write(StoreKeys.job(id), row.withNeeds(pieces.get(0), pieces.size() - 1), 0));
         for (int piece = 1; piece < pieces.size(); piece++) {
-            rows.add(new Transaction.Write(StoreKeys.needs(id, piece), new Row.Needs(pieces.get(piece)), 0));
+            rows.add(new Transaction.Write(StoreKeys.needs(id, piece), new StoredRecord.Needs(pieces.get(piece)), 0));
         }
         return rows;
     }
 
     /** What a row takes of the limit of a value. */
-    public static int size(Row row) {
+    public static int size(StoredRecord row) {
         return Json.bytes(out -> write(out, row)).length;
     }
 
-    private static Row row(String key, JsonNode data) throws MalformedException {
-        Fields in = new Fields(data, key);
+    private static StoredRecord row(String key, JsonNode data) throws MalformedException {
+        JsonFields in = new JsonFields(data, key);
         if (key.equals(StoreKeys.LEADER)) {
-            return new Row.Leader(in.text("owner"));
+            return new StoredRecord.Leader(in.text("owner"));
         }
         if (key.equals(StoreKeys.LAYOUT)) {
-            return new Row.Layout(
+            return new StoredRecord.Layout(
                     (int) in.count("layout", 1, Integer.MAX_VALUE), (int) in.count("pageTasks", 1, Integer.MAX_VALUE));
         }
         if (key.equals(StoreKeys.HISTORY)) {
-            return HistoryCodec.manifest(in, data);
+            return ArchiveCodec.manifest(in, data);
         }
         if (RolloutCodec.isFor(key)) {
             return RolloutCodec.row(key, in, data);
         }
         if (key.startsWith(StoreKeys.SEGMENTS)) {
-            return HistoryCodec.segment(in);
+            return ArchiveCodec.segment(in);
         }
         if (key.startsWith(StoreKeys.JOBS) && key.indexOf('/', StoreKeys.JOBS.length()) > 0) {
-            return new Row.Needs(in.texts("awaits"));
+            return new StoredRecord.Needs(in.texts("awaits"));
         }
         if (key.startsWith(StoreKeys.JOBS)) {
             JobState state = JobState.valueOf(in.text("state"));
-            return new Row.JobRow(
+            return new StoredRecord.JobRow(
                     state,
                     state.isFinal() && !in.has("spec") ? null : JobCodec.spec(data.get("spec")),
                     in.count("submitted", 0, Long.MAX_VALUE),
@@ -191,46 +191,46 @@
         }
         if (key.startsWith(StoreKeys.LEDGERS)) {
             boolean dense = in.has("fleet");
-            return new Row.Ledger(
+            return new StoredRecord.Ledger(
                     dense ? fleet(in) : in.texts("machines"),
                     in.count("gang", 0, Long.MAX_VALUE),
                     data.path("done").asText(""),
                     dense);
         }
         if (key.startsWith(StoreKeys.BOOKINGS)) {
-            return new Row.Booking(in.text("state"), in.text("type"), in.text("zone"), in.flag("spot"), (int)
+            return new StoredRecord.Booking(in.text("state"), in.text("type"), in.text("zone"), in.flag("spot"), (int)
                     in.count("count", 0, 1000));
         }
         if (key.equals(StoreKeys.TYPES)) {
             List<MachineType> types = new ArrayList<>();
-            for (Fields type : in.objects("types")) {
+            for (JsonFields type : in.objects("types")) {
                 types.add(CloudCodec.type(type));
             }
-            return new Row.Types(types);
+            return new StoredRecord.Types(types);
         }
         throw new MalformedException(key, "is not a key of micatide");
     }
 
-    private static List<String> fleet(Fields in) throws MalformedException {
+    private static List<String> fleet(JsonFields in) throws MalformedException {
         try {
-            return MachineNames.lengthen(in.texts("fleet"));
+            return MachineNameCodec.lengthen(in.texts("fleet"));
         } catch (IllegalArgumentException e) {
             throw new MalformedException(in.path("fleet"), "must be names in short");
         }
     }
 
     public static long revision(byte[] body) throws MalformedException {
-        return new Fields(Json.tree(body), "").count("ledger", 0, Long.MAX_VALUE);
+        return new JsonFields(Json.tree(body), "").count("ledger", 0, Long.MAX_VALUE);
     }
 
     public static List<String> failed(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        return new Fields(tree, "").has("failed") ? new Fields(tree, "").texts("failed") : List.of();
+        return new JsonFields(tree, "").has("failed") ? new JsonFields(tree, "").texts("failed") : List.of();
     }
 
     public static Item item(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        Fields in = new Fields(tree, "");
+        JsonFields in = new JsonFields(tree, "");
         String key = in.text("k");
         return new Item(key, row(key, tree.get("data")), in.count("stamp", 1, Long.MAX_VALUE));
     }
@@ -242,7 +242,7 @@
 
     public static Items page(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        Fields in = new Fields(tree, "");
+        JsonFields in = new JsonFields(tree, "");
         List<Item> items = new ArrayList<>();
         for (JsonNode each : tree.path("items")) {
             String key = each.path("k").asText();
@@ -254,7 +254,7 @@
 
     public static Items changes(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        Fields in = new Fields(tree, "");
+        JsonFields in = new JsonFields(tree, "");
         List<Item> items = new ArrayList<>();
         for (JsonNode each : tree.path("events")) {
             boolean put = each.hasNonNull("put");
@@ -276,10 +276,10 @@
     }
 
     public static long granted(byte[] body) throws MalformedException {
-        return new Fields(Json.tree(body), "").count("hold", 1, Long.MAX_VALUE);
+        return new JsonFields(Json.tree(body), "").count("hold", 1, Long.MAX_VALUE);
     }
 
-    static Resources size(Fields in) throws MalformedException {
+    static Resources size(JsonFields in) throws MalformedException {
         return Resources.of(in.amount("cpus"), in.has("cards") ? in.amount("cards") : 0, in.amount("memGb"));
     }
 }
--- a/src/main/java/io/micatide/protocol/TuningReader.java
+++ b/src/main/java/io/micatide/protocol/TuningReader.java
@@ -40,7 +40,7 @@
                         "is not a setting; known are description, history, history_batch, idle_s, leader_lease_s, rollout and standby");
             }
         }
-        Fields in = new Fields(tree, "");
+        JsonFields in = new JsonFields(tree, "");
         Tuning defaults = Tuning.defaults(settings);
         boolean standby = in.has("standby") && in.flag("standby");
         long lease = in.has("leader_lease_s")
--- a/src/main/java/io/micatide/protocol/UserSide.java
+++ b/src/main/java/io/micatide/protocol/UserSideCodec.java
@@ -3,8 +3,8 @@
 import io.micatide.model.JobSpec;
 
 /** The protocol between users and controllers as a user sees it: for stand-ins of users. */
-public final class UserSide {
-    private UserSide() {}
+public final class UserSideCodec {
+    private UserSideCodec() {}
 
     /** The body of a submission. */
     public static byte[] submission(JobSpec spec) {
--- a/src/main/java/io/micatide/protocol/WorkerCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerCodec.java
@@ -4,10 +4,10 @@
 import com.fasterxml.jackson.core.JsonToken;
 import io.micatide.model.Command;
 import io.micatide.model.ExitCause;
-import io.micatide.model.MachineReport;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Micros;
-import io.micatide.model.TaskReport;
 import io.micatide.model.TaskState;
+import io.micatide.model.TaskStatus;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
 public final class WorkerCodec {
     private WorkerCodec() {}
 
-    public static MachineReport report(byte[] body) throws MalformedException {
+    public static Heartbeat report(byte[] body) throws MalformedException {
         try (JsonParser in = Json.FACTORY.createParser(body)) {
             return read(in);
         } catch (IOException | NumberFormatException e) {
@@ -24,7 +24,7 @@
         }
     }
 
-    private static MachineReport read(JsonParser in) throws IOException, MalformedException {
+    private static Heartbeat read(JsonParser in) throws IOException, MalformedException {
         if (in.nextToken() != JsonToken.START_OBJECT) {
             throw new MalformedException("body", "is not an object");
         }
@@ -37,7 +37,7 @@
         long sequence = -1;
         long token = -1;
         long notice = -1;
-        List<TaskReport> tasks = null;
+        List<TaskStatus> tasks = null;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             JsonToken value = in.nextToken();
@@ -65,7 +65,7 @@
         require(session < 0 ? null : session, "stint");
         require(sequence < 0 ? null : sequence, "tally");
         require(token < 0 ? null : token, "armband");
-        return new MachineReport(machine, address, type, zone, spot, session, sequence, token, notice, tasks);
+        return new Heartbeat(machine, address, type, zone, spot, session, sequence, token, notice, tasks);
     }
 
     private static void require(Object value, String field) throws MalformedException {
@@ -74,18 +74,18 @@
         }
     }
 
-    private static List<TaskReport> tasks(JsonParser in) throws IOException, MalformedException {
+    private static List<TaskStatus> tasks(JsonParser in) throws IOException, MalformedException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw new MalformedException("legs", "must be a list");
         }
-        List<TaskReport> result = new ArrayList<>();
+        List<TaskStatus> result = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
             result.add(task(in));
         }
         return result;
     }
 
-    private static TaskReport task(JsonParser in) throws IOException, MalformedException {
+    private static TaskStatus task(JsonParser in) throws IOException, MalformedException {
         String task = null;
         long attempt = -1;
         TaskState state = null;
@@ -110,7 +110,7 @@
         if (state == TaskState.EXITED && cause == null) {
             cause = ExitCause.ERROR;
         }
-        return new TaskReport(
+        return new TaskStatus(
                 task.substring(0, slash), Integer.parseInt(task.substring(slash + 1)), attempt, state, cause, saved);
     }
 
--- a/src/main/java/io/micatide/protocol/WorkerSide.java
+++ b/src/main/java/io/micatide/protocol/WorkerSideCodec.java
@@ -3,21 +3,21 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.micatide.model.Command;
 import io.micatide.model.ExitCause;
-import io.micatide.model.MachineReport;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Micros;
-import io.micatide.model.TaskReport;
 import io.micatide.model.TaskState;
+import io.micatide.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.List;
 
 /** The protocol between workers and controllers as a worker sees it: for stand-ins of workers. */
-public final class WorkerSide {
-    private WorkerSide() {}
+public final class WorkerSideCodec {
+    private WorkerSideCodec() {}
 
     /** What a controller answers; {@code token} -1 if there is none. */
     public record Answer(long token, List<Command> commands) {}
 
-    public static byte[] report(MachineReport report) {
+    public static byte[] report(Heartbeat report) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeStringField("berth", report.machine());
@@ -32,7 +32,7 @@
                 out.writeNumberField("recallS", Micros.toSeconds(report.noticeMicros()));
             }
             out.writeArrayFieldStart("legs");
-            for (TaskReport task : report.tasks()) {
+            for (TaskStatus task : report.tasks()) {
                 out.writeStartObject();
                 out.writeStringField("leg", task.job() + "/" + task.index());
                 out.writeNumberField("throwIn", task.attempt());
--- a/src/main/java/io/micatide/protocol/package-info.java
+++ b/src/main/java/io/micatide/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * JSON and TOML as they stand in the protocols. The only place that knows the words of the wire; everything else speaks
- * of machines, tokens, attempts, tasks, teams, images, spot and revisions.
+ * Codecs of everything that is sent or stored as JSON, and readers of the TOML settings. The only package that knows the field names
+ * of the wire and of stored values; all others use the terms of {@code model} and {@code store}.
  */
 package io.micatide.protocol;
--- a/src/main/java/io/micatide/rollout/Abilities.java
+++ b/src/main/java/io/micatide/rollout/Capabilities.java
@@ -9,14 +9,14 @@
  * @param knows features that it reads and writes at all their stages
  * @param registers whether it registers and reads the switches; versions before them do neither, and cannot read past their row
  */
-public record Abilities(List<Feature> knows, boolean registers) {
-    public static final Abilities ALL = new Abilities(List.of(Feature.values()), true);
+public record Capabilities(List<Feature> knows, boolean registers) {
+    public static final Capabilities ALL = new Capabilities(List.of(Feature.values()), true);
     /** As a version before the switches. */
-    public static final Abilities FORMER = new Abilities(List.of(), false);
+    public static final Capabilities FORMER = new Capabilities(List.of(), false);
 
     /** As a version with switches that does not know these features yet. */
-    public static Abilities without(Feature... features) {
-        return new Abilities(
+    public static Capabilities without(Feature... features) {
+        return new Capabilities(
                 ALL.knows().stream()
                         .filter(each -> !Arrays.asList(features).contains(each))
                         .toList(),
--- a/src/main/java/io/micatide/rollout/Registration.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistration.java
@@ -1,8 +1,8 @@
 package io.micatide.rollout;
 
 import io.micatide.model.Micros;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.List;
 
@@ -11,7 +11,7 @@
  * has a new lease or newer switches. The put has the switches and the row's own version as conditions, so one of a former life that
  * arrives late is refused. Times in microseconds.
  */
-public final class Registration {
+public final class ControllerRegistration {
     /** What to do next; every wish but NOTHING must be followed by its outcome. */
     public enum Wish {
         NOTHING,
@@ -23,7 +23,7 @@
 
     private final String key;
     private final String build;
-    private final Abilities abilities;
+    private final Capabilities abilities;
     private final long sinceWall;
     private boolean waiting;
     private long againMicros = Long.MIN_VALUE / 2;
@@ -39,7 +39,7 @@
      * @param build the version of this program, for operators
      * @param sinceWall time of day at which this process began
      */
-    public Registration(String label, String build, Abilities abilities, long sinceWall) {
+    public ControllerRegistration(String label, String build, Capabilities abilities, long sinceWall) {
         this.abilities = abilities;
         this.key = StoreKeys.here(label);
         this.build = build;
@@ -77,7 +77,7 @@
                         new Transaction.Compare(StoreKeys.FEATURES, askedActs),
                         new Transaction.Compare(key, rowVersion)),
                 List.of(new Transaction.Write(
-                        key, new Row.Here(build, abilities.names(), askedActs, sinceWall), askedLease)));
+                        key, new StoredRecord.Here(build, abilities.names(), askedActs, sinceWall), askedLease)));
     }
 
     /** The own row as read, version 0 if there is none. */
--- a/src/main/java/io/micatide/rollout/Roster.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistry.java
@@ -1,7 +1,7 @@
 package io.micatide.rollout;
 
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,43 +9,43 @@
 import java.util.TreeMap;
 
 /** Who is registered and what operators ask for, by one read of the rows. */
-public final class Roster {
+public final class ControllerRegistry {
     private final List<String> labels;
-    private final Map<String, Row.Here> here = new TreeMap<>();
+    private final Map<String, StoredRecord.Here> here = new TreeMap<>();
     private final Map<String, Long> versions = new TreeMap<>();
-    private final Map<String, Row.Ask> asked = new TreeMap<>();
+    private final Map<String, StoredRecord.Ask> asked = new TreeMap<>();
 
     /** @param labels of all controllers of the deployment */
-    public Roster(List<String> labels) {
+    public ControllerRegistry(List<String> labels) {
         this.labels = List.copyOf(labels);
     }
 
     /** A row under {@link StoreKeys#ROLLOUT}. */
-    public void add(String key, Row row, long version) {
-        if (row instanceof Row.Here each) {
+    public void add(String key, StoredRecord row, long version) {
+        if (row instanceof StoredRecord.Here each) {
             String label = key.substring(StoreKeys.HERE.length());
             here.put(label, each);
             versions.put(label, version);
-        } else if (row instanceof Row.Ask each) {
+        } else if (row instanceof StoredRecord.Ask each) {
             asked.put(key.substring(StoreKeys.ASKED.length()), each);
         }
     }
 
-    public Map<String, Row.Here> here() {
+    public Map<String, StoredRecord.Here> here() {
         return here;
     }
 
     /** What an operator asks for of a feature, NONE for nothing. */
-    public Row.Wish asked(Feature feature) {
-        Row.Ask ask = asked.get(feature.key());
-        return ask == null ? Row.Wish.NONE : ask.wish();
+    public StoredRecord.Wish asked(Feature feature) {
+        StoredRecord.Ask ask = asked.get(feature.key());
+        return ask == null ? StoredRecord.Wish.NONE : ask.wish();
     }
 
     /** What stands in the way of a step of a feature, by name; empty if nothing does. */
     public List<String> missing(Feature feature) {
         List<String> result = new ArrayList<>();
         for (String label : labels) {
-            Row.Here each = here.get(label);
+            StoredRecord.Here each = here.get(label);
             if (each == null) {
                 result.add(label + " is not registered");
             } else if (!each.knows().contains(feature.key())) {
@@ -59,7 +59,7 @@
     public List<String> behind(long version) {
         List<String> result = new ArrayList<>();
         for (String label : labels) {
-            Row.Here each = here.get(label);
+            StoredRecord.Here each = here.get(label);
             if (each != null && each.acts() != version) {
                 result.add(label + " has not taken in the last step");
             }
--- a/src/main/java/io/micatide/rollout/Feature.java
+++ b/src/main/java/io/micatide/rollout/Feature.java
@@ -4,25 +4,25 @@
 
 /**
  * The changes of the stored state that this version knows. A new one is a line here, and whatever it writes has the row of the switches as a
- * condition; it may not be taken off this list while a deployment may have it above {@link Stage#OFF}.
+ * condition; it may not be taken off this list while a deployment may have it above {@link FeatureStage#OFF}.
  */
 public enum Feature {
     /** Jobs that need others, machines' names in short: the mark {@code job/layout}. Older than the switches, and without a way back. */
-    NEEDS("needs", true, Stage.OFF, Stage.CLEAN),
+    NEEDS("needs", true, FeatureStage.OFF, FeatureStage.CLEAN),
     /** Final states in the archive: the manifest {@code job/history}. Likewise. */
-    HISTORY("history", true, Stage.OFF, Stage.CLEAN),
+    HISTORY("history", true, FeatureStage.OFF, FeatureStage.CLEAN),
     /** Bookings are written on condition of their own version and of a fence, so that no late write brings one back. */
-    BOOKING_FENCE("booking-fence", false, Stage.OFF, Stage.READ, Stage.ON),
+    BOOKING_FENCE("booking-fence", false, FeatureStage.OFF, FeatureStage.READ, FeatureStage.ON),
     /** What a leader has learned is kept in rows under {@code learned/} for one that nobody told. */
-    LEARNED("learned", false, Stage.OFF, Stage.READ, Stage.ON),
+    LEARNED("learned", false, FeatureStage.OFF, FeatureStage.READ, FeatureStage.ON),
     /** Machines that are given back are named in rows under {@code return/} before the cloud is asked, and no leader uses one that is. */
-    RETURNS("returns", false, Stage.OFF, Stage.READ, Stage.ON);
+    RETURNS("returns", false, FeatureStage.OFF, FeatureStage.READ, FeatureStage.ON);
 
     private final String key;
     private final boolean mark;
-    private final List<Stage> path;
+    private final List<FeatureStage> path;
 
-    Feature(String key, boolean mark, Stage... path) {
+    Feature(String key, boolean mark, FeatureStage... path) {
         this.key = key;
         this.mark = mark;
         this.path = List.of(path);
@@ -38,7 +38,7 @@
         return mark;
     }
 
-    public List<Stage> path() {
+    public List<FeatureStage> path() {
         return path;
     }
 
@@ -53,14 +53,14 @@
     }
 
     /** The stage after this one, null after the last. */
-    public Stage next(Stage now) {
+    public FeatureStage next(FeatureStage now) {
         int at = path.indexOf(now);
         return at >= 0 && at + 1 < path.size() ? path.get(at + 1) : null;
     }
 
     /** The stage before this one; null before the first, and of what is gone for good. */
-    public Stage before(Stage now) {
+    public FeatureStage before(FeatureStage now) {
         int at = path.indexOf(now);
-        return at > 0 && now != Stage.CLEAN ? path.get(at - 1) : null;
+        return at > 0 && now != FeatureStage.CLEAN ? path.get(at - 1) : null;
     }
 }
--- a/src/main/java/io/micatide/rollout/Switches.java
+++ b/src/main/java/io/micatide/rollout/FeatureFlags.java
@@ -1,6 +1,6 @@
 package io.micatide.rollout;
 
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -9,17 +9,17 @@
  * The row of the switches as this controller has it. Never goes back: of two versions that it is told, the newer one counts, in whatever
  * order they come.
  */
-public final class Switches {
-    private final Abilities abilities;
+public final class FeatureFlags {
+    private final Capabilities abilities;
     private long version = -1;
-    private Row.Features row = new Row.Features(Map.of());
+    private StoredRecord.Features row = new StoredRecord.Features(Map.of());
 
-    public Switches(Abilities abilities) {
+    public FeatureFlags(Capabilities abilities) {
         this.abilities = abilities;
     }
 
     /** The row as read or watched; version 0 with no stages if there is none. Returns whether that is news. */
-    public boolean seen(long newVersion, Row.Features newRow) {
+    public boolean seen(long newVersion, StoredRecord.Features newRow) {
         if (newVersion <= version) {
             return false;
         }
@@ -38,28 +38,28 @@
         return version;
     }
 
-    public Row.Features row() {
+    public StoredRecord.Features row() {
         return row;
     }
 
     /** Where a feature stands; of a mark, always OFF. */
-    public Stage stage(Feature feature) {
-        Stage stage = stage(row.stages().get(feature.key()));
-        return stage == null ? Stage.OFF : stage;
+    public FeatureStage stage(Feature feature) {
+        FeatureStage stage = stage(row.stages().get(feature.key()));
+        return stage == null ? FeatureStage.OFF : stage;
     }
 
     /** Whether the new form is what counts. */
     public boolean on(Feature feature) {
-        return stage(feature).compareTo(Stage.ON) >= 0;
+        return stage(feature).compareTo(FeatureStage.ON) >= 0;
     }
 
     /** Features that are in use and that this version does not know, or not at that stage: it cannot read what is stored. */
     public List<String> unknown() {
         List<String> result = new ArrayList<>();
         row.stages().forEach((name, word) -> {
-            Stage stage = stage(word);
+            FeatureStage stage = stage(word);
             Feature feature = Feature.of(name);
-            if (stage != Stage.OFF
+            if (stage != FeatureStage.OFF
                     && (stage == null
                             || !abilities.knows().contains(feature)
                             || !feature.path().contains(stage))) {
@@ -69,12 +69,12 @@
         return result;
     }
 
-    private static Stage stage(String word) {
-        for (Stage each : Stage.values()) {
+    private static FeatureStage stage(String word) {
+        for (FeatureStage each : FeatureStage.values()) {
             if (each.name().equals(word)) {
                 return each;
             }
         }
-        return word == null ? Stage.OFF : null;
+        return word == null ? FeatureStage.OFF : null;
     }
 }
--- a/src/main/java/io/micatide/rollout/Stage.java
+++ b/src/main/java/io/micatide/rollout/FeatureStage.java
@@ -1,7 +1,7 @@
 package io.micatide.rollout;
 
 /** How far a change of the stored state has come. A feature goes through some of these, in this order, one step at a time. */
-public enum Stage {
+public enum FeatureStage {
     /** Nobody may rely on anybody knowing it. */
     OFF,
     /** Every controller that serves reads the new form; nobody writes it. */
--- a/src/main/java/io/micatide/rollout/Plan.java
+++ b/src/main/java/io/micatide/rollout/RolloutPlan.java
@@ -1,6 +1,6 @@
 package io.micatide.rollout;
 
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,9 +14,9 @@
  * @param moves what the step does, for the log
  * @param waits what is in the way of features that are not where they should be, by name
  */
-public record Plan(Row.Features row, List<String> moves, List<String> waits) {
+public record RolloutPlan(StoredRecord.Features row, List<String> moves, List<String> waits) {
     /** @param forward whether this leader is to move features forward; back, an operator asks for in any case */
-    public static Plan of(Switches switches, Roster roster, boolean forward) {
+    public static RolloutPlan of(FeatureFlags switches, ControllerRegistry roster, boolean forward) {
         Map<String, String> stages = new TreeMap<>(switches.row().stages());
         List<String> moves = new ArrayList<>();
         List<String> waits = new ArrayList<>();
@@ -25,19 +25,19 @@
             if (feature.isMark()) {
                 continue;
             }
-            Stage now = switches.stage(feature);
-            Row.Wish wish = roster.asked(feature);
-            Stage to = wish == Row.Wish.BACK
+            FeatureStage now = switches.stage(feature);
+            StoredRecord.Wish wish = roster.asked(feature);
+            FeatureStage to = wish == StoredRecord.Wish.BACK
                     ? feature.before(now)
-                    : wish == Row.Wish.HOLD || !forward ? null : feature.next(now);
+                    : wish == StoredRecord.Wish.HOLD || !forward ? null : feature.next(now);
             if (to == null) {
-                if (wish == Row.Wish.HOLD && feature.next(now) != null) {
+                if (wish == StoredRecord.Wish.HOLD && feature.next(now) != null) {
                     waits.add(feature.key() + " is held at " + now);
                 }
                 continue;
             }
             // Back to where nobody needs to know it asks nobody; all other steps need everyone.
-            List<String> missing = new ArrayList<>(to == Stage.OFF ? List.of() : roster.missing(feature));
+            List<String> missing = new ArrayList<>(to == FeatureStage.OFF ? List.of() : roster.missing(feature));
             missing.addAll(behind);
             if (missing.isEmpty()) {
                 stages.put(feature.key(), to.name());
@@ -46,6 +46,6 @@
                 waits.add(feature.key() + " waits to go to " + to + ": " + String.join(", ", missing));
             }
         }
-        return new Plan(moves.isEmpty() ? null : new Row.Features(stages), moves, waits);
+        return new RolloutPlan(moves.isEmpty() ? null : new StoredRecord.Features(stages), moves, waits);
     }
 }
--- a/src/main/java/io/micatide/rollout/package-info.java
+++ b/src/main/java/io/micatide/rollout/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Rolling out changes of what is stored (docs/rollout.md): which changes there are and how far each has come, which controllers are there and
- * what they can do, and the next step. Pure: {@code node} reads and writes for it. Knows the rows of {@code core} and nothing of sockets,
- * of jobs or of machines.
+ * Changes of the stored format while several versions serve (docs/rollout.md): the features, how far each has come, which controllers
+ * are registered with which capabilities, and the next step. Without input or output; {@code controller} reads and writes for it.
+ * Depends on {@code model} and {@code store}; must not know sockets, jobs or machines.
  */
 package io.micatide.rollout;
--- a/src/main/java/io/micatide/scheduler/Renter.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -24,7 +24,7 @@
 import java.util.stream.Collectors;
 
 /** Which machines to rent and to return, and the calls for it, paced under the cloud's rate. */
-final class Renter {
+final class Autoscaler {
     private static final long PLAN_EVERY_MICROS = 500 * Micros.MILLISECOND;
     private static final long FETCH_MICROS = 5 * Micros.SECOND;
     private static final long LATE_MICROS = 60 * Micros.SECOND;
@@ -42,9 +42,9 @@
     private final Settings settings;
     private final Tuning tuning;
     private final Fleet fleet;
-    private final Rentals rentals;
-    private final Planner planner;
-    private final Returns returns;
+    private final ProvisioningRequests rentals;
+    private final PlacementPlanner planner;
+    private final MachineDeletions returns;
     private long plannedMicros = Long.MIN_VALUE / 2;
     private long listAskedMicros = Long.MIN_VALUE / 2;
     private boolean listing;
@@ -52,7 +52,13 @@
     private boolean firstTerm;
     private long nothingWaitsSinceMicros = Long.MAX_VALUE;
 
-    Renter(Settings settings, Tuning tuning, Fleet fleet, Rentals rentals, Planner planner, Returns returns) {
+    Autoscaler(
+            Settings settings,
+            Tuning tuning,
+            Fleet fleet,
+            ProvisioningRequests rentals,
+            PlacementPlanner planner,
+            MachineDeletions returns) {
         this.settings = settings;
         this.tuning = tuning;
         this.fleet = fleet;
@@ -196,9 +202,9 @@
                 }
             }
         }
-        for (Rentals.Booking booking : rentals.bookings.values()) {
+        for (ProvisioningRequests.Booking booking : rentals.bookings.values()) {
             MachineType type = fleet.types().get(booking.type);
-            if (booking.state != Rentals.State.DONE && type != null) {
+            if (booking.state != ProvisioningRequests.State.DONE && type != null) {
                 Resources size = type.size().times(booking.count);
                 if (booking.spot) {
                     comingSpot = comingSpot.plus(size);
@@ -219,7 +225,7 @@
      */
     private boolean rentForStarving(long nowMicros) {
         boolean need = false;
-        Map<JobShape, Boolean> served = new HashMap<>();
+        Map<EquivalenceClass, Boolean> served = new HashMap<>();
         for (JobQueue.Queued queued : planner.order()) {
             Job job = queued.job();
             if (job.spec.kind() == JobKind.ARRAY
@@ -227,7 +233,7 @@
                     && !job.suspect
                     && planner.startable(job, nowMicros)
                     && nowMicros - Math.max(job.readyMicros, job.lastStartMicros) > STARVES_MICROS
-                    && !served.computeIfAbsent(JobShape.of(job.spec), shape -> anyMayUse(shape, nowMicros))) {
+                    && !served.computeIfAbsent(EquivalenceClass.of(job.spec), shape -> anyMayUse(shape, nowMicros))) {
                 int count = planner.allowedMore(job, queued.waiting(), Resources.NONE);
                 if (count > 0) {
                     need = true;
@@ -238,7 +244,7 @@
         return need;
     }
 
-    private boolean anyMayUse(JobShape shape, long nowMicros) {
+    private boolean anyMayUse(EquivalenceClass shape, long nowMicros) {
         for (Machine machine : fleet.machines()) {
             if (mayUse(shape, machine, nowMicros)) {
                 return true;
@@ -248,7 +254,7 @@
     }
 
     /** Whether jobs of this shape could ever run there, full as the machine may be now. */
-    private boolean mayUse(JobShape shape, Machine machine, long nowMicros) {
+    private boolean mayUse(EquivalenceClass shape, Machine machine, long nowMicros) {
         return machine.size() != null
                 && !machine.deleting
                 && !machine.draining
@@ -310,9 +316,9 @@
 
     /** Work that ends wants as many processors as make it ready in time. */
     private boolean rentForArrays(Resources coming, long nowMicros) {
-        List<Deadlines.Entry> entries = planner.queue().arrays(nowMicros);
+        List<DeadlineFeasibility.Entry> entries = planner.queue().arrays(nowMicros);
         Map<String, Resources> perTeam = new HashMap<>();
-        for (Deadlines.Entry entry : entries) {
+        for (DeadlineFeasibility.Entry entry : entries) {
             perTeam.merge(entry.job.spec.team(), entry.job.spec.each().times(entry.job.unfinished()), Resources::plus);
         }
         double useful = 0;
@@ -322,14 +328,14 @@
             useful += Math.min(most, entry.getValue().cpus());
         }
         double there = planner.queue().arrayCpus(nowMicros) + coming.cpus();
-        double wanted = Deadlines.wanted(entries, FETCH_MICROS, LATE_MICROS, nowMicros);
+        double wanted = DeadlineFeasibility.wanted(entries, FETCH_MICROS, LATE_MICROS, nowMicros);
         // More processors than tasks that may run at once are of no use.
         double missing = Math.min(wanted, useful) - there;
         if (missing <= 0) {
             return false;
         }
-        Deadlines.Entry largest = null;
-        for (Deadlines.Entry entry : entries) {
+        DeadlineFeasibility.Entry largest = null;
+        for (DeadlineFeasibility.Entry entry : entries) {
             if (!entry.job.unsettled() && (largest == null || entry.work > largest.work)) {
                 largest = entry;
             }
@@ -344,7 +350,7 @@
 
     /** Rents the cheapest that suits. */
     private void rentFor(JobSpec spec, int count, long nowMicros) {
-        Rentals.Offer best = null;
+        ProvisioningRequests.Offer best = null;
         double bestPrice = Double.MAX_VALUE;
         long bestPer = 0;
         Map<String, Integer> perZone = new HashMap<>();
@@ -358,7 +364,7 @@
             }
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
-                    Rentals.Offer offer = new Rentals.Offer(type.name(), zone, spot);
+                    ProvisioningRequests.Offer offer = new ProvisioningRequests.Offer(type.name(), zone, spot);
                     if (!spec.allowsMachine(type.name(), zone, spot)
                             || rentals.refused(offer, nowMicros)
                             || rentals.expected(offer) > 0) {
@@ -385,8 +391,8 @@
      * machines, spot machines stood idle, and where they had taken all that the cloud has, the gang waited for ever.
      */
     private void returnIdle(long nowMicros, boolean need) {
-        Set<JobShape> waiting = new LinkedHashSet<>();
-        planner.order().forEach(queued -> waiting.add(JobShape.of(queued.job().spec)));
+        Set<EquivalenceClass> waiting = new LinkedHashSet<>();
+        planner.order().forEach(queued -> waiting.add(EquivalenceClass.of(queued.job().spec)));
         for (Machine machine : fleet.machines()) {
             if (machine.confirmed
                     && !machine.deleting
@@ -431,7 +437,7 @@
     /** The calls that are due. */
     List<CloudCall> calls(long nowMicros) {
         List<CloudCall> result = new ArrayList<>();
-        for (Rentals.Booking booking : rentals.toSubmit()) {
+        for (ProvisioningRequests.Booking booking : rentals.toSubmit()) {
             booking.sinceMicros = nowMicros;
             result.add(new CloudCall.Rent(booking.name, booking.type, booking.zone, booking.spot, booking.count));
         }
@@ -461,7 +467,7 @@
     }
 
     void rented(String name, List<String> machines, long nowMicros) {
-        Rentals.Booking booking = rentals.bookings.get(name);
+        ProvisioningRequests.Booking booking = rentals.bookings.get(name);
         if (booking == null) {
             return;
         }
@@ -478,23 +484,23 @@
     }
 
     void noCapacity(String name, long nowMicros) {
-        Rentals.Booking booking = rentals.bookings.get(name);
+        ProvisioningRequests.Booking booking = rentals.bookings.get(name);
         if (booking != null) {
             rentals.noCapacity(booking, nowMicros);
         }
     }
 
     void unanswered(String name, long nowMicros) {
-        Rentals.Booking booking = rentals.bookings.get(name);
+        ProvisioningRequests.Booking booking = rentals.bookings.get(name);
         if (booking != null) {
             rentals.unknown(booking, nowMicros);
         }
     }
 
     void notExecuted(String name) {
-        Rentals.Booking booking = rentals.bookings.get(name);
+        ProvisioningRequests.Booking booking = rentals.bookings.get(name);
         if (booking != null) {
-            booking.state = Rentals.State.CLAIMED;
+            booking.state = ProvisioningRequests.State.CLAIMED;
         }
     }
 
--- a/src/main/java/io/micatide/scheduler/LikelyMachines.java
+++ b/src/main/java/io/micatide/scheduler/CandidateMachines.java
@@ -9,7 +9,7 @@
  * Machines that ledgers name before anything is placed there, as they are when a round begins. The usable ones are sorted once a round and
  * not once a job: a round of a dozen jobs took 0.8 s at 2,800 machines on a quarter of a core.
  */
-final class LikelyMachines {
+final class CandidateMachines {
     private static final Comparator<Machine> MOST_ROOM =
             Comparator.comparingLong((Machine machine) -> -machine.room().cpus());
 
@@ -21,7 +21,7 @@
     private List<Machine> byRoom;
 
     /** @param isUsable as of now */
-    LikelyMachines(Iterable<Machine> all, Predicate<Machine> isUsable) {
+    CandidateMachines(Iterable<Machine> all, Predicate<Machine> isUsable) {
         this.all = all;
         this.isUsable = isUsable;
     }
--- a/src/main/java/io/micatide/scheduler/RoomDemand.java
+++ b/src/main/java/io/micatide/scheduler/CapacityRequest.java
@@ -9,7 +9,7 @@
  * @param each what the task takes
  * @param priority of the job that asks; of no account for {@link Source#FREE}
  */
-record RoomDemand(Resources each, Source source, Priority priority) {
+record CapacityRequest(Resources each, Source source, Priority priority) {
     /** What counts as room. */
     enum Source {
         /** What is free now. */
@@ -22,7 +22,7 @@
         SAVING
     }
 
-    static RoomDemand free(Resources each) {
-        return new RoomDemand(each, Source.FREE, Priority.LOW);
+    static CapacityRequest free(Resources each) {
+        return new CapacityRequest(each, Source.FREE, Priority.LOW);
     }
 }
--- a/src/main/java/io/micatide/scheduler/Pipelines.java
+++ b/src/main/java/io/micatide/scheduler/DagInheritance.java
@@ -15,7 +15,7 @@
  * each job before it has to be over early enough for what follows on the longest way, and has the highest priority of what
  * needs it. Waiting jobs are kept apart from {@link JobLedgers}: they take no part in queue, limits, guarantees or rounds.
  */
-final class Pipelines {
+final class DagInheritance {
     /** What lies between the end of a job and the start of the next one's tasks: two writes and the fetch of an image. */
     private static final long STEP_MICROS = 4 * Micros.SECOND;
     /** Run times are learned meanwhile. */
@@ -36,13 +36,13 @@
     }
 
     private final JobLedgers ledgers;
-    private final RunTimes runTimes;
+    private final RuntimeEstimator runTimes;
     private final Map<String, Waiting> waiting = new LinkedHashMap<>();
     private final List<Job> demanded = new ArrayList<>();
     private boolean changed;
     private long refreshedMicros = Long.MIN_VALUE / 2;
 
-    Pipelines(JobLedgers ledgers, RunTimes runTimes) {
+    DagInheritance(JobLedgers ledgers, RuntimeEstimator runTimes) {
         this.ledgers = ledgers;
         this.runTimes = runTimes;
     }
--- a/src/main/java/io/micatide/scheduler/Deadlines.java
+++ b/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
@@ -13,7 +13,7 @@
  * for: aims are shares of a class, so a job of a class with few jobs counts for more. Without that an overload was settled
  * at the cost of the large arrays alone.
  */
-final class Deadlines {
+final class DeadlineFeasibility {
     /** A job with what is left of it. */
     static final class Entry {
         final Job job;
@@ -42,7 +42,7 @@
         }
     }
 
-    private Deadlines() {}
+    private DeadlineFeasibility() {}
 
     /** Marks what can be on time and returns the entries, the one first that has to start first. */
     static List<Entry> decide(List<Entry> entries, double cpus, long nowMicros) {
--- a/src/main/java/io/micatide/scheduler/JobShape.java
+++ b/src/main/java/io/micatide/scheduler/EquivalenceClass.java
@@ -12,9 +12,9 @@
  * @param zone the only allowed zone, or null
  * @param spot whether spot machines are allowed
  */
-record JobShape(Resources each, List<String> types, String zone, boolean spot) {
-    static JobShape of(JobSpec spec) {
-        return new JobShape(spec.each(), spec.types(), spec.zone(), spec.spot());
+record EquivalenceClass(Resources each, List<String> types, String zone, boolean spot) {
+    static EquivalenceClass of(JobSpec spec) {
+        return new EquivalenceClass(spec.each(), spec.types(), spec.zone(), spec.spot());
     }
 
     boolean allowsMachine(Machine machine) {
--- a/src/main/java/io/micatide/scheduler/Recovery.java
+++ b/src/main/java/io/micatide/scheduler/FailoverProgress.java
@@ -7,7 +7,7 @@
  * How a term got back what the one before knew: when half, nine tenths and 99% of the machines that the ledgers name were confirmed, and
  * when the first task was started. One line for the log, once; operators see from it what a take-over cost them.
  */
-final class Recovery implements TakeOverTimes {
+final class FailoverProgress implements FailoverTimings {
     private static final double[] SHARES = {0.5, 0.9, 0.99};
 
     private final long beganMicros;
@@ -18,7 +18,7 @@
     private long firstStartMicros = -1;
     private boolean told;
 
-    Recovery(long beganMicros) {
+    FailoverProgress(long beganMicros) {
         this.beganMicros = beganMicros;
     }
 
--- a/src/main/java/io/micatide/scheduler/TakeOverTimes.java
+++ b/src/main/java/io/micatide/scheduler/FailoverTimings.java
@@ -1,7 +1,7 @@
 package io.micatide.scheduler;
 
 /** How a term got back what the one before knew. Times in microseconds since the claim, -1 for what has not happened. */
-public interface TakeOverTimes {
+public interface FailoverTimings {
     /** Until all rows were read. */
     long rebuiltMicros();
 
--- a/src/main/java/io/micatide/scheduler/Health.java
+++ b/src/main/java/io/micatide/scheduler/FailureAttribution.java
@@ -10,7 +10,7 @@
  * Tells faulty machines from faulty jobs, and slow machines from long tasks. One bad machine holds up every job that
  * has a task on it, and one bad job fails on every machine: each must not be taken for the other.
  */
-final class Health {
+final class FailureAttribution {
     private static final long LOOK_EVERY_MICROS = Micros.SECOND;
     private static final long AVOID_MICROS = 60 * Micros.SECOND;
     /** A machine is slow if its tasks take this many times as long as others of their jobs, on (geometric) average. */
@@ -35,10 +35,10 @@
     private static final long LONGEST_PAUSE_MICROS = 30 * Micros.SECOND;
     private static final long REPLICA_RUNS_MICROS = 5 * Micros.SECOND;
 
-    private final RunTimes runTimes;
+    private final RuntimeEstimator runTimes;
     private long lookedMicros = Long.MIN_VALUE / 2;
 
-    Health(RunTimes runTimes) {
+    FailureAttribution(RuntimeEstimator runTimes) {
         this.runTimes = runTimes;
     }
 
--- a/src/main/java/io/micatide/scheduler/Fleet.java
+++ b/src/main/java/io/micatide/scheduler/Fleet.java
@@ -11,7 +11,7 @@
 /** All machines that are known of, and the machine types. */
 final class Fleet {
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final RoomIndex roomIndex = new RoomIndex(machines.values());
+    private final FreeCapacityIndex roomIndex = new FreeCapacityIndex(machines.values());
     private Map<String, MachineType> types = new LinkedHashMap<>();
     /** Machines whose deletion was answered: nothing can be on them, whatever a lagging list says. */
     private final Map<String, Long> gone = new HashMap<>();
@@ -36,7 +36,7 @@
     }
 
     /** Which of the machines have room for what. */
-    RoomIndex roomIndex() {
+    FreeCapacityIndex roomIndex() {
         return roomIndex;
     }
 
--- a/src/main/java/io/micatide/scheduler/RoomIndex.java
+++ b/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
@@ -25,7 +25,7 @@
  *
  * <p>A demand is tracked from its first question on, with one walk, and forgotten when nobody has asked for it for a while.
  */
-final class RoomIndex {
+final class FreeCapacityIndex {
     /** Demands that are tracked at most; with more kinds of tasks the one that was asked for longest ago is walked for anew. */
     private static final int MOST_DEMANDS = 128;
 
@@ -33,7 +33,7 @@
     private static final long FORGOTTEN_MICROS = 60 * Micros.SECOND;
 
     private final Collection<Machine> all;
-    private final Map<RoomDemand, Tracked> demands = new HashMap<>();
+    private final Map<CapacityRequest, Tracked> demands = new HashMap<>();
     private final Set<Machine> changed = new LinkedHashSet<>();
     /** Machines in the order in which they became known; null where one is gone. */
     private Machine[] slots = new Machine[FEWEST_SLOTS];
@@ -48,7 +48,7 @@
     }
 
     /** @param all the machines that are known, a live view */
-    RoomIndex(Collection<Machine> all) {
+    FreeCapacityIndex(Collection<Machine> all) {
         this.all = all;
     }
 
@@ -91,7 +91,7 @@
     }
 
     /** Machines with room for one task, in the order in which they became known; a copy, so that placing may go on. */
-    List<Machine> machines(RoomDemand demand, long nowMicros) {
+    List<Machine> machines(CapacityRequest demand, long nowMicros) {
         takeIn();
         Tracked tracked = demands.get(demand);
         if (tracked == null) {
@@ -115,7 +115,7 @@
         return looks;
     }
 
-    private Tracked track(RoomDemand demand, long nowMicros) {
+    private Tracked track(CapacityRequest demand, long nowMicros) {
         demands.values().removeIf(each -> nowMicros - each.askedMicros > FORGOTTEN_MICROS);
         if (demands.size() >= MOST_DEMANDS) {
             forgetOldest();
@@ -132,8 +132,8 @@
     }
 
     private void forgetOldest() {
-        RoomDemand oldest = null;
-        for (Map.Entry<RoomDemand, Tracked> entry : demands.entrySet()) {
+        CapacityRequest oldest = null;
+        for (Map.Entry<CapacityRequest, Tracked> entry : demands.entrySet()) {
             if (oldest == null || entry.getValue().askedMicros < demands.get(oldest).askedMicros) {
                 oldest = entry.getKey();
             }
@@ -150,7 +150,7 @@
 
     private void takeIn(Machine machine) {
         looks++;
-        Map<RoomDemand.Source, Map<Priority, Resources>> rooms = new EnumMap<>(RoomDemand.Source.class);
+        Map<CapacityRequest.Source, Map<Priority, Resources>> rooms = new EnumMap<>(CapacityRequest.Source.class);
         demands.forEach((demand, tracked) -> {
             Resources room = rooms.computeIfAbsent(demand.source(), k -> new EnumMap<>(Priority.class))
                     .computeIfAbsent(demand.priority(), priority -> room(machine, demand.source(), priority));
@@ -159,13 +159,13 @@
         });
     }
 
-    private static boolean fits(RoomDemand demand, Machine machine) {
+    private static boolean fits(CapacityRequest demand, Machine machine) {
         return machine.size() != null && demand.each().fitsIn(room(machine, demand.source(), demand.priority()));
     }
 
-    private static Resources room(Machine machine, RoomDemand.Source source, Priority priority) {
+    private static Resources room(Machine machine, CapacityRequest.Source source, Priority priority) {
         Resources room = machine.room();
-        if (source == RoomDemand.Source.FREE) {
+        if (source == CapacityRequest.Source.FREE) {
             return room;
         }
         for (Placement placement : machine.placements) {
@@ -176,10 +176,10 @@
         return room;
     }
 
-    private static boolean counts(Placement placement, RoomDemand.Source source, Priority priority) {
+    private static boolean counts(Placement placement, CapacityRequest.Source source, Priority priority) {
         JobSpec spec = placement.job.spec;
         boolean lower = priority.above(placement.job.priority());
-        if (source == RoomDemand.Source.SAVING) {
+        if (source == CapacityRequest.Source.SAVING) {
             return lower && !placement.stopping() && spec.kind() != JobKind.SERVICE;
         }
         if (placement.stopping()) {
@@ -189,12 +189,12 @@
             return false;
         }
         return lower
-                || (source == RoomDemand.Source.SAME_PRIORITY
+                || (source == CapacityRequest.Source.SAME_PRIORITY
                         && spec.kind() == JobKind.ARRAY
                         && placement.job.priority() == priority);
     }
 
-    private boolean isExact(RoomDemand demand, Tracked tracked) {
+    private boolean isExact(CapacityRequest demand, Tracked tracked) {
         List<Machine> walked = new ArrayList<>();
         for (Machine machine : all) {
             if (fits(demand, machine)) {
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -1,8 +1,8 @@
 package io.micatide.scheduler;
 
-import io.micatide.model.Greeting;
 import io.micatide.model.Hint;
 import io.micatide.model.Micros;
+import io.micatide.model.TermAnnouncement;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -24,7 +24,7 @@
     private final Map<String, Hint.OfMachine> machines = new HashMap<>();
     private final Map<String, Hint.OfJob> jobs = new HashMap<>();
 
-    static List<Hint> of(Fleet fleet, Collection<Job> open, RunTimes runTimes, long nowMicros) {
+    static List<Hint> of(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
         List<Hint> result = new ArrayList<>(runTimes.hints());
         for (Job job : open) {
             if (result.size() < MOST && (job.suspect || job.ranTasks > 0)) {
@@ -61,7 +61,7 @@
     }
 
     /** The same without what changes by the second or is seen with the first report: images, addresses, jobs that go well. */
-    static List<Hint> lasting(Fleet fleet, Collection<Job> open, RunTimes runTimes, long nowMicros) {
+    static List<Hint> lasting(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
         List<Hint> result = new ArrayList<>(runTimes.hints());
         for (Job job : open) {
             if (job.suspect) {
@@ -87,7 +87,7 @@
     }
 
     /** What the leader before knew; later hints replace earlier ones, but for {@code kept} ones. */
-    void take(List<Hint> hints, boolean kept, RunTimes runTimes) {
+    void take(List<Hint> hints, boolean kept, RuntimeEstimator runTimes) {
         for (Hint hint : hints) {
             if (hint instanceof Hint.OfMachine each) {
                 machines.merge(each.name(), each, (known, told) -> kept ? known : told);
@@ -125,11 +125,11 @@
     }
 
     /** Where a machine that has not reported is to be greeted, null if that is not known. */
-    Greeting greeting(String machine) {
+    TermAnnouncement greeting(String machine) {
         Hint.OfMachine hint = machines.get(machine);
         return hint == null || hint.gone() || hint.address().isEmpty()
                 ? null
-                : new Greeting(machine, hint.address(), hint.session());
+                : new TermAnnouncement(machine, hint.address(), hint.session());
     }
 
     /** The machine is confirmed by its own report. */
--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -76,7 +76,7 @@
     /** The present attempt is over; the next one begins when nothing of it can be on a machine. */
     boolean gangBroken;
 
-    /** Whether jobs wait for it, and what they ask of it: see {@link Pipelines}. */
+    /** Whether jobs wait for it, and what they ask of it: see {@link DagInheritance}. */
     boolean needed;
 
     private Priority priority;
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -6,10 +6,10 @@
 import io.micatide.model.JobState;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.store.MachineNames;
-import io.micatide.store.Ranges;
-import io.micatide.store.Row;
+import io.micatide.store.MachineNameCodec;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
+import io.micatide.store.TaskRanges;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -63,7 +63,7 @@
     private final Map<String, Set<String>> unknownKeys = new HashMap<>();
 
     /** A row to close. That the job is withdrawn follows from the others' rows, so this is for whoever reads only rows. */
-    private record Withdrawal(String id, long version, Row.JobRow row) {}
+    private record Withdrawal(String id, long version, StoredRecord.JobRow row) {}
 
     JobLedgers(Settings settings, long token) {
         this.settings = settings;
@@ -75,7 +75,11 @@
     record Part(Job job, boolean over, Set<String> machines, List<Integer> pages, Map<Integer, BitSet> done) {}
 
     /** One transaction and what it means. {@code bookings} are the rentals written along with it. */
-    record Round(Transaction transaction, List<Part> parts, List<Rentals.Booking> bookings, List<String> withdrawals) {}
+    record Round(
+            Transaction transaction,
+            List<Part> parts,
+            List<ProvisioningRequests.Booking> bookings,
+            List<String> withdrawals) {}
 
     Collection<Job> jobs() {
         return jobs.values();
@@ -108,7 +112,7 @@
     }
 
     /** Takes over a ledger value of an earlier leader; false if it belongs to no job that is known. */
-    boolean load(String key, Row.Ledger ledger, long version) {
+    boolean load(String key, StoredRecord.Ledger ledger, long version) {
         Job job = jobs.get(jobOf(key));
         if (job == null) {
             return false;
@@ -139,10 +143,10 @@
         return result;
     }
 
-    private void adopt(Job job, int page, Row.Ledger ledger, long version) {
+    private void adopt(Job job, int page, StoredRecord.Ledger ledger, long version) {
         job.pageVersions.put(page, version);
         BitSet done = new BitSet();
-        Ranges.parseInto(ledger.done(), page * pageTasks, done);
+        TaskRanges.parseInto(ledger.done(), page * pageTasks, done);
         job.adopt(done);
         if (page == 0) {
             job.recordedMachines = new HashSet<>(ledger.machines());
@@ -165,7 +169,7 @@
     }
 
     /** What is written of a job that went with one that it needs; {@code row} as it is stored now. */
-    void withdraw(String id, Row.JobRow row, long version) {
+    void withdraw(String id, StoredRecord.JobRow row, long version) {
         withdrawals.put(id, new Withdrawal(id, version, row));
     }
 
@@ -199,7 +203,7 @@
 
     private int bytes(Collection<String> names) {
         if (dense()) {
-            return MachineNames.bytes(names);
+            return MachineNameCodec.bytes(names);
         }
         int bytes = 0;
         for (String name : names) {
@@ -276,7 +280,7 @@
             long wallMicros,
             int mostWrites,
             int mostLater,
-            List<Rentals.Booking> bookings,
+            List<ProvisioningRequests.Booking> bookings,
             List<Transaction.Write> extra,
             List<Transaction.Compare> extraConditions,
             Likely likely) {
@@ -331,7 +335,9 @@
             part.job().recordedMachines.retainAll(part.machines());
             dirty.remove(part.job().id());
         }
-        if (dense() && writes.stream().anyMatch(write -> write.row() instanceof Row.Ledger ledger && ledger.dense())) {
+        if (dense()
+                && writes.stream()
+                        .anyMatch(write -> write.row() instanceof StoredRecord.Ledger ledger && ledger.dense())) {
             conditions.add(new Transaction.Compare(StoreKeys.LAYOUT, layoutVersion));
         }
         return new Round(new Transaction(conditions, writes), parts, bookings, closed);
@@ -361,7 +367,7 @@
             // It never started, so nobody has to know what its tasks take.
             writes.add(new Transaction.Write(
                     StoreKeys.job(each.id()),
-                    new Row.JobRow(
+                    new StoredRecord.JobRow(
                                     JobState.CANCELLED,
                                     null,
                                     each.row().submittedWall(),
@@ -374,7 +380,7 @@
     }
 
     private static int sizeOf(Transaction.Write write) {
-        if (write.row() instanceof Row.Ledger ledger) {
+        if (write.row() instanceof StoredRecord.Ledger ledger) {
             return 200 + ledger.done().length() + 16 * ledger.machines().size();
         }
         return 300;
@@ -393,7 +399,7 @@
         }
         Set<String> machines = mustName(job);
         int room = settings.writableBytes() - LEDGER_BYTES;
-        BitSet first = Ranges.within(
+        BitSet first = TaskRanges.within(
                 job.finished,
                 job.recorded,
                 0,
@@ -411,7 +417,7 @@
                     likely.machines(job, nameBytes() / (dense() ? 2 : 8)),
                     Math.min(
                             nameBytes(),
-                            room - Ranges.format(first, 0, pageTasks).length()));
+                            room - TaskRanges.format(first, 0, pageTasks).length()));
             pages.add(0);
         } else {
             // What an earlier leader wrote under a larger limit no longer fits. It gets smaller as machines settle and
@@ -434,9 +440,10 @@
         List<Transaction.Write> own = new ArrayList<>();
         int bytes = 0;
         for (int page : List.copyOf(pages)) {
-            BitSet bits =
-                    page == 0 ? first : Ranges.within(job.finished, job.recorded, page * size, (page + 1) * size, room);
-            String text = bits == null ? "" : Ranges.format(bits, page * size, (page + 1) * size);
+            BitSet bits = page == 0
+                    ? first
+                    : TaskRanges.within(job.finished, job.recorded, page * size, (page + 1) * size, room);
+            String text = bits == null ? "" : TaskRanges.format(bits, page * size, (page + 1) * size);
             if (bits == null
                     || (page > 0 && bytes + text.length() > MOST_BYTES / 2)
                     || nothingNew(job, page, bits, machines)) {
@@ -448,7 +455,7 @@
             done.put(page, bits);
             own.add(new Transaction.Write(
                     StoreKeys.ledger(job.id(), page),
-                    new Row.Ledger(
+                    new StoredRecord.Ledger(
                             page == 0 ? List.copyOf(machines) : List.of(),
                             page == 0 ? job.gangAttempt : 0,
                             text,
@@ -513,7 +520,8 @@
             conditions.add(new Transaction.Compare(StoreKeys.job(job.id()), job.version));
             writes.add(new Transaction.Write(
                     StoreKeys.job(job.id()),
-                    new Row.JobRow(JobState.DONE, null, job.submittedWall, job.spec.tasks(), wallMicros, 0, checked),
+                    new StoredRecord.JobRow(
+                            JobState.DONE, null, job.submittedWall, job.spec.tasks(), wallMicros, 0, checked),
                     0));
         } else if (pages.isEmpty()) {
             jobs.remove(job.id());
@@ -588,7 +596,7 @@
     }
 
     /** A value as read back after a round without a certain outcome; {@code ledger} null if there is none. */
-    void readBack(String key, Row.Ledger ledger, long version) {
+    void readBack(String key, StoredRecord.Ledger ledger, long version) {
         Job job = jobs.get(jobOf(key));
         int page = pageOf(key);
         if (job == null) {
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -22,9 +22,9 @@
     private final Settings settings;
     private final Fleet fleet;
     private final JobLedgers ledgers;
-    private final RunTimes runTimes;
+    private final RuntimeEstimator runTimes;
 
-    JobQueue(Settings settings, Fleet fleet, JobLedgers ledgers, RunTimes runTimes) {
+    JobQueue(Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes) {
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
@@ -45,8 +45,8 @@
     List<Queued> order(long nowMicros) {
         Map<String, Resources> asked = new HashMap<>();
         List<Queued> result = new ArrayList<>();
-        Map<Job, Deadlines.Entry> entries = new HashMap<>();
-        for (Deadlines.Entry entry : decide(nowMicros)) {
+        Map<Job, DeadlineFeasibility.Entry> entries = new HashMap<>();
+        for (DeadlineFeasibility.Entry entry : decide(nowMicros)) {
             entries.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
@@ -62,7 +62,7 @@
             boolean guaranteed = team != null && team.cpus() > 0 && team.guarantees(total);
             int waiting = job.waiting();
             if (waiting > 0) {
-                Deadlines.Entry entry = entries.get(job);
+                DeadlineFeasibility.Entry entry = entries.get(job);
                 result.add(new Queued(
                         job,
                         waiting,
@@ -91,12 +91,12 @@
      * What can be on time: first within each team's limit, since room beyond it helps none of the team's jobs, then
      * with all processors.
      */
-    private List<Deadlines.Entry> decide(long nowMicros) {
+    private List<DeadlineFeasibility.Entry> decide(long nowMicros) {
         double cpus = arrayCpus(nowMicros);
-        Map<String, List<Deadlines.Entry>> perTeam = new LinkedHashMap<>();
-        List<Deadlines.Entry> result = new ArrayList<>();
-        List<Deadlines.Entry> lowest = new ArrayList<>();
-        for (Deadlines.Entry entry : arrays(nowMicros)) {
+        Map<String, List<DeadlineFeasibility.Entry>> perTeam = new LinkedHashMap<>();
+        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
+        List<DeadlineFeasibility.Entry> lowest = new ArrayList<>();
+        for (DeadlineFeasibility.Entry entry : arrays(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // It gets what is left: a large job of a rare class would count for more than many of the others.
                 lowest.add(entry);
@@ -105,29 +105,29 @@
             perTeam.computeIfAbsent(entry.job.spec.team(), k -> new ArrayList<>())
                     .add(entry);
         }
-        List<Deadlines.Entry> possible = new ArrayList<>();
+        List<DeadlineFeasibility.Entry> possible = new ArrayList<>();
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
             double most = team == null || team.cpusMax() == 0 ? cpus : Math.min(cpus, (double) team.cpusMax());
-            for (Deadlines.Entry entry : Deadlines.decide(entries, most, nowMicros)) {
+            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, most, nowMicros)) {
                 (entry.onTime ? possible : result).add(entry);
             }
         });
-        result.addAll(Deadlines.decide(possible, cpus, nowMicros));
-        result.addAll(Deadlines.decide(lowest, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.decide(possible, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.decide(lowest, cpus, nowMicros));
         return result;
     }
 
     /** What is left of every job that ends. */
-    List<Deadlines.Entry> arrays(long nowMicros) {
-        List<Deadlines.Entry> result = new ArrayList<>();
+    List<DeadlineFeasibility.Entry> arrays(long nowMicros) {
+        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.suspect && job.spec.kind() != JobKind.SERVICE && job.unfinished() > 0) {
                 long length = runTimes.expected(job);
                 int waiting = job.waiting();
                 double work = job.spec.each().cpus() * (double) length * (waiting + 0.5 * (job.unfinished() - waiting));
                 long slowest = runTimes.slowest(job);
-                result.add(new Deadlines.Entry(
+                result.add(new DeadlineFeasibility.Entry(
                         job, work, slowest, due(job, slowest, nowMicros), weight(job.spec.jobClass())));
             }
         }
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -18,7 +18,7 @@
     /** Its place in the index of room, which is the index's to change. */
     int slot;
 
-    private RoomIndex index;
+    private FreeCapacityIndex index;
     /** What could be freed on it, and at what loss. */
     final Preemption.Estimates estimates = new Preemption.Estimates();
 
@@ -83,7 +83,7 @@
     }
 
     /** @param index is told of what changes its room; null for none */
-    Machine(String name, long nowMicros, RoomIndex index) {
+    Machine(String name, long nowMicros, FreeCapacityIndex index) {
         this.name = name;
         this.knownSinceMicros = nowMicros;
         this.index = index;
--- a/src/main/java/io/micatide/scheduler/Returns.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -2,8 +2,8 @@
 
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -20,7 +20,7 @@
  * term places anything on a machine that a row names: it asks for its deletion again, until that is answered. The row stays for a while after
  * that, since ledgers may name the machine still, and a leader that nobody told settles it by asking once more.
  */
-final class Returns {
+final class MachineDeletions {
     private static final long KEEP_MICROS = 60 * Micros.SECOND;
     /** What nobody waits for is gathered for so long, so that a trickle of idle machines costs few rows. */
     private static final long GATHER_MICROS = 500 * Micros.MILLISECOND;
@@ -54,7 +54,7 @@
     private int counter;
     private long wroteMicros = Long.MIN_VALUE / 2;
 
-    Returns(Settings settings, long token) {
+    MachineDeletions(Settings settings, long token) {
         this.settings = settings;
         this.token = token;
     }
@@ -119,7 +119,7 @@
             String key = StoreKeys.returned(token, ++counter);
             rows.put(key, new Entry(names));
             names.forEach(name -> rowOf.put(name, key));
-            writes.add(new Transaction.Write(key, new Row.Returned(List.copyOf(names)), 0));
+            writes.add(new Transaction.Write(key, new StoredRecord.Returned(List.copyOf(names)), 0));
         }
         for (Map.Entry<String, Entry> each : rows.entrySet()) {
             Entry entry = each.getValue();
--- a/src/main/java/io/micatide/scheduler/Placement.java
+++ b/src/main/java/io/micatide/scheduler/Placement.java
@@ -1,7 +1,7 @@
 package io.micatide.scheduler;
 
-import io.micatide.model.TaskReport;
 import io.micatide.model.TaskState;
+import io.micatide.model.TaskStatus;
 
 /** One attempt of one task on one machine, from the decision to the end that was read back. */
 final class Placement {
@@ -65,7 +65,7 @@
         return stopSinceMicros >= 0;
     }
 
-    boolean is(TaskReport report) {
+    boolean is(TaskStatus report) {
         return attempt == report.attempt()
                 && index == report.index()
                 && job.id().equals(report.job());
--- a/src/main/java/io/micatide/scheduler/Planner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -20,7 +20,7 @@
  * What runs where. The rule is the design's: a fitting machine that has the image, else the fitting one with most
  * room. Around it stand priorities, guarantees, limits, preemption, and which kind of machine suits which job.
  */
-class Planner {
+class PlacementPlanner {
     /** An image that takes longer than this to fetch is worth stopping other work for. */
     private static final long LONG_FETCH_MICROS = 1_500 * Micros.MILLISECOND;
 
@@ -65,10 +65,10 @@
     private int evictedByReplicas;
     private int evictedByGuarantees;
     private Map<String, Resources> unknown = Map.of();
-    private final PlanPass pass;
+    private final PlanningPass pass;
     private final Preemption preemption;
-    private LikelyMachines likely;
-    final Blocked blocked = new Blocked();
+    private CandidateMachines likely;
+    final UnschedulableClasses blocked = new UnschedulableClasses();
     /** Machines that arrays may fill in this plan: they had room for some waiting task when it began. */
     private final Set<Machine> open = new HashSet<>();
     /** Machines that something was placed on since an array had its turn and that have no such room left. */
@@ -76,13 +76,14 @@
 
     private long looks;
 
-    Planner(Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RunTimes runTimes) {
+    PlacementPlanner(
+            Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes) {
         this.scheduler = scheduler;
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
         this.queue = new JobQueue(settings, fleet, ledgers, runTimes);
-        this.pass = new PlanPass(settings.cores());
+        this.pass = new PlanningPass(settings.cores());
         this.preemption = new Preemption(settings, scheduler::teamUse);
         long patience = GUARANTEE_PATIENCE_MICROS;
         for (Settings.Objective objective : settings.objectives()) {
@@ -115,7 +116,7 @@
         blocked.clear();
         open.clear();
         filled.clear();
-        open.addAll(usable(RoomDemand.free(least), nowMicros));
+        open.addAll(usable(CapacityRequest.free(least), nowMicros));
         pass.begin(looks());
         for (JobQueue.Queued queued : order) {
             if (startable(queued.job(), nowMicros) && pass.takes(queued.job())) {
@@ -307,7 +308,7 @@
 
     /** A round begins: machines are named for its jobs as they are now. */
     void beginRound(long nowMicros) {
-        likely = new LikelyMachines(fleet.machines(), machine -> machine.usable(nowMicros, settings));
+        likely = new CandidateMachines(fleet.machines(), machine -> machine.usable(nowMicros, settings));
     }
 
     /** There, or being fetched for another task of the job. */
@@ -354,7 +355,7 @@
     }
 
     /** Machines with that room that the job may use now, in the order in which they became known. */
-    private List<Machine> suitable(Job job, RoomDemand.Source source, long nowMicros) {
+    private List<Machine> suitable(Job job, CapacityRequest.Source source, long nowMicros) {
         return namable(job, withRoom(job, source, nowMicros), nowMicros);
     }
 
@@ -369,16 +370,16 @@
     }
 
     /** The same, whether its ledger can name them or not. */
-    private List<Machine> withRoom(Job job, RoomDemand.Source source, long nowMicros) {
-        RoomDemand demand = source == RoomDemand.Source.FREE
-                ? RoomDemand.free(job.spec.each())
-                : new RoomDemand(job.spec.each(), source, job.priority());
+    private List<Machine> withRoom(Job job, CapacityRequest.Source source, long nowMicros) {
+        CapacityRequest demand = source == CapacityRequest.Source.FREE
+                ? CapacityRequest.free(job.spec.each())
+                : new CapacityRequest(job.spec.each(), source, job.priority());
         List<Machine> machines = usable(demand, nowMicros);
         machines.removeIf(machine -> !suits(job, machine, nowMicros));
         return machines;
     }
 
-    private List<Machine> usable(RoomDemand demand, long nowMicros) {
+    private List<Machine> usable(CapacityRequest demand, long nowMicros) {
         List<Machine> machines = fleet.roomIndex().machines(demand, nowMicros);
         looks += machines.size();
         machines.removeIf(machine -> !machine.usable(nowMicros, settings));
@@ -390,7 +391,7 @@
         if (job.placeable() == 0 || !teamAllows(job)) {
             return;
         }
-        List<Machine> candidates = suitable(job, RoomDemand.Source.SAME_PRIORITY, nowMicros);
+        List<Machine> candidates = suitable(job, CapacityRequest.Source.SAME_PRIORITY, nowMicros);
         for (int left = queued.waiting(); left > 0 && job.placeable() > 0 && teamAllows(job); left--) {
             Machine machine = besideReplicas(job, candidates, nowMicros);
             machine = machine != null ? machine : choose(job, candidates, true, nowMicros);
@@ -443,13 +444,13 @@
 
     /** Fills one machine after another: each further one has to fetch the image and to be recorded. */
     private void placeArray(Job job, long nowMicros) {
-        JobShape shape = JobShape.of(job.spec);
+        EquivalenceClass shape = EquivalenceClass.of(job.spec);
         if (job.placeable() == 0 || !teamAllows(job) || blocked.isFull(shape)) {
             return;
         }
         List<Machine> ready = new ArrayList<>();
         List<Machine> others = new ArrayList<>();
-        for (Machine machine : withRoom(job, RoomDemand.Source.FREE, nowMicros)) {
+        for (Machine machine : withRoom(job, CapacityRequest.Source.FREE, nowMicros)) {
             if (open.contains(machine)) {
                 (hasImage(machine, job) ? ready : others).add(machine);
             }
@@ -506,8 +507,8 @@
         if (blocked.findNothing(queued)) {
             return;
         }
-        RoomDemand.Source source =
-                queued.guaranteed() ? RoomDemand.Source.SAME_PRIORITY : RoomDemand.Source.LOWER_PRIORITY;
+        CapacityRequest.Source source =
+                queued.guaranteed() ? CapacityRequest.Source.SAME_PRIORITY : CapacityRequest.Source.LOWER_PRIORITY;
         List<Machine> withRoom = withRoom(job, source, nowMicros);
         List<Machine> candidates = namable(job, withRoom, nowMicros);
         int left = job.waiting();
@@ -579,7 +580,7 @@
         if (atMost != null && !fits(spec, missing, zoneWithRoom(missing, atMost), atMost)) {
             return;
         }
-        RoomDemand.Source source = preempts ? RoomDemand.Source.SAME_PRIORITY : RoomDemand.Source.FREE;
+        CapacityRequest.Source source = preempts ? CapacityRequest.Source.SAME_PRIORITY : CapacityRequest.Source.FREE;
         List<Machine> withRoom = withRoom(job, source, nowMicros);
         List<Machine> candidates = namable(job, withRoom, nowMicros);
         Map<String, Long> perZone = roomPerZone(job, candidates, preempts);
@@ -698,7 +699,7 @@
         if (job.roomComingMicros > nowMicros) {
             return;
         }
-        for (Machine machine : suitable(job, RoomDemand.Source.SAVING, nowMicros)) {
+        for (Machine machine : suitable(job, CapacityRequest.Source.SAVING, nowMicros)) {
             if (zone != null && !zone.equals(machine.zone)) {
                 continue;
             }
--- a/src/main/java/io/micatide/scheduler/PlanPass.java
+++ b/src/main/java/io/micatide/scheduler/PlanningPass.java
@@ -8,7 +8,7 @@
  * allows goes on in the next tick, with the jobs that it has not come to, in the order that they have by then. What arrives meanwhile and goes
  * before the others is looked at first. A leader whose plan took seconds lost its lease to it, and every worker waited.
  */
-final class PlanPass {
+final class PlanningPass {
     /**
      * Machines that a plan may look at for each core of the controller. At 0.255 of a core a plan of 6,000 looks was seen to take 0.1 to 0.2 s
      * (vision at 2,800 workers, simulated machines), so that one of {@code 0.255 * LOOKS_PER_CORE} stays below half a second.
@@ -24,7 +24,7 @@
     private int cuts;
 
     /** @param cores what the controller has of a core */
-    PlanPass(double cores) {
+    PlanningPass(double cores) {
         this.most = Math.max(1, Math.round(cores * LOOKS_PER_CORE));
     }
 
--- a/src/main/java/io/micatide/scheduler/Rentals.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -2,8 +2,8 @@
 
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -19,7 +19,7 @@
  * Rentals under way, in the four states of the design. A claim is written before the call; a call without an answer is
  * unknown, and is settled by a list that shows the cloud as it was after the call could last have been carried out.
  */
-final class Rentals {
+final class ProvisioningRequests {
     enum State {
         CLAIMED,
         SUBMITTED,
@@ -70,7 +70,7 @@
     private final Map<Offer, Long> refusedUntil = new HashMap<>();
     private final Map<Offer, Long> refusals = new HashMap<>();
 
-    Rentals(Settings settings, long token) {
+    ProvisioningRequests(Settings settings, long token) {
         this.settings = settings;
         this.token = token;
     }
@@ -113,10 +113,10 @@
     }
 
     /** A row as read back, version 0 if there is none. */
-    void readBack(String key, Row row, long version) {
+    void readBack(String key, StoredRecord row, long version) {
         unknown.remove(key);
         if (key.equals(StoreKeys.FENCE)) {
-            fenceKnown(version, row instanceof Row.Fence fence ? fence.number() : 0);
+            fenceKnown(version, row instanceof StoredRecord.Fence fence ? fence.number() : 0);
             return;
         }
         Booking booking = bookings.get(key.substring(StoreKeys.BOOKINGS.length()));
@@ -144,7 +144,7 @@
     /** What is written beside these: the fence, if one of them is deleted; null for nothing. */
     Transaction.Write fence(List<Booking> written) {
         return fenced && written.stream().anyMatch(each -> each.state == State.DONE)
-                ? new Transaction.Write(StoreKeys.FENCE, new Row.Fence(fenceNumber + 1), 0)
+                ? new Transaction.Write(StoreKeys.FENCE, new StoredRecord.Fence(fenceNumber + 1), 0)
                 : null;
     }
 
@@ -157,7 +157,7 @@
     }
 
     /** A booking of an earlier leader: whether its call went out is unknown. */
-    void load(String name, Row.Booking row, long version, long nowMicros) {
+    void load(String name, StoredRecord.Booking row, long version, long nowMicros) {
         Booking booking = new Booking(name, row.type(), row.zone(), row.spot(), row.count(), nowMicros);
         booking.state = State.UNKNOWN;
         booking.recorded = true;
--- a/src/main/java/io/micatide/scheduler/RunTimes.java
+++ b/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
@@ -12,7 +12,7 @@
  * How long tasks really run, learned per class as a factor on the owners' estimates: those are often wrong by half,
  * and on some days mostly in one direction.
  */
-final class RunTimes {
+final class RuntimeEstimator {
     private static final double WEIGHT = 0.02;
     /** As many own tasks as it takes for them to count as much as the owner's estimate. */
     private static final double ESTIMATE_WEIGHT = 2;
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -1,25 +1,25 @@
 package io.micatide.scheduler;
 
-import io.micatide.jobs.JobDirectory;
+import io.micatide.jobs.JobCache;
 import io.micatide.model.CloudCall;
 import io.micatide.model.Command;
 import io.micatide.model.ExitCause;
-import io.micatide.model.Greeting;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Hint;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobProgress;
 import io.micatide.model.JobState;
 import io.micatide.model.ListedMachine;
-import io.micatide.model.MachineReport;
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
 import io.micatide.model.Resources;
 import io.micatide.model.Settings;
-import io.micatide.model.TaskReport;
 import io.micatide.model.TaskState;
+import io.micatide.model.TaskStatus;
+import io.micatide.model.TermAnnouncement;
 import io.micatide.model.Tuning;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -45,13 +45,13 @@
     private final long termStartMicros;
     private final JobLedgers ledgers;
     private final Fleet fleet = new Fleet();
-    private final Rentals rentals;
-    private final Planner planner;
-    private final Returns returns;
-    private final Renter renter;
-    private final RunTimes runTimes = new RunTimes();
-    private final Pipelines pipelines;
-    private final Health health = new Health(runTimes);
+    private final ProvisioningRequests rentals;
+    private final PlacementPlanner planner;
+    private final MachineDeletions returns;
+    private final Autoscaler renter;
+    private final RuntimeEstimator runTimes = new RuntimeEstimator();
+    private final DagInheritance pipelines;
+    private final FailureAttribution health = new FailureAttribution(runTimes);
     private final Hints hints = new Hints();
     private final Map<String, Resources> teamUse = new HashMap<>();
     private final List<Transaction.Write> extraWrites = new ArrayList<>();
@@ -71,9 +71,9 @@
     private int slowFound;
     private boolean loading = true;
     private boolean ledgersFound;
-    private final Recovery recovery;
+    private final FailoverProgress recovery;
     /** Rows of jobs that were cancelled before this term. */
-    private final Map<String, Row.JobRow> ending = new HashMap<>();
+    private final Map<String, StoredRecord.JobRow> ending = new HashMap<>();
 
     private final List<Job> completed = new ArrayList<>();
     private final List<Ended> ended = new ArrayList<>();
@@ -82,24 +82,25 @@
     /** How a term's planner is made. */
     @FunctionalInterface
     interface PlannerFactory {
-        Planner create(Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RunTimes runTimes);
+        PlacementPlanner create(
+                Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes);
     }
 
     public Scheduler(Settings settings, Tuning tuning, long token, long nowMicros) {
-        this(settings, tuning, token, nowMicros, Planner::new);
+        this(settings, tuning, token, nowMicros, PlacementPlanner::new);
     }
 
     Scheduler(Settings settings, Tuning tuning, long token, long nowMicros, PlannerFactory planners) {
         this.settings = settings;
         this.token = token;
         this.termStartMicros = nowMicros;
-        this.recovery = new Recovery(nowMicros);
+        this.recovery = new FailoverProgress(nowMicros);
         this.ledgers = new JobLedgers(settings, token);
-        this.pipelines = new Pipelines(ledgers, runTimes);
-        this.rentals = new Rentals(settings, token);
-        this.returns = new Returns(settings, token);
+        this.pipelines = new DagInheritance(ledgers, runTimes);
+        this.rentals = new ProvisioningRequests(settings, token);
+        this.returns = new MachineDeletions(settings, token);
         this.planner = planners.create(this, settings, fleet, ledgers, runTimes);
-        this.renter = new Renter(settings, tuning, fleet, rentals, planner, returns);
+        this.renter = new Autoscaler(settings, tuning, fleet, rentals, planner, returns);
         this.writeTokens = leaderWriteRate();
         this.mostOps = settings.transactionOps();
         this.writeTokensMicros = nowMicros;
@@ -118,9 +119,9 @@
     // ---- what is read from the state service
 
     /** @param wallMicros the time of day, used only for the ages of jobs */
-    public void jobSeen(JobDirectory.View view, long wallMicros, long nowMicros) {
+    public void jobSeen(JobCache.View view, long wallMicros, long nowMicros) {
         String id = view.id();
-        Row.JobRow row = view.row();
+        StoredRecord.JobRow row = view.row();
         Job job = ledgers.get(id);
         long submitted = nowMicros - Math.max(0, wallMicros - row.submittedWall());
         if (view.state() == JobState.OPEN && view.waits()) {
@@ -180,7 +181,7 @@
      * A ledger without an open job belongs to one that was cancelled while nobody led: its tasks may still run, have to
      * be stopped and count for their team until then. Of completed jobs only further pages can be left.
      */
-    public void ledgerLoaded(String key, Row.Ledger ledger, long version, long nowMicros) {
+    public void ledgerLoaded(String key, StoredRecord.Ledger ledger, long version, long nowMicros) {
         String id = JobLedgers.jobOf(key);
         ledgersFound = true;
         if (ledgers.get(id) == null) {
@@ -191,7 +192,7 @@
         }
     }
 
-    public void bookingLoaded(String name, Row.Booking row, long version, long nowMicros) {
+    public void bookingLoaded(String name, StoredRecord.Booking row, long version, long nowMicros) {
         rentals.load(name, row, version, nowMicros);
     }
 
@@ -214,13 +215,13 @@
     }
 
     /** Machines that an earlier leader was giving back: nothing is placed on them, and their deletion is asked for again. */
-    public void returnLoaded(String key, Row.Returned row, long version, long nowMicros) {
+    public void returnLoaded(String key, StoredRecord.Returned row, long version, long nowMicros) {
         returns.load(key, row.machines(), version);
         row.machines().forEach(name -> fleet.obtain(name, nowMicros).deleting = true);
     }
 
     /** Every controller reads the present layout: what an older one could not read may be written, on that condition. */
-    public void layoutMarked(long version, Row.Layout layout) {
+    public void layoutMarked(long version, StoredRecord.Layout layout) {
         ledgers.layoutMarked(version, layout.pageTasks());
     }
 
@@ -319,7 +320,7 @@
     // ---- reports
 
     /** Takes a report in and answers it; a report with a higher token must not get here. */
-    public List<Command> report(MachineReport report, long nowMicros) {
+    public List<Command> report(Heartbeat report, long nowMicros) {
         List<Command> commands = new ArrayList<>();
         Machine machine = takeIn(report, commands, nowMicros);
         if (machine != null) {
@@ -339,7 +340,7 @@
      * a time, so a newer one shows what became of a start in the answer to the one before; this one may have been made before that
      * answer came, and four starts that were on their way were taken for lost and made again elsewhere (ran_twice, on three of some 6,300 drawn days).
      */
-    public void greeted(MachineReport report, long nowMicros) {
+    public void greeted(Heartbeat report, long nowMicros) {
         Machine machine = fleet.get(report.machine());
         if (machine == null || !machine.confirmed) {
             takeIn(report, new ArrayList<>(), nowMicros);
@@ -352,15 +353,15 @@
      * Machines that jobs wait for and that have not reported to this leader, each once. The leader before told where they are; the
      * others come by themselves, and are not waited for here.
      */
-    public List<Greeting> greetings(int most) {
-        List<Greeting> result = new ArrayList<>();
+    public List<TermAnnouncement> greetings(int most) {
+        List<TermAnnouncement> result = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (result.size() >= most) {
                 break;
             }
             if (machine.holdsUp && !machine.greeted && !machine.deleting && machine.lastAnsweredMicros < 0) {
                 machine.greeted = true;
-                Greeting greeting = hints.greeting(machine.name);
+                TermAnnouncement greeting = hints.greeting(machine.name);
                 if (greeting != null) {
                     result.add(greeting);
                 }
@@ -370,7 +371,7 @@
     }
 
     /** The machine as the report shows it, null if the report is older than what is known. */
-    private Machine takeIn(MachineReport report, List<Command> commands, long nowMicros) {
+    private Machine takeIn(Heartbeat report, List<Command> commands, long nowMicros) {
         if (fleet.isGone(report.machine())) {
             return null;
         }
@@ -420,9 +421,9 @@
     }
 
     /** The newest list is the truth about everything that was sent before it. */
-    private List<Command> readBack(Machine machine, MachineReport report, long nowMicros) {
+    private List<Command> readBack(Machine machine, Heartbeat report, long nowMicros) {
         List<Command> commands = new ArrayList<>();
-        for (TaskReport line : report.tasks()) {
+        for (TaskStatus line : report.tasks()) {
             Job job = ledgers.get(line.job());
             if (line.state() == TaskState.EXITED) {
                 exited(machine, job, line, nowMicros, commands);
@@ -481,7 +482,7 @@
      * its team like anything else. Null if it is not one.
      */
     private Job cancelledBefore(String id, long nowMicros) {
-        Row.JobRow row = ending.get(id);
+        StoredRecord.JobRow row = ending.get(id);
         if (row == null) {
             return null;
         }
@@ -490,7 +491,7 @@
         return job;
     }
 
-    private void exited(Machine machine, Job job, TaskReport line, long nowMicros, List<Command> commands) {
+    private void exited(Machine machine, Job job, TaskStatus line, long nowMicros, List<Command> commands) {
         Placement placement = find(machine, line);
         boolean done = line.cause() == ExitCause.DONE && job != null && job.spec.kind() != JobKind.SERVICE;
         if (done && !job.cancelled) {
@@ -585,7 +586,7 @@
         machine.touchImage(job.spec.image(), job.spec.imageGb(), type == null ? 0 : type.cacheGb());
     }
 
-    private void addStopsAndStarts(Machine machine, MachineReport report, long nowMicros, List<Command> commands) {
+    private void addStopsAndStarts(Machine machine, Heartbeat report, long nowMicros, List<Command> commands) {
         for (Placement placement : machine.placements) {
             if (placement.stopping() && !placement.unsent()) {
                 commands.add(new Command.Stop(
@@ -660,7 +661,7 @@
 
     // ---- placements
 
-    private static Placement find(Machine machine, TaskReport line) {
+    private static Placement find(Machine machine, TaskStatus line) {
         for (Placement placement : machine.placements) {
             if (placement.is(line)) {
                 return placement;
@@ -853,14 +854,15 @@
         }
         List<Transaction.Write> writes =
                 new ArrayList<>(extraWrites.subList(0, Math.min(extraWrites.size(), most / 2)));
-        List<Rentals.Booking> bookings =
+        List<ProvisioningRequests.Booking> bookings =
                 rentals.mayWrite() ? rentals.toWrite(Math.max(1, most / 2), nowMicros) : List.of();
-        for (Rentals.Booking booking : bookings) {
+        for (ProvisioningRequests.Booking booking : bookings) {
             writes.add(new Transaction.Write(
                     StoreKeys.booking(booking.name),
-                    booking.state == Rentals.State.DONE
+                    booking.state == ProvisioningRequests.State.DONE
                             ? null
-                            : new Row.Booking("claimed", booking.type, booking.zone, booking.spot, booking.count),
+                            : new StoredRecord.Booking(
+                                    "claimed", booking.type, booking.zone, booking.spot, booking.count),
                     0));
         }
         List<Transaction.Compare> conditions = rentals.conditions(bookings);
@@ -903,7 +905,7 @@
         JobLedgers.Round round = inFlight;
         inFlight = null;
         for (Transaction.Write write : round.transaction().writes()) {
-            if (Returns.owns(write.key())) {
+            if (MachineDeletions.owns(write.key())) {
                 returns.written(write, revision);
             } else if (write.row() == null) {
                 extraWrites.remove(write);
@@ -915,19 +917,19 @@
             }
         }
         for (Transaction.Write write : round.transaction().writes()) {
-            if (write.row() instanceof Row.JobRow row) {
+            if (write.row() instanceof StoredRecord.JobRow row) {
                 ended.add(new Ended(write.key().substring(StoreKeys.JOBS.length()), row, revision));
             }
         }
         ledgers.confirmed(round, revision, nowMicros);
-        if (round.transaction().writes().stream().anyMatch(write -> write.row() instanceof Row.Fence)) {
+        if (round.transaction().writes().stream().anyMatch(write -> write.row() instanceof StoredRecord.Fence)) {
             rentals.fenceMoved(revision);
         }
-        for (Rentals.Booking booking : round.bookings()) {
+        for (ProvisioningRequests.Booking booking : round.bookings()) {
             booking.writing = false;
-            booking.version = booking.state == Rentals.State.DONE ? 0 : revision;
-            booking.recorded = booking.state != Rentals.State.DONE;
-            if (booking.state == Rentals.State.DONE) {
+            booking.version = booking.state == ProvisioningRequests.State.DONE ? 0 : revision;
+            booking.recorded = booking.state != ProvisioningRequests.State.DONE;
+            if (booking.state == ProvisioningRequests.State.DONE) {
                 rentals.bookings.remove(booking.name);
             }
         }
@@ -959,10 +961,10 @@
     public List<String> roundRefusedFor(List<String> failed, long nowMicros) {
         JobLedgers.Round round = inFlight;
         inFlight = null;
-        for (Rentals.Booking booking : round.bookings()) {
+        for (ProvisioningRequests.Booking booking : round.bookings()) {
             booking.writing = false;
         }
-        rentals.doubt(failed.stream().filter(Rentals::owns).toList());
+        rentals.doubt(failed.stream().filter(ProvisioningRequests::owns).toList());
         for (Transaction.Write write : returnsOf(round)) {
             if (failed.contains(write.key())) {
                 returns.doubt(write.key());
@@ -981,8 +983,8 @@
     }
 
     /** A booking, their fence or a row of machines that are given back, as read back; null with version 0 if there is none. */
-    public void dutyReadBack(String key, Row row, long version) {
-        if (Returns.owns(key)) {
+    public void dutyReadBack(String key, StoredRecord row, long version) {
+        if (MachineDeletions.owns(key)) {
             returns.readBack(key, version);
         } else {
             rentals.readBack(key, row, version);
@@ -991,12 +993,12 @@
 
     /** Whether the key is of what is asked of the cloud, and not of a job. */
     public static boolean isOfDuties(String key) {
-        return Rentals.owns(key) || Returns.owns(key);
+        return ProvisioningRequests.owns(key) || MachineDeletions.owns(key);
     }
 
     private static List<Transaction.Write> returnsOf(JobLedgers.Round round) {
         return round.transaction().writes().stream()
-                .filter(write -> Returns.owns(write.key()))
+                .filter(write -> MachineDeletions.owns(write.key()))
                 .toList();
     }
 
@@ -1006,12 +1008,12 @@
         roundResolved(nowMicros);
     }
 
-    public void ledgerReadBack(String key, Row.Ledger ledger, long version) {
+    public void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version) {
         ledgers.readBack(key, ledger, version);
     }
 
     /** A job row as read back: our own completion of it, a cancellation, or still open. */
-    public void jobReadBack(String id, Row.JobRow row, long version, long nowMicros) {
+    public void jobReadBack(String id, StoredRecord.JobRow row, long version, long nowMicros) {
         Job job = ledgers.get(id);
         if (job != null && row.state() == JobState.DONE) {
             ledgers.drop(job);
@@ -1026,7 +1028,7 @@
     }
 
     /** A job's final row that is in the state service. */
-    public record Ended(String id, Row.JobRow row, long version) {}
+    public record Ended(String id, StoredRecord.JobRow row, long version) {}
 
     /** Final rows that this leader knows to be stored since the last call: jobs may wait for them. */
     public List<Ended> ended() {
@@ -1038,7 +1040,7 @@
     public void roundResolved(long nowMicros) {
         JobLedgers.Round round = inFlight;
         inFlight = null;
-        for (Rentals.Booking booking : round.bookings()) {
+        for (ProvisioningRequests.Booking booking : round.bookings()) {
             booking.writing = false;
         }
         ledgers.resolved(round, nowMicros);
@@ -1095,7 +1097,7 @@
     // ---- what others show
 
     /** How this term got back what the one before knew. */
-    public TakeOverTimes takeOver() {
+    public FailoverTimings takeOver() {
         return recovery;
     }
 
--- a/src/main/java/io/micatide/scheduler/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -66,7 +66,7 @@
      * @param awaiting jobs that wait for others
      * @param slowFound machines that were found slow in this term
      */
-    String line(int awaiting, Planner planner, int slowFound, Rentals rentals) {
+    String line(int awaiting, PlacementPlanner planner, int slowFound, ProvisioningRequests rentals) {
         return "jobs=" + ledgers.jobs().size()
                 + " awaiting=" + awaiting
                 + " waiting=" + waiting
--- a/src/main/java/io/micatide/scheduler/Blocked.java
+++ b/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
@@ -10,29 +10,29 @@
  * What was found not to fit during one plan, so that jobs that ask for the same are not looked at again until it could matter. Room only
  * shrinks while a plan places; where it grows, all of this is forgotten.
  */
-final class Blocked {
+final class UnschedulableClasses {
     /**
      * Gangs for which the same room counts.
      *
      * @param priority null where nothing is displaced: then the team does not matter either
      * @param team null likewise
      */
-    private record GangShape(JobShape shape, Priority priority, String team) {
+    private record GangShape(EquivalenceClass shape, Priority priority, String team) {
         static GangShape of(Job job, boolean preempts) {
-            JobShape shape = JobShape.of(job.spec);
+            EquivalenceClass shape = EquivalenceClass.of(job.spec);
             return preempts ? new GangShape(shape, job.priority(), job.spec.team()) : new GangShape(shape, null, null);
         }
     }
 
     /** Arrays that may displace the same work. */
-    private record Displacer(JobShape shape, Priority priority, String team, boolean guaranteed) {
+    private record Displacer(EquivalenceClass shape, Priority priority, String team, boolean guaranteed) {
         static Displacer of(JobQueue.Queued queued) {
             Job job = queued.job();
-            return new Displacer(JobShape.of(job.spec), job.priority(), job.spec.team(), queued.guaranteed());
+            return new Displacer(EquivalenceClass.of(job.spec), job.priority(), job.spec.team(), queued.guaranteed());
         }
     }
 
-    private final Set<JobShape> full = new HashSet<>();
+    private final Set<EquivalenceClass> full = new HashSet<>();
     private final Set<Displacer> findNothing = new HashSet<>();
     private final Map<GangShape, Map<String, Long>> roomPerZone = new HashMap<>();
 
@@ -54,11 +54,11 @@
     }
 
     /** No machine that arrays of this shape may use has free room for a task. */
-    void full(JobShape shape) {
+    void full(EquivalenceClass shape) {
         full.add(shape);
     }
 
-    boolean isFull(JobShape shape) {
+    boolean isFull(EquivalenceClass shape) {
         return full.contains(shape);
     }
 
--- a/src/main/java/io/micatide/simulation/KeptReports.java
+++ b/src/main/java/io/micatide/simulation/DelayedHeartbeats.java
@@ -12,7 +12,7 @@
 import java.util.function.LongSupplier;
 
 /** Copies of workers' reports that are held back until another controller leads. Times in microseconds. */
-final class KeptReports {
+final class DelayedHeartbeats {
     private static final long LOOK_MICROS = 5 * Micros.MILLISECOND;
     private static final int AGAIN_MILLIS = 500;
 
@@ -30,7 +30,7 @@
      * @param controllers how each of {@code count} is reached
      * @param log is told when the copies arrive
      */
-    KeptReports(
+    DelayedHeartbeats(
             VirtualTime time,
             Random random,
             LongSupplier token,
--- a/src/main/java/io/micatide/simulation/TakeOverMeasure.java
+++ b/src/main/java/io/micatide/simulation/FailoverBenchmark.java
@@ -7,7 +7,7 @@
 import io.micatide.model.Settings;
 import io.micatide.model.Team;
 import io.micatide.model.Tuning;
-import io.micatide.scheduler.TakeOverTimes;
+import io.micatide.scheduler.FailoverTimings;
 import io.micatide.store.StoreKeys;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -21,10 +21,10 @@
  * How long a take-over takes, phase by phase, in virtual time with so many machines: the leader is killed, or ended in order, again and
  * again. Virtual processes take no time to compute, so these are the times of messages, leases and reports; what the actors took of this
  * machine's processor is told beside, and what users see in each second: polls of open jobs and submissions through those controllers that
- * a load balancer takes for healthy. Not a test: run it as {@code java -cp target/micatide.jar io.micatide.simulation.TakeOverMeasure
+ * a load balancer takes for healthy. Not a test: run it as {@code java -cp target/micatide.jar io.micatide.simulation.FailoverBenchmark
  * on|off TAKEOVERS MACHINES...}, with {@code off} for controllers without a standby.
  */
-public final class TakeOverMeasure implements Deployment.Plan {
+public final class FailoverBenchmark implements SimulatedCluster.Plan {
     private static final int CONTROLLERS = 5;
     private static final int CPUS = 8;
     private static final int TASKS = 100;
@@ -43,7 +43,7 @@
     private final int machines;
     private final boolean standby;
     private final int[] tasks = new int[1];
-    private final Deployment deployment;
+    private final SimulatedCluster deployment;
     private final Random random = new Random(7);
     private final Histogram[] latencies = new Histogram[SEEN_TO_S - SEEN_FROM_S];
     private final int[] asked = new int[latencies.length];
@@ -52,17 +52,17 @@
     private double longestMillis;
     private final Map<String, Histogram> phases = new LinkedHashMap<>();
 
-    private TakeOverMeasure(int machines, boolean standby) {
+    private FailoverBenchmark(int machines, boolean standby) {
         this.machines = machines;
         this.standby = standby;
-        this.deployment = new Deployment(
+        this.deployment = new SimulatedCluster(
                 new Random(machines),
                 CONTROLLERS,
                 this,
                 List.of(TYPE),
                 machines,
-                new StateStandIn.Limits(300, 120, 16 * 1024, 16),
-                new WorkerStandIn.Witness() {
+                new SimulatedStore.Limits(300, 120, 16 * 1024, 16),
+                new SimulatedWorker.Witness() {
                     @Override
                     public void started(String task, long attempt, String machine) {
                         tasks[0]++;
@@ -137,7 +137,7 @@
         for (int i = 2; i < args.length; i++) {
             int machines = Integer.parseInt(args[i]);
             for (boolean orderly : new boolean[] {false, true}) {
-                new TakeOverMeasure(machines, standby).run(times, orderly);
+                new FailoverBenchmark(machines, standby).run(times, orderly);
             }
         }
     }
@@ -249,7 +249,7 @@
         } else {
             deployment.kill(former, 4);
         }
-        TakeOverTimes times = null;
+        FailoverTimings times = null;
         long claimed = -1;
         while (deployment.time.now() - began < WATCH_S * Micros.SECOND) {
             deployment.time.run(STEP_MICROS);
@@ -275,7 +275,7 @@
     }
 
     private long stamp() {
-        StateStandIn.Value row = deployment.state.values().get(StoreKeys.LEADER);
+        SimulatedStore.Value row = deployment.state.values().get(StoreKeys.LEADER);
         return row == null ? 0 : row.stamp();
     }
 
--- a/src/main/java/io/micatide/simulation/Gangs.java
+++ b/src/main/java/io/micatide/simulation/GangRendezvous.java
@@ -1,6 +1,6 @@
 package io.micatide.simulation;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.model.ExitCause;
 import io.micatide.model.Settings;
 import java.util.HashMap;
@@ -11,28 +11,28 @@
 import java.util.Set;
 
 /** How the tasks of gangs find one another: by attempt, wherever they are. What they saved is not kept over attempts. */
-public final class Gangs {
-    private final Loop loop;
+public final class GangRendezvous {
+    private final ActorExecutor loop;
     private final Settings settings;
-    private final Map<String, Map<WorkerStandIn.Task, WorkerStandIn>> present = new HashMap<>();
+    private final Map<String, Map<SimulatedWorker.Task, SimulatedWorker>> present = new HashMap<>();
     /** Attempts that lost a task or were stopped: they make no more progress, and never complete. */
     private final Set<String> broken = new HashSet<>();
 
-    public Gangs(Loop loop, Settings settings) {
+    public GangRendezvous(ActorExecutor loop, Settings settings) {
         this.loop = loop;
         this.settings = settings;
     }
 
-    private static String attempt(WorkerStandIn.Task task) {
+    private static String attempt(SimulatedWorker.Task task) {
         return task.job + "@" + task.attempt;
     }
 
-    boolean broken(WorkerStandIn.Task task) {
+    boolean broken(SimulatedWorker.Task task) {
         return broken.contains(attempt(task));
     }
 
-    void arrived(WorkerStandIn worker, WorkerStandIn.Task task) {
-        Map<WorkerStandIn.Task, WorkerStandIn> peers =
+    void arrived(SimulatedWorker worker, SimulatedWorker.Task task) {
+        Map<SimulatedWorker.Task, SimulatedWorker> peers =
                 present.computeIfAbsent(attempt(task), k -> new LinkedHashMap<>());
         peers.put(task, worker);
         if (peers.size() == task.spec.tasks()) {
@@ -49,14 +49,14 @@
     }
 
     /** All complete together; the others of a running gang that lost a task end soon after. */
-    void left(WorkerStandIn.Task task, ExitCause cause) {
+    void left(SimulatedWorker.Task task, ExitCause cause) {
         // Nobody of an attempt has arrived if its first task is stopped while it fetches.
-        Map<WorkerStandIn.Task, WorkerStandIn> peers = present.get(attempt(task));
+        Map<SimulatedWorker.Task, SimulatedWorker> peers = present.get(attempt(task));
         boolean ran = task.state == io.micatide.model.TaskState.RUNNING;
         if (peers == null || peers.remove(task) == null || !ran) {
             return;
         }
-        List<Map.Entry<WorkerStandIn.Task, WorkerStandIn>> others = List.copyOf(peers.entrySet());
+        List<Map.Entry<SimulatedWorker.Task, SimulatedWorker>> others = List.copyOf(peers.entrySet());
         if (cause == ExitCause.DONE) {
             others.forEach(each -> each.getValue().exit(each.getKey(), ExitCause.DONE));
         } else {
--- a/src/main/java/io/micatide/simulation/RuleChecker.java
+++ b/src/main/java/io/micatide/simulation/InvariantChecker.java
@@ -22,7 +22,7 @@
  * Holds what workers did and what users were told against the protocol's rules. Knows nothing of the service: whatever serves can be
  * checked. A task is counted from its start to its end as its machine sees it. Times in microseconds.
  */
-public final class RuleChecker implements WorkerStandIn.Witness {
+public final class InvariantChecker implements SimulatedWorker.Witness {
     /** What a user has been told of a job, in the order in which nothing may follow that is further left. */
     private enum Told {
         NOTHING,
@@ -73,7 +73,7 @@
     private record Run(String machine, long attempt) {}
 
     /** What holds a part of a machine: fetching, waiting, running, stopping; hung and cut off as well. */
-    private record Held(JobSpec spec, CloudStandIn.Rented machine) {}
+    private record Held(JobSpec spec, SimulatedCloud.Rented machine) {}
 
     private final LongSupplier clock;
     private final long cancelMicros;
@@ -95,15 +95,15 @@
 
     private final Map<String, Resources> taken = new HashMap<>();
     private final Map<String, Resources> used = new HashMap<>();
-    private Supplier<Collection<CloudStandIn.Rented>> machines = List::of;
+    private Supplier<Collection<SimulatedCloud.Rented>> machines = List::of;
 
     /** @param cancelMicros how long tasks of a cancelled job may be on machines */
-    public RuleChecker(VirtualTime time, long cancelMicros) {
+    public InvariantChecker(VirtualTime time, long cancelMicros) {
         this(time::now, cancelMicros, Map.of());
     }
 
     /** @param teams the limits that are held, by name */
-    public RuleChecker(VirtualTime time, long cancelMicros, Map<String, Team> teams) {
+    public InvariantChecker(VirtualTime time, long cancelMicros, Map<String, Team> teams) {
         this(time::now, cancelMicros, teams);
     }
 
@@ -111,14 +111,14 @@
      * @param clock steady, in microseconds; never before the first thing that is told of
      * @param teams the limits that are held, by name
      */
-    public RuleChecker(LongSupplier clock, long cancelMicros, Map<String, Team> teams) {
+    public InvariantChecker(LongSupplier clock, long cancelMicros, Map<String, Team> teams) {
         this.clock = clock;
         this.cancelMicros = cancelMicros;
         this.teams = teams;
     }
 
     /** Which machines are up: who waits beside room on one of them once all troubles are over? */
-    public void machines(Supplier<Collection<CloudStandIn.Rented>> up) {
+    public void machines(Supplier<Collection<SimulatedCloud.Rented>> up) {
         machines = up;
     }
 
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public void taken(JobSpec spec, String task, long attempt, CloudStandIn.Rented machine) {
+    public void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {
         if (held.put(key(task, attempt, machine.name()), new Held(spec, machine)) != null) {
             return;
         }
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void released(String task, long attempt, CloudStandIn.Rented machine) {
+    public void released(String task, long attempt, SimulatedCloud.Rented machine) {
         Held gone = held.remove(key(task, attempt, machine.name()));
         if (gone != null) {
             Resources freed = Resources.NONE.minus(gone.spec().each());
@@ -200,7 +200,7 @@
             return;
         }
         JobSpec spec = mine.spec();
-        CloudStandIn.Rented there = mine.machine();
+        SimulatedCloud.Rented there = mine.machine();
         if (!spec.allowsMachine(there.type().name(), there.zone(), there.spot())) {
             broke(
                     "wrong_place",
--- a/src/main/java/io/micatide/simulation/LocalService.java
+++ b/src/main/java/io/micatide/simulation/LocalDeployment.java
@@ -1,7 +1,7 @@
 package io.micatide.simulation;
 
-import io.micatide.controller.NettyLoop;
-import io.micatide.controller.Node;
+import io.micatide.controller.ControllerServer;
+import io.micatide.controller.NettyActorExecutor;
 import io.micatide.model.ExitCause;
 import io.micatide.model.JobSpec;
 import io.micatide.model.MachineType;
@@ -13,7 +13,7 @@
 import io.micatide.net.Http;
 import io.micatide.net.HttpClient;
 import io.micatide.net.HttpServer;
-import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.CloudSideCodec;
 import io.micatide.protocol.MalformedException;
 import io.micatide.store.StoreKeys;
 import io.netty.channel.EventLoop;
@@ -34,14 +34,14 @@
  * A whole deployment in one process on loopback: controllers that run the ordinary code over sockets, and stand-ins of the state
  * service, the cloud and the workers. For trying micatide out, and for tests over real sockets. Nothing is kept when it ends.
  */
-public final class LocalService implements AutoCloseable {
+public final class LocalDeployment implements AutoCloseable {
     /** The team to submit for; it has no limit but what the machines hold. */
     public static final String TEAM = "demo";
 
     private static final MachineType TYPE =
             new MachineType("small", Resources.of(8, 0, 32), 50, 2, 0.5, 0.2, Micros.SECOND, List.of("a", "b"));
     private static final int MACHINES = 8;
-    private static final StateStandIn.Limits LIMITS = new StateStandIn.Limits(400, 200, 16 * 1024, 16);
+    private static final SimulatedStore.Limits LIMITS = new SimulatedStore.Limits(400, 200, 16 * 1024, 16);
     private static final int MOST_CONNECTIONS = 1_000;
     private static final int CONNECTIONS_A_WORKER = 1;
     private static final int FIRST_PORT = 20_000;
@@ -50,15 +50,15 @@
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final NettyLoop time = new NettyLoop(loop);
-    private final StateStandIn state;
-    private final CloudStandIn cloud;
-    private final Gangs gangs;
-    private final Map<String, WorkerStandIn> workers = new HashMap<>();
+    private final NettyActorExecutor time = new NettyActorExecutor(loop);
+    private final SimulatedStore state;
+    private final SimulatedCloud cloud;
+    private final GangRendezvous gangs;
+    private final Map<String, SimulatedWorker> workers = new HashMap<>();
     private final List<Settings> settings = new ArrayList<>();
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<ControllerServer> nodes = new ArrayList<>();
     private final Tuning tuning;
-    private final WorkerStandIn.Witness witness;
+    private final SimulatedWorker.Witness witness;
 
     /**
      * Binds all of it; controllers serve soon after.
@@ -67,11 +67,11 @@
      * @param witness is told what happens to tasks, on another thread than the caller's
      * @throws IOException a port cannot be had
      */
-    public LocalService(int controllers, int port, boolean description, WorkerStandIn.Witness witness)
+    public LocalDeployment(int controllers, int port, boolean description, SimulatedWorker.Witness witness)
             throws IOException, InterruptedException {
         this.witness = witness;
-        state = new StateStandIn(time, LIMITS);
-        cloud = new CloudStandIn(time, List.of(TYPE), MACHINES, this::up, this::gone);
+        state = new SimulatedStore(time, LIMITS);
+        cloud = new SimulatedCloud(time, List.of(TYPE), MACHINES, this::up, this::gone);
         int statePort = free(0);
         int cloudPort = free(0);
         new HttpServer(state::handle, MOST_CONNECTIONS)
@@ -89,7 +89,7 @@
         for (int i = 0; i < controllers; i++) {
             settings.add(settings(i, users, peers, statePort, cloudPort));
         }
-        gangs = new Gangs(time, settings.get(0));
+        gangs = new GangRendezvous(time, settings.get(0));
         Tuning defaults = Tuning.defaults(settings.get(0));
         tuning = new Tuning(
                 defaults.leaderLeaseMicros(),
@@ -100,15 +100,15 @@
                 description,
                 true);
         for (int i = 0; i < controllers; i++) {
-            nodes.add(new Node(settings.get(i), tuning));
+            nodes.add(new ControllerServer(settings.get(i), tuning));
             nodes.get(i).start();
         }
     }
 
     /** One that nobody watches. */
-    public static LocalService start(int controllers, int port, boolean description)
+    public static LocalDeployment start(int controllers, int port, boolean description)
             throws IOException, InterruptedException {
-        return new LocalService(controllers, port, description, new WorkerStandIn.Witness() {
+        return new LocalDeployment(controllers, port, description, new SimulatedWorker.Witness() {
             @Override
             public void started(String task, long attempt, String machine) {
                 // Nobody counts.
@@ -188,22 +188,22 @@
     public void restart(int number) throws InterruptedException {
         nodes.get(number).close();
         nodes.get(number).join();
-        nodes.set(number, new Node(settings.get(number), tuning));
+        nodes.set(number, new ControllerServer(settings.get(number), tuning));
         nodes.get(number).start();
     }
 
-    private void up(CloudStandIn.Rented machine) {
+    private void up(SimulatedCloud.Rented machine) {
         Map<String, Http> controllers = new LinkedHashMap<>();
         settings.forEach(
                 each -> controllers.put(each.label(), new HttpClient(loop, each.bind(), CONNECTIONS_A_WORKER)));
-        WorkerStandIn worker =
-                new WorkerStandIn(time, settings.get(0), machine, controllers, this::described, gangs, witness);
+        SimulatedWorker worker =
+                new SimulatedWorker(time, settings.get(0), machine, controllers, this::described, gangs, witness);
         workers.put(machine.name(), worker);
         worker.start();
     }
 
     private void gone(String machine) {
-        WorkerStandIn worker = workers.remove(machine);
+        SimulatedWorker worker = workers.remove(machine);
         if (worker != null) {
             worker.delete();
         }
@@ -211,9 +211,9 @@
 
     /** Users upload descriptions beside the protocol; here the row that a controller stored is one. */
     private JobSpec described(String id) {
-        StateStandIn.Value row = state.values().get(StoreKeys.job(id));
+        SimulatedStore.Value row = state.values().get(StoreKeys.job(id));
         try {
-            return row == null ? null : CloudSide.described(row.json());
+            return row == null ? null : CloudSideCodec.described(row.json());
         } catch (MalformedException e) {
             throw new IllegalStateException(e.getMessage(), e);
         }
@@ -221,7 +221,7 @@
 
     @Override
     public void close() {
-        nodes.forEach(Node::close);
+        nodes.forEach(ControllerServer::close);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/src/main/java/io/micatide/simulation/RefusedHttp.java
+++ b/src/main/java/io/micatide/simulation/RefusingHttp.java
@@ -1,6 +1,6 @@
 package io.micatide.simulation;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.model.Micros;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
@@ -9,15 +9,15 @@
 import java.util.function.Consumer;
 
 /** The way of one controller to the state service, which may refuse it alone: 503 at once, nothing is carried out. */
-final class RefusedHttp implements Http {
+final class RefusingHttp implements Http {
     private static final long ANSWER_MICROS = 2 * Micros.MILLISECOND;
     private static final Reply REFUSED = new Reply(503, "{\"error\":\"away\"}".getBytes(StandardCharsets.UTF_8), true);
 
     private final Http http;
     private final BooleanSupplier refused;
-    private final Loop process;
+    private final ActorExecutor process;
 
-    RefusedHttp(Http http, BooleanSupplier refused, Loop process) {
+    RefusingHttp(Http http, BooleanSupplier refused, ActorExecutor process) {
         this.http = http;
         this.refused = refused;
         this.process = process;
--- a/src/main/java/io/micatide/simulation/CloudStandIn.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCloud.java
@@ -1,12 +1,12 @@
 package io.micatide.simulation;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.model.CloudCall;
 import io.micatide.model.ListedMachine;
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
 import io.micatide.net.Request;
-import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.CloudSideCodec;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
 import java.nio.charset.StandardCharsets;
@@ -21,13 +21,13 @@
 import java.util.function.LongSupplier;
 
 /** The cloud: rents machines that boot in their type's time, as many as there are. Used from its loop only. */
-public final class CloudStandIn {
+public final class SimulatedCloud {
     /** A rented machine. */
     public record Rented(String name, MachineType type, String zone, boolean spot, long sinceMicros) {}
 
     private static final long MEMORY_MICROS = 60 * Micros.SECOND;
 
-    private final Loop loop;
+    private final ActorExecutor loop;
     private final List<MachineType> types;
     private int most;
     private final Consumer<Rented> up;
@@ -47,7 +47,8 @@
      * @param up called when a machine has booted
      * @param gone called when a machine is deleted, with its name
      */
-    public CloudStandIn(Loop loop, List<MachineType> types, int most, Consumer<Rented> up, Consumer<String> gone) {
+    public SimulatedCloud(
+            ActorExecutor loop, List<MachineType> types, int most, Consumer<Rented> up, Consumer<String> gone) {
         this.loop = loop;
         this.types = types;
         this.most = most;
@@ -89,11 +90,11 @@
         }
         try {
             if (request.path().equals("/machine_types")) {
-                request.answer(200, CloudSide.types(types));
+                request.answer(200, CloudSideCodec.types(types));
             } else if (request.path().equals("/machines") && request.method().equals("POST")) {
-                rent(request, CloudSide.rent(request.body()));
+                rent(request, CloudSideCodec.rent(request.body()));
             } else if (request.path().equals("/machines/delete")) {
-                CloudSide.delete(request.body()).machines().forEach(this::delete);
+                CloudSideCodec.delete(request.body()).machines().forEach(this::delete);
                 request.answer(200, "{}".getBytes(StandardCharsets.UTF_8));
             } else {
                 list(request);
@@ -121,7 +122,7 @@
             }
             bookings.put(rent.booking(), names);
         }
-        request.answer(200, CloudSide.rented(names));
+        request.answer(200, CloudSideCodec.rented(names));
     }
 
     /**
@@ -174,7 +175,7 @@
                         .filter(machine -> machine.name().compareTo(from) > 0)
                         .limit(500)
                         .toList();
-        request.answer(200, CloudSide.list(listed, listed.size() == 500));
+        request.answer(200, CloudSideCodec.list(listed, listed.size() == 500));
     }
 
     private List<ListedMachine> listed() {
--- a/src/main/java/io/micatide/simulation/Deployment.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCluster.java
@@ -1,6 +1,6 @@
 package io.micatide.simulation;
 
-import io.micatide.archive.Archivist;
+import io.micatide.archive.Archiver;
 import io.micatide.controller.Controller;
 import io.micatide.model.JobSpec;
 import io.micatide.model.MachineType;
@@ -8,13 +8,13 @@
 import io.micatide.model.Settings;
 import io.micatide.model.Tuning;
 import io.micatide.net.Http;
-import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.CloudSideCodec;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.rollout.Abilities;
-import io.micatide.standby.Copy;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.rollout.Capabilities;
+import io.micatide.standby.KeyspaceReplica;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -34,7 +34,7 @@
  * controllers. Controller i listens as {@code c<i>}, to siblings as {@code p<i>}; settings have to name them so, and the services
  * {@code state} and {@code cloud}. Times in seconds where the name does not say otherwise.
  */
-public final class Deployment {
+public final class SimulatedCluster {
     /** What an orderly end may take before the process is gone all the same. */
     private static final long END_MICROS = 2 * Micros.SECOND;
 
@@ -45,13 +45,13 @@
         Tuning tuning(int controller);
 
         /** The copy that its standby keeps of a prefix. */
-        default Copy copy(String prefix, long mostBytes) {
-            return new Copy(prefix, mostBytes);
+        default KeyspaceReplica copy(String prefix, long mostBytes) {
+            return new KeyspaceReplica(prefix, mostBytes);
         }
 
         /** What its version can do. */
-        default Abilities abilities(int controller) {
-            return Abilities.ALL;
+        default Capabilities abilities(int controller) {
+            return Capabilities.ALL;
         }
 
         /** How long a task runs. */
@@ -70,49 +70,49 @@
 
     public final VirtualTime time = new VirtualTime();
     public final VirtualNetwork network;
-    public final StateStandIn state;
+    public final SimulatedStore state;
     public final VirtualTime.Process user = time.new Process();
     private final VirtualTime.Process world = time.new Process();
     private final Plan plan;
     private final int count;
-    private final WorkerStandIn.Witness witness;
+    private final SimulatedWorker.Witness witness;
     private final List<VirtualTime.Process> processes = new ArrayList<>();
     private final List<Controller> controllers = new ArrayList<>();
-    private final Map<String, WorkerStandIn> workers = new HashMap<>();
+    private final Map<String, SimulatedWorker> workers = new HashMap<>();
     private final Map<String, byte[]> described = new HashMap<>();
     private final List<String> log = new ArrayList<>();
-    private final Gangs gangs;
+    private final GangRendezvous gangs;
     private final List<VirtualNetwork.Cut> cuts = new ArrayList<>();
     /** How many refusals are in force for each controller. */
     private final Map<Integer, Integer> refused = new HashMap<>();
 
     private final Map<VirtualTime.Process, String> machineOf = new HashMap<>();
     private final Random random;
-    private final CloudStandIn cloud;
+    private final SimulatedCloud cloud;
     /** Machines that are up. */
-    private final Map<String, CloudStandIn.Rented> up = new LinkedHashMap<>();
+    private final Map<String, SimulatedCloud.Rented> up = new LinkedHashMap<>();
 
-    private final KeptReports kept;
+    private final DelayedHeartbeats kept;
 
     /** @param machines how many the cloud has */
-    public Deployment(
+    public SimulatedCluster(
             Random random,
             int controllers,
             Plan plan,
             List<MachineType> types,
             int machines,
-            StateStandIn.Limits limits,
-            WorkerStandIn.Witness witness) {
+            SimulatedStore.Limits limits,
+            SimulatedWorker.Witness witness) {
         this.plan = plan;
         this.count = controllers;
         this.random = random;
         this.network = new VirtualNetwork(time, random);
-        this.state = new StateStandIn(world, limits);
-        this.kept = new KeptReports(
+        this.state = new SimulatedStore(world, limits);
+        this.kept = new DelayedHeartbeats(
                 time, random, this::token, number -> network.from(world, "c" + number), controllers, this::note);
-        this.gangs = new Gangs(world, plan.settings(0));
+        this.gangs = new GangRendezvous(world, plan.settings(0));
         this.witness = witness;
-        this.cloud = new CloudStandIn(world, types, machines, this::up, name -> {
+        this.cloud = new SimulatedCloud(world, types, machines, this::up, name -> {
             if (workers.containsKey(name)) {
                 up.remove(name);
                 workers.remove(name).delete();
@@ -142,7 +142,7 @@
                 plan.tuning(number),
                 process,
                 (endpoint, most) -> plan.reaches(number, endpoint, refusing(number, endpoint, process)),
-                Archivist::new,
+                Archiver::new,
                 plan::copy,
                 plan.abilities(number));
         controllers.set(number, controller);
@@ -176,15 +176,15 @@
     }
 
     /** Machines that are up. */
-    public Collection<CloudStandIn.Rented> up() {
+    public Collection<SimulatedCloud.Rented> up() {
         return up.values();
     }
 
     /** Machines are gone from one moment to the next, with all that is on them. */
-    public void takeAway(Predicate<CloudStandIn.Rented> which) {
+    public void takeAway(Predicate<SimulatedCloud.Rented> which) {
         List<String> names = up.values().stream()
                 .filter(which)
-                .map(CloudStandIn.Rented::name)
+                .map(SimulatedCloud.Rented::name)
                 .toList();
         note("taken away " + names);
         names.forEach(cloud::delete);
@@ -207,13 +207,13 @@
 
     /** Label of the controller that holds the leader row, or "". */
     public String owner() {
-        StateStandIn.Value row = state.values().get(StoreKeys.LEADER);
-        return row == null ? "" : ((Row.Leader) row(StoreKeys.LEADER, row)).owner();
+        SimulatedStore.Value row = state.values().get(StoreKeys.LEADER);
+        return row == null ? "" : ((StoredRecord.Leader) row(StoreKeys.LEADER, row)).owner();
     }
 
     /** Token of that row, 0 if there is none. */
     public long token() {
-        StateStandIn.Value row = state.values().get(StoreKeys.LEADER);
+        SimulatedStore.Value row = state.values().get(StoreKeys.LEADER);
         return row == null ? 0 : row.stamp();
     }
 
@@ -224,9 +224,9 @@
     }
 
     /** A stored value as the service reads it. */
-    public static Row row(String key, StateStandIn.Value value) {
+    public static StoredRecord row(String key, SimulatedStore.Value value) {
         try {
-            return StateCodec.item(("{\"k\":\"" + key + "\",\"stamp\":" + value.stamp() + ",\"data\":"
+            return StoreCodec.item(("{\"k\":\"" + key + "\",\"stamp\":" + value.stamp() + ",\"data\":"
                                     + new String(value.json(), StandardCharsets.UTF_8) + "}")
                             .getBytes(StandardCharsets.UTF_8))
                     .row();
@@ -315,7 +315,7 @@
     private Http refusing(int number, String endpoint, VirtualTime.Process process) {
         Http http = network.from(process, endpoint);
         return endpoint.equals("state")
-                ? new RefusedHttp(http, () -> refused.getOrDefault(number, 0) > 0, process)
+                ? new RefusingHttp(http, () -> refused.getOrDefault(number, 0) > 0, process)
                 : http;
     }
 
@@ -469,14 +469,15 @@
 
     // ---- workers
 
-    private void up(CloudStandIn.Rented machine) {
+    private void up(SimulatedCloud.Rented machine) {
         VirtualTime.Process process = time.new Process();
         Map<String, Http> known = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
             known.put("c" + i, kept.through(network.from(process, "c" + i), machine.name()));
         }
         machineOf.put(process, machine.name());
-        WorkerStandIn worker = new WorkerStandIn(process, plan.settings(0), machine, known, this::spec, gangs, witness);
+        SimulatedWorker worker =
+                new SimulatedWorker(process, plan.settings(0), machine, known, this::spec, gangs, witness);
         network.listen(machine.name() + ":9000", process, worker::handle);
         workers.put(machine.name(), worker);
         up.put(machine.name(), machine);
@@ -489,7 +490,7 @@
         try {
             return body == null
                     ? null
-                    : CloudSide.described(("{\"spec\":" + new String(body, StandardCharsets.UTF_8) + "}")
+                    : CloudSideCodec.described(("{\"spec\":" + new String(body, StandardCharsets.UTF_8) + "}")
                             .getBytes(StandardCharsets.UTF_8));
         } catch (MalformedException e) {
             throw new IllegalStateException(id, e);
--- a/src/main/java/io/micatide/simulation/StateStandIn.java
+++ b/src/main/java/io/micatide/simulation/SimulatedStore.java
@@ -1,9 +1,9 @@
 package io.micatide.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.model.Micros;
-import io.micatide.net.Pacer;
+import io.micatide.net.RateLimiter;
 import io.micatide.net.Request;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
@@ -21,7 +21,7 @@
 import java.util.function.LongConsumer;
 
 /** The state service: a consistent store with leases, conditions, watches and its limits. Used from its loop only. */
-public final class StateStandIn {
+public final class SimulatedStore {
     /** What the service allows; rates a second. */
     public record Limits(double requests, double changes, int valueBytes, int transactionChanges) {}
 
@@ -50,14 +50,14 @@
     private static final int CONDITIONS_A_CHANGE = 4;
     private static final int MOST_KEY = 200;
 
-    private final Loop loop;
+    private final ActorExecutor loop;
     private final TreeMap<String, Value> values = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
     private final Deque<Event> events = new ArrayDeque<>();
     private final List<Watch> watches = new ArrayList<>();
     private Limits limits;
-    private Pacer requests;
-    private Pacer changes;
+    private RateLimiter requests;
+    private RateLimiter changes;
     private long revision = 1;
     private long forgottenTo = 1;
     private long lastLease;
@@ -67,7 +67,7 @@
     private LongConsumer witness = revision -> {};
     private Consumer<JsonNode> transactions = body -> {};
 
-    public StateStandIn(Loop loop, Limits limits) {
+    public SimulatedStore(ActorExecutor loop, Limits limits) {
         this.loop = loop;
         limits(limits);
     }
@@ -75,8 +75,8 @@
     /** The limits from now on. */
     public final void limits(Limits now) {
         limits = now;
-        requests = new Pacer(now.requests(), now.requests(), loop.now());
-        changes = new Pacer(now.changes(), now.changes(), loop.now());
+        requests = new RateLimiter(now.requests(), now.requests(), loop.now());
+        changes = new RateLimiter(now.changes(), now.changes(), loop.now());
     }
 
     /** An outage begins or ends; all leases have their full time again after it. */
--- a/src/main/java/io/micatide/simulation/WorkerStandIn.java
+++ b/src/main/java/io/micatide/simulation/SimulatedWorker.java
@@ -1,21 +1,21 @@
 package io.micatide.simulation;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.model.Command;
 import io.micatide.model.ExitCause;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
-import io.micatide.model.MachineReport;
 import io.micatide.model.Micros;
 import io.micatide.model.Resources;
 import io.micatide.model.Settings;
-import io.micatide.model.TaskReport;
 import io.micatide.model.TaskState;
+import io.micatide.model.TaskStatus;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.WorkerSide;
+import io.micatide.protocol.WorkerSideCodec;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -23,7 +23,7 @@
 import java.util.function.Function;
 
 /** A worker: reports to a controller, runs what it is told, and kills all of it when nobody answers for its lease. */
-public final class WorkerStandIn {
+public final class SimulatedWorker {
     /** What happens to tasks, for whoever counts. */
     public interface Witness {
         /** A task is on its machine from now on. */
@@ -33,13 +33,13 @@
         void over(String task, long attempt, String machine, ExitCause cause);
 
         /** A start was taken: from now on the task holds its part of the machine, also while its image is fetched. */
-        default void taken(JobSpec spec, String task, long attempt, CloudStandIn.Rented machine) {}
+        default void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {}
 
         /** It holds nothing any more, whether it ever was on its machine or not. */
-        default void released(String task, long attempt, CloudStandIn.Rented machine) {}
+        default void released(String task, long attempt, SimulatedCloud.Rented machine) {}
 
         /** Nobody answered a machine's reports for its lease: all that was on it is killed. */
-        default void leaseEnded(CloudStandIn.Rented machine) {}
+        default void leaseEnded(SimulatedCloud.Rented machine) {}
     }
 
     /** How long a task runs. */
@@ -52,13 +52,13 @@
     private static final long MINIMUM_GAP_MICROS = 500 * Micros.MILLISECOND;
     private static final long ELSEWHERE_MICROS = Micros.SECOND;
 
-    private final Loop loop;
+    private final ActorExecutor loop;
     private final Settings settings;
-    private final CloudStandIn.Rented machine;
+    private final SimulatedCloud.Rented machine;
     private final Map<String, Http> controllers;
     private final List<String> labels;
     private final Function<String, JobSpec> described;
-    private final Gangs gangs;
+    private final GangRendezvous gangs;
     private final Witness witness;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private long session = 1;
@@ -105,13 +105,13 @@
      * @param controllers by label, in the order in which they are tried
      * @param described the job as its user described it, null if nobody submitted it
      */
-    public WorkerStandIn(
-            Loop loop,
+    public SimulatedWorker(
+            ActorExecutor loop,
             Settings settings,
-            CloudStandIn.Rented machine,
+            SimulatedCloud.Rented machine,
             Map<String, Http> controllers,
             Function<String, JobSpec> described,
-            Gangs gangs,
+            GangRendezvous gangs,
             Witness witness) {
         this.loop = loop;
         this.settings = settings;
@@ -219,15 +219,15 @@
                 .get(labels.get(at))
                 .post(
                         "/v1/report",
-                        WorkerSide.report(newReport()),
+                        WorkerSideCodec.report(newReport()),
                         PATIENCE_MICROS,
                         reply -> answered(reply, sent, ofSession));
     }
 
-    private MachineReport newReport() {
-        List<TaskReport> lines = new ArrayList<>();
+    private Heartbeat newReport() {
+        List<TaskStatus> lines = new ArrayList<>();
         for (Task task : tasks.values()) {
-            lines.add(new TaskReport(
+            lines.add(new TaskStatus(
                     task.job,
                     task.index,
                     task.attempt,
@@ -235,7 +235,7 @@
                     task.cause,
                     task.saved));
         }
-        return new MachineReport(
+        return new Heartbeat(
                 machine.name(),
                 address,
                 machine.type().name(),
@@ -257,7 +257,7 @@
             execute(reply, sent, ofSession);
             return;
         }
-        String other = reply.status() == 421 ? WorkerSide.steward(reply.body()) : null;
+        String other = reply.status() == 421 ? WorkerSideCodec.steward(reply.body()) : null;
         int next = other == null ? -1 : labels.indexOf(other);
         boolean named = next >= 0 && next != at;
         Http left = controllers.get(labels.get(at));
@@ -272,7 +272,7 @@
 
     private void execute(Reply reply, long sent, long ofSession) {
         try {
-            WorkerSide.Answer answer = WorkerSide.answer(reply.body());
+            WorkerSideCodec.Answer answer = WorkerSideCodec.answer(reply.body());
             if (ofSession != session || answer.token() < highestToken) {
                 return;
             }
@@ -294,10 +294,10 @@
             return;
         }
         try {
-            WorkerSide.Answer direct = WorkerSide.answer(request.body());
+            WorkerSideCodec.Answer direct = WorkerSideCodec.answer(request.body());
             boolean executed = request.path().equals("/commands")
                     && direct.token() >= highestToken
-                    && WorkerSide.session(request.body()) == session;
+                    && WorkerSideCodec.session(request.body()) == session;
             if (executed) {
                 if (direct.token() > highestToken) {
                     highestToken = direct.token();
@@ -305,7 +305,7 @@
                 }
                 direct.commands().forEach(this::execute);
             }
-            request.answer(executed ? 200 : 409, WorkerSide.report(newReport()));
+            request.answer(executed ? 200 : 409, WorkerSideCodec.report(newReport()));
         } catch (MalformedException e) {
             request.answer(400, new byte[0]);
         }
