--- a/src/main/java/io/micatide/simulation/StartMeasure.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -1,9 +1,9 @@
 package io.micatide.simulation;
 
-import io.micatide.archive.Archivist;
-import io.micatide.archive.DamagedException;
-import io.micatide.archive.Segments;
-import io.micatide.controller.NettyLoop;
+import io.micatide.archive.Archiver;
+import io.micatide.archive.DamagedSegmentException;
+import io.micatide.archive.SegmentCodec;
+import io.micatide.controller.NettyActorExecutor;
 import io.micatide.model.JobState;
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
@@ -11,10 +11,10 @@
 import io.micatide.net.HttpServer;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.store.JobOutcome;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -39,8 +39,8 @@
  * How long a controller takes to start, what it reads and what it holds, with so many finished jobs in rows or in the archive. A real
  * process with the flags that are given, on one core, against a state service on loopback. Not a test: its figures are this machine's.
  */
-public final class StartMeasure {
-    private static final StateStandIn.Limits LIMITS = new StateStandIn.Limits(80, 30, 16 * 1024, 16);
+public final class StartupBenchmark {
+    private static final SimulatedStore.Limits LIMITS = new SimulatedStore.Limits(80, 30, 16 * 1024, 16);
     private static final MachineType TYPE =
             new MachineType("g8", Resources.of(8, 0, 64), 25, 0.3, 0.5, 0.2, 30 * Micros.SECOND, List.of("a"));
     private static final int PATIENCE_S = 60;
@@ -50,7 +50,7 @@
     private static final int POLLS_S = 5;
     private static final int USERS = 8;
 
-    private StartMeasure() {}
+    private StartupBenchmark() {}
 
     /** @param args the service's command without its settings file, as one word; {@code rows} or {@code archive}; numbers of jobs */
     public static void main(String[] args) throws Exception {
@@ -68,10 +68,10 @@
     private static String measure(List<String> command, boolean archived, int jobs) throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        StateStandIn[] state = new StateStandIn[1];
+        SimulatedStore[] state = new SimulatedStore[1];
         long[] changes = new long[1];
         loop.submit(() -> {
-                    state[0] = new StateStandIn(new NettyLoop(loop), LIMITS);
+                    state[0] = new SimulatedStore(new NettyActorExecutor(loop), LIMITS);
                     changes[0] = fill(state[0], archived, jobs);
                 })
                 .get();
@@ -84,9 +84,10 @@
         new HttpServer(state[0]::handle, 1000)
                 .bind(loop, "127.0.0.1:" + ports[0])
                 .sync();
-        CloudStandIn cloud = new CloudStandIn(new NettyLoop(loop), List.of(TYPE), 0, machine -> {}, name -> {});
+        SimulatedCloud cloud =
+                new SimulatedCloud(new NettyActorExecutor(loop), List.of(TYPE), 0, machine -> {}, name -> {});
         new HttpServer(cloud::handle, 1000).bind(loop, "127.0.0.1:" + ports[1]).sync();
-        loop.submit(() -> state[0].preset(StoreKeys.TYPES, json(new Row.Types(List.of(TYPE)))))
+        loop.submit(() -> state[0].preset(StoreKeys.TYPES, json(new StoredRecord.Types(List.of(TYPE)))))
                 .get();
         List<String> log = new ArrayList<>();
         long[] requests = new long[1];
@@ -114,7 +115,7 @@
                 processes.get(0).destroyForcibly().waitFor();
                 TimeUnit.SECONDS.sleep(10);
                 log.addAll(Files.readAllLines(second.toPath()));
-                takeOver = between(log, "leads with token", "rebuilt");
+                takeOver = between(log, "became leader with fencing token", "rebuilt");
                 second.delete();
             }
         } finally {
@@ -149,32 +150,31 @@
     }
 
     /** Returns the changes that the archive took, without one for each row that goes. */
-    private static long fill(StateStandIn state, boolean archived, int jobs) {
+    private static long fill(SimulatedStore state, boolean archived, int jobs) {
         if (!archived) {
             for (int i = 0; i < jobs; i++) {
                 state.preset(
                         StoreKeys.job(id(i)),
-                        json(new Row.JobRow(
+                        json(new StoredRecord.JobRow(
                                 JobState.DONE, null, 1_790_000_000_000_000L + i, 16, 1_790_000_060_000_000L + i, 0)));
             }
             return 0;
         }
-        Row.History manifest = Archivist.first(17, 4711);
+        StoredRecord.History manifest = Archiver.first(17, 4711);
         long version = 1;
         long changes = 0;
-        Archivist archivist =
-                new Archivist(1, LIMITS.valueBytes(), LIMITS.transactionChanges(), 256, manifest, version);
+        Archiver archivist = new Archiver(1, LIMITS.valueBytes(), LIMITS.transactionChanges(), 256, manifest, version);
         int next = 0;
-        for (Archivist.Step step = archivist.next(LIMITS.transactionChanges());
+        for (Archiver.Step step = archivist.next(LIMITS.transactionChanges());
                 step != null || next < jobs;
                 step = archivist.next(LIMITS.transactionChanges())) {
             if (step == null) {
-                List<Archivist.Ended> some = new ArrayList<>();
+                List<Archiver.Ended> some = new ArrayList<>();
                 for (int end = Math.min(jobs, next + 256); next < end; next++) {
-                    some.add(new Archivist.Ended(id(next), 1, new Outcome(JobState.DONE, false, 16), 0));
+                    some.add(new Archiver.Ended(id(next), 1, new JobOutcome(JobState.DONE, false, 16), 0));
                 }
                 archivist.offer(some, 0, true);
-            } else if (step instanceof Archivist.Write write) {
+            } else if (step instanceof Archiver.Write write) {
                 changes += write.transaction().writes().size();
                 for (Transaction.Write each : write.transaction().writes()) {
                     if (each.row() == null) {
@@ -184,31 +184,31 @@
                     }
                 }
                 archivist.written(++version);
-            } else if (step instanceof Archivist.FindAfter) {
+            } else if (step instanceof Archiver.FindAfter) {
                 archivist.listed(null);
-            } else if (step instanceof Archivist.ReadSegment read) {
+            } else if (step instanceof Archiver.ReadSegment read) {
                 segment(state, archivist, read.key());
             }
         }
-        state.preset(StoreKeys.LAYOUT, json(new Row.Layout(3, 2048)));
+        state.preset(StoreKeys.LAYOUT, json(new StoredRecord.Layout(3, 2048)));
         state.preset(StoreKeys.HISTORY, json(archivist.manifest()));
         return changes;
     }
 
-    private static void segment(StateStandIn state, Archivist archivist, String key) {
+    private static void segment(SimulatedStore state, Archiver archivist, String key) {
         try {
             String value = "{\"k\":\"" + key + "\",\"data\":"
                     + new String(state.values().get(key).json(), StandardCharsets.UTF_8) + ",\"stamp\":1}";
-            archivist.segment(key, Segments.unpack(key, (Row.Segment)
-                    StateCodec.item(value.getBytes(StandardCharsets.UTF_8)).row()));
-        } catch (MalformedException | DamagedException e) {
+            archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.Segment)
+                    StoreCodec.item(value.getBytes(StandardCharsets.UTF_8)).row()));
+        } catch (MalformedException | DamagedSegmentException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static byte[] json(Row row) {
+    private static byte[] json(StoredRecord row) {
         try {
-            return Json.tree(StateCodec.transaction(
+            return Json.tree(StoreCodec.transaction(
                             new Transaction(List.of(), List.of(new Transaction.Write("k", row, 0)))))
                     .path("writes")
                     .get(0)
--- a/src/main/java/io/micatide/simulation/VirtualTime.java
+++ b/src/main/java/io/micatide/simulation/VirtualTime.java
@@ -1,6 +1,6 @@
 package io.micatide.simulation;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import java.util.PriorityQueue;
 
 /** Time that passes only when there is nothing left to do at its present moment; the same events in the same order each time. */
@@ -40,7 +40,7 @@
     }
 
     /** A process: what it still had to do is dropped when it ends. */
-    public final class Process implements Loop {
+    public final class Process implements ActorExecutor {
         private boolean ended;
         private long standsUntil;
         private long busyNanos;
--- a/src/main/java/io/micatide/simulation/package-info.java
+++ b/src/main/java/io/micatide/simulation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins of the state service, the cloud and the workers, written to the published protocol, for rehearsals on one machine: over
- * loopback sockets, or in virtual time where a seed decides every delay and loss. Speak to controllers by the protocol alone; a
- * controller knows nothing of them, and loads nothing of this package.
+ * A simulated cluster: state service, cloud and workers written to the published protocol, over loopback sockets or in virtual time,
+ * where a seed decides every delay, loss and fault. Speaks to controllers by the protocol alone; a controller knows nothing of this
+ * package and loads none of its classes.
  */
 package io.micatide.simulation;
--- a/src/main/java/io/micatide/simulation/scale/CountedHttp.java
+++ b/src/main/java/io/micatide/simulation/scale/CountedHttp.java
@@ -1,6 +1,6 @@
 package io.micatide.simulation.scale;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
 import java.util.function.BooleanSupplier;
@@ -10,7 +10,7 @@
 /** What workers and users ask a controller, counted and timed; a sender that is silent gets no answer. */
 final class CountedHttp implements Http {
     private final Http http;
-    private final Loop loop;
+    private final ActorExecutor loop;
     private final Traffic traffic;
     private final Traffic.Kind kind;
     private final Histogram latency;
@@ -20,7 +20,13 @@
      * @param latency takes the microseconds of each request that was answered with 200
      * @param silent whether the sender reaches nobody now
      */
-    CountedHttp(Http http, Loop loop, Traffic traffic, Traffic.Kind kind, Histogram latency, BooleanSupplier silent) {
+    CountedHttp(
+            Http http,
+            ActorExecutor loop,
+            Traffic traffic,
+            Traffic.Kind kind,
+            Histogram latency,
+            BooleanSupplier silent) {
         this.http = http;
         this.loop = loop;
         this.traffic = traffic;
--- a/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
+++ b/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
@@ -1,15 +1,15 @@
 package io.micatide.simulation.scale;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.model.JobSpec;
 import io.micatide.model.Settings;
 import io.micatide.net.Http;
 import io.micatide.net.HttpClient;
 import io.micatide.net.HttpServer;
 import io.micatide.net.Request;
-import io.micatide.simulation.CloudStandIn;
-import io.micatide.simulation.Gangs;
-import io.micatide.simulation.WorkerStandIn;
+import io.micatide.simulation.GangRendezvous;
+import io.micatide.simulation.SimulatedCloud;
+import io.micatide.simulation.SimulatedWorker;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
@@ -32,16 +32,16 @@
     private static final double SPREAD = 0.5;
 
     private final EventLoop eventLoop;
-    private final Loop loop;
+    private final ActorExecutor loop;
     private final int commandPort;
     private final Settings settings;
     private final List<Settings> controllers;
     private final List<Traffic> traffic;
-    private final Gangs gangs;
+    private final GangRendezvous gangs;
     private final Function<String, JobSpec> described;
-    private final WorkerStandIn.Witness witness;
+    private final SimulatedWorker.Witness witness;
     private final Histogram latency = Traffic.histogram();
-    private final Map<String, WorkerStandIn> workers = new HashMap<>();
+    private final Map<String, SimulatedWorker> workers = new HashMap<>();
     private final Map<String, Channel> listeners = new HashMap<>();
     private String silentZone;
     private int lastAddress;
@@ -49,25 +49,25 @@
     /** @param commandPort where each worker listens for direct commands, at an address of its own */
     HollowWorkers(
             EventLoop eventLoop,
-            Loop loop,
+            ActorExecutor loop,
             int commandPort,
             List<Settings> controllers,
             List<Traffic> traffic,
             Function<String, JobSpec> described,
-            WorkerStandIn.Witness witness) {
+            SimulatedWorker.Witness witness) {
         this.eventLoop = eventLoop;
         this.loop = loop;
         this.commandPort = commandPort;
         this.settings = controllers.get(0);
         this.controllers = controllers;
         this.traffic = traffic;
-        this.gangs = new Gangs(loop, settings);
+        this.gangs = new GangRendezvous(loop, settings);
         this.described = described;
         this.witness = witness;
     }
 
     /** The machine is up; its worker begins to report within a report interval, so that not all do so at once. */
-    void up(CloudStandIn.Rented machine) {
+    void up(SimulatedCloud.Rented machine) {
         Map<String, Http> known = new LinkedHashMap<>();
         for (int i = 0; i < controllers.size(); i++) {
             HttpClient client = new HttpClient(eventLoop, controllers.get(i).bind(), 1);
@@ -81,7 +81,7 @@
                             latency,
                             () -> machine.zone().equals(silentZone)));
         }
-        WorkerStandIn worker = new WorkerStandIn(loop, settings, machine, known, described, gangs, witness);
+        SimulatedWorker worker = new SimulatedWorker(loop, settings, machine, known, described, gangs, witness);
         worker.reachedAt(listen(machine, worker));
         worker.runs(HollowWorkers::runTime);
         workers.put(machine.name(), worker);
@@ -89,7 +89,7 @@
         loop.later(worker::start, wait);
     }
 
-    private String listen(CloudStandIn.Rented machine, WorkerStandIn worker) {
+    private String listen(SimulatedCloud.Rented machine, SimulatedWorker worker) {
         int number = lastAddress++;
         String endpoint =
                 "127.1." + number / ADDRESSES_PER_BLOCK + "." + (1 + number % ADDRESSES_PER_BLOCK) + ":" + commandPort;
@@ -99,7 +99,7 @@
         return endpoint;
     }
 
-    private void command(CloudStandIn.Rented machine, WorkerStandIn worker, Request request) {
+    private void command(SimulatedCloud.Rented machine, SimulatedWorker worker, Request request) {
         if (!machine.zone().equals(silentZone)) {
             // Which controller asked is not known here; the first one's sums hold all direct commands.
             worker.handle(new CountedRequest(request, traffic.get(0), Traffic.Kind.DIRECT_COMMAND));
@@ -113,7 +113,7 @@
 
     /** The machine is gone. */
     void gone(String machine) {
-        WorkerStandIn worker = workers.remove(machine);
+        SimulatedWorker worker = workers.remove(machine);
         if (worker != null) {
             worker.delete();
             listeners.remove(machine).close();
--- a/src/main/java/io/micatide/simulation/scale/ScaleRun.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleRun.java
@@ -1,7 +1,7 @@
 package io.micatide.simulation.scale;
 
 import com.sun.management.OperatingSystemMXBean;
-import io.micatide.controller.NettyLoop;
+import io.micatide.controller.NettyActorExecutor;
 import io.micatide.model.ExitCause;
 import io.micatide.model.JobSpec;
 import io.micatide.model.MachineType;
@@ -10,10 +10,10 @@
 import io.micatide.net.Http;
 import io.micatide.net.HttpClient;
 import io.micatide.net.HttpServer;
-import io.micatide.simulation.CloudStandIn;
-import io.micatide.simulation.RuleChecker;
-import io.micatide.simulation.StateStandIn;
-import io.micatide.simulation.WorkerStandIn;
+import io.micatide.simulation.InvariantChecker;
+import io.micatide.simulation.SimulatedCloud;
+import io.micatide.simulation.SimulatedStore;
+import io.micatide.simulation.SimulatedWorker;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -50,20 +50,20 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
     private final EventLoop eventLoop = group.next();
     private final EventLoop stateLoop = group.next();
-    private final NettyLoop loop = new NettyLoop(eventLoop);
+    private final NettyActorExecutor loop = new NettyActorExecutor(eventLoop);
     private final List<Settings> settings = new ArrayList<>();
     private final List<Traffic> traffic = new ArrayList<>();
     private final List<ControllerProcess> processes = new ArrayList<>();
     private final Path folder;
-    private RuleChecker checker;
+    private InvariantChecker checker;
     private ScaleUsers users;
     private HollowWorkers workers;
-    private StateStandIn state;
-    private CloudStandIn cloud;
+    private SimulatedStore state;
+    private SimulatedCloud cloud;
     private int leasesEnded;
 
     /** What the hollow workers do, told to the checker and to the users that wait for it. */
-    private final class Witness implements WorkerStandIn.Witness {
+    private final class Witness implements SimulatedWorker.Witness {
         @Override
         public void started(String task, long attempt, String machine) {
             checker.started(task, attempt, machine);
@@ -79,17 +79,17 @@
         }
 
         @Override
-        public void taken(JobSpec spec, String task, long attempt, CloudStandIn.Rented machine) {
+        public void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {
             checker.taken(spec, task, attempt, machine);
         }
 
         @Override
-        public void released(String task, long attempt, CloudStandIn.Rented machine) {
+        public void released(String task, long attempt, SimulatedCloud.Rented machine) {
             checker.released(task, attempt, machine);
         }
 
         @Override
-        public void leaseEnded(CloudStandIn.Rented machine) {
+        public void leaseEnded(SimulatedCloud.Rented machine) {
             leasesEnded++;
         }
     }
@@ -132,9 +132,9 @@
     }
 
     private void listen(List<ScaleSettings.Ports> ports, int commandPort) throws InterruptedException {
-        state = new StateStandIn(new NettyLoop(stateLoop), ScaleSettings.STATE);
+        state = new SimulatedStore(new NettyActorExecutor(stateLoop), ScaleSettings.STATE);
         MachineType type = ScaleSettings.machineType();
-        checker = new RuleChecker(
+        checker = new InvariantChecker(
                 loop::now, settings.get(0).cancelMicros(), settings.get(0).teams());
         List<Http> forUsers = new ArrayList<>();
         for (int i = 0; i < plan.controllers(); i++) {
@@ -143,7 +143,7 @@
                     new CountedHttp(client, loop, traffic.get(i), Traffic.Kind.USER, Traffic.histogram(), () -> false));
         }
         Witness witness = new Witness();
-        cloud = new CloudStandIn(
+        cloud = new SimulatedCloud(
                 loop, List.of(type), plan.workers(), machine -> workers.up(machine), machine -> workers.gone(machine));
         onLoop(() -> {
             users = new ScaleUsers(loop, plan, forUsers, checker, (id, body) -> {});
--- a/src/main/java/io/micatide/simulation/scale/ScaleSettings.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleSettings.java
@@ -6,7 +6,7 @@
 import io.micatide.model.Settings;
 import io.micatide.protocol.MalformedException;
 import io.micatide.protocol.SettingsReader;
-import io.micatide.simulation.StateStandIn;
+import io.micatide.simulation.SimulatedStore;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -30,7 +30,7 @@
     /** A machine stays for the whole run: what is measured is control, not renting. */
     private static final int IDLE_SECONDS = 7_200;
 
-    static final StateStandIn.Limits STATE = new StateStandIn.Limits(400, 200, 16 * 1024, 16);
+    static final SimulatedStore.Limits STATE = new SimulatedStore.Limits(400, 200, 16 * 1024, 16);
 
     /** Where one controller listens, and where it finds its services; ports on loopback. */
     record Ports(int users, int peers, int state, int cloud) {}
--- a/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
@@ -1,6 +1,6 @@
 package io.micatide.simulation.scale;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
 import io.micatide.model.Micros;
@@ -8,8 +8,8 @@
 import io.micatide.model.Resources;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.protocol.UserSide;
-import io.micatide.simulation.RuleChecker;
+import io.micatide.protocol.UserSideCodec;
+import io.micatide.simulation.InvariantChecker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -55,18 +55,18 @@
         UserJob(JobSpec spec, boolean urgent) {
             this.spec = spec;
             this.urgent = urgent;
-            this.body = UserSide.submission(spec);
+            this.body = UserSideCodec.submission(spec);
             for (int task = 0; task < spec.tasks(); task++) {
                 left.add(task);
             }
         }
     }
 
-    private final Loop loop;
+    private final ActorExecutor loop;
     private final ScalePlan plan;
     private final List<Http> controllers;
     private final boolean[] healthy;
-    private final RuleChecker checker;
+    private final InvariantChecker checker;
     private final BiConsumer<String, byte[]> uploads;
     private final Random random;
     private final Map<String, UserJob> jobs = new HashMap<>();
@@ -81,10 +81,10 @@
 
     /** @param uploads takes each job's id and its description on the wire, before it is submitted: workers obtain it from there */
     ScaleUsers(
-            Loop loop,
+            ActorExecutor loop,
             ScalePlan plan,
             List<Http> controllers,
-            RuleChecker checker,
+            InvariantChecker checker,
             BiConsumer<String, byte[]> uploads) {
         this.loop = loop;
         this.plan = plan;
@@ -274,8 +274,8 @@
         checker.asks(job.spec.id());
         controller().get("/v1/jobs/" + job.spec.id(), POLL_ANSWER_MICROS, reply -> {
             String standing = heard(job, asked, reply);
-            if (UserSide.isOver(standing)) {
-                if (UserSide.isDone(standing) && !job.over && job.doneMicros >= 0) {
+            if (UserSideCodec.isOver(standing)) {
+                if (UserSideCodec.isDone(standing) && !job.over && job.doneMicros >= 0) {
                     record(told, loop.now() - job.doneMicros);
                 }
                 job.over = true;
@@ -292,7 +292,7 @@
         long asked = loop.now();
         checker.cancels(job.spec.id());
         controller().post("/v1/jobs/" + job.spec.id() + "/abort", new byte[0], ANSWER_MICROS, reply -> {
-            if (UserSide.isOver(heard(job, asked, reply))) {
+            if (UserSideCodec.isOver(heard(job, asked, reply))) {
                 job.over = true;
             } else {
                 loop.later(() -> cancel(job), RETRY_MICROS);
@@ -301,7 +301,7 @@
     }
 
     private String heard(UserJob job, long asked, Reply reply) {
-        String standing = reply.status() == 200 || reply.status() == 201 ? UserSide.standing(reply.body()) : null;
+        String standing = reply.status() == 200 || reply.status() == 201 ? UserSideCodec.standing(reply.body()) : null;
         checker.heard(job.spec.id(), asked, reply.status(), standing);
         return standing;
     }
--- a/src/main/java/io/micatide/snapshot/SnapshotFile.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotFile.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.RawState;
+import io.micatide.protocol.RawStoreCodec;
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -38,7 +38,7 @@
     public record Summary(long revision, String taken, Map<String, Integer> counts, int parts, boolean signed) {}
 
     /** A file that was read whole and found sound. */
-    public record Content(Summary summary, Image image, String digest) {}
+    public record Content(Summary summary, StoreImage image, String digest) {}
 
     private record Part(String name, int lines, String sha256) {}
 
@@ -57,7 +57,8 @@
      * @param taken the time of day, as it is to be shown
      * @throws SnapshotException the file is there already
      */
-    public static void write(Path file, Image image, byte[] key, String taken) throws IOException, SnapshotException {
+    public static void write(Path file, StoreImage image, byte[] key, String taken)
+            throws IOException, SnapshotException {
         if (Files.exists(file)) {
             throw new SnapshotException(file + ": is there already");
         }
@@ -67,8 +68,8 @@
             List<Part> parts = new ArrayList<>();
             StringBuilder lines = new StringBuilder();
             int count = 0;
-            for (RawState.Value value : image.values().values()) {
-                lines.append(RawState.line(value)).append('\n');
+            for (RawStoreCodec.Value value : image.values().values()) {
+                lines.append(RawStoreCodec.line(value)).append('\n');
                 if (++count == LINES_A_PART) {
                     parts.add(part(tar, parts.size(), lines, count));
                     lines.setLength(0);
@@ -107,7 +108,7 @@
         tar.closeArchiveEntry();
     }
 
-    private static byte[] manifest(Image image, List<Part> parts, boolean signed, String taken) {
+    private static byte[] manifest(StoreImage image, List<Part> parts, boolean signed, String taken) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("format", FORMAT);
@@ -215,7 +216,7 @@
             throw new SnapshotException(
                     file + ": " + MAC + (signed ? " is there though nothing was signed" : " is missing"));
         }
-        TreeMap<String, RawState.Value> values = new TreeMap<>();
+        TreeMap<String, RawStoreCodec.Value> values = new TreeMap<>();
         for (JsonNode part : tree.path("parts")) {
             String name = part.path("name").asText();
             byte[] bytes = entries.get(name);
@@ -231,7 +232,7 @@
                         file + ": " + name + " has " + lines.length + " values and not " + part.path("lines"));
             }
             for (String line : lines) {
-                RawState.Value value = RawState.value(line.getBytes(StandardCharsets.UTF_8));
+                RawStoreCodec.Value value = RawStoreCodec.value(line.getBytes(StandardCharsets.UTF_8));
                 values.put(value.key(), value);
             }
         }
@@ -239,7 +240,7 @@
         tree.path("counts")
                 .properties()
                 .forEach(each -> counts.put(each.getKey(), each.getValue().asInt()));
-        Image image = new Image(tree.path("revision").asLong(), values);
+        StoreImage image = new StoreImage(tree.path("revision").asLong(), values);
         if (!counts.equals(image.counts())) {
             throw new SnapshotException(file + ": holds " + image.counts() + " and not " + counts);
         }
--- a/src/main/java/io/micatide/snapshot/Restorer.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
@@ -2,8 +2,8 @@
 
 import io.micatide.net.Reply;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.RawState;
-import io.micatide.protocol.StateCodec;
+import io.micatide.protocol.RawStoreCodec;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.store.StoreKeys;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  * that none serves half of an image; then every value on condition of the marker and of its absence; last the marker goes. A restore that was
  * interrupted is repeated with the same file: what is there already is left.
  */
-public final class Restorer {
+public final class SnapshotRestorer {
     /** Rows of jobs begin with {@code state}; this one does not, so it stops whoever reads. */
     static final String MARKER = StoreKeys.JOBS + "being-restored";
     /** Stays behind, so that a restore which ended without an answer may be repeated as well. */
@@ -26,7 +26,7 @@
     private static final int MOST_BYTES = 40_000;
     private static final int NO_ANSWER = 0;
 
-    private final StateCalls calls;
+    private final StoreCalls calls;
     private final int mostChanges;
     private final int mostValueBytes;
     private final Consumer<String> progress;
@@ -35,7 +35,7 @@
      * @param mostChanges of a transaction
      * @param mostValueBytes what a value may hold now
      */
-    public Restorer(StateCalls calls, int mostChanges, int mostValueBytes, Consumer<String> progress) {
+    public SnapshotRestorer(StoreCalls calls, int mostChanges, int mostValueBytes, Consumer<String> progress) {
         this.calls = calls;
         this.mostChanges = mostChanges;
         this.mostValueBytes = mostValueBytes;
@@ -47,8 +47,8 @@
      * @param advance whether the service's revision is brought past the image's, a write for each: workers that live have seen tokens up
      *     to there and listen to no lower one. Otherwise no machine may be left
      */
-    public void restore(Image image, String digest, boolean advance) throws SnapshotException {
-        for (RawState.Value value : image.values().values()) {
+    public void restore(StoreImage image, String digest, boolean advance) throws SnapshotException {
+        for (RawStoreCodec.Value value : image.values().values()) {
             if (value.json().getBytes(StandardCharsets.UTF_8).length > mostValueBytes) {
                 throw new SnapshotException(
                         value.key() + ": is larger than a value of this service may be, nothing was written");
@@ -62,13 +62,13 @@
         if (advance) {
             marker = advance(digest, marker, image.revision());
         }
-        List<RawState.Value> some = new ArrayList<>();
+        List<RawStoreCodec.Value> some = new ArrayList<>();
         int bytes = 0;
         int written = 0;
-        List<RawState.Value> inOrder = new ArrayList<>(image.values().values());
+        List<RawStoreCodec.Value> inOrder = new ArrayList<>(image.values().values());
         // Jobs in the order in which they were accepted: those that need others come after them.
-        inOrder.sort(Comparator.comparingLong(RawState.Value::stamp).thenComparing(RawState.Value::key));
-        for (RawState.Value value : inOrder) {
+        inOrder.sort(Comparator.comparingLong(RawStoreCodec.Value::stamp).thenComparing(RawStoreCodec.Value::key));
+        for (RawStoreCodec.Value value : inOrder) {
             int size = value.json().length() + 2 * value.key().length() + 64;
             boolean needs = value.json().contains("\"awaits\"");
             if (!some.isEmpty() && (some.size() == mostChanges || bytes + size > MOST_BYTES || needs)) {
@@ -86,25 +86,25 @@
         progress.accept(inOrder.size() + " values restored");
     }
 
-    private static RawState.Value marker(String digest) {
-        return new RawState.Value(MARKER, "{\"restoring\":\"" + digest + "\"}", 0);
+    private static RawStoreCodec.Value marker(String digest) {
+        return new RawStoreCodec.Value(MARKER, "{\"restoring\":\"" + digest + "\"}", 0);
     }
 
     private boolean restored(String digest) throws SnapshotException {
-        RawState.Value there = read(RESTORED);
+        RawStoreCodec.Value there = read(RESTORED);
         return there != null && there.json().equals(marker(digest).json()) && read(MARKER) == null;
     }
 
     /** The marker's version: written now, or left by an earlier try with the same image. */
     private long begin(String digest) throws SnapshotException {
-        RawState.Value there = read(MARKER);
+        RawStoreCodec.Value there = read(MARKER);
         if (there == null) {
             String found = anything();
             if (found != null) {
                 throw new SnapshotException(
                         "the state service is not empty: it holds " + found + "; nothing was written");
             }
-            post(RawState.putNew(List.of(marker(digest)), null, 0));
+            post(RawStoreCodec.putNew(List.of(marker(digest)), null, 0));
             there = read(MARKER);
         }
         if (there == null || !there.json().equals(marker(digest).json())) {
@@ -115,11 +115,11 @@
     }
 
     private String anything() throws SnapshotException {
-        List<String> prefixes = new ArrayList<>(Image.PREFIXES);
+        List<String> prefixes = new ArrayList<>(StoreImage.PREFIXES);
         prefixes.add(StoreKeys.LEADER);
         for (String prefix : prefixes) {
             try {
-                List<RawState.Value> values = RawState.page(
+                List<RawStoreCodec.Value> values = RawStoreCodec.page(
                                 get("/store?starts=" + prefix + "&most=1").body())
                         .values();
                 if (!values.isEmpty()) {
@@ -139,9 +139,9 @@
             if (count % 500 == 0) {
                 progress.accept("revision " + version + " of " + past);
             }
-            post(RawState.delete(MARKER, version));
-            post(RawState.putNew(List.of(marker(digest)), null, 0));
-            RawState.Value there = read(MARKER);
+            post(RawStoreCodec.delete(MARKER, version));
+            post(RawStoreCodec.putNew(List.of(marker(digest)), null, 0));
+            RawStoreCodec.Value there = read(MARKER);
             if (there == null) {
                 throw new SnapshotException(MARKER + ": went meanwhile");
             }
@@ -150,16 +150,16 @@
         return version;
     }
 
-    private void write(List<RawState.Value> values, long marker) throws SnapshotException {
+    private void write(List<RawStoreCodec.Value> values, long marker) throws SnapshotException {
         if (values.isEmpty()) {
             return;
         }
-        Reply reply = post(RawState.putNew(values, MARKER, marker));
+        Reply reply = post(RawStoreCodec.putNew(values, MARKER, marker));
         if (reply.ok()) {
             return;
         }
         try {
-            if (reply.status() == 409 && !StateCodec.failed(reply.body()).contains(MARKER)) {
+            if (reply.status() == 409 && !StoreCodec.failed(reply.body()).contains(MARKER)) {
                 oneByOne(values, marker);
                 return;
             }
@@ -171,13 +171,13 @@
     }
 
     /** Some are there already: by an earlier try, in which case they are the same. */
-    private void oneByOne(List<RawState.Value> values, long marker) throws SnapshotException {
-        for (RawState.Value value : values) {
-            Reply reply = post(RawState.putNew(List.of(value), MARKER, marker));
+    private void oneByOne(List<RawStoreCodec.Value> values, long marker) throws SnapshotException {
+        for (RawStoreCodec.Value value : values) {
+            Reply reply = post(RawStoreCodec.putNew(List.of(value), MARKER, marker));
             if (reply.ok()) {
                 continue;
             }
-            RawState.Value there = read(value.key());
+            RawStoreCodec.Value there = read(value.key());
             if (there == null || !there.json().equals(value.json())) {
                 throw new SnapshotException(value.key() + ": is there with another value");
             }
@@ -185,8 +185,8 @@
     }
 
     private void end(String digest, long marker) throws SnapshotException {
-        Reply reply = post(RawState.replace(
-                MARKER, marker, new RawState.Value(RESTORED, marker(digest).json(), 0)));
+        Reply reply = post(RawStoreCodec.replace(
+                MARKER, marker, new RawStoreCodec.Value(RESTORED, marker(digest).json(), 0)));
         if (!reply.ok() && read(MARKER) != null) {
             throw new SnapshotException(MARKER + ": could not be removed, " + reply.status());
         }
@@ -194,10 +194,10 @@
 
     // ---- calls
 
-    private RawState.Value read(String key) throws SnapshotException {
+    private RawStoreCodec.Value read(String key) throws SnapshotException {
         Reply reply = get("/store/" + key);
         try {
-            return reply.status() == 404 ? null : RawState.value(reply.body());
+            return reply.status() == 404 ? null : RawStoreCodec.value(reply.body());
         } catch (MalformedException e) {
             throw new SnapshotException(key + ": " + e.getMessage());
         }
--- a/src/main/java/io/micatide/snapshot/Image.java
+++ b/src/main/java/io/micatide/snapshot/StoreImage.java
@@ -1,6 +1,6 @@
 package io.micatide.snapshot;
 
-import io.micatide.protocol.RawState;
+import io.micatide.protocol.RawStoreCodec;
 import io.micatide.store.StoreKeys;
 import java.util.List;
 import java.util.Map;
@@ -12,7 +12,7 @@
  *
  * @param values by key
  */
-public record Image(long revision, SortedMap<String, RawState.Value> values) {
+public record StoreImage(long revision, SortedMap<String, RawStoreCodec.Value> values) {
     /** One for each owner of the writes; {@link StoreKeys#LEADER} and registrations are left out: they are bound to leases. */
     static final List<String> PREFIXES = List.of(
             StoreKeys.BOOKINGS,
--- a/src/main/java/io/micatide/snapshot/package-info.java
+++ b/src/main/java/io/micatide/snapshot/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Snapshots of what the state service holds: taken through its published protocol while it serves, kept in one file, checked, and
- * restored into an empty service. Knows no row but by its key; speaks to the state service through {@link
- * io.micatide.snapshot.StateCalls} and to nobody else; may not know controllers.
+ * Snapshots of the state service: taken through its published protocol while it serves, kept in one checked file, and restored into an
+ * empty service. Knows records only by their keys; speaks to the state service through {@link io.micatide.snapshot.StoreCalls} and
+ * to nobody else; must not know controllers.
  */
 package io.micatide.snapshot;
--- a/src/main/java/io/micatide/standby/Succession.java
+++ b/src/main/java/io/micatide/standby/ElectionDelay.java
@@ -1,13 +1,14 @@
 package io.micatide.standby;
 
 import io.micatide.model.Micros;
+import io.micatide.model.StandbyReadiness;
 import java.util.List;
 
 /**
  * How long a controller leaves a free leader row to others that would lead better. This is courtesy and no part of safety: the row's
  * condition decides, and whoever waits for nothing loses half a second at most. Times in microseconds on the process's steady clock.
  */
-public final class Succession {
+public final class ElectionDelay {
     /** One that workers do not reach would lead a fleet that it cannot hear. */
     static final long UNREACHED_WAITS_MICROS = 600 * Micros.MILLISECOND;
     /** A claim takes two ways to the state service, and the watch of its outcome one more. */
@@ -37,7 +38,7 @@
     private long handedMicros = Long.MIN_VALUE / 2;
 
     /** @param siblings how many other controllers the deployment has */
-    public Succession(String label, int siblings, long nowMicros) {
+    public ElectionDelay(String label, int siblings, long nowMicros) {
         this.label = label;
         this.startedMicros = nowMicros;
         this.wordMicros = new long[siblings];
--- a/src/main/java/io/micatide/standby/Copy.java
+++ b/src/main/java/io/micatide/standby/KeyspaceReplica.java
@@ -1,6 +1,6 @@
 package io.micatide.standby;
 
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -12,14 +12,14 @@
  * {@link #revision}, or it is not used: whatever does not fit what was seen before makes it worthless until it is read anew. A leader
  * rests starts on the ledgers' machines without another write, so a copy that lacks one machine would run a task twice.
  */
-public class Copy {
+public class KeyspaceReplica {
     /** A key with its row and the revision of its last change; {@code row} null of a deletion. */
-    public record Entry(String key, Row row, long version) {}
+    public record Entry(String key, StoredRecord row, long version) {}
 
     /** Makes a prefix's copy; a rehearsal plants another one. */
     @FunctionalInterface
     public interface Maker {
-        Copy make(String prefix, long mostBytes);
+        KeyspaceReplica make(String prefix, long mostBytes);
     }
 
     /** Why a copy is worth nothing; null while it is worth something. */
@@ -48,7 +48,7 @@
     private Flaw flaw;
 
     /** @param mostBytes what it may take of memory, estimated; beyond that it is given up */
-    public Copy(String prefix, long mostBytes) {
+    public KeyspaceReplica(String prefix, long mostBytes) {
         this.prefix = prefix;
         this.mostBytes = mostBytes;
     }
@@ -161,8 +161,9 @@
             entries.remove(item.key());
             return;
         }
-        Entry kept =
-                item.row() instanceof Row.Ledger ledger ? new Entry(item.key(), shared(ledger), item.version()) : item;
+        Entry kept = item.row() instanceof StoredRecord.Ledger ledger
+                ? new Entry(item.key(), shared(ledger), item.version())
+                : item;
         entries.put(item.key(), kept);
         bytes += bytes(kept);
         if (bytes > mostBytes) {
@@ -172,11 +173,11 @@
     }
 
     /** Hundreds of ledgers name the same machines. */
-    private Row.Ledger shared(Row.Ledger ledger) {
+    private StoredRecord.Ledger shared(StoredRecord.Ledger ledger) {
         if (names.size() > MOST_NAMES) {
             names.clear();
         }
-        return new Row.Ledger(
+        return new StoredRecord.Ledger(
                 ledger.machines().stream()
                         .map(name -> names.computeIfAbsent(name, k -> k))
                         .toList(),
@@ -186,7 +187,7 @@
     }
 
     private static long bytes(Entry entry) {
-        long rest = entry.row() instanceof Row.Ledger ledger
+        long rest = entry.row() instanceof StoredRecord.Ledger ledger
                 ? (long) ledger.machines().size() * NAME_BYTES + ledger.done().length()
                 : 0;
         return ENTRY_BYTES + entry.key().length() + rest;
--- a/src/main/java/io/micatide/standby/HintsHeld.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -10,7 +10,7 @@
  * An heir's side of the hints. A part that comes late or alone does no harm: what it says was true of some moment, and the number
  * that is answered tells the leader what to send next.
  */
-public final class HintsHeld {
+public final class ReceivedHints {
     private final Map<String, Hint> hints = new HashMap<>();
     private final BitSet parts = new BitSet();
     private long token;
--- a/src/main/java/io/micatide/standby/Heirs.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -2,6 +2,7 @@
 
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
+import io.micatide.model.StandbyReadiness;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -11,7 +12,7 @@
  * zones fail whole; then those that come next in the order of labels, since workers that have lost a leader try the next one and so
  * reach these first. Whoever is appointed stays so while it answers, since a copy takes reads to build. Times in microseconds.
  */
-public final class Heirs {
+public final class StandbySelector {
     /** News goes out every second and is answered within one. */
     static final long HEARD_MICROS = 3 * Micros.SECOND;
     /** Siblings answer a new leader's first news within this. */
@@ -25,7 +26,7 @@
     private List<Integer> heirs = List.of();
     private long beganMicros;
 
-    public Heirs(Settings settings) {
+    public StandbySelector(Settings settings) {
         this.settings = settings;
         this.answeredMicros = new long[settings.siblings().size()];
         this.readiness = new StandbyReadiness[settings.siblings().size()];
--- a/src/main/java/io/micatide/store/Outcome.java
+++ b/src/main/java/io/micatide/store/JobOutcome.java
@@ -10,9 +10,9 @@
  * @param service it was a service, which no other job may need
  * @param tasks how many it had
  */
-public record Outcome(JobState state, boolean service, int tasks) {
+public record JobOutcome(JobState state, boolean service, int tasks) {
     /** Of a job's final row. */
-    public static Outcome of(Row.JobRow row) {
-        return new Outcome(row.state(), row.spec() != null && row.spec().kind() == JobKind.SERVICE, row.tasks());
+    public static JobOutcome of(StoredRecord.JobRow row) {
+        return new JobOutcome(row.state(), row.spec() != null && row.spec().kind() == JobKind.SERVICE, row.tasks());
     }
 }
--- a/src/main/java/io/micatide/store/MachineNames.java
+++ b/src/main/java/io/micatide/store/MachineNameCodec.java
@@ -15,10 +15,10 @@
  * <p>One group is {@code prefix/digits/steps}; a step is the distance to the number before, and {@code +n} tells that n more
  * follow without a gap: {@code i-/6/231+29,2} is i-000231 to i-000260 and i-000262.
  */
-public final class MachineNames {
+public final class MachineNameCodec {
     private static final int MOST_DIGITS = 9;
 
-    private MachineNames() {}
+    private MachineNameCodec() {}
 
     private record Group(String prefix, int digits) implements Comparable<Group> {
         @Override
--- a/src/main/java/io/micatide/store/ReadBack.java
+++ b/src/main/java/io/micatide/store/PendingReads.java
@@ -8,11 +8,11 @@
  * Reads keys one after another, one request at a time, whatever the answers are. A controller that was cut off from the
  * state service once ran out of memory here: each failed read asked for two more.
  */
-public final class ReadBack {
+public final class PendingReads {
     private final Deque<String> unread;
     private boolean asking;
 
-    public ReadBack(Collection<String> keys) {
+    public PendingReads(Collection<String> keys) {
         unread = new ArrayDeque<>(keys);
     }
 
--- a/src/main/java/io/micatide/store/Ranges.java
+++ b/src/main/java/io/micatide/store/TaskRanges.java
@@ -4,8 +4,8 @@
 import java.util.BitSet;
 
 /** Finished tasks as text such as {@code 0-5,7,9-12}: short while tasks finish roughly in order. */
-public final class Ranges {
-    private Ranges() {}
+public final class TaskRanges {
+    private TaskRanges() {}
 
     /** The set bits from {@code from} (inclusive) to {@code to} (exclusive), counted from {@code from}. */
     public static String format(BitSet bits, int from, int to) {
--- a/src/main/java/io/micatide/store/Transaction.java
+++ b/src/main/java/io/micatide/store/Transaction.java
@@ -7,5 +7,5 @@
     public record Compare(String key, long version) {}
 
     /** A put, or a delete where {@code row} is null; {@code lease} 0 for none. */
-    public record Write(String key, Row row, long lease) {}
+    public record Write(String key, StoredRecord row, long lease) {}
 }
--- a/src/test/java/io/micatide/archive/HistoryFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -19,7 +19,7 @@
  * The archive while controllers are killed between any two of its steps and answers are lost or late: every answer that a user ever
  * gets agrees with the ones before it and with where tasks ran, and what is stored in the end is what users were told.
  */
-class HistoryFailureTest {
+class ArchiveFailureTest {
     /** What is wrong with a day on which the controller that does this interaction with the state service is killed. */
     private static List<String> killed(
             long seed,
@@ -28,9 +28,9 @@
             double losses,
             int valueBytes,
             int changes,
-            Archivist.Maker maker) {
+            Archiver.Maker maker) {
         try {
-            HistoryDay day = new HistoryDay(seed, valueBytes, changes, maker);
+            ArchiveScenario day = new ArchiveScenario(seed, valueBytes, changes, maker);
             day.network.losses(losses, losses);
             day.killAfterwards = afterwards;
             day.killAt = interaction;
@@ -70,7 +70,7 @@
                         losses,
                         valueBytes,
                         changes,
-                        Archivist::new)
+                        Archiver::new)
                         .stream())
                 .toList();
         assertEquals(List.of(), broken);
@@ -83,7 +83,7 @@
         List<String> broken = IntStream.rangeClosed(1, 380)
                 .parallel()
                 .boxed()
-                .flatMap(at -> killed(11, at, afterwards, 0, 2048, 5, Archivist::new).stream())
+                .flatMap(at -> killed(11, at, afterwards, 0, 2048, 5, Archiver::new).stream())
                 .toList();
         assertEquals(List.of(), broken);
     }
@@ -95,14 +95,14 @@
     @Test
     void lateRowsOfAFormerVersion() throws Exception {
         for (int seed = 0; seed < 10; seed++) {
-            HistoryDay day = new HistoryDay(seed, 16384, 16, Archivist::new);
+            ArchiveScenario day = new ArchiveScenario(seed, 16384, 16, Archiver::new);
             day.busy(20);
             day.settle();
-            HistoryDay.Job old = day.jobs.values().stream()
+            ArchiveScenario.Job old = day.jobs.values().stream()
                     .filter(job -> "done".equals(job.end) && !day.state.values().containsKey("job/" + job.id))
                     .findFirst()
                     .orElseThrow();
-            HistoryDay.Job fresh = day.describe("wk-new" + seed);
+            ArchiveScenario.Job fresh = day.describe("wk-new" + seed);
             fresh.accepted = true;
             day.writeAsFormerVersion(old);
             day.writeAsFormerVersion(fresh);
@@ -121,9 +121,9 @@
     /** What earlier landings left in rows is taken in, and told as before, also to who submits it again or needs it. */
     @Test
     void rowsOfEarlierLandingsAreTakenIn() throws Exception {
-        HistoryDay day = new HistoryDay(3, 2048, 5, Archivist::new);
+        ArchiveScenario day = new ArchiveScenario(3, 2048, 5, Archiver::new);
         for (int i = 0; i < 400; i++) {
-            HistoryDay.Job job = day.describe(String.format("wk-old%04d", i));
+            ArchiveScenario.Job job = day.describe(String.format("wk-old%04d", i));
             job.accepted = true;
             job.end = i % 3 == 0 ? "withdrawn" : "done";
             job.cancelAsked = i % 3 == 0;
@@ -131,8 +131,8 @@
         }
         day.busy(20);
         day.time.run(60 * Micros.SECOND);
-        HistoryDay.Job after = day.submit(1, 5, List.of("wk-old0001", "wk-old0002"));
-        HistoryDay.Job never = day.submit(1, 5, List.of("wk-old0003"));
+        ArchiveScenario.Job after = day.submit(1, 5, List.of("wk-old0001", "wk-old0002"));
+        ArchiveScenario.Job never = day.submit(1, 5, List.of("wk-old0003"));
         day.settle();
         day.checkStored();
         assertEquals(List.of(), day.broken);
@@ -143,7 +143,7 @@
     /** A value that is not what was written is answered 503, never 404, and the jobs beside it are answered as before. */
     @Test
     void aDamagedValueIsNotAnUnknownJob() throws Exception {
-        HistoryDay day = new HistoryDay(5, 16384, 16, Archivist::new);
+        ArchiveScenario day = new ArchiveScenario(5, 16384, 16, Archiver::new);
         day.busy(30);
         day.settle();
         List<String> segments = day.state.values().keySet().stream()
@@ -156,7 +156,7 @@
         day.time.run(15 * Micros.SECOND);
         int unavailable = 0;
         int told = 0;
-        for (HistoryDay.Job job : List.copyOf(day.jobs.values())) {
+        for (ArchiveScenario.Job job : List.copyOf(day.jobs.values())) {
             int status = day.status(job);
             assertTrue(status == 200 || status == 503, job.id + " " + status);
             unavailable += status == 503 ? 1 : 0;
@@ -173,7 +173,7 @@
                 .parallel()
                 .boxed()
                 .flatMap(seed -> {
-                    HistoryDay day = new HistoryDay(seed, 4096, 8, Archivist::new);
+                    ArchiveScenario day = new ArchiveScenario(seed, 4096, 8, Archiver::new);
                     Random random = new Random(seed);
                     day.network.losses(0.01, 0.005);
                     for (int round = 0; round < 8; round++) {
@@ -202,7 +202,7 @@
     void aSeedIsADay() {
         List<Integer> first = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            HistoryDay day = new HistoryDay(7, 2048, 5, Archivist::new);
+            ArchiveScenario day = new ArchiveScenario(7, 2048, 5, Archiver::new);
             day.network.losses(0.02, 0.02);
             day.killAt = 400;
             day.busy(30);
@@ -215,14 +215,14 @@
     /** The guard of the order of two writes: with it taken out, jobs that users were told of are lost. */
     @Test
     void rowsThatGoBeforeTheyAreArchivedAreMissed() {
-        Archivist.Maker hasty = (token, valueBytes, changes, worth, manifest, version) ->
-                new Archivist(token, valueBytes, changes, worth, manifest, version) {
+        Archiver.Maker hasty = (token, valueBytes, changes, worth, manifest, version) ->
+                new Archiver(token, valueBytes, changes, worth, manifest, version) {
                     @Override
                     boolean mayGo(String id, long copyOfVersion) {
                         return id.hashCode() % 4 == 0;
                     }
                 };
         assertFalse(killed(1, 0, false, 0, 16384, 16, hasty).isEmpty());
-        assertTrue(killed(1, 0, false, 0, 16384, 16, Archivist::new).isEmpty());
+        assertTrue(killed(1, 0, false, 0, 16384, 16, Archiver::new).isEmpty());
     }
 }
--- a/src/test/java/io/micatide/archive/HistoryDay.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -12,18 +12,18 @@
 import io.micatide.model.Tuning;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.CloudSideCodec;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
-import io.micatide.simulation.CloudStandIn;
-import io.micatide.simulation.Gangs;
-import io.micatide.simulation.StateStandIn;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.simulation.GangRendezvous;
+import io.micatide.simulation.SimulatedCloud;
+import io.micatide.simulation.SimulatedStore;
+import io.micatide.simulation.SimulatedWorker;
 import io.micatide.simulation.VirtualNetwork;
 import io.micatide.simulation.VirtualTime;
-import io.micatide.simulation.WorkerStandIn;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -40,7 +40,7 @@
  * A short day of the whole service in virtual time, with small batches so that rows move all the time: users submit, cancel, poll and
  * submit again long after, controllers are killed. What users are told and where tasks run is held against the rules.
  */
-public final class HistoryDay {
+public final class ArchiveScenario {
     static final MachineType TYPE =
             new MachineType("small", Resources.of(8, 0, 64), 25, 0, 0.5, 0.2, Micros.SECOND, List.of("a", "b"));
     private static final int CONTROLLERS = 3;
@@ -48,7 +48,7 @@
     final VirtualTime time = new VirtualTime();
     final Random random;
     final VirtualNetwork network;
-    final StateStandIn state;
+    final SimulatedStore state;
     final List<String> broken = new ArrayList<>();
     final List<VirtualTime.Process> processes = new ArrayList<>();
     final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -61,14 +61,14 @@
 
     private final VirtualTime.Process world = time.new Process();
     private final VirtualTime.Process user = time.new Process();
-    private final CloudStandIn cloud;
-    private final Map<String, WorkerStandIn> workers = new HashMap<>();
+    private final SimulatedCloud cloud;
+    private final Map<String, SimulatedWorker> workers = new HashMap<>();
     private final Map<String, String> running = new HashMap<>();
     private final Set<String> finished = new HashSet<>();
     private final Set<String> unknownAsked = new LinkedHashSet<>();
     private final int changes;
     private final int valueBytes;
-    private final Archivist.Maker maker;
+    private final Archiver.Maker maker;
 
     /** What a job's user knows. */
     static final class Job {
@@ -87,25 +87,25 @@
         }
     }
 
-    HistoryDay(long seed, int valueBytes, int changes, Archivist.Maker maker) {
+    ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Maker maker) {
         this(seed, valueBytes, changes, maker, true);
     }
 
     /** A state service, a cloud and a network, and nobody there yet. */
-    static HistoryDay withoutControllers(long seed, int valueBytes, int changes) {
-        return new HistoryDay(seed, valueBytes, changes, Archivist::new, false);
+    static ArchiveScenario withoutControllers(long seed, int valueBytes, int changes) {
+        return new ArchiveScenario(seed, valueBytes, changes, Archiver::new, false);
     }
 
     /** An ordinary day from a seed, on a network that the recorder hears. */
     public static void play(long seed, VirtualNetwork.Recorder recorder) {
-        HistoryDay day = new HistoryDay(seed, 2048, 5, Archivist::new);
+        ArchiveScenario day = new ArchiveScenario(seed, 2048, 5, Archiver::new);
         day.network.record(recorder);
         day.busy(30);
         day.time.run(30 * Micros.SECOND);
     }
 
     /** The controllers start with what is stored; users know what they were told by another service. */
-    void goesOnAs(HistoryDay other) {
+    void goesOnAs(ArchiveScenario other) {
         jobs.putAll(other.jobs);
         submitted.putAll(other.submitted);
         finished.addAll(other.finished);
@@ -133,14 +133,14 @@
         }
     }
 
-    private HistoryDay(long seed, int valueBytes, int changes, Archivist.Maker maker, boolean controllers) {
+    private ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Maker maker, boolean controllers) {
         this.random = new Random(seed);
         this.valueBytes = valueBytes;
         this.changes = changes;
         this.maker = maker;
         network = new VirtualNetwork(time, random);
-        state = new StateStandIn(world, new StateStandIn.Limits(400, 120, valueBytes, changes));
-        cloud = new CloudStandIn(world, List.of(TYPE), 6, this::up, name -> {
+        state = new SimulatedStore(world, new SimulatedStore.Limits(400, 120, valueBytes, changes));
+        cloud = new SimulatedCloud(world, List.of(TYPE), 6, this::up, name -> {
             if (workers.containsKey(name)) {
                 workers.remove(name).delete();
             }
@@ -243,19 +243,19 @@
 
     // ---- workers
 
-    private void up(CloudStandIn.Rented machine) {
+    private void up(SimulatedCloud.Rented machine) {
         Map<String, Http> controllers = new LinkedHashMap<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             controllers.put("c" + i, network.from(world, "c" + i));
         }
-        WorkerStandIn worker = new WorkerStandIn(
+        SimulatedWorker worker = new SimulatedWorker(
                 world,
                 settings(0),
                 machine,
                 controllers,
                 this::described,
-                new Gangs(world, settings(0)),
-                new WorkerStandIn.Witness() {
+                new GangRendezvous(world, settings(0)),
+                new SimulatedWorker.Witness() {
                     @Override
                     public void started(String task, long attempt, String name) {
                         String other = running.putIfAbsent(task, name);
@@ -294,7 +294,7 @@
         try {
             return body == null
                     ? null
-                    : CloudSide.described(("{\"spec\":" + new String(body, StandardCharsets.UTF_8) + "}")
+                    : CloudSideCodec.described(("{\"spec\":" + new String(body, StandardCharsets.UTF_8) + "}")
                             .getBytes(StandardCharsets.UTF_8));
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
@@ -543,15 +543,15 @@
     }
 
     /** What the manifest names is all there and all that is there, and holds what users were told, each job once in rows or runs. */
-    void checkStored() throws MalformedException, DamagedException {
+    void checkStored() throws MalformedException, DamagedSegmentException {
         Map<String, Outcomes> found = new TreeMap<>();
-        StateStandIn.Value manifest = state.values().get(StoreKeys.HISTORY);
+        SimulatedStore.Value manifest = state.values().get(StoreKeys.HISTORY);
         if (manifest == null) {
             broken.add("no archive");
             return;
         }
         Set<String> named = new HashSet<>();
-        for (Row.Run run : ((Row.History) row(StoreKeys.HISTORY)).runs()) {
+        for (StoredRecord.Run run : ((StoredRecord.History) row(StoreKeys.HISTORY)).runs()) {
             for (int number = 0; number < run.segments(); number++) {
                 String key = StoreKeys.segment(run.name(), number);
                 named.add(key);
@@ -559,7 +559,7 @@
                     broken.add("missing " + key);
                     continue;
                 }
-                for (Archived each : Segments.unpack(key, (Row.Segment) row(key))) {
+                for (ArchivedJob each : SegmentCodec.unpack(key, (StoredRecord.Segment) row(key))) {
                     found.computeIfAbsent(each.id(), k -> new Outcomes())
                             .add(each.outcome().state().name());
                 }
@@ -573,7 +573,7 @@
             if (key.startsWith("job/wk-") && key.indexOf('/', 4) < 0) {
                 rows++;
                 found.computeIfAbsent(key.substring(4), k -> new Outcomes())
-                        .add(((Row.JobRow) row(key)).state().name());
+                        .add(((StoredRecord.JobRow) row(key)).state().name());
             }
         }
         for (Job job : jobs.values()) {
@@ -592,9 +592,9 @@
         private static final long serialVersionUID = 1L;
     }
 
-    private Row row(String key) throws MalformedException {
-        StateStandIn.Value value = state.values().get(key);
-        return StateCodec.item(("{\"k\":\"" + key + "\",\"data\":" + new String(value.json(), StandardCharsets.UTF_8)
+    private StoredRecord row(String key) throws MalformedException {
+        SimulatedStore.Value value = state.values().get(key);
+        return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + new String(value.json(), StandardCharsets.UTF_8)
                                 + ",\"stamp\":" + value.stamp() + "}")
                         .getBytes(StandardCharsets.UTF_8))
                 .row();
--- a/src/test/java/io/micatide/archive/ArchivistTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -7,10 +7,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.JobState;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Outcome;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.store.JobOutcome;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -23,12 +23,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a long history comes to: values, reads for a look-up, changes; and what is damaged or refused. */
-class ArchivistTest {
+class ArchiverTest {
     /** Values by key as the state service would hold them; carries out the steps of an archivist. */
     private static final class Store {
-        final TreeMap<String, Row> values = new TreeMap<>();
-        final List<Archivist.Ended> rows = new ArrayList<>();
-        Row.History manifest = Archivist.first(3, 5);
+        final TreeMap<String, StoredRecord> values = new TreeMap<>();
+        final List<Archiver.Ended> rows = new ArrayList<>();
+        StoredRecord.History manifest = Archiver.first(3, 5);
         long version = 1;
         int changes;
         int reads;
@@ -40,24 +40,25 @@
             values.put(StoreKeys.HISTORY, manifest);
         }
 
-        void carryOut(Archivist archivist, Archivist.Step step) throws DamagedException {
-            if (step instanceof Archivist.Write write) {
+        void carryOut(Archiver archivist, Archiver.Step step) throws DamagedSegmentException {
+            if (step instanceof Archiver.Write write) {
                 write(archivist, write.transaction());
-            } else if (step instanceof Archivist.FindAfter find) {
+            } else if (step instanceof Archiver.FindAfter find) {
                 archivist.listed(values.higherKey(find.key()));
-            } else if (step instanceof Archivist.ReadSegment read) {
+            } else if (step instanceof Archiver.ReadSegment read) {
                 reads++;
                 try {
-                    archivist.segment(read.key(), Segments.unpack(read.key(), (Row.Segment) values.get(read.key())));
-                } catch (DamagedException e) {
+                    archivist.segment(
+                            read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.Segment) values.get(read.key())));
+                } catch (DamagedSegmentException e) {
                     archivist.damaged(read.key());
                 }
             }
         }
 
-        private void write(Archivist archivist, Transaction transaction) {
+        private void write(Archiver archivist, Transaction transaction) {
             for (Transaction.Write each : transaction.writes()) {
-                if (each.row() != null && StateCodec.size(each.row()) > limit) {
+                if (each.row() != null && StoreCodec.size(each.row()) > limit) {
                     refusals++;
                     assertTrue(archivist.refused());
                     return;
@@ -74,17 +75,17 @@
                     values.remove(each.key());
                 }
             }
-            if (transaction.writes().get(0).row() instanceof Row.History history) {
+            if (transaction.writes().get(0).row() instanceof StoredRecord.History history) {
                 manifest = history;
             }
             archivist.written(version);
         }
 
         /** Until there is nothing left to do. */
-        void drain(Archivist archivist, boolean anyway) throws DamagedException {
+        void drain(Archiver archivist, boolean anyway) throws DamagedSegmentException {
             for (int idle = 0; idle < 3; ) {
                 archivist.offer(List.copyOf(rows), version, anyway);
-                Archivist.Step step = archivist.next(16);
+                Archiver.Step step = archivist.next(16);
                 idle = step == null ? idle + 1 : 0;
                 for (; step != null; step = archivist.next(16)) {
                     carryOut(archivist, step);
@@ -93,18 +94,18 @@
         }
     }
 
-    private static Archivist.Ended ended(int number, int idLength) {
+    private static Archiver.Ended ended(int number, int idLength) {
         StringBuilder id = new StringBuilder(String.format("wk-%06d", number * 7_919L % 1_000_000));
         for (Random random = new Random(number); id.length() < idLength; ) {
             id.append((char) ('a' + random.nextInt(26)));
         }
-        return new Archivist.Ended(id.toString(), 1, outcome(number), 0);
+        return new Archiver.Ended(id.toString(), 1, outcome(number), 0);
     }
 
-    private static Outcome outcome(int number) {
+    private static JobOutcome outcome(int number) {
         return number % 5 == 0
-                ? new Outcome(JobState.CANCELLED, number % 2 == 0, number % 300)
-                : new Outcome(JobState.DONE, false, 1 + number % 300);
+                ? new JobOutcome(JobState.CANCELLED, number % 2 == 0, number % 300)
+                : new JobOutcome(JobState.DONE, false, 1 + number % 300);
     }
 
     /** Jobs, value limit, length of ids; most values, runs and hundredths of a change for each job beside the removal of its row. */
@@ -117,9 +118,10 @@
         "5000, 2048, 63, 400, 9, 40",
     })
     void aLongHistoryTakesFewValuesAndFewChanges(
-            int jobs, int limit, int idLength, int mostValues, int mostRuns, int mostChanges) throws DamagedException {
+            int jobs, int limit, int idLength, int mostValues, int mostRuns, int mostChanges)
+            throws DamagedSegmentException {
         Store store = new Store(limit);
-        Archivist archivist = new Archivist(7, limit, 16, 256, store.manifest, 1);
+        Archiver archivist = new Archiver(7, limit, 16, 256, store.manifest, 1);
         for (int from = 0; from < jobs; from += 256) {
             for (int number = from; number < Math.min(jobs, from + 256); number++) {
                 store.rows.add(ended(number, idLength));
@@ -133,18 +135,18 @@
                 store.manifest.runs().size() <= mostRuns, store.manifest.runs().size() + " runs");
         assertTrue(store.changes <= jobs * (100 + mostChanges) / 100, store.changes + " changes");
 
-        Filters filters = new Filters(1 << 20);
+        MembershipFilters filters = new MembershipFilters(1 << 20);
         filters.manifest(store.manifest);
         for (String key = filters.wanted(); key != null; key = filters.wanted()) {
-            filters.read(key, Segments.unpack(key, (Row.Segment) store.values.get(key)));
+            filters.read(key, SegmentCodec.unpack(key, (StoredRecord.Segment) store.values.get(key)));
         }
         int reads = 0;
         for (int number = 0; number < jobs; number++) {
-            Archivist.Ended job = ended(number, idLength);
-            Outcome found = null;
+            Archiver.Ended job = ended(number, idLength);
+            JobOutcome found = null;
             for (String key : filters.candidates(job.id())) {
                 reads++;
-                Outcome here = Segments.find(key, (Row.Segment) store.values.get(key), job.id());
+                JobOutcome here = SegmentCodec.find(key, (StoredRecord.Segment) store.values.get(key), job.id());
                 found = here == null ? found : here;
             }
             assertEquals(job.outcome(), found, job.id());
@@ -160,9 +162,9 @@
     /** The limit of a value falls below what was planned with: what does not fit is packed again, in more values. */
     @ParameterizedTest
     @CsvSource({"1500", "900", "640"})
-    void limitsThatFall(int limit) throws DamagedException {
+    void limitsThatFall(int limit) throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archivist archivist = new Archivist(7, 16384, 16, 256, store.manifest, 1);
+        Archiver archivist = new Archiver(7, 16384, 16, 256, store.manifest, 1);
         for (int number = 0; number < 3000; number++) {
             store.rows.add(ended(number, 9));
         }
@@ -171,7 +173,8 @@
         assertTrue(store.refusals > 0);
         assertEquals(List.of(), store.rows);
         assertEquals(
-                3000, store.manifest.runs().stream().mapToLong(Row.Run::jobs).sum());
+                3000,
+                store.manifest.runs().stream().mapToLong(StoredRecord.Run::jobs).sum());
         Set<String> named = new HashSet<>();
         store.manifest.runs().forEach(run -> {
             for (int number = 0; number < run.segments(); number++) {
@@ -187,9 +190,9 @@
 
     /** A damaged run is never merged, so nothing of it is lost that could still be mended; the others go on. */
     @Test
-    void aDamagedRunStaysAsItIs() throws DamagedException {
+    void aDamagedRunStaysAsItIs() throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archivist archivist = new Archivist(7, 16384, 16, 256, store.manifest, 1);
+        Archiver archivist = new Archiver(7, 16384, 16, 256, store.manifest, 1);
         String damaged = null;
         for (int round = 0; round < 12; round++) {
             for (int number = round * 256; number < (round + 1) * 256; number++) {
@@ -199,57 +202,58 @@
             if (round == 0) {
                 damaged = store.manifest.runs().get(0).name();
                 String key = StoreKeys.segment(damaged, 0);
-                Row.Segment segment = (Row.Segment) store.values.get(key);
+                StoredRecord.Segment segment = (StoredRecord.Segment) store.values.get(key);
                 segment.packed()[20] ^= 1;
-                Row.Segment changed = segment;
-                assertThrows(DamagedException.class, () -> Segments.unpack(key, changed));
+                StoredRecord.Segment changed = segment;
+                assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack(key, changed));
             }
         }
         String name = damaged;
         assertTrue(store.manifest.runs().stream().anyMatch(run -> run.name().equals(name)));
         assertEquals(
                 12 * 256,
-                store.manifest.runs().stream().mapToLong(Row.Run::jobs).sum());
+                store.manifest.runs().stream().mapToLong(StoredRecord.Run::jobs).sum());
         assertTrue(store.manifest.runs().size() < 9);
     }
 
     /** What an archivist that was killed left behind goes, and nothing else does. */
     @Test
-    void whatNothingNamesIsRemoved() throws DamagedException {
+    void whatNothingNamesIsRemoved() throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archivist first = new Archivist(7, 16384, 16, 256, store.manifest, 1);
+        Archiver first = new Archiver(7, 16384, 16, 256, store.manifest, 1);
         for (int number = 0; number < 600; number++) {
             store.rows.add(ended(number, 9));
         }
         store.drain(first, true);
         Set<String> named = Set.copyOf(store.values.keySet());
         for (String run : List.of("0-1", "6-1", "7-9", "zz-1")) {
-            store.values.put(StoreKeys.segment(run, 0), new Row.Segment("x", new byte[1]));
-            store.values.put(StoreKeys.segment(run, 1), new Row.Segment("x", new byte[1]));
+            store.values.put(StoreKeys.segment(run, 0), new StoredRecord.Segment("x", new byte[1]));
+            store.values.put(StoreKeys.segment(run, 1), new StoredRecord.Segment("x", new byte[1]));
         }
-        store.drain(new Archivist(8, 16384, 16, 256, store.manifest, store.version), false);
+        store.drain(new Archiver(8, 16384, 16, 256, store.manifest, store.version), false);
         assertEquals(named, store.values.keySet());
     }
 
     /** A packed segment with any byte changed, or read under another key, is told from a sound one. */
     @Test
-    void damageIsAlwaysSeen() throws DamagedException {
-        List<Archived> jobs = new ArrayList<>();
+    void damageIsAlwaysSeen() throws DamagedSegmentException {
+        List<ArchivedJob> jobs = new ArrayList<>();
         for (int number = 0; number < 200; number++) {
-            jobs.add(new Archived(String.format("wk-%06d", number * 31), outcome(number)));
+            jobs.add(new ArchivedJob(String.format("wk-%06d", number * 31), outcome(number)));
         }
-        Row.Segment segment = Segments.pack("history/a/000000", jobs);
-        assertEquals(jobs, Segments.unpack("history/a/000000", segment));
-        assertNotNull(Segments.find("history/a/000000", segment, "wk-000031"));
-        assertNull(Segments.find("history/a/000000", segment, "wk-000032"));
+        StoredRecord.Segment segment = SegmentCodec.pack("history/a/000000", jobs);
+        assertEquals(jobs, SegmentCodec.unpack("history/a/000000", segment));
+        assertNotNull(SegmentCodec.find("history/a/000000", segment, "wk-000031"));
+        assertNull(SegmentCodec.find("history/a/000000", segment, "wk-000032"));
         for (int at = 0; at < segment.packed().length; at++) {
             byte[] changed = segment.packed().clone();
             changed[at] ^= 1 << at % 8;
-            Row.Segment damaged = new Row.Segment(segment.digest(), changed);
-            assertThrows(DamagedException.class, () -> Segments.unpack("history/a/000000", damaged));
+            StoredRecord.Segment damaged = new StoredRecord.Segment(segment.digest(), changed);
+            assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000000", damaged));
         }
-        assertThrows(DamagedException.class, () -> Segments.unpack("history/a/000001", segment));
-        Row.Segment half = new Row.Segment(segment.digest(), java.util.Arrays.copyOf(segment.packed(), 20));
-        assertThrows(DamagedException.class, () -> Segments.unpack("history/a/000000", half));
+        assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000001", segment));
+        StoredRecord.Segment half =
+                new StoredRecord.Segment(segment.digest(), java.util.Arrays.copyOf(segment.packed(), 20));
+        assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000000", half));
     }
 }
--- a/src/test/java/io/micatide/archive/SnapshotTest.java
+++ b/src/test/java/io/micatide/archive/SnapshotTest.java
@@ -8,14 +8,14 @@
 import io.micatide.model.Micros;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
-import io.micatide.protocol.RawState;
-import io.micatide.simulation.StateStandIn;
-import io.micatide.snapshot.Image;
-import io.micatide.snapshot.ImageTaker;
-import io.micatide.snapshot.Restorer;
+import io.micatide.protocol.RawStoreCodec;
+import io.micatide.simulation.SimulatedStore;
 import io.micatide.snapshot.SnapshotException;
 import io.micatide.snapshot.SnapshotFile;
-import io.micatide.snapshot.StateCalls;
+import io.micatide.snapshot.SnapshotRestorer;
+import io.micatide.snapshot.SnapshotTaker;
+import io.micatide.snapshot.StoreCalls;
+import io.micatide.snapshot.StoreImage;
 import io.micatide.store.StoreKeys;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
@@ -35,14 +35,14 @@
     private static final byte[] KEY = "a key of sixteen bytes".getBytes(StandardCharsets.UTF_8);
 
     /** Calls over a day's network; time passes while one waits, and everybody else goes on. */
-    private static final class Calls implements StateCalls {
-        private final HistoryDay day;
+    private static final class Calls implements StoreCalls {
+        private final ArchiveScenario day;
         private final Http http;
         int left = Integer.MAX_VALUE;
         int page = 7;
         long gapMicros = 100 * Micros.MILLISECOND;
 
-        Calls(HistoryDay day) {
+        Calls(ArchiveScenario day) {
             this.day = day;
             this.http = day.network.from(day.time.new Process(), "state");
         }
@@ -79,7 +79,7 @@
         }
     }
 
-    private static Map<String, String> stored(StateStandIn state) {
+    private static Map<String, String> stored(SimulatedStore state) {
         Map<String, String> values = new TreeMap<>();
         state.values().forEach((key, value) -> {
             if (!key.equals(StoreKeys.LEADER) && !key.startsWith(StoreKeys.HERE) && !key.equals("restored")) {
@@ -89,7 +89,7 @@
         return values;
     }
 
-    private static Map<String, String> held(Image image) {
+    private static Map<String, String> held(StoreImage image) {
         Map<String, String> values = new TreeMap<>();
         image.values().forEach((key, value) -> values.put(key, value.json()));
         return values;
@@ -99,7 +99,7 @@
     @ParameterizedTest
     @CsvSource({"1, 0", "2, 0", "3, 0.05", "4, 0.05", "5, 0.2"})
     void anImageIsOfOneRevision(int seed, double losses) throws SnapshotException {
-        HistoryDay day = new HistoryDay(seed, 2048, 5, Archivist::new);
+        ArchiveScenario day = new ArchiveScenario(seed, 2048, 5, Archiver::new);
         day.busy(20);
         Map<Long, Map<String, String>> then = new TreeMap<>();
         day.state.afterEachChange(revision -> then.put(revision, stored(day.state)));
@@ -108,7 +108,7 @@
         Calls calls = new Calls(day);
         calls.page = 2;
         calls.gapMicros = 700 * Micros.MILLISECOND;
-        Image image = new ImageTaker(calls, line -> {}).take();
+        StoreImage image = new SnapshotTaker(calls, line -> {}).take();
         assertTrue(then.size() > 20, then.size() + " changes meanwhile");
         assertEquals(
                 ((TreeMap<Long, Map<String, String>>) then)
@@ -121,17 +121,18 @@
     @ParameterizedTest
     @CsvSource({"1, true", "2, false"})
     void aRestoredServiceAnswersAsTheFirst(int seed, boolean advance, @TempDir Path folder) throws Exception {
-        HistoryDay first = new HistoryDay(seed, 2048, 5, Archivist::new);
+        ArchiveScenario first = new ArchiveScenario(seed, 2048, 5, Archiver::new);
         first.busy(30);
         first.settle();
         first.checkStored();
         Path file = folder.resolve("a.snapshot");
-        SnapshotFile.write(file, new ImageTaker(new Calls(first), line -> {}).take(), KEY, "then");
+        SnapshotFile.write(file, new SnapshotTaker(new Calls(first), line -> {}).take(), KEY, "then");
         SnapshotFile.Content content = SnapshotFile.read(file, KEY);
         assertEquals(stored(first.state), held(content.image()));
 
-        HistoryDay second = HistoryDay.withoutControllers(seed, 2048, 5);
-        new Restorer(new Calls(second), 5, 2048, line -> {}).restore(content.image(), content.digest(), advance);
+        ArchiveScenario second = ArchiveScenario.withoutControllers(seed, 2048, 5);
+        new SnapshotRestorer(new Calls(second), 5, 2048, line -> {})
+                .restore(content.image(), content.digest(), advance);
         assertEquals(stored(first.state), stored(second.state));
         assertEquals(advance, second.state.revision() > content.image().revision());
         second.goesOnAs(first);
@@ -145,22 +146,22 @@
     /** A restore that is killed after any of its calls is repeated, and ends as one that was not; meanwhile nobody can serve. */
     @Test
     void aRestoreMayBeKilledAnywhere() throws Exception {
-        HistoryDay first = new HistoryDay(9, 2048, 5, Archivist::new);
+        ArchiveScenario first = new ArchiveScenario(9, 2048, 5, Archiver::new);
         first.busy(15);
         first.settle();
-        Image image = new ImageTaker(new Calls(first), line -> {}).take();
+        StoreImage image = new SnapshotTaker(new Calls(first), line -> {}).take();
         for (int kill = 1; kill < 60; kill++) {
-            HistoryDay second = HistoryDay.withoutControllers(kill, 2048, 5);
+            ArchiveScenario second = ArchiveScenario.withoutControllers(kill, 2048, 5);
             Calls calls = new Calls(second);
             calls.left = kill;
             boolean killed = false;
             try {
-                new Restorer(calls, 5, 2048, line -> {}).restore(image, "digest", false);
+                new SnapshotRestorer(calls, 5, 2048, line -> {}).restore(image, "digest", false);
             } catch (IllegalStateException e) {
                 killed = true;
                 boolean begun = !second.state.values().isEmpty();
                 assertEquals(begun, second.state.values().containsKey("job/being-restored"));
-                Restorer other = new Restorer(new Calls(second), 5, 2048, line -> {});
+                SnapshotRestorer other = new SnapshotRestorer(new Calls(second), 5, 2048, line -> {});
                 if (begun) {
                     assertThrows(SnapshotException.class, () -> other.restore(image, "another digest", false));
                 }
@@ -175,32 +176,33 @@
 
     @Test
     void aServiceThatHoldsSomethingIsNotTouched() throws Exception {
-        HistoryDay day = new HistoryDay(1, 2048, 5, Archivist::new);
+        ArchiveScenario day = new ArchiveScenario(1, 2048, 5, Archiver::new);
         day.busy(10);
-        Image image = new ImageTaker(new Calls(day), line -> {}).take();
+        StoreImage image = new SnapshotTaker(new Calls(day), line -> {}).take();
         Map<String, String> before = stored(day.state);
         SnapshotException e = assertThrows(SnapshotException.class, () -> {
-            HistoryDay other = HistoryDay.withoutControllers(2, 2048, 5);
+            ArchiveScenario other = ArchiveScenario.withoutControllers(2, 2048, 5);
             other.state.preset("booking/r-1", "{}".getBytes(StandardCharsets.UTF_8));
-            new Restorer(new Calls(other), 5, 2048, line -> {}).restore(image, "digest", false);
+            new SnapshotRestorer(new Calls(other), 5, 2048, line -> {}).restore(image, "digest", false);
         });
         assertTrue(e.getMessage().contains("booking/r-1"), e.getMessage());
         SnapshotException large = assertThrows(
                 SnapshotException.class,
-                () -> new Restorer(new Calls(HistoryDay.withoutControllers(2, 2048, 5)), 5, 60, line -> {})
+                () -> new SnapshotRestorer(new Calls(ArchiveScenario.withoutControllers(2, 2048, 5)), 5, 60, line -> {})
                         .restore(image, "digest", false));
         assertTrue(large.getMessage().contains("nothing was written"), large.getMessage());
         assertFalse(before.isEmpty());
     }
 
-    private static Image image() {
-        TreeMap<String, RawState.Value> values = new TreeMap<>();
+    private static StoreImage image() {
+        TreeMap<String, RawStoreCodec.Value> values = new TreeMap<>();
         for (int i = 0; i < 300; i++) {
             String key = StoreKeys.job(String.format("wk-%06d", i));
             values.put(
-                    key, new RawState.Value(key, "{\"state\":\"DONE\",\"tasks\":" + i + ",\"submitted\":5}", 10 + i));
+                    key,
+                    new RawStoreCodec.Value(key, "{\"state\":\"DONE\",\"tasks\":" + i + ",\"submitted\":5}", 10 + i));
         }
-        return new Image(400, values);
+        return new StoreImage(400, values);
     }
 
     /** Half a file, any changed byte, another key: told, and nothing is read from it. */
--- a/src/test/java/io/micatide/election/CancelProofTest.java
+++ b/src/test/java/io/micatide/election/CancellationHorizonTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.micatide.jobs.CancelLog;
+import io.micatide.jobs.CancellationLog;
+import io.micatide.model.CancellationDigest;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.model.Testimony;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
  * Leases of 10 s, cancellations of 30: what is answered within 18.98 s of the moment up to which all is known is over in time. Each answer
  * that a case allows is held against what it could prolong.
  */
-class CancelProofTest {
+class CancellationHorizonTest {
     private static final Settings SETTINGS = new Settings(
             "c0",
             "a",
@@ -86,7 +86,7 @@
         "r100 0@115-116/500 1@115-115/500 0@105-117/500 a133, y",
     })
     void everyAnswerIsProved(String steps, String told) {
-        CancelProof proof = new CancelProof(SETTINGS);
+        CancellationHorizon proof = new CancellationHorizon(SETTINGS);
         StringBuilder text = new StringBuilder();
         for (String step : steps.split(" ")) {
             if (step.charAt(0) == 'r') {
@@ -98,7 +98,7 @@
                 int sibling = step.charAt(0) - '0';
                 proof.testified(
                         sibling,
-                        new Testimony(
+                        new CancellationDigest(
                                 step.endsWith("?") ? "c9" : "c" + (sibling + 1),
                                 micros(word[2]),
                                 !step.endsWith("!"),
@@ -140,7 +140,7 @@
                 1,
                 100,
                 100);
-        CancelProof proof = new CancelProof(alone);
+        CancellationHorizon proof = new CancellationHorizon(alone);
         assertEquals(false, proof.mayAnswer(Micros.SECOND));
         proof.read(Micros.SECOND);
         assertEquals(true, proof.mayAnswer(900 * Micros.SECOND));
@@ -178,7 +178,7 @@
                 1,
                 100,
                 100);
-        assertEquals(kept, CancelProof.unkept(settings) == null, CancelProof.unkept(settings));
+        assertEquals(kept, CancellationHorizon.unkept(settings) == null, CancellationHorizon.unkept(settings));
     }
 
     private static long micros(String seconds) {
@@ -201,7 +201,7 @@
         "c2000 c3 n999@4, 1500, false 0",
     })
     void whatIsNamed(String steps, long revision, String told) {
-        CancelLog log = new CancelLog();
+        CancellationLog log = new CancellationLog();
         for (String step : steps.split(" ")) {
             String[] parts = step.substring(1).split("@");
             long number = Long.parseLong(parts[0]);
@@ -215,7 +215,7 @@
                 }
             }
         }
-        Testimony word = log.above(revision, "c1", 0);
+        CancellationDigest word = log.above(revision, "c1", 0);
         assertEquals(told, word.whole() + " " + word.cancelled().size());
     }
 }
--- a/src/test/java/io/micatide/election/LeadershipTest.java
+++ b/src/test/java/io/micatide/election/LeaderElectionTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class LeadershipTest {
+class LeaderElectionTest {
     private static final long TTL = 3 * Micros.SECOND;
 
     /**
@@ -37,8 +37,8 @@
         "'read::0,lease,won:5,high:4:other', 5, me, NOTHING",
         "'read::0,lease,won:5,high:5:', 5, me, NOTHING",
     })
-    void leads(String events, long token, String leader, Leadership.Wish next) {
-        Leadership leadership = new Leadership("me", TTL);
+    void leads(String events, long token, String leader, LeaderElection.Wish next) {
+        LeaderElection leadership = new LeaderElection("me", TTL);
         long now = Micros.SECOND;
         for (String event : events.split(",")) {
             String[] part = event.split(":", -1);
@@ -68,14 +68,14 @@
     /** A row that became free is left to others for as long as is said; it is no matter when it was asked about. */
     @ParameterizedTest
     @CsvSource({"0, 0, CLAIM", "600, 0, NOTHING", "600, 500, NOTHING", "600, 700, CLAIM"})
-    void leavesAFreeRowToOthers(int waitsMillis, int afterMillis, Leadership.Wish next) {
-        Leadership leadership = new Leadership("me", TTL);
+    void leavesAFreeRowToOthers(int waitsMillis, int afterMillis, LeaderElection.Wish next) {
+        LeaderElection leadership = new LeaderElection("me", TTL);
         long now = Micros.SECOND;
         long waits = waitsMillis * Micros.MILLISECOND;
         leadership.rowRead("other", 4);
         leadership.granted(7, now);
         assertEquals(-1, leadership.claimableForMicros(now));
-        assertEquals(Leadership.Wish.NOTHING, leadership.next(now, waits));
+        assertEquals(LeaderElection.Wish.NOTHING, leadership.next(now, waits));
         leadership.row(null, 0);
         assertEquals(0, leadership.claimableForMicros(now));
         assertEquals(next, leadership.next(now + afterMillis * Micros.MILLISECOND, waits));
--- a/src/test/java/io/micatide/election/StateReachTest.java
+++ b/src/test/java/io/micatide/election/StoreConnectivityTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class StateReachTest {
+class StoreConnectivityTest {
     /** Seconds since this controller was served and since a sibling said that it was; -1: never. */
     @ParameterizedTest
     @CsvSource({
@@ -19,7 +19,7 @@
         "-1, 1, true",
     })
     void onlyASiblingThatIsServedTellsACutFromAnOutage(double served, double sibling, boolean lostAlone) {
-        StateReach reach = new StateReach();
+        StoreConnectivity reach = new StoreConnectivity();
         long now = 100 * Micros.SECOND;
         if (served >= 0) {
             reach.served(now - Micros.ofSeconds(served));
--- a/src/test/java/io/micatide/election/WorkerReachTest.java
+++ b/src/test/java/io/micatide/election/WorkerConnectivityTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.micatide.model.MachineReport;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
 import io.micatide.model.SettingsBuilder;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Reports come every 0.8 s; the fleet counts as silent after 2 s. */
-class WorkerReachTest {
+class WorkerConnectivityTest {
     private static final Settings SETTINGS = new SettingsBuilder().build();
     private static final long NOW = 100 * Micros.SECOND;
 
@@ -46,7 +46,7 @@
     })
     void givesUpOnlyForASiblingThatIsReached(
             double began, double heard, double strayed, double stalled, boolean served, boolean givesUp) {
-        WorkerReach reach = new WorkerReach(SETTINGS, 0);
+        WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
         reach.begin(ago(began));
         if (heard >= 0) {
             reach.heard(ago(heard));
@@ -77,7 +77,7 @@
     })
     void tellsWorkersThatLostTheLeader(
             long seen, double sentAgo, double silent, int workers, boolean stray, boolean lost) {
-        WorkerReach reach = new WorkerReach(SETTINGS, 0);
+        WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < workers; i++) {
             if (sentAgo >= 0) {
                 reach.cameHere(report("i-" + i, 0, 1), 7, ago(sentAgo));
@@ -93,7 +93,7 @@
     @ParameterizedTest
     @CsvSource({"1, false", "4, false"})
     void aCopyOfAnOldReportIsNoWorkerThatCameBack(int copies, boolean lost) {
-        WorkerReach reach = new WorkerReach(SETTINGS, 0);
+        WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < copies; i++) {
             reach.cameHere(report("i-" + i, 5, 9), 7, ago(6));
         }
@@ -106,15 +106,15 @@
         assertEquals(false, reach.reached(NOW));
     }
 
-    private static MachineReport report(String machine, long seen, long sequence) {
-        return new MachineReport(machine, "x:1", "small", "a", false, 1, sequence, seen, -1, List.of());
+    private static Heartbeat report(String machine, long seen, long sequence) {
+        return new Heartbeat(machine, "x:1", "small", "a", false, 1, sequence, seen, -1, List.of());
     }
 
     /** Seconds ago: the process began, a worker came (-1: none). */
     @ParameterizedTest
     @CsvSource({"60, 0.5, true", "60, 5, false", "60, -1, false", "1, -1, true"})
     void knowsWhetherWorkersReachIt(double began, double came, boolean reached) {
-        WorkerReach reach = new WorkerReach(SETTINGS, ago(began));
+        WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, ago(began));
         if (came >= 0) {
             reach.cameHere(report("i-1", 0, 1), 7, ago(came));
         }
--- a/src/test/java/io/micatide/protocol/DescriptionTest.java
+++ b/src/test/java/io/micatide/protocol/ApiDescriptionTest.java
@@ -18,12 +18,12 @@
 import org.openapitools.openapidiff.core.model.ChangedOpenApi;
 
 /** The description as it is served against those that were released: clients that were made from an older one have to go on. */
-class DescriptionTest {
+class ApiDescriptionTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private static String released(String version) throws IOException {
         try (InputStream in =
-                DescriptionTest.class.getResourceAsStream("/openapi/released/micatide-" + version + ".json")) {
+                ApiDescriptionTest.class.getResourceAsStream("/openapi/released/micatide-" + version + ".json")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
     }
@@ -36,7 +36,7 @@
     @ValueSource(strings = "1.0.0")
     void nothingBreaksAClientOfAReleasedDescription(String version) throws IOException {
         ChangedOpenApi changed =
-                compare(released(version), new String(new Description().bytes(), StandardCharsets.UTF_8));
+                compare(released(version), new String(new ApiDescription().bytes(), StandardCharsets.UTF_8));
         assertTrue(changed.isCompatible(), () -> changed.getChangedOperations().toString());
     }
 
@@ -55,7 +55,7 @@
                 "/paths/~1v1~1jobs/post/responses|drop|201",
             })
     void aBreakIsSeen(String at, String change, String what) throws IOException {
-        JsonNode description = MAPPER.readTree(new Description().bytes());
+        JsonNode description = MAPPER.readTree(new ApiDescription().bytes());
         int slash = at.lastIndexOf('/');
         JsonNode place = description.at(at);
         ObjectNode parent = (ObjectNode) description.at(at.substring(0, slash));
--- a/src/test/java/io/micatide/protocol/CodecTest.java
+++ b/src/test/java/io/micatide/protocol/CodecTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.micatide.jobs.Admission;
+import io.micatide.jobs.JobAdmission;
 import io.micatide.model.Command;
 import io.micatide.model.JobSpec;
 import io.micatide.model.JobState;
@@ -11,7 +11,7 @@
 import io.micatide.model.Micros;
 import io.micatide.model.Resources;
 import io.micatide.model.Team;
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -104,7 +104,7 @@
     void admitsWhatCanRun(String part, String instead, String reason) throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB.replace(part, instead))));
         MachineType type = new MachineType("g8", Resources.of(8, 0, 64), 25, 0.3, 1, 0.3, 1, List.of("a", "b"));
-        String refusal = Admission.refusal(
+        String refusal = JobAdmission.refusal(
                 spec, Map.of("red", new Team("red", 0, 0, 20_000, 0)), List.of("a", "b"), List.of(type));
         assertEquals(
                 reason,
@@ -117,15 +117,15 @@
     @Test
     void aJobComesBackFromTheStore() throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB))).withNeeds(List.of("wk-7", "wk-8"));
-        Row.JobRow row = new Row.JobRow(JobState.OPEN, spec, 5, 16);
-        byte[] sent = StateCodec.transaction(new Transaction(
+        StoredRecord.JobRow row = new StoredRecord.JobRow(JobState.OPEN, spec, 5, 16);
+        byte[] sent = StoreCodec.transaction(new Transaction(
                 List.of(new Transaction.Compare("job/wk-1", 0)), List.of(new Transaction.Write("job/wk-1", row, 0))));
         String data = Json.MAPPER
                 .convertValue(
                         Json.tree(sent).path("writes").get(0).path("data"),
                         com.fasterxml.jackson.databind.JsonNode.class)
                 .toString();
-        StateCodec.Item item = StateCodec.item(json("{'k':'job/wk-1','data':" + data + ",'stamp':9}"));
+        StoreCodec.Item item = StoreCodec.item(json("{'k':'job/wk-1','data':" + data + ",'stamp':9}"));
         assertEquals(row, item.row());
     }
 
--- a/src/test/java/io/micatide/protocol/StoredTextTest.java
+++ b/src/test/java/io/micatide/protocol/StoredFormatTest.java
@@ -5,7 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.jobs.JobDirectory;
+import io.micatide.jobs.JobCache;
+import io.micatide.model.CancellationDigest;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobProgress;
 import io.micatide.model.JobSpec;
@@ -13,9 +14,8 @@
 import io.micatide.model.Priority;
 import io.micatide.model.Resources;
 import io.micatide.model.Settings;
-import io.micatide.model.Testimony;
-import io.micatide.standby.StandbyReadiness;
-import io.micatide.store.Row;
+import io.micatide.model.StandbyReadiness;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -29,7 +29,7 @@
  * What the version in production stores and says, as text. Old and new controllers serve side by side during an upgrade,
  * so each of these must be read as it always was, and written so that the old one reads it.
  */
-class StoredTextTest {
+class StoredFormatTest {
     private static final String SPEC =
             "{'nameId':'wk-1','roster':'train','crew':'red','form':'batch','rank':'best_effort',"
                     + "'legs':16,'cpus':2.0,'cards':0.0,'memGb':4.5,'kit':'img','sizeGb':1.5,'builds':['g8'],'ground':'a',"
@@ -61,8 +61,8 @@
                         + "'hourly':0.54,'marketPrice':0.19,'bootS':30.0,'grounds':['a','b']}]}",
             })
     void rowsOfProduction(String key, String data) throws MalformedException {
-        StateCodec.Item item = StateCodec.item(json("{'k':'" + key + "','data':" + data + ",'stamp':9}"));
-        byte[] again = StateCodec.transaction(new Transaction(
+        StoreCodec.Item item = StoreCodec.item(json("{'k':'" + key + "','data':" + data + ",'stamp':9}"));
+        byte[] again = StoreCodec.transaction(new Transaction(
                 List.of(new Transaction.Compare(key, 9)), List.of(new Transaction.Write(key, item.row(), 0))));
         assertEquals(
                 "{'if':[{'k':'" + key + "','stamp':9}],'writes':[{'put':'" + key + "','data':" + data + "}]}",
@@ -71,9 +71,9 @@
 
     @Test
     void aRowOfProductionMeansWhatItMeant() throws MalformedException {
-        StateCodec.Item item = StateCodec.item(json("{'k':'job/wk-1','data':{'state':'OPEN','tasks':16,'submitted':7,"
+        StoreCodec.Item item = StoreCodec.item(json("{'k':'job/wk-1','data':{'state':'OPEN','tasks':16,'submitted':7,"
                 + "'spec':" + SPEC + "},'stamp':9}"));
-        JobSpec spec = ((Row.JobRow) item.row()).spec();
+        JobSpec spec = ((StoredRecord.JobRow) item.row()).spec();
         assertEquals(
                 new JobSpec(
                         "wk-1",
@@ -95,7 +95,7 @@
                         0,
                         90_000_000),
                 spec);
-        assertEquals(JobState.OPEN, ((Row.JobRow) item.row()).state());
+        assertEquals(JobState.OPEN, ((StoredRecord.JobRow) item.row()).state());
     }
 
     /** A list of any length is kept whole, in as many rows as it takes, none above the limit. */
@@ -114,7 +114,7 @@
         for (int i = 0; i < names; i++) {
             needs.add(String.format("wk-%06d", i));
         }
-        Row.JobRow row = new Row.JobRow(
+        StoredRecord.JobRow row = new StoredRecord.JobRow(
                 JobState.OPEN,
                 new JobSpec(
                         "wk-x",
@@ -138,20 +138,20 @@
                         needs),
                 7,
                 16);
-        List<Transaction.Write> writes = StateCodec.jobRows("wk-x", row, limit);
+        List<Transaction.Write> writes = StoreCodec.jobRows("wk-x", row, limit);
         assertEquals(rows, writes.size());
-        JobDirectory directory = new JobDirectory();
+        JobCache directory = new JobCache();
         for (Transaction.Write write : writes) {
-            assertTrue(StateCodec.size(write.row()) <= limit, write.key());
-            if (write.row() instanceof Row.Needs further) {
+            assertTrue(StoreCodec.size(write.row()) <= limit, write.key());
+            if (write.row() instanceof StoredRecord.Needs further) {
                 directory.applyNeeds(
                         "wk-x", Integer.parseInt(write.key().substring("job/wk-x/needs/".length())), further.names());
             } else {
-                directory.apply("wk-x", (Row.JobRow) write.row(), 5);
+                directory.apply("wk-x", (StoredRecord.JobRow) write.row(), 5);
             }
         }
         assertEquals(row, directory.get("wk-x").row());
-        assertNull(StateCodec.jobRows("wk-x", row, 200), "the job itself has to fit");
+        assertNull(StoreCodec.jobRows("wk-x", row, 200), "the job itself has to fit");
     }
 
     @Test
@@ -196,7 +196,8 @@
         assertEquals(
                 news,
                 new String(PeerCodec.news(PeerCodec.news(json(news))), StandardCharsets.UTF_8).replace('"', '\''));
-        Testimony word = new Testimony("berth-2", 5_000_000, true, List.of(new Testimony.Cancelled("wk-1", 44)));
+        CancellationDigest word = new CancellationDigest(
+                "berth-2", 5_000_000, true, List.of(new CancellationDigest.Cancelled("wk-1", 44)));
         PeerCodec.Answer answer = new PeerCodec.Answer(41, -1, 3, true, null).with(word);
         String told = new String(PeerCodec.answer(answer), StandardCharsets.UTF_8).replace('"', '\'');
         assertEquals(
--- a/src/test/java/io/micatide/rollout/PlanTest.java
+++ b/src/test/java/io/micatide/rollout/RolloutPlanTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.Arrays;
 import java.util.List;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Steps as a table: where the features stand, who is there, what is asked for, and what comes next. */
-class PlanTest {
+class RolloutPlanTest {
     private static final long VERSION = 40;
 
     private static Map<String, String> stages(String text) {
@@ -28,28 +28,28 @@
         return result;
     }
 
-    private static Switches switches(String text) {
-        Switches switches = new Switches(Abilities.ALL);
+    private static FeatureFlags switches(String text) {
+        FeatureFlags switches = new FeatureFlags(Capabilities.ALL);
         Map<String, String> stages = stages(text);
         // As far as the others are at most.
         stages.put(
                 "returns",
                 text != null && text.contains("=ON") ? "ON" : text != null && text.contains("=READ") ? "READ" : "OFF");
-        switches.seen(VERSION, new Row.Features(stages));
+        switches.seen(VERSION, new StoredRecord.Features(stages));
         return switches;
     }
 
     /** `a`, `b` and `c` registered: `+` knows all and acts by the present switches, `-` by former ones, `o` knows nothing, `.` is not there. */
-    private static Roster roster(String there, String asked) {
-        Roster roster = new Roster(List.of("a", "b", "c"));
+    private static ControllerRegistry roster(String there, String asked) {
+        ControllerRegistry roster = new ControllerRegistry(List.of("a", "b", "c"));
         for (int i = 0; i < 3; i++) {
             char how = there.charAt(i);
             if (how != '.') {
                 roster.add(
                         StoreKeys.here("abc".substring(i, i + 1)),
-                        new Row.Here(
+                        new StoredRecord.Here(
                                 "1",
-                                how == 'o' ? List.of("needs", "history") : Abilities.ALL.names(),
+                                how == 'o' ? List.of("needs", "history") : Capabilities.ALL.names(),
                                 how == '-' ? VERSION - 1 : VERSION,
                                 5),
                         7 + i);
@@ -57,7 +57,7 @@
         }
         stages(asked)
                 .forEach((feature, wish) ->
-                        roster.add(StoreKeys.asked(feature), new Row.Ask(Row.Wish.valueOf(wish)), 3));
+                        roster.add(StoreKeys.asked(feature), new StoredRecord.Ask(StoredRecord.Wish.valueOf(wish)), 3));
         return roster;
     }
 
@@ -87,7 +87,7 @@
                 "booking-fence=ON learned=READ    | ++- | learned=BACK  | true  |",
             })
     void steps(String stages, String there, String asked, boolean forward, String next) {
-        Plan plan = Plan.of(switches(stages), roster(there, asked), forward);
+        RolloutPlan plan = RolloutPlan.of(switches(stages), roster(there, asked), forward);
         if (next == null) {
             assertNull(plan.row());
         } else {
@@ -108,7 +108,8 @@
             })
     void waitsByName(String there, String told) {
         assertEquals(
-                told, Plan.of(switches(""), roster(there, ""), true).waits().get(0));
+                told,
+                RolloutPlan.of(switches(""), roster(there, ""), true).waits().get(0));
     }
 
     /** A step names as many registrations as a transaction has room for. */
@@ -122,13 +123,15 @@
     /** What is in use and not known, by version, stage and name; off is nobody's concern, and an older version of the row is no news. */
     @Test
     void unknownFeatures() {
-        Switches former = new Switches(Abilities.without(Feature.LEARNED));
+        FeatureFlags former = new FeatureFlags(Capabilities.without(Feature.LEARNED));
         assertFalse(former.known());
-        assertTrue(former.seen(9, new Row.Features(Map.of("learned", "READ", "booking-fence", "ON", "later", "OFF"))));
+        assertTrue(former.seen(
+                9, new StoredRecord.Features(Map.of("learned", "READ", "booking-fence", "ON", "later", "OFF"))));
         assertEquals(List.of("learned (READ)"), former.unknown());
-        assertFalse(former.seen(8, new Row.Features(Map.of())));
+        assertFalse(former.seen(8, new StoredRecord.Features(Map.of())));
         assertEquals(List.of("learned (READ)"), former.unknown());
-        assertTrue(former.seen(10, new Row.Features(Map.of("later", "ON", "booking-fence", "BOTH", "learned", "OFF"))));
+        assertTrue(former.seen(
+                10, new StoredRecord.Features(Map.of("later", "ON", "booking-fence", "BOTH", "learned", "OFF"))));
         assertEquals(
                 List.of("booking-fence (BOTH)", "later (ON)"),
                 former.unknown().stream().sorted().toList());
@@ -137,28 +140,32 @@
     /** One put for each lease and for each step, on condition of the switches and of the row as it was read. */
     @Test
     void registers() {
-        Registration mine = new Registration("a", "1", Abilities.ALL, 5);
-        assertEquals(Registration.Wish.NOTHING, mine.next(0, 40, 0), "no lease to attach it to");
-        assertEquals(Registration.Wish.NOTHING, mine.next(3, -1, 0), "the switches are not known");
-        assertEquals(Registration.Wish.READ, mine.next(3, 40, 0));
-        assertEquals(Registration.Wish.NOTHING, mine.next(3, 40, 0), "one request at a time");
+        ControllerRegistration mine = new ControllerRegistration("a", "1", Capabilities.ALL, 5);
+        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(0, 40, 0), "no lease to attach it to");
+        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, -1, 0), "the switches are not known");
+        assertEquals(ControllerRegistration.Wish.READ, mine.next(3, 40, 0));
+        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, 40, 0), "one request at a time");
         mine.read(12);
-        assertEquals(Registration.Wish.PUT, mine.next(3, 40, 0));
+        assertEquals(ControllerRegistration.Wish.PUT, mine.next(3, 40, 0));
         assertEquals(
                 List.of(new Transaction.Compare("job/features", 40), new Transaction.Compare("rollout/here/a", 12)),
                 mine.put().conditions());
         assertEquals(3, mine.put().writes().get(0).lease());
         mine.registered(50);
-        assertEquals(Registration.Wish.NOTHING, mine.next(3, 40, 0));
-        assertEquals(Registration.Wish.PUT, mine.next(3, 60, 0), "newer switches");
+        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, 40, 0));
+        assertEquals(ControllerRegistration.Wish.PUT, mine.next(3, 60, 0), "newer switches");
         mine.unclear(0);
-        assertEquals(Registration.Wish.NOTHING, mine.next(3, 60, 1));
+        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, 60, 1));
         assertEquals(
-                Registration.Wish.READ, mine.next(3, 60, 1_000_000), "a put without an answer may have been applied");
+                ControllerRegistration.Wish.READ,
+                mine.next(3, 60, 1_000_000),
+                "a put without an answer may have been applied");
         mine.read(61);
-        assertEquals(Registration.Wish.PUT, mine.next(4, 60, 1_000_000));
+        assertEquals(ControllerRegistration.Wish.PUT, mine.next(4, 60, 1_000_000));
         mine.registered(70);
-        assertEquals(Registration.Wish.PUT, mine.next(5, 60, 1_000_000), "a new lease");
-        assertEquals(Registration.Wish.NOTHING, new Registration("a", "1", Abilities.FORMER, 5).next(3, 40, 0));
+        assertEquals(ControllerRegistration.Wish.PUT, mine.next(5, 60, 1_000_000), "a new lease");
+        assertEquals(
+                ControllerRegistration.Wish.NOTHING,
+                new ControllerRegistration("a", "1", Capabilities.FORMER, 5).next(3, 40, 0));
     }
 }
--- a/src/test/java/io/micatide/scheduler/CancelledUseTest.java
+++ b/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
@@ -3,19 +3,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.jobs.JobDirectory;
+import io.micatide.jobs.JobCache;
 import io.micatide.model.ExitCause;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
 import io.micatide.model.JobState;
-import io.micatide.model.MachineReport;
 import io.micatide.model.Micros;
 import io.micatide.model.Priority;
 import io.micatide.model.Settings;
-import io.micatide.model.TaskReport;
 import io.micatide.model.TaskState;
+import io.micatide.model.TaskStatus;
 import io.micatide.model.Tuning;
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,11 +23,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What is left of a cancelled job counts for its team, and its ledger stays, until nothing of it can be on any machine. */
-class CancelledUseTest {
-    private static final JobSpec SPEC = World.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 5, 60);
+class CancelledJobQuotaTest {
+    private static final JobSpec SPEC = SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 5, 60);
     private static final long TOKEN = 50;
 
-    private final Settings settings = new World(1, 0).settings;
+    private final Settings settings = new SchedulerHarness(1, 0).settings;
     private final Scheduler leader = new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0);
     private long now;
     private long revision = TOKEN;
@@ -35,26 +35,26 @@
     private Transaction inFlight;
     private boolean ledgerStored;
 
-    private static Row.JobRow row(JobState state) {
-        return new Row.JobRow(state, SPEC, 0, SPEC.tasks());
+    private static StoredRecord.JobRow row(JobState state) {
+        return new StoredRecord.JobRow(state, SPEC, 0, SPEC.tasks());
     }
 
     private void seen(JobState state, long version) {
-        leader.jobSeen(new JobDirectory.View(SPEC.id(), row(state), version, state, false, 0), now, now);
+        leader.jobSeen(new JobCache.View(SPEC.id(), row(state), version, state, false, 0), now, now);
     }
 
     /** Machine i-1 or i-2 reports running tasks by number and, after a slash, ended ones. */
     private void report(String machine, String tasks) {
-        List<TaskReport> lines = new ArrayList<>();
+        List<TaskStatus> lines = new ArrayList<>();
         String[] parts = tasks.split("/", -1);
         parts[0].chars()
-                .forEach(each -> lines.add(new TaskReport("wk-1", each - '0', 7, TaskState.RUNNING, null, false)));
+                .forEach(each -> lines.add(new TaskStatus("wk-1", each - '0', 7, TaskState.RUNNING, null, false)));
         if (parts.length > 1) {
             parts[1].chars()
                     .forEach(each ->
-                            lines.add(new TaskReport("wk-1", each - '0', 7, TaskState.EXITED, ExitCause.DONE, false)));
+                            lines.add(new TaskStatus("wk-1", each - '0', 7, TaskState.EXITED, ExitCause.DONE, false)));
         }
-        leader.report(new MachineReport(machine, "x:1", "small", "a", false, 1, ++sequence, TOKEN, -1, lines), now);
+        leader.report(new Heartbeat(machine, "x:1", "small", "a", false, 1, ++sequence, TOKEN, -1, lines), now);
     }
 
     /** What is due is written, and answered unless it stays in flight. */
@@ -107,13 +107,13 @@
         "o l + a01234 b/01234 w a012 w, 6, false",
     })
     void countsUntilNothingIsAnywhere(String steps, int used, boolean ledger) {
-        leader.typesKnown(List.of(World.TYPE), 0);
+        leader.typesKnown(List.of(SchedulerHarness.TYPE), 0);
         for (String step : steps.split(" ")) {
             switch (step.charAt(0)) {
                 case 'o' -> seen(JobState.OPEN, 3);
                 case 'c' -> seen(JobState.CANCELLED, 60);
                 case 'l' -> {
-                    leader.ledgerLoaded("ledger/wk-1", new Row.Ledger(List.of("i-1", "i-2"), 0, ""), 4, now);
+                    leader.ledgerLoaded("ledger/wk-1", new StoredRecord.Ledger(List.of("i-1", "i-2"), 0, ""), 4, now);
                     ledgerStored = true;
                 }
                 case '+' -> leader.loaded(now);
--- a/src/test/java/io/micatide/scheduler/DeadlinesTest.java
+++ b/src/test/java/io/micatide/scheduler/DeadlineFeasibilityTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class DeadlinesTest {
+class DeadlineFeasibilityTest {
     /**
      * Jobs as `tasks x seconds @ due`, and what one counts for if not 1, one processor a task; says which can be on time,
      * earliest start first.
@@ -28,13 +28,14 @@
         "10, '10x10@20,40x10@50@5,10x10@55', '50 55'",
     })
     void leavesTheLargestForLater(double cpus, String jobs, String onTime) {
-        List<Deadlines.Entry> entries = new ArrayList<>();
+        List<DeadlineFeasibility.Entry> entries = new ArrayList<>();
         for (String each : jobs.split(",")) {
             String[] part = each.split("[x@]");
             int tasks = Integer.parseInt(part[0]);
             long length = Integer.parseInt(part[1]) * Micros.SECOND;
-            Job job = new Job(World.job("wk-" + each, JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 1), 1, 0, 0, 0);
-            entries.add(new Deadlines.Entry(
+            Job job = new Job(
+                    SchedulerHarness.job("wk-" + each, JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 1), 1, 0, 0, 0);
+            entries.add(new DeadlineFeasibility.Entry(
                     job,
                     (double) tasks * length,
                     length,
@@ -42,7 +43,7 @@
                     part.length > 3 ? Integer.parseInt(part[3]) : 1));
         }
         List<String> kept = new ArrayList<>();
-        for (Deadlines.Entry entry : Deadlines.decide(entries, cpus, 0)) {
+        for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, cpus, 0)) {
             if (entry.onTime) {
                 kept.add(String.valueOf(entry.dueMicros / Micros.SECOND));
             }
--- a/src/test/java/io/micatide/scheduler/PipelineFailureTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
@@ -14,13 +14,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Pipelines while leaders are killed between any two steps, and what is submitted or cancelled meanwhile. */
-class PipelineFailureTest {
+class DependencyFailureTest {
     private static JobSpec job(String id, Priority priority, int tasks, int seconds, String... needs) {
-        return World.job(id, JobKind.ARRAY, "blue", priority, tasks, seconds).withNeeds(List.of(needs));
+        return SchedulerHarness.job(id, JobKind.ARRAY, "blue", priority, tasks, seconds)
+                .withNeeds(List.of(needs));
     }
 
     /** A diamond and a chain; the chain's second job is cancelled while the first runs. */
-    private static void submitAll(World world) {
+    private static void submitAll(SchedulerHarness world) {
         world.submit(job("wk-a", Priority.LOW, 3, 4));
         world.submit(job("wk-b", Priority.LOW, 4, 3, "wk-a"));
         world.submit(job("wk-c", Priority.NORMAL, 2, 5, "wk-a"));
@@ -36,7 +37,7 @@
     @CsvSource({"0, 0, 16", "0, 0.03, 16", "200, 0, 5", "200, 0.03, 5", "100, 0.1, 3"})
     void nothingStartsTooEarlyWhereverTheLeaderIsKilled(int from, double lostAnswers, int ops) {
         for (int kill = from + 1; kill <= from + 200; kill++) {
-            World world = new World(kill, 3, 2048, ops);
+            SchedulerHarness world = new SchedulerHarness(kill, 3, 2048, ops);
             world.opsLimit = ops;
             world.valueLimit = 2048;
             world.lostAnswers = lostAnswers;
@@ -68,7 +69,7 @@
     /** The last job of a pipeline comes when the others are over, and starts as any other. */
     @Test
     void whatIsDoneIsNotWaitedFor() {
-        World world = new World(1, 3);
+        SchedulerHarness world = new SchedulerHarness(1, 3);
         world.takeOver();
         world.submit(job("wk-a", Priority.LOW, 3, 4));
         world.run(20 * Micros.SECOND);
@@ -83,7 +84,7 @@
     /** While it waits a job takes nothing: no place in its team's limit, no machine rented, no row written. */
     @Test
     void waitingTakesNothing() {
-        World world = new World(1, 2);
+        SchedulerHarness world = new SchedulerHarness(1, 2);
         // The machine that is idle meanwhile goes back, and that is not what this is about.
         world.recorded = false;
         world.takeOver();
--- a/src/test/java/io/micatide/scheduler/DependenciesTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.jobs.JobDirectory;
-import io.micatide.jobs.PipelineAdmission;
+import io.micatide.jobs.DependencyAdmission;
+import io.micatide.jobs.JobCache;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
 import io.micatide.model.JobState;
 import io.micatide.model.Micros;
 import io.micatide.model.Priority;
 import io.micatide.model.Settings;
-import io.micatide.store.Row;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -20,13 +20,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What follows for jobs that need others from the rows alone, in whatever order the rows are read. */
-class DependenciesTest {
+class DependencyGraphTest {
     private static JobSpec spec(String id, List<String> needs) {
-        return World.job(id, JobKind.ARRAY, "blue", Priority.NORMAL, 2, 5).withNeeds(needs);
+        return SchedulerHarness.job(id, JobKind.ARRAY, "blue", Priority.NORMAL, 2, 5)
+                .withNeeds(needs);
     }
 
     /** Steps are {@code b<a} (a row that needs others), {@code +a} (done) and {@code -a} (cancelled), oldest first. */
-    private static void play(JobDirectory directory, List<String> steps, long from) {
+    private static void play(JobCache directory, List<String> steps, long from) {
         long version = from;
         for (String step : steps) {
             version++;
@@ -34,21 +35,21 @@
                 JobState state = step.startsWith("+") ? JobState.DONE : JobState.CANCELLED;
                 directory.apply(
                         step.substring(1),
-                        new Row.JobRow(state, null, 0, 2, state == JobState.DONE ? version : -1, 0),
+                        new StoredRecord.JobRow(state, null, 0, 2, state == JobState.DONE ? version : -1, 0),
                         version);
             } else {
                 String[] parts = step.split("<");
                 List<String> needs = parts.length > 1 ? List.of(parts[1].split("&")) : List.of();
-                directory.apply(parts[0], new Row.JobRow(JobState.OPEN, spec(parts[0], needs), 0, 2), version);
+                directory.apply(parts[0], new StoredRecord.JobRow(JobState.OPEN, spec(parts[0], needs), 0, 2), version);
             }
         }
     }
 
     /** How each job stands: ready, waiting, done or withdrawn, in the order of their names. */
-    private static String told(JobDirectory directory, String names) {
+    private static String told(JobCache directory, String names) {
         StringBuilder text = new StringBuilder();
         for (String name : names.split("")) {
-            JobDirectory.View view = directory.view(name);
+            JobCache.View view = directory.view(name);
             text.append(
                     view.state() == JobState.DONE
                             ? 'd'
@@ -81,13 +82,13 @@
     })
     void everyControllerTellsTheSame(String rows, String jobs, String told) {
         List<String> steps = List.of(rows.split(" "));
-        JobDirectory live = new JobDirectory();
+        JobCache live = new JobCache();
         play(live, steps, 0);
         assertEquals(told, told(live, jobs), "as it happened");
         // A controller that starts later reads only the last row of each job, here by name and against it.
         for (int order = 0; order < 2; order++) {
-            JobDirectory late = new JobDirectory();
-            List<JobDirectory.Entry> rowsNow = new ArrayList<>();
+            JobCache late = new JobCache();
+            List<JobCache.Entry> rowsNow = new ArrayList<>();
             for (String name : jobs.split("")) {
                 rowsNow.add(order == 0 ? rowsNow.size() : 0, live.get(name));
             }
@@ -100,21 +101,21 @@
     @ParameterizedTest
     @CsvSource({"50, true", "50, false", "20000, true", "20000, false"})
     void chains(int length, boolean cancel) {
-        JobDirectory directory = new JobDirectory();
+        JobCache directory = new JobCache();
         List<String> steps = new ArrayList<>(List.of("j0"));
         for (int i = 1; i < length; i++) {
             steps.add("j" + i + "<j" + (i - 1));
         }
         play(directory, steps, 0);
         List<String> changed = directory.apply(
-                "j0", new Row.JobRow(cancel ? JobState.CANCELLED : JobState.DONE, null, 0, 2), length + 1);
+                "j0", new StoredRecord.JobRow(cancel ? JobState.CANCELLED : JobState.DONE, null, 0, 2), length + 1);
         assertEquals(cancel ? length : 2, changed.size());
         assertEquals(cancel ? JobState.CANCELLED : JobState.OPEN, directory.state("j" + (length - 1)));
     }
 
     @Test
     void timesCountFromTheEndOfTheLastNeededJob() {
-        JobDirectory directory = new JobDirectory();
+        JobCache directory = new JobCache();
         play(directory, List.of("a", "b", "c<a&b", "+b", "+a"), 0);
         assertEquals(5, directory.view("c").readyWall());
         assertEquals(0, directory.view("a").readyWall());
@@ -136,22 +137,23 @@
         "a, true, x, Refused",
     })
     void submissions(String rows, boolean marked, String needs, String outcome) {
-        JobDirectory directory = new JobDirectory();
+        JobCache directory = new JobCache();
         play(directory, List.of(rows.split(" ")), 0);
         directory.apply(
                 "s",
-                new Row.JobRow(JobState.OPEN, World.job("s", JobKind.SERVICE, "blue", Priority.NORMAL, 2, 0), 0, 2),
+                new StoredRecord.JobRow(
+                        JobState.OPEN, SchedulerHarness.job("s", JobKind.SERVICE, "blue", Priority.NORMAL, 2, 0), 0, 2),
                 50);
-        directory.layoutMarked(marked ? 7 : 0, new Row.Layout(2, 2048));
-        PipelineAdmission said = PipelineAdmission.of(spec("x", List.of(needs.split("&"))), directory);
-        String text = said instanceof PipelineAdmission.Accepted accepted
+        directory.layoutMarked(marked ? 7 : 0, new StoredRecord.Layout(2, 2048));
+        DependencyAdmission said = DependencyAdmission.of(spec("x", List.of(needs.split("&"))), directory);
+        String text = said instanceof DependencyAdmission.Accepted accepted
                 ? accepted.state() + " "
                         + (accepted.stored() == null
                                 ? 0
                                 : accepted.stored().needs().size())
                 : said.getClass().getSimpleName();
         assertEquals(outcome, text);
-        assertInstanceOf(PipelineAdmission.Refused.class, PipelineAdmission.of(spec("x", List.of("s")), directory));
+        assertInstanceOf(DependencyAdmission.Refused.class, DependencyAdmission.of(spec("x", List.of("s")), directory));
     }
 
     /**
@@ -168,11 +170,11 @@
         "c<a, LOW, NORMAL, 0",
     })
     void theLastJobAsksForThePipeline(String rows, Priority own, Priority inherited, int steps) {
-        Settings settings = new World(1, 0).settings;
-        RunTimes runTimes = new RunTimes();
+        Settings settings = new SchedulerHarness(1, 0).settings;
+        RuntimeEstimator runTimes = new RuntimeEstimator();
         JobLedgers ledgers = new JobLedgers(settings, 5);
-        Pipelines pipelines = new Pipelines(ledgers, runTimes);
-        Job first = ledgers.add(World.job("a", JobKind.ARRAY, "blue", own, 2, 5), 1, 0, 0, 0);
+        DagInheritance pipelines = new DagInheritance(ledgers, runTimes);
+        Job first = ledgers.add(SchedulerHarness.job("a", JobKind.ARRAY, "blue", own, 2, 5), 1, 0, 0, 0);
         long version = 1;
         for (String step : rows.split(" ")) {
             String[] parts = step.split("<");
@@ -219,9 +221,10 @@
     @ParameterizedTest
     @CsvSource({"r12, true", "12r, true", "1r2, true", "r1, false", "12, false", "r, false"})
     void furtherNamesBelongToTheRow(String order, boolean known) {
-        JobDirectory directory = new JobDirectory();
+        JobCache directory = new JobCache();
         play(directory, List.of("a", "b", "c"), 0);
-        Row.JobRow row = new Row.JobRow(JobState.OPEN, spec("d", List.of("a")), 0, 2).withNeeds(List.of("a"), 2);
+        StoredRecord.JobRow row =
+                new StoredRecord.JobRow(JobState.OPEN, spec("d", List.of("a")), 0, 2).withNeeds(List.of("a"), 2);
         for (char part : order.toCharArray()) {
             if (part == 'r') {
                 directory.apply("d", row, 9);
--- a/src/test/java/io/micatide/scheduler/HealthTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class HealthTest {
+class FailureAttributionTest {
     /**
      * A machine with tasks of a job whose tasks take 10 s elsewhere: so many run there, the longest {@code outliers} for
      * {@code long} seconds and the others for {@code usual}.
@@ -34,9 +34,9 @@
         "32, 0, 0, 5, false",
     })
     void aMachineIsJudgedByAllItsTasks(int tasks, int outliers, int longSeconds, int usualSeconds, boolean slow) {
-        RunTimes runTimes = new RunTimes();
-        Health health = new Health(runTimes);
-        Job job = new Job(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
+        RuntimeEstimator runTimes = new RuntimeEstimator();
+        FailureAttribution health = new FailureAttribution(runTimes);
+        Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
         for (int i = 0; i < 10; i++) {
             runTimes.finished(job, 10 * Micros.SECOND);
         }
@@ -75,11 +75,12 @@
         for (String name : List.of("1", "2", "3")) {
             allMachines.put(name, new Machine(name, 0));
         }
-        Health health = new Health(new RunTimes());
+        FailureAttribution health = new FailureAttribution(new RuntimeEstimator());
         for (String outcome : outcomes.split(",")) {
             String[] part = outcome.replace("+", "").split(":");
             Job job = allJobs.computeIfAbsent(
-                    part[0], k -> new Job(World.job(k, JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0));
+                    part[0],
+                    k -> new Job(SchedulerHarness.job(k, JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0));
             if (outcome.startsWith("+")) {
                 job.finish(job.nextWaiting());
                 health.succeeded(allMachines.get(part[1]), job);
@@ -109,17 +110,17 @@
      */
     @Test
     void faultyJobsAreOnlyProbed() {
-        World world = new World(1, 6);
+        SchedulerHarness world = new SchedulerHarness(1, 6);
         world.faultyMachines.add("i-000002");
         world.takeOver();
         // Until the first of them failed they look like any other job.
         for (int i = 0; i < 3; i++) {
             world.faultyJobs.add("wk-9" + i);
-            world.submit(World.job("wk-9" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 500, 10));
+            world.submit(SchedulerHarness.job("wk-9" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 500, 10));
         }
         world.run(5 * Micros.SECOND);
-        world.submit(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
-        world.submit(World.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
+        world.submit(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
         world.run(5 * Micros.SECOND);
         int machines = world.workers.size();
         int first = world.startsOf.values().stream().mapToInt(Integer::intValue).sum();
--- a/src/test/java/io/micatide/scheduler/FailureTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.CloudCall;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Hint;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobState;
-import io.micatide.model.MachineReport;
 import io.micatide.model.Micros;
 import io.micatide.model.Priority;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -23,15 +23,15 @@
 
 /** The only test that matters: kill it between any two steps, and count second runs and what stays unknown. */
 class FailureTest {
-    private static void submitAll(World world) {
-        world.submit(World.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 20, 6));
-        world.submit(World.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 12, 9));
-        world.submit(World.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, 2, 0));
-        world.submit(World.job("wk-4", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 30));
-        world.submit(World.job("wk-5", JobKind.GANG, "blue", Priority.NORMAL, 3, 5));
+    private static void submitAll(SchedulerHarness world) {
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 20, 6));
+        world.submit(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 12, 9));
+        world.submit(SchedulerHarness.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, 2, 0));
+        world.submit(SchedulerHarness.job("wk-4", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 30));
+        world.submit(SchedulerHarness.job("wk-5", JobKind.GANG, "blue", Priority.NORMAL, 3, 5));
     }
 
-    private static void assertSound(World world, String what) {
+    private static void assertSound(SchedulerHarness world, String what) {
         assertEquals(List.of(), world.broken, what);
         for (String id : List.of("wk-1", "wk-2", "wk-5")) {
             assertEquals(JobState.DONE, world.state(id), what + ": " + id);
@@ -52,7 +52,7 @@
     void noSecondRunWhereverTheLeaderIsKilled(int from, double lostAnswers) {
         int duplicates = 0;
         for (int kill = from + 1; kill <= from + 300; kill++) {
-            World world = new World(kill, 3);
+            SchedulerHarness world = new SchedulerHarness(kill, 3);
             world.lostAnswers = lostAnswers;
             world.killAfter = kill;
             world.takeOver();
@@ -72,11 +72,11 @@
     /** The leader before claimed a rental and ended: whether it was made is settled by a list, and nothing more is rented there before. */
     @Test
     void rentalsOfAFormerTermAreSettled() {
-        World world = new World(7, 3);
+        SchedulerHarness world = new SchedulerHarness(7, 3);
         world.takeOver();
-        world.submit(World.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 4, 6));
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 4, 6));
         String key = StoreKeys.booking("r-99-1");
-        world.rows.put(key, new Row.Booking("claimed", World.TYPE.name(), "a", true, 2));
+        world.rows.put(key, new StoredRecord.Booking("claimed", SchedulerHarness.TYPE.name(), "a", true, 2));
         world.versions.put(key, ++world.revision);
         world.takeOver();
         assertTrue(world.leader.summary(world.now).contains("bookings=1"), world.leader.summary(world.now));
@@ -89,11 +89,11 @@
     @ParameterizedTest
     @CsvSource({"true, 3", "false, 5"})
     void machinesThatAreGoneHoldUpNothing(boolean told, int seconds) {
-        World world = new World(5, 3);
+        SchedulerHarness world = new SchedulerHarness(5, 3);
         world.takeOver();
-        world.submit(World.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 40, 60));
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 40, 60));
         world.run(40 * Micros.SECOND);
-        Row.Ledger ledger = (Row.Ledger) world.rows.get(StoreKeys.ledger("wk-1", 0));
+        StoredRecord.Ledger ledger = (StoredRecord.Ledger) world.rows.get(StoreKeys.ledger("wk-1", 0));
         String gone = ledger.machines().get(0);
         world.workers.get(gone).deleted = true;
         world.workers.get(gone).tasks.clear();
@@ -110,7 +110,7 @@
     @Test
     void greetingsThatOvertakeBreakNothing() {
         for (int seed = 1; seed <= 20; seed++) {
-            World world = new World(seed, 3);
+            SchedulerHarness world = new SchedulerHarness(seed, 3);
             world.greets = true;
             world.lostAnswers = 0.02;
             world.killAfter = 40 + 9 * seed;
@@ -127,7 +127,7 @@
     @Test
     void hintsThatLieBreakNothing() {
         for (int seed = 1; seed <= 40; seed++) {
-            World world = new World(seed, 3);
+            SchedulerHarness world = new SchedulerHarness(seed, 3);
             world.lostAnswers = 0.02;
             world.killAfter = 20 + 7 * seed;
             List<Hint> lies = new ArrayList<>(List.of(new Hint.OfClass("class", 9, 3), new Hint.OfClass("x", -4, -1)));
@@ -178,7 +178,7 @@
     void hangsAndOutagesOverATakeOver(
             int hangAt, int hangFor, int kill, int outageAt, int outageFor, int cloudAt, int cloudFor) {
         for (int seed = 0; seed < 12; seed++) {
-            World world = new World(seed, 4);
+            SchedulerHarness world = new SchedulerHarness(seed, 4);
             world.killAfter = kill + seed * 5;
             world.lostAnswers = 0.01;
             world.takeOver();
@@ -206,7 +206,7 @@
     @CsvSource({"4, 8, 0", "4, 30, 0", "8, 30, 0", "8, 60, 0", "12, 20, 40", "6, 90, 90"})
     void aZoneKeptAliveByAFormerLeader(int cutAt, int cutFor, int cloudOutageFor) {
         for (int seed = 0; seed < 12; seed++) {
-            World world = new World(seed, 4);
+            SchedulerHarness world = new SchedulerHarness(seed, 4);
             world.lostAnswers = 0.01;
             world.takeOver();
             submitAll(world);
@@ -226,13 +226,13 @@
     /** In an outage of the state service the leader answers on, so tasks live, and nothing new starts. */
     @Test
     void outageKeepsTasksAliveAndStartsNothing() {
-        World world = new World(1, 3);
+        SchedulerHarness world = new SchedulerHarness(1, 3);
         world.takeOver();
-        world.submit(World.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, 4, 0));
+        world.submit(SchedulerHarness.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, 4, 0));
         world.run(15 * Micros.SECOND);
         assertEquals(4, world.starts);
         world.stateOutage = true;
-        world.submit(World.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 5));
+        world.submit(SchedulerHarness.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 5));
         world.run(40 * Micros.SECOND);
         assertEquals(4, world.starts, "started during the outage");
         world.stateOutage = false;
@@ -248,10 +248,10 @@
     @ParameterizedTest
     @CsvSource({"4, 1, true", "4, 5, true", "4, 8, true", "4, 20, false", "1, 8, true"})
     void aStallReturnsNoMachines(int machines, int seconds, boolean tasksLive) {
-        World world = new World(1, machines);
+        SchedulerHarness world = new SchedulerHarness(1, machines);
         world.takeOver();
-        world.submit(World.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, machines, 0));
-        world.submit(World.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 3 * machines, 60));
+        world.submit(SchedulerHarness.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, machines, 0));
+        world.submit(SchedulerHarness.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 3 * machines, 60));
         world.run(15 * Micros.SECOND);
         int starts = world.starts;
         long returned =
@@ -274,18 +274,18 @@
     @ParameterizedTest
     @CsvSource({"2, true", "5, false", "30, false"})
     void aFormerLeaderThatWakesUpDoesNothing(int seconds, boolean leads) {
-        World world = new World(1, 4);
+        SchedulerHarness world = new SchedulerHarness(1, 4);
         world.takeOver();
         world.run(15 * Micros.SECOND);
         long held = world.now + 3 * Micros.SECOND;
         world.leader.holdsUntil(held);
-        world.submit(World.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 9, 60));
+        world.submit(SchedulerHarness.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 9, 60));
         world.now += seconds * Micros.SECOND;
         world.leader.resumed(world.now);
         int before = world.starts;
         List<CloudCall> calls = new ArrayList<>();
         for (int step = 0; step < 80; step++) {
-            world.now += World.STEP;
+            world.now += SchedulerHarness.STEP;
             if (leads) {
                 world.leader.holdsUntil(world.now + 3 * Micros.SECOND);
             }
@@ -296,8 +296,8 @@
                 world.leader.roundConfirmed(world.apply(round), world.now);
             }
             calls.addAll(world.leader.cloudCalls(world.now));
-            for (World.Worker worker : world.workers.values()) {
-                MachineReport report = worker.report();
+            for (SchedulerHarness.Worker worker : world.workers.values()) {
+                Heartbeat report = worker.report();
                 worker.execute(world.token, world.leader.report(report, world.now), world.now, worker.session);
             }
         }
@@ -312,12 +312,12 @@
     @ParameterizedTest
     @CsvSource({"8, 8, false, 0", "8, 1, false, 1", "8, 8, true, 8"})
     void aLeaderThatHearsNobodyReturnsNoMachines(int machines, int hang, boolean gone, int returned) {
-        World world = new World(1, machines);
+        SchedulerHarness world = new SchedulerHarness(1, machines);
         world.takeOver();
-        world.submit(World.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, 4 * machines, 0));
+        world.submit(SchedulerHarness.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, 4 * machines, 0));
         world.run(15 * Micros.SECOND);
         int hung = 0;
-        for (World.Worker worker : world.workers.values()) {
+        for (SchedulerHarness.Worker worker : world.workers.values()) {
             if (hung++ < hang) {
                 worker.hungUntil = world.now + 300 * Micros.SECOND;
                 worker.deleted = gone;
@@ -337,15 +337,15 @@
     @ParameterizedTest
     @CsvSource({"true, true", "false, false"})
     void aLateDeletionTakesNothingThatRuns(boolean recorded, boolean nothingLost) {
-        World world = new World(1, 8);
+        SchedulerHarness world = new SchedulerHarness(1, 8);
         world.recorded = recorded;
         world.takeOver();
-        world.submit(World.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
+        world.submit(SchedulerHarness.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
         world.run(20 * Micros.SECOND);
         world.deletionsLateMicros = 30 * Micros.SECOND;
         world.run(40 * Micros.SECOND);
         world.takeOver();
-        world.submit(World.job("wk-4", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 120));
+        world.submit(SchedulerHarness.job("wk-4", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 120));
         world.run(60 * Micros.SECOND);
         assertEquals(nothingLost, world.lostToDeletions == 0, world.lostToDeletions + " tasks lost");
         world.deletionsLateMicros = 0;
@@ -373,12 +373,12 @@
         "3, 3, ARRAY, true, 6",
     })
     void silentMachinesOfAZoneThatReportsAreGivenBack(int inA, int inB, JobKind kind, boolean takeOver, int returned) {
-        World world = new World(1, 16);
+        SchedulerHarness world = new SchedulerHarness(1, 16);
         world.takeOver();
-        world.submit(World.job("wk-3", kind, "blue", Priority.NORMAL, 64, 300));
+        world.submit(SchedulerHarness.job("wk-3", kind, "blue", Priority.NORMAL, 64, 300));
         world.run(15 * Micros.SECOND);
         Map<String, Integer> left = new HashMap<>(Map.of("a", inA, "b", inB));
-        for (World.Worker worker : world.workers.values()) {
+        for (SchedulerHarness.Worker worker : world.workers.values()) {
             if (left.merge(worker.zone, -1, Integer::sum) >= 0) {
                 worker.hungUntil = world.now + 9_200 * Micros.MILLISECOND;
             }
--- a/src/test/java/io/micatide/scheduler/RoomIndexTest.java
+++ b/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /** The index holds, whatever comes, goes and changes, the machines that a walk would find, in the same order. */
-class RoomIndexTest {
-    private static final MachineType TYPE = World.TYPE;
+class FreeCapacityIndexTest {
+    private static final MachineType TYPE = SchedulerHarness.TYPE;
 
     private final Fleet fleet = new Fleet();
     private final Random random = new Random(5);
@@ -28,7 +28,8 @@
             fleet.markGone(drawn().name, step);
         } else if (drawn().placements.isEmpty()) {
             Machine machine = drawn();
-            Job job = new Job(World.job("wk-" + step, JobKind.ARRAY, "blue", Priority.LOW, 1, 1), 1, 0, 0, 0);
+            Job job =
+                    new Job(SchedulerHarness.job("wk-" + step, JobKind.ARRAY, "blue", Priority.LOW, 1, 1), 1, 0, 0, 0);
             machine.add(new Placement(job, 0, step, machine, Placement.Phase.HELD, step));
         } else {
             Machine machine = drawn();
@@ -45,8 +46,8 @@
     @Test
     void answersAsAWalkWould() {
         fleet.setTypes(List.of(TYPE));
-        RoomDemand whole = RoomDemand.free(TYPE.size());
-        RoomDemand freed = new RoomDemand(TYPE.size(), RoomDemand.Source.LOWER_PRIORITY, Priority.HIGH);
+        CapacityRequest whole = CapacityRequest.free(TYPE.size());
+        CapacityRequest freed = new CapacityRequest(TYPE.size(), CapacityRequest.Source.LOWER_PRIORITY, Priority.HIGH);
         for (int step = 0; step < 4_000; step++) {
             change(step);
             List<Machine> empty = fleet.machines().stream()
@@ -71,7 +72,7 @@
                     .count();
             assertEquals(
                     expected,
-                    fleet.roomIndex().machines(RoomDemand.free(each), step).size());
+                    fleet.roomIndex().machines(CapacityRequest.free(each), step).size());
         }
     }
 }
--- a/src/test/java/io/micatide/scheduler/JobLedgersTest.java
+++ b/src/test/java/io/micatide/scheduler/JobLedgersTest.java
@@ -9,10 +9,10 @@
 import io.micatide.model.Micros;
 import io.micatide.model.Priority;
 import io.micatide.model.Settings;
-import io.micatide.protocol.StateCodec;
-import io.micatide.store.Ranges;
-import io.micatide.store.Row;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
+import io.micatide.store.TaskRanges;
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -38,14 +38,14 @@
         "100000, 100, 2048"
     })
     void largeFragmentedJobsKeepTheLimits(int tasks, int step, int bytes) {
-        Settings settings = new World(1, 0, bytes, 16).settings;
+        Settings settings = new SchedulerHarness(1, 0, bytes, 16).settings;
         JobLedgers ledgers = new JobLedgers(settings, 5);
-        JobSpec spec = World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5);
+        JobSpec spec = SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5);
         Job job = ledgers.add(spec, 7, 0, 0, 0);
         for (int i = 0; i < tasks - 1; i += step) {
             ledgers.finished(job, i, 0);
         }
-        Map<String, Row.Ledger> stored = new HashMap<>();
+        Map<String, StoredRecord.Ledger> stored = new HashMap<>();
         int rounds = 0;
         for (long now = 10 * Micros.SECOND; ; now += 10 * Micros.SECOND) {
             JobLedgers.Round round = ledgers.nextRound(
@@ -63,9 +63,9 @@
             assertTrue(++rounds < 200, "it never ends");
             int sum = 0;
             for (Transaction.Write write : round.transaction().writes()) {
-                Row.Ledger ledger = (Row.Ledger) write.row();
+                StoredRecord.Ledger ledger = (StoredRecord.Ledger) write.row();
                 assertTrue(ledger.done().length() < settings.valueBytes() * 5 / 8, write.key());
-                assertTrue(StateCodec.size(ledger) <= bytes, write.key());
+                assertTrue(StoreCodec.size(ledger) <= bytes, write.key());
                 sum += ledger.done().length() + 200;
                 stored.put(write.key(), ledger);
             }
@@ -108,10 +108,11 @@
         "100000, 3, 40, 5, true",
     })
     void ledgersOfLargerLimits(int tasks, int step, int machines, int ops, boolean dense) {
-        Settings settings = new World(1, 0, 2048, ops).settings;
+        Settings settings = new SchedulerHarness(1, 0, 2048, ops).settings;
         JobLedgers ledgers = new JobLedgers(settings, 900);
         ledgers.layoutMarked(dense ? 44 : 0, ledgers.pageTasks());
-        Job job = ledgers.add(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5), 7, 0, 0, 0);
+        Job job =
+                ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5), 7, 0, 0, 0);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
             names.add(String.format("i-%06d", i));
@@ -124,8 +125,10 @@
         for (int page = 0; page * size < tasks; page++) {
             assertTrue(ledgers.load(
                     StoreKeys.ledger("wk-1", page),
-                    new Row.Ledger(
-                            page == 0 ? names : List.of(), 0, Ranges.format(before, page * size, (page + 1) * size)),
+                    new StoredRecord.Ledger(
+                            page == 0 ? names : List.of(),
+                            0,
+                            TaskRanges.format(before, page * size, (page + 1) * size)),
                     5));
         }
         assertEquals(before, job.recorded);
@@ -158,11 +161,11 @@
             assertTrue(round.transaction().writes().size() <= ops);
             assertTrue(round.transaction().conditions().size() <= 4 * ops);
             for (Transaction.Write write : round.transaction().writes()) {
-                assertTrue(StateCodec.size(write.row()) <= 2048, write.key());
+                assertTrue(StoreCodec.size(write.row()) <= 2048, write.key());
                 if (write.key().equals(StoreKeys.ledger("wk-1", 0))) {
-                    assertTrue(((Row.Ledger) write.row()).machines().containsAll(job.unsettledMachines));
+                    assertTrue(((StoredRecord.Ledger) write.row()).machines().containsAll(job.unsettledMachines));
                     // Names in short are written on condition that everybody reads them.
-                    assertEquals(dense, ((Row.Ledger) write.row()).dense());
+                    assertEquals(dense, ((StoredRecord.Ledger) write.row()).dense());
                     assertEquals(
                             dense,
                             round.transaction().conditions().contains(new Transaction.Compare(StoreKeys.LAYOUT, 44)));
@@ -186,7 +189,8 @@
                 List.of(),
                 List.of(),
                 (any, most) -> List.of());
-        assertTrue(last.transaction().writes().get(0).row() instanceof Row.JobRow row && row.state() == JobState.DONE);
+        assertTrue(last.transaction().writes().get(0).row() instanceof StoredRecord.JobRow row
+                && row.state() == JobState.DONE);
         assertTrue(last.transaction().writes().size() <= ops);
     }
 
@@ -200,9 +204,10 @@
         "2048, 248, 1000, true"
     })
     void namesNoMoreMachinesThanFit(int bytes, int most, int apart, boolean dense) {
-        JobLedgers ledgers = new JobLedgers(new World(1, 0, bytes, 5).settings, 900);
+        JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, bytes, 5).settings, 900);
         ledgers.layoutMarked(dense ? 44 : 0, ledgers.pageTasks());
-        Job job = ledgers.add(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 5000, 5), 7, 0, 0, 0);
+        Job job =
+                ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 5000, 5), 7, 0, 0, 0);
         int used = 0;
         for (int i = 0; i < 1000; i++) {
             Machine machine = new Machine(String.format("i-%06d", i * apart), 0);
@@ -214,15 +219,17 @@
         assertEquals(most, used);
         JobLedgers.Round round =
                 ledgers.nextRound(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertTrue(StateCodec.size(round.transaction().writes().get(0).row()) <= bytes);
+        assertTrue(StoreCodec.size(round.transaction().writes().get(0).row()) <= bytes);
     }
 
     /** What the state service refuses holds up neither the other jobs nor, after a pause, its own. */
     @Test
     void aRefusedRoundHoldsUpNobodyElse() {
-        JobLedgers ledgers = new JobLedgers(new World(1, 0).settings, 900);
-        Job first = ledgers.add(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
-        Job second = ledgers.add(World.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 8, 0, 0, 0);
+        JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
+        Job first =
+                ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
+        Job second =
+                ledgers.add(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 8, 0, 0, 0);
         ledgers.needMachine(first, new Machine("i-1", 0), 0);
         JobLedgers.Round round =
                 ledgers.nextRound(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
@@ -247,10 +254,11 @@
     @ParameterizedTest
     @CsvSource({"job/wk-2", "ledger/wk-2"})
     void aJobThatARoundIsRefusedForHoldsUpNobodyElse(String refused) {
-        JobLedgers ledgers = new JobLedgers(new World(1, 0).settings, 900);
+        JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
         List<Job> jobs = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
-            jobs.add(ledgers.add(World.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0));
+            jobs.add(ledgers.add(
+                    SchedulerHarness.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0));
             ledgers.needMachine(jobs.get(i - 1), new Machine("i-1", 0), 0);
         }
         JobLedgers.Round round =
@@ -275,12 +283,16 @@
     /** Finished tasks wait at their workers while the rate is short; what starts or ends a job is written all the same. */
     @Test
     void finishedTasksLeaveTheRateToWhatStarts() {
-        JobLedgers ledgers = new JobLedgers(new World(1, 0, 2048, 5).settings, 900);
+        JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, 2048, 5).settings, 900);
         for (int i = 0; i < 8; i++) {
             ledgers.finished(
-                    ledgers.add(World.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0), 3, 0);
+                    ledgers.add(
+                            SchedulerHarness.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0),
+                    3,
+                    0);
         }
-        Job starting = ledgers.add(World.job("wk-8", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
+        Job starting =
+                ledgers.add(SchedulerHarness.job("wk-8", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
         ledgers.needMachine(starting, new Machine("i-1", 0), 0);
         long now = 5 * Micros.SECOND;
         JobLedgers.Round round =
@@ -301,14 +313,17 @@
     /** Pages that were written under one limit are read with their own size, also where the settings name another since. */
     @Test
     void theMarkKeepsTheSizeOfPages() {
-        JobLedgers ledgers = new JobLedgers(new World(1, 0).settings, 900);
+        JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
         ledgers.layoutMarked(44, 256);
-        Job job = ledgers.add(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1000, 5), 7, 0, 0, 0);
-        ledgers.load(StoreKeys.ledger("wk-1", 2), new Row.Ledger(List.of(), 0, "0-9", true), 5);
-        assertEquals("512-521", Ranges.format(job.finished, 0, 1000));
+        Job job =
+                ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1000, 5), 7, 0, 0, 0);
+        ledgers.load(StoreKeys.ledger("wk-1", 2), new StoredRecord.Ledger(List.of(), 0, "0-9", true), 5);
+        assertEquals("512-521", TaskRanges.format(job.finished, 0, 1000));
         ledgers.finished(job, 600, 0);
         JobLedgers.Round round = ledgers.nextRound(
                 5 * Micros.SECOND, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertEquals("0-9,88", ((Row.Ledger) round.transaction().writes().get(1).row()).done());
+        assertEquals(
+                "0-9,88",
+                ((StoredRecord.Ledger) round.transaction().writes().get(1).row()).done());
     }
 }
--- a/src/test/java/io/micatide/scheduler/PlannerTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class PlannerTest {
+class PlacementPlannerTest {
     private static JobSpec due(JobSpec job, int seconds) {
         return new JobSpec(
                 job.id(),
@@ -35,7 +35,7 @@
                 seconds * Micros.SECOND);
     }
 
-    private static long live(World world, String job) {
+    private static long live(SchedulerHarness world, String job) {
         return world.workers.values().stream()
                 .filter(worker -> !worker.deleted)
                 .flatMap(worker -> worker.tasks.values().stream())
@@ -55,13 +55,13 @@
         "SERVICE, HIGH, 3, 3",
     })
     void displacesNoMoreThanItNeeds(JobKind kind, Priority priority, int tasks, int displaced) {
-        World world = new World(1, 2);
+        SchedulerHarness world = new SchedulerHarness(1, 2);
         world.cloudOutage = true;
         world.takeOver();
-        world.submit(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 300));
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 300));
         world.run(20 * Micros.SECOND);
         assertEquals(8, live(world, "wk-1"));
-        world.submit(World.job("wk-2", kind, "red", priority, tasks, 100));
+        world.submit(SchedulerHarness.job("wk-2", kind, "red", priority, tasks, 100));
         world.run(12 * Micros.SECOND);
         assertEquals(tasks, live(world, "wk-2"));
         assertEquals(8 - displaced, live(world, "wk-1"));
@@ -75,13 +75,13 @@
     @ParameterizedTest
     @CsvSource({"LOW, 160, 5", "LOW, 500, 0", "NORMAL, 160, 0"})
     void guestsYield(Priority guest, int deadline, int started) {
-        World world = new World(1, 2);
+        SchedulerHarness world = new SchedulerHarness(1, 2);
         world.cloudOutage = true;
         world.takeOver();
-        world.submit(World.job("wk-1", JobKind.ARRAY, "red", guest, 8, 300));
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", guest, 8, 300));
         world.run(20 * Micros.SECOND);
         assertEquals(8, live(world, "wk-1"));
-        world.submit(due(World.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 5, 100), deadline));
+        world.submit(due(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 5, 100), deadline));
         world.run(30 * Micros.SECOND);
         assertEquals(started, live(world, "wk-2"));
         assertEquals(8 - started, live(world, "wk-1"));
@@ -94,18 +94,18 @@
     @ParameterizedTest
     @CsvSource({"1, 2", "2, 2"})
     void replicasGather(int there, int together) {
-        World world = new World(1, 2);
+        SchedulerHarness world = new SchedulerHarness(1, 2);
         world.cloudOutage = true;
         world.takeOver();
-        world.submit(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
         world.run(10 * Micros.SECOND);
         for (int i = 0; i < there; i++) {
-            world.submit(World.job("wk-2" + i, JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
+            world.submit(SchedulerHarness.job("wk-2" + i, JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
             world.run(3 * Micros.SECOND);
         }
-        world.submit(World.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 4 - there, 300));
+        world.submit(SchedulerHarness.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 4 - there, 300));
         world.run(4 * Micros.SECOND);
-        world.submit(World.job("wk-29", JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
+        world.submit(SchedulerHarness.job("wk-29", JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
         world.run(6 * Micros.SECOND);
         assertEquals(4 - there, live(world, "wk-3"));
         long most = world.workers.values().stream()
@@ -120,13 +120,13 @@
     /** The answer to the report that tells of room carries the next start: a plan is not waited for, nor a round. */
     @Test
     void machinesAreRefilledAtTheirReports() {
-        World world = new World(1, 1);
+        SchedulerHarness world = new SchedulerHarness(1, 1);
         world.cloudOutage = true;
         world.takeOver();
-        world.submit(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 2));
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 2));
         long from = world.now;
         while (world.state("wk-1") == JobState.OPEN) {
-            world.run(World.STEP);
+            world.run(SchedulerHarness.STEP);
             assertTrue(world.now - from < 60 * Micros.SECOND, "it never ends");
         }
         // Ten rounds of four tasks, each of 2 s and up to one report of 0.8 s.
@@ -140,10 +140,10 @@
     @ParameterizedTest
     @CsvSource({"1, false", "20, true"})
     void lateMachinesAreNotWaitedFor(int bootFactor, boolean returned) {
-        World world = new World(1, 2);
+        SchedulerHarness world = new SchedulerHarness(1, 2);
         world.bootFactor = bootFactor;
         world.takeOver();
-        world.submit(due(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 44, 6), 30));
+        world.submit(due(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 44, 6), 30));
         for (int second = 0; second < 120 && world.state("wk-1") == JobState.OPEN; second++) {
             world.run(Micros.SECOND);
         }
--- a/src/test/java/io/micatide/scheduler/PlannerReferenceTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** On drawn fleets the planner decides what the one without an index decided: the same commands, transactions and rentals in the same order. */
-class PlannerReferenceTest {
+class PlacementReferenceTest {
     /** Long runs outside CI: {@code -Dmicatide.fleets=20000}. */
     private static final int FLEETS = Integer.getInteger("micatide.fleets", 150);
 
@@ -54,7 +54,7 @@
 
     private static List<String> play(long seed, Scheduler.PlannerFactory planners) {
         Random random = new Random(seed);
-        World world = new World(seed, 2 + random.nextInt(12));
+        SchedulerHarness world = new SchedulerHarness(seed, 2 + random.nextInt(12));
         List<String> decisions = new ArrayList<>();
         world.planners = planners;
         world.decisions = decisions::add;
@@ -90,8 +90,8 @@
         int starts = 0;
         int stops = 0;
         for (long seed = 0; seed < FLEETS; seed++) {
-            List<String> expected = play(seed, ReferencePlanner::new);
-            List<String> actual = play(seed, Planner::new);
+            List<String> expected = play(seed, ReferencePlacementPlanner::new);
+            List<String> actual = play(seed, PlacementPlanner::new);
             for (int i = 0; i < Math.max(expected.size(), actual.size()); i++) {
                 String old = i < expected.size() ? expected.get(i) : "nothing";
                 String now = i < actual.size() ? actual.get(i) : "nothing";
--- a/src/test/java/io/micatide/scheduler/PlanCostTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningCostTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What a plan looks at follows from what changed, not from how many machines and waiting jobs there are. */
-class PlanCostTest {
+class PlanningCostTest {
     private static final int GANGS = 600;
     private static final int TASKS_A_MACHINE = 4;
     private static final int TASKS_A_JOB = 700;
     private static final int TICKS = 50;
 
     /** Machines full of arrays that run on, and gangs that each want whole machines of which there are none. */
-    private static World full(int machines, Priority gangs, boolean arraysSave) {
-        World world = new World(1, machines);
+    private static SchedulerHarness full(int machines, Priority gangs, boolean arraysSave) {
+        SchedulerHarness world = new SchedulerHarness(1, machines);
         world.cloudOutage = true;
         world.marked = true;
         world.takeOver();
@@ -72,9 +72,9 @@
     }
 
     private static long looksPerPlan(int machines, Priority gangs, boolean arraysSave) {
-        World world = full(machines, gangs, arraysSave);
+        SchedulerHarness world = full(machines, gangs, arraysSave);
         long before = world.leader.machinesLookedAt();
-        world.run(TICKS * World.STEP);
+        world.run(TICKS * SchedulerHarness.STEP);
         assertEquals(machines * TASKS_A_MACHINE, world.starts, "a gang found room");
         return (world.leader.machinesLookedAt() - before) / TICKS;
     }
--- a/src/test/java/io/micatide/scheduler/PlanPassTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningPassTest.java
@@ -14,19 +14,19 @@
 import org.junit.jupiter.api.Test;
 
 /** A plan with more to look at than its share goes on in the next ticks, and nothing that is urgent waits for it. */
-class PlanPassTest {
+class PlanningPassTest {
     private static final int MACHINES = 2_000;
     private static final int JOBS = 60;
 
-    private final World world = new World(1, MACHINES);
-    private final List<Planner> planners = new ArrayList<>();
+    private final SchedulerHarness world = new SchedulerHarness(1, MACHINES);
+    private final List<PlacementPlanner> planners = new ArrayList<>();
     private int number;
 
     @BeforeEach
     void allMachinesAreThere() {
         world.cloudOutage = true;
         world.planners = (scheduler, settings, fleet, ledgers, times) -> {
-            planners.add(new Planner(scheduler, settings, fleet, ledgers, times));
+            planners.add(new PlacementPlanner(scheduler, settings, fleet, ledgers, times));
             return planners.get(0);
         };
         world.takeOver();
@@ -35,13 +35,13 @@
 
     private String submit(Priority priority) {
         String id = "wk-" + number++;
-        world.submit(World.job(id, JobKind.ARRAY, "blue", priority, 1, 100));
+        world.submit(SchedulerHarness.job(id, JobKind.ARRAY, "blue", priority, 1, 100));
         return id;
     }
 
     /** Jobs whose tasks the plan still has to place, after a tick without any report. */
     private List<String> waitingAfterTick() {
-        world.now += World.STEP;
+        world.now += SchedulerHarness.STEP;
         world.leader.tick(world.now);
         return planners.get(0).queue().order(world.now).stream()
                 .map(queued -> queued.job().id())
@@ -116,8 +116,8 @@
 
     @Test
     void eachPlanDoesOneJobAtLeast() {
-        PlanPass pass = new PlanPass(0);
-        Job job = new Job(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1, 1), 1, 0, 0, 0);
+        PlanningPass pass = new PlanningPass(0);
+        Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1, 1), 1, 0, 0, 0);
         pass.begin(5_000);
         assertEquals(false, pass.isOver(9_000));
         pass.done(job);
--- a/src/test/java/io/micatide/scheduler/RentalsTest.java
+++ b/src/test/java/io/micatide/scheduler/ProvisioningRequestsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.util.HashMap;
 import java.util.List;
@@ -13,16 +13,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RentalsTest {
+class ProvisioningRequestsTest {
     /** Writes as a round does: the rows, their conditions, the fence. Returns the transaction. */
-    private static Transaction round(Rentals rentals, List<Rentals.Booking> some) {
+    private static Transaction round(ProvisioningRequests rentals, List<ProvisioningRequests.Booking> some) {
         List<Transaction.Write> writes = new java.util.ArrayList<>();
-        for (Rentals.Booking booking : some) {
+        for (ProvisioningRequests.Booking booking : some) {
             writes.add(new Transaction.Write(
                     StoreKeys.booking(booking.name),
-                    booking.state == Rentals.State.DONE
+                    booking.state == ProvisioningRequests.State.DONE
                             ? null
-                            : new Row.Booking("claimed", booking.type, booking.zone, booking.spot, booking.count),
+                            : new StoredRecord.Booking(
+                                    "claimed", booking.type, booking.zone, booking.spot, booking.count),
                     0));
         }
         if (rentals.fence(some) != null) {
@@ -40,11 +41,11 @@
     void aLatePutBringsNoBookingBack(boolean fenced) {
         Map<String, Long> versions = new HashMap<>();
         long[] revision = {10};
-        Rentals rentals = new Rentals(new World(1, 0).settings, 5);
+        ProvisioningRequests rentals = new ProvisioningRequests(new SchedulerHarness(1, 0).settings, 5);
         rentals.fenced(fenced);
         assertFalse(rentals.mayWrite(), "not before the fence is known");
         rentals.fenceKnown(0, 0);
-        Rentals.Booking booking = rentals.claim(new Rentals.Offer("small", "a", false), 3, 0);
+        ProvisioningRequests.Booking booking = rentals.claim(new ProvisioningRequests.Offer("small", "a", false), 3, 0);
         Transaction first = round(rentals, rentals.toWrite(5, 0));
         Transaction again = round(rentals, List.of(booking));
         booking.version = apply(again, versions, revision);
--- a/src/test/java/io/micatide/scheduler/ReferencePlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -17,9 +17,9 @@
 
 /**
  * The planner before it had an index of room, as it was: each job that waits is looked at with all machines. Kept as the reference that
- * {@link Planner} is compared with, decision for decision.
+ * {@link PlacementPlanner} is compared with, decision for decision.
  */
-final class ReferencePlanner extends Planner {
+final class ReferencePlacementPlanner extends PlacementPlanner {
     /** An image that takes longer than this to fetch is worth stopping other work for. */
     private static final long LONG_FETCH_MICROS = 1_500 * Micros.MILLISECOND;
 
@@ -51,7 +51,7 @@
     private final Settings settings;
     private final Fleet fleet;
     private final JobLedgers ledgers;
-    private final RunTimes runTimes;
+    private final RuntimeEstimator runTimes;
     private final long guaranteePatienceMicros;
     private List<JobQueue.Queued> order = List.of();
     private long orderMicros = Long.MIN_VALUE / 2;
@@ -65,7 +65,8 @@
     private int evictedByGuarantees;
     private Map<String, Resources> unknown = Map.of();
 
-    ReferencePlanner(Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RunTimes runTimes) {
+    ReferencePlacementPlanner(
+            Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes) {
         super(scheduler, settings, fleet, ledgers, runTimes);
         this.scheduler = scheduler;
         this.settings = settings;
@@ -85,8 +86,8 @@
     private List<JobQueue.Queued> queue(long nowMicros) {
         Map<String, Resources> asked = new HashMap<>();
         List<JobQueue.Queued> result = new ArrayList<>();
-        Map<Job, Deadlines.Entry> entries = new HashMap<>();
-        for (Deadlines.Entry entry : decide(nowMicros)) {
+        Map<Job, DeadlineFeasibility.Entry> entries = new HashMap<>();
+        for (DeadlineFeasibility.Entry entry : decide(nowMicros)) {
             entries.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
@@ -102,7 +103,7 @@
             boolean guaranteed = team != null && team.cpus() > 0 && team.guarantees(total);
             int waiting = job.waiting();
             if (waiting > 0) {
-                Deadlines.Entry entry = entries.get(job);
+                DeadlineFeasibility.Entry entry = entries.get(job);
                 result.add(new JobQueue.Queued(
                         job,
                         waiting,
@@ -131,12 +132,12 @@
      * What can be on time: first within each team's limit, since room beyond it helps none of the team's jobs, then
      * with all processors.
      */
-    private List<Deadlines.Entry> decide(long nowMicros) {
+    private List<DeadlineFeasibility.Entry> decide(long nowMicros) {
         double cpus = arrayCpus(nowMicros);
-        Map<String, List<Deadlines.Entry>> perTeam = new LinkedHashMap<>();
-        List<Deadlines.Entry> result = new ArrayList<>();
-        List<Deadlines.Entry> lowest = new ArrayList<>();
-        for (Deadlines.Entry entry : arrays(nowMicros)) {
+        Map<String, List<DeadlineFeasibility.Entry>> perTeam = new LinkedHashMap<>();
+        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
+        List<DeadlineFeasibility.Entry> lowest = new ArrayList<>();
+        for (DeadlineFeasibility.Entry entry : arrays(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // It gets what is left: a large job of a rare class would count for more than many of the others.
                 lowest.add(entry);
@@ -145,29 +146,29 @@
             perTeam.computeIfAbsent(entry.job.spec.team(), k -> new ArrayList<>())
                     .add(entry);
         }
-        List<Deadlines.Entry> possible = new ArrayList<>();
+        List<DeadlineFeasibility.Entry> possible = new ArrayList<>();
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
             double most = team == null || team.cpusMax() == 0 ? cpus : Math.min(cpus, team.cpusMax());
-            for (Deadlines.Entry entry : Deadlines.decide(entries, most, nowMicros)) {
+            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, most, nowMicros)) {
                 (entry.onTime ? possible : result).add(entry);
             }
         });
-        result.addAll(Deadlines.decide(possible, cpus, nowMicros));
-        result.addAll(Deadlines.decide(lowest, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.decide(possible, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.decide(lowest, cpus, nowMicros));
         return result;
     }
 
     /** What is left of every job that ends. */
-    private List<Deadlines.Entry> arrays(long nowMicros) {
-        List<Deadlines.Entry> result = new ArrayList<>();
+    private List<DeadlineFeasibility.Entry> arrays(long nowMicros) {
+        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.suspect && job.spec.kind() != JobKind.SERVICE && job.unfinished() > 0) {
                 long length = runTimes.expected(job);
                 int waiting = job.waiting();
                 double work = job.spec.each().cpus() * (double) length * (waiting + 0.5 * (job.unfinished() - waiting));
                 long slowest = runTimes.slowest(job);
-                result.add(new Deadlines.Entry(
+                result.add(new DeadlineFeasibility.Entry(
                         job, work, slowest, due(job, slowest, nowMicros), weight(job.spec.jobClass())));
             }
         }
--- a/src/test/java/io/micatide/scheduler/RunTimesTest.java
+++ b/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class RunTimesTest {
+class RuntimeEstimatorTest {
     /** The owner says 10 s; so many tasks ran for so long; what is expected then, to the second. */
     @ParameterizedTest
     @CsvSource({"0, 0, 10", "2, 30, 20", "18, 30, 28", "18, 3, 4"})
     void aJobsOwnTasksCorrectItsEstimate(int tasks, int seconds, long expected) {
-        RunTimes runTimes = new RunTimes();
-        Job job = new Job(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
+        RuntimeEstimator runTimes = new RuntimeEstimator();
+        Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
         for (int i = 0; i < tasks; i++) {
             runTimes.finished(job, seconds * Micros.SECOND);
         }
@@ -29,9 +29,9 @@
     /** After a take-over a running task looks younger than it is; three take-overs a day once halved the estimates. */
     @Test
     void whatANewLeaderFindsRunningTeachesNothing() {
-        World world = new World(1, 2);
+        SchedulerHarness world = new SchedulerHarness(1, 2);
         world.takeOver();
-        world.submit(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 20));
+        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 20));
         world.run(18 * Micros.SECOND);
         world.takeOver();
         world.run(Micros.SECOND * 30);
--- a/src/test/java/io/micatide/scheduler/SchedulerDigestTest.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerDigestTest.java
@@ -20,7 +20,7 @@
 
     private static String play(long seed) {
         Random random = new Random(seed);
-        World world = new World(seed, 4 + random.nextInt(12));
+        SchedulerHarness world = new SchedulerHarness(seed, 4 + random.nextInt(12));
         RecordedDigests.Digester digester = new RecordedDigests.Digester();
         world.messages = message -> digester.add(message.getBytes(StandardCharsets.UTF_8));
         world.lostAnswers = 0.01;
@@ -28,7 +28,7 @@
         world.takeOver();
         for (int second = 0; second < SECONDS; second++) {
             for (int more = random.nextInt(3); more > 0 && second < SECONDS / 2; more--) {
-                world.submit(PlannerReferenceTest.drawn(random, world.specs.size()));
+                world.submit(PlacementReferenceTest.drawn(random, world.specs.size()));
             }
             if (random.nextInt(10) == 0 && !world.specs.isEmpty()) {
                 world.cancel("wk-" + random.nextInt(world.specs.size()));
--- a/src/test/java/io/micatide/scheduler/World.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -1,31 +1,31 @@
 package io.micatide.scheduler;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.micatide.jobs.JobDirectory;
+import io.micatide.jobs.JobCache;
 import io.micatide.model.CloudCall;
 import io.micatide.model.Command;
 import io.micatide.model.ExitCause;
+import io.micatide.model.Heartbeat;
 import io.micatide.model.Hint;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
 import io.micatide.model.JobState;
 import io.micatide.model.ListedMachine;
-import io.micatide.model.MachineReport;
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
 import io.micatide.model.Priority;
 import io.micatide.model.Resources;
 import io.micatide.model.Settings;
-import io.micatide.model.TaskReport;
 import io.micatide.model.TaskState;
+import io.micatide.model.TaskStatus;
 import io.micatide.model.Team;
 import io.micatide.model.Tuning;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.StateCodec;
+import io.micatide.protocol.StoreCodec;
 import io.micatide.protocol.WorkerCodec;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -46,7 +46,7 @@
  * leader can be killed after any interaction, and what it had sent may still arrive: that is where second runs of a
  * task come from.
  */
-final class World {
+final class SchedulerHarness {
     static final long STEP = 100 * Micros.MILLISECOND;
     static final MachineType TYPE =
             new MachineType("small", Resources.of(8, 0, 64), 25, 0.5, 0.5, 0.2, 10 * Micros.SECOND, List.of("a", "b"));
@@ -55,7 +55,7 @@
     final Random random;
     long now = Micros.SECOND;
     long revision = 100;
-    final TreeMap<String, Row> rows = new TreeMap<>();
+    final TreeMap<String, StoredRecord> rows = new TreeMap<>();
     final Map<String, Long> versions = new HashMap<>();
     final Map<String, Worker> workers = new LinkedHashMap<>();
     final List<String> broken = new ArrayList<>();
@@ -66,7 +66,7 @@
     private int machineNumber;
 
     /** How leaders plan. */
-    Scheduler.PlannerFactory planners = Planner::new;
+    Scheduler.PlannerFactory planners = PlacementPlanner::new;
     /** Takes what leaders decide: commands and transactions, in their order. */
     Consumer<String> decisions = decision -> {};
     /** Takes the same as it goes over the wire. */
@@ -123,11 +123,11 @@
     /** Every controller reads the present layout, as the next leader finds. */
     boolean marked;
 
-    World(long seed, int machines) {
+    SchedulerHarness(long seed, int machines) {
         this(seed, machines, 16 * 1024, 16);
     }
 
-    World(long seed, int machines, int writableBytes, int ops) {
+    SchedulerHarness(long seed, int machines, int writableBytes, int ops) {
         random = new Random(seed);
         Map<String, Team> teams = new LinkedHashMap<>();
         teams.put("red", new Team("red", 16_000, 0, 24_000, 0));
@@ -188,14 +188,13 @@
             this.nextReport = upAt;
         }
 
-        MachineReport report() {
+        Heartbeat report() {
             sequence++;
-            List<TaskReport> list = new ArrayList<>();
+            List<TaskStatus> list = new ArrayList<>();
             for (Task task : tasks.values()) {
-                list.add(new TaskReport(task.job, task.index, task.attempt, task.state(), task.cause, false));
+                list.add(new TaskStatus(task.job, task.index, task.attempt, task.state(), task.cause, false));
             }
-            return new MachineReport(
-                    name, "x:1", TYPE.name(), zone, spot, session, sequence, seenToken, notice(), list);
+            return new Heartbeat(name, "x:1", TYPE.name(), zone, spot, session, sequence, seenToken, notice(), list);
         }
 
         private long notice() {
@@ -295,7 +294,7 @@
 
     private void start(Worker worker, Command command, String key) {
         String taskName = command.job() + "/" + command.index();
-        Row row = rows.get(StoreKeys.job(command.job()));
+        StoredRecord row = rows.get(StoreKeys.job(command.job()));
         for (Worker other : workers.values()) {
             for (Task task : other.tasks.values()) {
                 if (task.cause == null && task.job.equals(command.job()) && task.index == command.index()) {
@@ -343,24 +342,24 @@
 
     void submit(JobSpec spec) {
         specs.put(spec.id(), spec);
-        put(StoreKeys.job(spec.id()), new Row.JobRow(JobState.OPEN, spec, now, spec.tasks()), ++revision);
+        put(StoreKeys.job(spec.id()), new StoredRecord.JobRow(JobState.OPEN, spec, now, spec.tasks()), ++revision);
     }
 
     void cancel(String id) {
-        Row.JobRow row = (Row.JobRow) rows.get(StoreKeys.job(id));
+        StoredRecord.JobRow row = (StoredRecord.JobRow) rows.get(StoreKeys.job(id));
         if (row != null && row.state() == JobState.OPEN) {
             cancelledAt.put(id, now);
             put(
                     StoreKeys.job(id),
-                    new Row.JobRow(JobState.CANCELLED, row.spec(), row.submittedWall(), row.tasks()),
+                    new StoredRecord.JobRow(JobState.CANCELLED, row.spec(), row.submittedWall(), row.tasks()),
                     ++revision);
         }
     }
 
     /** What any controller's copy makes of the rows; a leader hears of each change. */
-    final JobDirectory directory = new JobDirectory();
+    final JobCache directory = new JobCache();
 
-    private void copy(String key, Row.JobRow row, long version) {
+    private void copy(String key, StoredRecord.JobRow row, long version) {
         for (String changed : directory.apply(key.substring(StoreKeys.JOBS.length()), row, version)) {
             if (leader != null) {
                 leader.jobSeen(directory.view(changed), now, now);
@@ -369,18 +368,18 @@
     }
 
     JobState state(String id) {
-        return ((Row.JobRow) rows.get(StoreKeys.job(id))).state();
+        return ((StoredRecord.JobRow) rows.get(StoreKeys.job(id))).state();
     }
 
     /** What is stored is text: a leader reads what the one before it wrote, not its objects. */
-    private static Row throughText(String key, Row row, long at) {
+    private static StoredRecord throughText(String key, StoredRecord row, long at) {
         try {
-            JsonNode data = Json.tree(StateCodec.transaction(
+            JsonNode data = Json.tree(StoreCodec.transaction(
                             new Transaction(List.of(), List.of(new Transaction.Write(key, row, 0)))))
                     .path("writes")
                     .get(0)
                     .path("data");
-            return StateCodec.item(("{\"k\":\"" + key + "\",\"data\":" + data + ",\"stamp\":" + at + "}")
+            return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + data + ",\"stamp\":" + at + "}")
                             .getBytes(StandardCharsets.UTF_8))
                     .row();
         } catch (MalformedException e) {
@@ -388,18 +387,18 @@
         }
     }
 
-    private void put(String key, Row given, long at) {
-        Row row = given == null ? null : throughText(key, given, at);
+    private void put(String key, StoredRecord given, long at) {
+        StoredRecord row = given == null ? null : throughText(key, given, at);
         if (row == null) {
             rows.remove(key);
             versions.remove(key);
         } else {
-            if (row instanceof Row.JobRow job && job.state() == JobState.DONE) {
+            if (row instanceof StoredRecord.JobRow job && job.state() == JobState.DONE) {
                 checkDone(key.substring(StoreKeys.JOBS.length()));
             }
             rows.put(key, row);
             versions.put(key, at);
-            if (row instanceof Row.JobRow job) {
+            if (row instanceof StoredRecord.JobRow job) {
                 copy(key, job, at);
             }
         }
@@ -430,7 +429,7 @@
 
     void takeOver() {
         token = ++revision;
-        put(StoreKeys.LEADER, new Row.Leader("c0"), token);
+        put(StoreKeys.LEADER, new StoredRecord.Leader("c0"), token);
         leader = new Scheduler(settings, Tuning.defaults(settings), token, now, planners);
         leader.hinted(hints, false, now);
         takeOvers++;
@@ -439,22 +438,22 @@
         if (marked) {
             put(
                     StoreKeys.LAYOUT,
-                    new Row.Layout(Settings.LAYOUT, settings.pageTasks()),
+                    new StoredRecord.Layout(Settings.LAYOUT, settings.pageTasks()),
                     versions.getOrDefault(StoreKeys.LAYOUT, ++revision));
-            leader.layoutMarked(versions.get(StoreKeys.LAYOUT), (Row.Layout) rows.get(StoreKeys.LAYOUT));
+            leader.layoutMarked(versions.get(StoreKeys.LAYOUT), (StoredRecord.Layout) rows.get(StoreKeys.LAYOUT));
         }
         rows.forEach((key, row) -> {
-            if (row instanceof Row.Ledger ledger) {
+            if (row instanceof StoredRecord.Ledger ledger) {
                 leader.ledgerLoaded(key, ledger, versions.get(key), now);
-            } else if (row instanceof Row.Returned returned) {
+            } else if (row instanceof StoredRecord.Returned returned) {
                 leader.returnLoaded(key, returned, versions.get(key), now);
-            } else if (row instanceof Row.Booking booking) {
+            } else if (row instanceof StoredRecord.Booking booking) {
                 leader.bookingLoaded(key.substring(StoreKeys.BOOKINGS.length()), booking, versions.get(key), now);
             }
         });
         leader.fenceKnown(
                 versions.getOrDefault(StoreKeys.FENCE, 0L),
-                rows.get(StoreKeys.FENCE) instanceof Row.Fence fence ? fence.number() : 0);
+                rows.get(StoreKeys.FENCE) instanceof StoredRecord.Fence fence ? fence.number() : 0);
         leader.switches(versions.getOrDefault(StoreKeys.FEATURES, 0L), fenced, recorded);
         leader.loaded(now);
     }
@@ -566,7 +565,7 @@
     }
 
     private void exchange(Worker worker) {
-        MachineReport report = worker.report();
+        Heartbeat report = worker.report();
         long session = worker.session;
         if (zombie != null && worker.zone.equals("a")) {
             if (leader != null && random.nextInt(15) == 0) {
@@ -600,7 +599,7 @@
             return;
         }
         decisions.accept(now + " " + round);
-        messages.accept(now + " " + text(StateCodec.transaction(round)));
+        messages.accept(now + " " + text(StoreCodec.transaction(round)));
         if (dies()) {
             // Killed with the request on its way: it arrives some time later, or never.
             late.add(round);
@@ -646,7 +645,7 @@
     private boolean breaksLimits(Transaction round) {
         boolean breaks = round.writes().size() > opsLimit || round.conditions().size() > 4 * opsLimit;
         for (Transaction.Write write : round.writes()) {
-            breaks |= write.row() != null && StateCodec.size(write.row()) > valueLimit;
+            breaks |= write.row() != null && StoreCodec.size(write.row()) > valueLimit;
         }
         return breaks;
     }
@@ -657,13 +656,13 @@
     }
 
     private void read(String key) {
-        Row row = rows.get(key);
+        StoredRecord row = rows.get(key);
         if (Scheduler.isOfDuties(key)) {
             leader.dutyReadBack(key, row, versions.getOrDefault(key, 0L));
-        } else if (row instanceof Row.JobRow job) {
+        } else if (row instanceof StoredRecord.JobRow job) {
             leader.jobReadBack(key.substring(StoreKeys.JOBS.length()), job, versions.get(key), now);
         } else if (key.startsWith(StoreKeys.LEDGERS)) {
-            leader.ledgerReadBack(key, (Row.Ledger) row, versions.getOrDefault(key, 0L));
+            leader.ledgerReadBack(key, (StoredRecord.Ledger) row, versions.getOrDefault(key, 0L));
         }
     }
 
