--- a/src/test/java/io/micatide/scheduler/BlockedTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -18,11 +18,11 @@
  * What was blocked during a plan is forgotten by each thing that could unblock it. Drawn fleets hardly ever show it: what is freed within a
  * plan is taken by the job that it was freed for.
  */
-class BlockedTest {
+class UnschedulableClassesTest {
     private static final long TOKEN = 7;
 
-    private final List<Planner> planners = new ArrayList<>();
-    private final Settings settings = new World(1, 0).settings;
+    private final List<PlacementPlanner> planners = new ArrayList<>();
+    private final Settings settings = new SchedulerHarness(1, 0).settings;
     private Scheduler scheduler;
     private Job job;
     private Machine machine;
@@ -31,15 +31,15 @@
     void begin() {
         planners.clear();
         scheduler = new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0, (s, its, fleet, ledgers, times) -> {
-            Planner planner = new Planner(s, its, fleet, ledgers, times);
+            PlacementPlanner planner = new PlacementPlanner(s, its, fleet, ledgers, times);
             planners.add(planner);
             machine = fleet.obtain("i-1", 0);
-            job = ledgers.add(World.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
+            job = ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
             return planner;
         });
     }
 
-    private Blocked blocked() {
+    private UnschedulableClasses blocked() {
         return planners.get(0).blocked;
     }
 
@@ -48,7 +48,7 @@
     }
 
     private String remembered() {
-        return (blocked().isFull(JobShape.of(job.spec)) ? "full " : "")
+        return (blocked().isFull(EquivalenceClass.of(job.spec)) ? "full " : "")
                 + (blocked().findNothing(queued()) ? "nothing " : "")
                 + (blocked().room(job, true) != null ? "room" : "");
     }
@@ -56,7 +56,7 @@
     private String after(BiConsumer<Scheduler, Placement> what) {
         scheduler.place(job, job.nextWaiting(), machine, 0);
         Placement placement = machine.placements.get(0);
-        blocked().full(JobShape.of(job.spec));
+        blocked().full(EquivalenceClass.of(job.spec));
         blocked().findsNothing(queued());
         blocked().room(job, true, new HashMap<>());
         what.accept(scheduler, placement);
@@ -86,13 +86,13 @@
     /** The key of what is blocked tells apart what the answer depends on. */
     @Test
     void othersAreNotBlocked() {
-        blocked().full(JobShape.of(job.spec));
+        blocked().full(EquivalenceClass.of(job.spec));
         blocked().findsNothing(queued());
         blocked().room(job, true, new HashMap<>());
         assertEquals(false, blocked().findNothing(new JobQueue.Queued(job, 1, false, true, 0)));
         assertEquals(null, blocked().room(job, false));
-        Job other = new Job(World.job("wk-2", JobKind.ARRAY, "red", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
-        assertEquals(true, blocked().isFull(JobShape.of(other.spec)));
+        Job other = new Job(SchedulerHarness.job("wk-2", JobKind.ARRAY, "red", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
+        assertEquals(true, blocked().isFull(EquivalenceClass.of(other.spec)));
         assertEquals(false, blocked().findNothing(new JobQueue.Queued(other, 1, true, true, 0)));
         assertEquals(null, blocked().room(other, true));
     }
--- a/src/test/java/io/micatide/simulation/ContractTest.java
+++ b/src/test/java/io/micatide/simulation/ApiContractTest.java
@@ -14,7 +14,7 @@
 import com.networknt.schema.SchemaLocation;
 import com.networknt.schema.SchemaValidatorsConfig;
 import com.networknt.schema.oas.OpenApi30;
-import io.micatide.protocol.Description;
+import io.micatide.protocol.ApiDescription;
 import io.micatide.protocol.JobCodec;
 import io.micatide.protocol.MalformedException;
 import java.io.IOException;
@@ -36,7 +36,7 @@
  * The description, the code that reads submissions and what controllers answer over real sockets say the same: each field missing, null,
  * of a wrong type, at and over each limit, unknown fields and words, sent to every controller.
  */
-class ContractTest {
+class ApiContractTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final JsonSchemaFactory SCHEMAS = JsonSchemaFactory.builder()
             .defaultMetaSchemaIri(OpenApi30.getInstance().getIri())
@@ -49,14 +49,14 @@
     private static final HttpClient HTTP =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
-    private static LocalService service;
+    private static LocalDeployment service;
     private static JsonNode description;
     private static int number;
 
     @BeforeAll
     static void start() throws Exception {
-        service = LocalService.start(2, 0, true);
-        description = MAPPER.readTree(new Description().bytes());
+        service = LocalDeployment.start(2, 0, true);
+        description = MAPPER.readTree(new ApiDescription().bytes());
         for (String endpoint : service.endpoints()) {
             // Refused connections and 503 until it serves; a submission is taken once the mark is there.
             while (status(endpoint, "/healthz") != 200) {
@@ -129,7 +129,7 @@
                 .at("/paths/~1v1~1jobs/post/requestBody/content/application~1json/example")
                 .deepCopy();
         job.put("nameId", "wk-c" + ++number);
-        job.put("crew", LocalService.TEAM);
+        job.put("crew", LocalDeployment.TEAM);
         job.put("form", "batch");
         job.put("legs", 1);
         job.put("cpus", 0.1);
@@ -281,9 +281,9 @@
             assertEquals(405, ask(endpoint, "GET", "/v1/jobs", null).statusCode());
             assertEquals(404, ask(endpoint, "GET", "/v2/jobs", null).statusCode());
             assertDescribed("/healthz", "get", ask(endpoint, "GET", "/healthz", null));
-            HttpResponse<String> served = ask(endpoint, "GET", Description.PATH, null);
+            HttpResponse<String> served = ask(endpoint, "GET", ApiDescription.PATH, null);
             assertArrayEquals(
-                    new Description().bytes(), served.body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                    new ApiDescription().bytes(), served.body().getBytes(java.nio.charset.StandardCharsets.UTF_8));
         }
     }
 
--- a/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
+++ b/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
@@ -1,6 +1,6 @@
 package io.micatide.simulation;
 
-import io.micatide.archive.HistoryDay;
+import io.micatide.archive.ArchiveScenario;
 import io.micatide.model.Micros;
 import java.util.Arrays;
 import java.util.stream.Stream;
@@ -30,28 +30,29 @@
         String play(long seed) {
             RecordedDigests.Digester digester = new RecordedDigests.Digester();
             switch (this) {
-                case FAILOVER -> TakeOverTest.play(recorded(TakeOverTest.begin(seed), digester));
-                case BRIEF_RESTARTS -> BackAtOnceTest.play(recorded(BackAtOnceTest.begin(seed), digester));
-                case FAULT_PAIRS -> MeetingTest.play(recorded(MeetingTest.begin(seed), digester));
-                case FAULT_PAIRS_AT_QUOTA -> MeetingTest.playTight(recorded(MeetingTest.beginTight(seed), digester));
+                case FAILOVER -> FailoverTest.play(recorded(FailoverTest.begin(seed), digester));
+                case BRIEF_RESTARTS -> BriefRestartTest.play(recorded(BriefRestartTest.begin(seed), digester));
+                case FAULT_PAIRS -> FaultPairTest.play(recorded(FaultPairTest.begin(seed), digester));
+                case FAULT_PAIRS_AT_QUOTA ->
+                    FaultPairTest.playTight(recorded(FaultPairTest.beginTight(seed), digester));
                 case ROLLOUT -> {
-                    RolloutDay roll = RolloutTest.begin(seed);
+                    RolloutScenario roll = RolloutTest.begin(seed);
                     recorded(roll.day, digester);
                     RolloutTest.play(roll);
                 }
-                case ARCHIVE -> HistoryDay.play(seed, digester);
-                case COLD_START -> coldStart(recorded(TakeOverDay.tight(seed, 3, 0), digester));
-                case SMALL_JOBS -> smallJobs(recorded(TakeOverDay.paced(seed, 3, 80, 30), digester));
+                case ARCHIVE -> ArchiveScenario.play(seed, digester);
+                case COLD_START -> coldStart(recorded(FailoverScenario.tight(seed, 3, 0), digester));
+                case SMALL_JOBS -> smallJobs(recorded(FailoverScenario.paced(seed, 3, 80, 30), digester));
             }
             return digester.summary();
         }
 
-        private static TakeOverDay recorded(TakeOverDay day, VirtualNetwork.Recorder recorder) {
+        private static FailoverScenario recorded(FailoverScenario day, VirtualNetwork.Recorder recorder) {
             day.deployment.network.record(recorder);
             return day;
         }
 
-        private static void coldStart(TakeOverDay day) {
+        private static void coldStart(FailoverScenario day) {
             day.time.run(3 * Micros.SECOND);
             day.users.fill();
             day.time.run(12 * Micros.SECOND);
@@ -62,7 +63,7 @@
             day.time.run(90 * Micros.SECOND);
         }
 
-        private static void smallJobs(TakeOverDay day) {
+        private static void smallJobs(FailoverScenario day) {
             day.time.run(3 * Micros.SECOND);
             for (int second = 0; second < 40; second++) {
                 day.users.submit("batch", 1, 3);
--- a/src/test/java/io/micatide/simulation/BackAtOnceTest.java
+++ b/src/test/java/io/micatide/simulation/BriefRestartTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.Micros;
-import io.micatide.standby.Copy;
+import io.micatide.standby.KeyspaceReplica;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -13,17 +13,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Processes that end are back within 1 ms to 1 s, among requests of their former lives: no rule is broken, and all work goes on. */
-class BackAtOnceTest {
-    /** Long runs outside CI, as for {@link TakeOverTest}. */
+class BriefRestartTest {
+    /** Long runs outside CI, as for {@link FailoverTest}. */
     private static final int DAYS = Integer.getInteger("micatide.days", 600);
 
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
 
-    static TakeOverDay begin(long seed) {
-        return new TakeOverDay(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, Copy::new);
+    static FailoverScenario begin(long seed) {
+        return new FailoverScenario(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, KeyspaceReplica::new);
     }
 
-    static TakeOverDay play(TakeOverDay day) {
+    static FailoverScenario play(FailoverScenario day) {
         day.deployment.network.losses(0.01, 0.005);
         for (int second = 0; second < 24; second++) {
             if (second > 1) {
@@ -46,7 +46,7 @@
     @Test
     void drawnEndsBreakNoRule() {
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            TakeOverDay day = play(begin(seed));
+            FailoverScenario day = play(begin(seed));
             assertEquals(List.of(), day.verdict(), "seed " + seed + " " + day.deployment.log());
         }
     }
@@ -56,7 +56,7 @@
     @CsvSource({"3, 1", "5, 3"})
     void aStartThatIsCutShortAnywhere(int controllers, int times) {
         for (int at = 1; at <= 150; at++) {
-            TakeOverDay day = new TakeOverDay(at, controllers, 0, Copy::new);
+            FailoverScenario day = new FailoverScenario(at, controllers, 0, KeyspaceReplica::new);
             day.killAtInteraction(at, times, day.backSoon());
             day.time.run(Micros.SECOND);
             for (int job = 0; job < 6; job++) {
@@ -72,7 +72,7 @@
     @CsvSource({"3, 1, kill", "5, 2, kill", "3, 2, stop", "5, 1, stop"})
     void aTakeOverThatIsCutShortAnywhere(int controllers, int times, String how) {
         for (int at = 1; at <= 120; at++) {
-            TakeOverDay day = new TakeOverDay(at, controllers, 0, Copy::new);
+            FailoverScenario day = new FailoverScenario(at, controllers, 0, KeyspaceReplica::new);
             day.time.run(2 * Micros.SECOND);
             for (int job = 0; job < 6; job++) {
                 day.users.submit(job % 3 == 0 ? "daemon" : job % 3 == 1 ? "batch" : "group", 3, 4);
@@ -96,7 +96,8 @@
     void anotherLeadsSoon(int controllers, int least, int most, int within) {
         List<Long> gaps = new ArrayList<>();
         for (int seed = 0; seed < 100; seed++) {
-            TakeOverDay day = new TakeOverDay(seed, controllers, 0, Copy::new, 3 * Micros.SECOND, 17 * Micros.SECOND);
+            FailoverScenario day = new FailoverScenario(
+                    seed, controllers, 0, KeyspaceReplica::new, 3 * Micros.SECOND, 17 * Micros.SECOND);
             day.time.run(2 * Micros.SECOND);
             day.users.submit("batch", 12, 30);
             day.time.run((8_000 + day.random.nextInt(3_000)) * Micros.MILLISECOND);
@@ -116,7 +117,7 @@
     /** Controllers that all end twice a second leave the state service's rate to others: each start reads a bounded number of pages. */
     @Test
     void aCrashLoopIsCheap() {
-        TakeOverDay day = new TakeOverDay(1, 5, 0, Copy::new);
+        FailoverScenario day = new FailoverScenario(1, 5, 0, KeyspaceReplica::new);
         day.time.run(2 * Micros.SECOND);
         for (int job = 0; job < 40; job++) {
             day.users.submit("batch", 3, 60);
--- a/src/test/java/io/micatide/simulation/BoundJobsTest.java
+++ b/src/test/java/io/micatide/simulation/ConstrainedJobsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Jobs that may use only a part of the machines do not wait behind other work, or beside idle machines of no use to them, for ever. */
-class BoundJobsTest {
+class ConstrainedJobsTest {
     /**
      * Arrays of another team come all the time, more than its limit; the bound job comes into that.
      *
@@ -26,7 +26,7 @@
     })
     void startsBesideOthers(String form, String type, String zone, boolean spot, boolean lost, int within) {
         for (long seed = 1; seed <= 2; seed++) {
-            TakeOverDay day = TakeOverDay.tight(seed, 3, 0);
+            FailoverScenario day = FailoverScenario.tight(seed, 3, 0);
             JobConstraints others = new JobConstraints("blue", null, null, false, false, true);
             JobConstraints constraints = new JobConstraints(
                     "red", type.isEmpty() ? null : type, zone.isEmpty() ? null : zone, false, false, spot);
@@ -62,7 +62,7 @@
     @ParameterizedTest
     @CsvSource({"batch", "group", "daemon"})
     void idleMachinesOfNoUseMakeRoom(String form) {
-        TakeOverDay day = TakeOverDay.tight(1, 3, 0);
+        FailoverScenario day = FailoverScenario.tight(1, 3, 0);
         day.time.run(3 * Micros.SECOND);
         for (String team : List.of("blue", "red", "green")) {
             day.users.submit("batch", 20, 8, new JobConstraints(team, null, null, false, false, true));
--- a/src/test/java/io/micatide/simulation/DeafMachinesTest.java
+++ b/src/test/java/io/micatide/simulation/DeafWorkersTest.java
@@ -4,19 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.Micros;
-import io.micatide.standby.Copy;
+import io.micatide.standby.KeyspaceReplica;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Machines whose reports come and that hear no answer: what would start there goes on elsewhere. */
-class DeafMachinesTest {
+class DeafWorkersTest {
     /** Share of the machines, seconds for which they are deaf, how many small jobs come a second, and until when the last of them is started. */
     @ParameterizedTest
     @CsvSource({"0.3, 60, 1, 3", "0.3, 60, 4, 3", "0.5, 50, 2, 3"})
     void theirJobsGoOnElsewhere(double share, int seconds, int rate, int within) {
         for (long seed = 1; seed <= 3; seed++) {
-            TakeOverDay day = new TakeOverDay(seed, 3, 0, Copy::new);
+            FailoverScenario day = new FailoverScenario(seed, 3, 0, KeyspaceReplica::new);
             day.time.run(2 * Micros.SECOND);
             day.users.submit("daemon", 12, 0);
             day.time.run(15 * Micros.SECOND);
--- a/src/test/java/io/micatide/simulation/LateRows.java
+++ b/src/test/java/io/micatide/simulation/DelayedChanges.java
@@ -1,6 +1,6 @@
 package io.micatide.simulation;
 
-import io.micatide.controller.Loop;
+import io.micatide.controller.ActorExecutor;
 import io.micatide.net.Http;
 import io.micatide.net.Reply;
 import java.util.function.Consumer;
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 
 /** The way to a state service whose answers about changed jobs take long: they are as old as that when they arrive. */
-record LateRows(Http http, LongSupplier lateMicros, Supplier<Loop> process) implements Http {
+record DelayedChanges(Http http, LongSupplier lateMicros, Supplier<ActorExecutor> process) implements Http {
     @Override
     public void get(String path, long timeoutMicros, Consumer<Reply> then) {
         http.get(
--- a/src/test/java/io/micatide/simulation/ClaimReadTest.java
+++ b/src/test/java/io/micatide/simulation/ElectionReadTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.Micros;
-import io.micatide.standby.Copy;
+import io.micatide.standby.KeyspaceReplica;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -14,13 +14,13 @@
  * A leader hands over while the heir hears late about changed jobs. The read that the heir has under way is older than its claim and may
  * lack a job whose ledger the leader before has written since; a ledger without a job is taken for a left-over and removed.
  */
-class ClaimReadTest {
+class ElectionReadTest {
     private static final long LATE = 700 * Micros.MILLISECOND;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void aReadThatBeganBeforeTheClaimIsNotWhatTheLeaderBeginsWith(long seed) {
-        TakeOverDay day = new TakeOverDay(seed, 3, 0, Copy::new);
+        FailoverScenario day = new FailoverScenario(seed, 3, 0, KeyspaceReplica::new);
         day.time.run(8 * Micros.SECOND);
         day.users.submit("daemon", 3, 0);
         day.time.run(2 * Micros.SECOND);
--- a/src/test/java/io/micatide/simulation/TakeOverDay.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -9,9 +9,9 @@
 import io.micatide.model.Team;
 import io.micatide.model.Tuning;
 import io.micatide.net.Http;
-import io.micatide.protocol.StateCodec;
-import io.micatide.rollout.Abilities;
-import io.micatide.standby.Copy;
+import io.micatide.protocol.StoreCodec;
+import io.micatide.rollout.Capabilities;
+import io.micatide.standby.KeyspaceReplica;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -24,7 +24,7 @@
  * drawn from a seed. The rules are held against what workers and users saw, and each picture that a standby brings to a take-over
  * against the store.
  */
-final class TakeOverDay implements Deployment.Plan {
+final class FailoverScenario implements SimulatedCluster.Plan {
     /** Of a worker. */
     private final long reportMicros;
 
@@ -44,17 +44,17 @@
     private final int changes;
     final Random random;
     final int count;
-    final Deployment deployment;
+    final SimulatedCluster deployment;
     final VirtualTime time;
-    final RuleChecker checker;
+    final InvariantChecker checker;
     final List<String> wrong = new ArrayList<>();
-    final DayUsers users;
+    final SimulatedUsers users;
     int brought;
-    private final Copy.Maker copies;
+    private final KeyspaceReplica.Maker copies;
     /** Controllers that run without a standby, as those of a former version do. */
     private final int former;
     /** What the version of each controller can do, from its next start on. */
-    private final Abilities[] versions;
+    private final Capabilities[] versions;
     /** How often the state service was asked for each path. */
     final Map<String, Integer> asked = new TreeMap<>();
 
@@ -63,24 +63,25 @@
     private int killTimes;
     private long killBackMicros;
 
-    TakeOverDay(long seed, int controllers, int former, Copy.Maker copies) {
+    FailoverScenario(long seed, int controllers, int former, KeyspaceReplica.Maker copies) {
         this(seed, controllers, former, copies, 800 * Micros.MILLISECOND, 10 * Micros.SECOND);
     }
 
     /** With workers that report each so many microseconds and have a lease of so many. */
-    TakeOverDay(long seed, int controllers, int former, Copy.Maker copies, long reportMicros, long leaseMicros) {
-        this(seed, controllers, former, copies, reportMicros, leaseMicros, Abilities.ALL);
+    FailoverScenario(
+            long seed, int controllers, int former, KeyspaceReplica.Maker copies, long reportMicros, long leaseMicros) {
+        this(seed, controllers, former, copies, reportMicros, leaseMicros, Capabilities.ALL);
     }
 
     /** With controllers that all begin with this version. */
-    TakeOverDay(
+    FailoverScenario(
             long seed,
             int controllers,
             int former,
-            Copy.Maker copies,
+            KeyspaceReplica.Maker copies,
             long reportMicros,
             long leaseMicros,
-            Abilities version) {
+            Capabilities version) {
         this(
                 seed,
                 controllers,
@@ -96,15 +97,15 @@
     }
 
     /** With a state service that takes so many requests and changes a second. */
-    static TakeOverDay paced(long seed, int controllers, int requests, int changes) {
-        return new TakeOverDay(
+    static FailoverScenario paced(long seed, int controllers, int requests, int changes) {
+        return new FailoverScenario(
                 seed,
                 controllers,
                 0,
-                Copy::new,
+                KeyspaceReplica::new,
                 800 * Micros.MILLISECOND,
                 10 * Micros.SECOND,
-                Abilities.ALL,
+                Capabilities.ALL,
                 Map.of("blue", new Team("blue", 0, 0, 0, 0)),
                 List.of(TYPE),
                 requests,
@@ -115,15 +116,15 @@
      * Three teams with guarantees and tight limits, two types of machines that boot within 0.2 to 2 s or the ordinary time, and a cloud
      * whose lists are up to 8 s old; jobs ask for types, zones, one zone or several.
      */
-    static TakeOverDay tight(long seed, int controllers, int former) {
-        TakeOverDay day = new TakeOverDay(
+    static FailoverScenario tight(long seed, int controllers, int former) {
+        FailoverScenario day = new FailoverScenario(
                 seed,
                 controllers,
                 former,
-                Copy::new,
+                KeyspaceReplica::new,
                 800 * Micros.MILLISECOND,
                 10 * Micros.SECOND,
-                Abilities.ALL,
+                Capabilities.ALL,
                 Map.of(
                         "blue",
                         new Team("blue", 24_000, 0, 40_000, 0),
@@ -145,14 +146,14 @@
                 () -> random.nextInt(3) == 0 ? 5 * Micros.SECOND : (200 + random.nextInt(1_800)) * Micros.MILLISECOND);
     }
 
-    private TakeOverDay(
+    private FailoverScenario(
             long seed,
             int controllers,
             int former,
-            Copy.Maker copies,
+            KeyspaceReplica.Maker copies,
             long reportMicros,
             long leaseMicros,
-            Abilities version,
+            Capabilities version,
             Map<String, Team> teams,
             List<MachineType> types,
             int requests,
@@ -160,12 +161,12 @@
         this.requests = requests;
         this.changes = changes;
         this.teams = new TreeMap<>(teams);
-        this.versions = new Abilities[controllers];
+        this.versions = new Capabilities[controllers];
         this.lateRowsMicros = new long[controllers];
         Arrays.fill(versions, version);
         if (teams.size() > 1) {
             // As in production: neither a standby nor the switches.
-            Arrays.fill(versions, 0, former, Abilities.FORMER);
+            Arrays.fill(versions, 0, former, Capabilities.FORMER);
         }
         this.reportMicros = reportMicros;
         this.leaseMicros = leaseMicros;
@@ -173,15 +174,15 @@
         this.count = controllers;
         this.former = former;
         this.copies = copies;
-        RuleChecker[] rules = new RuleChecker[1];
-        this.deployment = new Deployment(
+        InvariantChecker[] rules = new InvariantChecker[1];
+        this.deployment = new SimulatedCluster(
                 random,
                 controllers,
                 this,
                 types,
                 MACHINES,
-                new StateStandIn.Limits(requests, changes, 16 * 1024, 16),
-                new WorkerStandIn.Witness() {
+                new SimulatedStore.Limits(requests, changes, 16 * 1024, 16),
+                new SimulatedWorker.Witness() {
                     @Override
                     public void started(String task, long attempt, String machine) {
                         rules[0].started(task, attempt, machine);
@@ -196,20 +197,20 @@
                     }
 
                     @Override
-                    public void taken(JobSpec spec, String task, long attempt, CloudStandIn.Rented machine) {
+                    public void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {
                         rules[0].taken(spec, task, attempt, machine);
                     }
 
                     @Override
-                    public void released(String task, long attempt, CloudStandIn.Rented machine) {
+                    public void released(String task, long attempt, SimulatedCloud.Rented machine) {
                         rules[0].released(task, attempt, machine);
                     }
                 });
         this.time = deployment.time;
-        this.checker = new RuleChecker(time, CANCEL + Micros.SECOND, teams);
+        this.checker = new InvariantChecker(time, CANCEL + Micros.SECOND, teams);
         checker.machines(deployment::up);
         rules[0] = checker;
-        this.users = new DayUsers(deployment, checker, random, controllers, teams.size() > 1, wrong);
+        this.users = new SimulatedUsers(deployment, checker, random, controllers, teams.size() > 1, wrong);
         deployment.network.observe(new VirtualNetwork.Observer() {
             @Override
             public void leaves(VirtualTime.Process from, String endpoint, String path) {
@@ -303,17 +304,17 @@
     }
 
     @Override
-    public Copy copy(String prefix, long mostBytes) {
+    public KeyspaceReplica copy(String prefix, long mostBytes) {
         return copies.make(prefix, mostBytes);
     }
 
     @Override
-    public Abilities abilities(int number) {
+    public Capabilities abilities(int number) {
         return versions[number];
     }
 
     /** A controller is replaced by one of another version, after so many microseconds. */
-    void replace(int number, Abilities version, long backMicros) {
+    void replace(int number, Capabilities version, long backMicros) {
         versions[number] = version;
         deployment.killFor(number, backMicros);
     }
@@ -321,9 +322,9 @@
     /** To a version before the switches their row is a job without a state, and it cannot read on. */
     @Override
     public Http reaches(int number, String endpoint, Http http) {
-        Http to = versions[number].registers() || !endpoint.equals("state") ? http : new FormerReader(http);
+        Http to = versions[number].registers() || !endpoint.equals("state") ? http : new FormerVersionReader(http);
         return endpoint.equals("state")
-                ? new LateRows(to, () -> lateRowsMicros[number], () -> deployment.process(number))
+                ? new DelayedChanges(to, () -> lateRowsMicros[number], () -> deployment.process(number))
                 : to;
     }
 
@@ -338,14 +339,14 @@
     }
 
     /** Rows that only leaders write stand still between a claim and the new leader's first round. */
-    private void compare(int number, String prefix, List<StateCodec.Item> rows) {
+    private void compare(int number, String prefix, List<StoreCodec.Item> rows) {
         brought++;
         Map<String, String> stored = new TreeMap<>();
         deployment
                 .state
                 .values()
                 .subMap(prefix, prefix + Character.MAX_VALUE)
-                .forEach((key, value) -> stored.put(key, value.stamp() + " " + Deployment.row(key, value)));
+                .forEach((key, value) -> stored.put(key, value.stamp() + " " + SimulatedCluster.row(key, value)));
         Map<String, String> copied = new TreeMap<>();
         rows.forEach(row -> copied.put(row.key(), row.version() + " " + row.row()));
         if (!stored.equals(copied) && deployment.owner().equals("c" + number)) {
--- a/src/test/java/io/micatide/simulation/TakeOverTest.java
+++ b/src/test/java/io/micatide/simulation/FailoverTest.java
@@ -5,24 +5,24 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.Micros;
-import io.micatide.standby.Copy;
+import io.micatide.standby.KeyspaceReplica;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Take-overs under drawn failures: no rule is broken, and every picture that a standby brings is the store's. */
-class TakeOverTest {
+class FailoverTest {
     /** Long runs outside CI: {@code -Dmicatide.days=20000 -Dmicatide.first=40000}. */
     private static final int DAYS = Integer.getInteger("micatide.days", 1_000);
 
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
 
-    static TakeOverDay begin(long seed) {
-        return new TakeOverDay(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, Copy::new);
+    static FailoverScenario begin(long seed) {
+        return new FailoverScenario(seed, seed % 2 == 0 ? 3 : 5, seed % 7 == 0 ? 1 : 0, KeyspaceReplica::new);
     }
 
-    static TakeOverDay play(TakeOverDay day) {
+    static FailoverScenario play(FailoverScenario day) {
         day.deployment.network.losses(0.01, 0.005);
         for (int second = 0; second < 24; second++) {
             if (second > 1) {
@@ -42,7 +42,7 @@
     void drawnFailuresBreakNoRule() {
         int brought = 0;
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            TakeOverDay day = play(begin(seed));
+            FailoverScenario day = play(begin(seed));
             assertEquals(List.of(), day.verdict(), "seed " + seed + " " + day.deployment.log());
             brought += day.brought;
         }
@@ -56,7 +56,7 @@
     @ParameterizedTest
     @CsvSource({"17245", "33680", "51766", "69078", "84555"})
     void daysThatOnceBrokeSomething(long seed) {
-        TakeOverDay day = play(begin(seed));
+        FailoverScenario day = play(begin(seed));
         assertEquals(List.of(), day.verdict(), day.deployment.log().toString());
     }
 
@@ -65,7 +65,7 @@
     void aCopyThatIsNotAsNewAsTheClaimIsFound() {
         boolean found = false;
         for (int seed = 0; seed < 60 && !found; seed++) {
-            found = !play(new TakeOverDay(seed, 3, 0, (prefix, most) -> new Copy(prefix, most) {
+            found = !play(new FailoverScenario(seed, 3, 0, (prefix, most) -> new KeyspaceReplica(prefix, most) {
                         private int reads;
 
                         @Override
@@ -91,7 +91,7 @@
     @CsvSource({"3", "5"})
     void aHandOverThatIsCutShortAnywhere(int controllers) {
         for (int at = 1; at <= 60; at++) {
-            TakeOverDay day = new TakeOverDay(at, controllers, 0, Copy::new);
+            FailoverScenario day = new FailoverScenario(at, controllers, 0, KeyspaceReplica::new);
             day.time.run(2 * Micros.SECOND);
             for (int job = 0; job < 6; job++) {
                 day.users.submit(job % 3 == 0 ? "daemon" : job % 3 == 1 ? "batch" : "group", 3, 4);
@@ -109,7 +109,7 @@
     @ParameterizedTest
     @CsvSource({"3, 1", "5, 2", "5, 3"})
     void anOrderlyEndIsOverSoon(int controllers, long seed) {
-        TakeOverDay day = new TakeOverDay(seed, controllers, 0, Copy::new);
+        FailoverScenario day = new FailoverScenario(seed, controllers, 0, KeyspaceReplica::new);
         day.time.run(2 * Micros.SECOND);
         day.users.submit("batch", 12, 30);
         day.users.submit("daemon", 4, 0);
@@ -130,7 +130,7 @@
     @ParameterizedTest
     @CsvSource({"3, 1, 1", "3, 2, 1", "5, 3, 2", "5, 4, 1"})
     void noColdProcessLeadsWhileAWarmOneIsThere(int controllers, long seed, int back) {
-        TakeOverDay day = new TakeOverDay(seed, controllers, 0, Copy::new);
+        FailoverScenario day = new FailoverScenario(seed, controllers, 0, KeyspaceReplica::new);
         day.time.run(2 * Micros.SECOND);
         day.users.submit("batch", 12, 30);
         day.time.run(10 * Micros.SECOND);
@@ -148,7 +148,7 @@
     @ParameterizedTest
     @CsvSource({"3", "5"})
     void withNobodyWarmNobodyWaits(int controllers) {
-        TakeOverDay day = new TakeOverDay(controllers, controllers, 0, Copy::new);
+        FailoverScenario day = new FailoverScenario(controllers, controllers, 0, KeyspaceReplica::new);
         day.time.run(8 * Micros.SECOND);
         for (int i = 0; i < controllers; i++) {
             day.deployment.kill(i, 5);
--- a/src/test/java/io/micatide/simulation/NamedMeetingsTest.java
+++ b/src/test/java/io/micatide/simulation/FaultInteractionTest.java
@@ -14,13 +14,13 @@
  * The meetings of two troubles that the operators name, each brought about by itself with all teams at their limits: no rule is broken, nothing
  * is lost, and everything is done once it is over. Whether the meeting took place is asserted as well.
  */
-class NamedMeetingsTest {
+class FaultInteractionTest {
     /** Long runs outside CI: {@code -Dmicatide.days=200 -Dmicatide.first=1000}. */
     private static final int DAYS = Math.max(1, Integer.getInteger("micatide.days", 200) / 200);
 
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
 
-    private TakeOverDay day;
+    private FailoverScenario day;
     private int leaders;
     private long token;
 
@@ -59,7 +59,7 @@
 
     /** @return what the log has to say of each of these if the meeting took place */
     private List<String> bringAbout(String meeting) {
-        Deployment all = day.deployment;
+        SimulatedCluster all = day.deployment;
         switch (meeting) {
             case "cancelled while the work changes hands" -> {
                 for (int time = 0; time < 3; time++) {
@@ -249,7 +249,7 @@
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
             leaders = 0;
             token = 0;
-            day = TakeOverDay.tight(seed, controllers, former);
+            day = FailoverScenario.tight(seed, controllers, former);
             seconds(3);
             day.users.fill();
             traffic(9);
--- a/src/test/java/io/micatide/simulation/MeetingTest.java
+++ b/src/test/java/io/micatide/simulation/FaultPairTest.java
@@ -3,24 +3,24 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.micatide.model.Micros;
-import io.micatide.standby.Copy;
+import io.micatide.standby.KeyspaceReplica;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Two troubles meet, drawn from all that the operators name: no rule is broken, and everything is known and done once they are over. */
-class MeetingTest {
+class FaultPairTest {
     /** Long runs outside CI: {@code -Dmicatide.days=20000 -Dmicatide.first=40000}. */
     private static final int DAYS = Integer.getInteger("micatide.days", 200);
 
     private static final int TIGHT_DAYS = (DAYS + 1) / 2;
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
 
-    static TakeOverDay begin(long seed) {
-        return new TakeOverDay(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0, Copy::new);
+    static FailoverScenario begin(long seed) {
+        return new FailoverScenario(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0, KeyspaceReplica::new);
     }
 
-    static TakeOverDay play(TakeOverDay day) {
+    static FailoverScenario play(FailoverScenario day) {
         for (int second = 0; second < 60; second++) {
             if (second > 1 && second < 50) {
                 day.users.troubledTraffic();
@@ -38,12 +38,12 @@
         return day;
     }
 
-    static TakeOverDay beginTight(long seed) {
-        return TakeOverDay.tight(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0);
+    static FailoverScenario beginTight(long seed) {
+        return FailoverScenario.tight(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0);
     }
 
     /** Teams at their limits, and two of the troubles that were named since, one of them as often as not a change of hands. */
-    static TakeOverDay playTight(TakeOverDay day) {
+    static FailoverScenario playTight(FailoverScenario day) {
         for (int second = 0; second < 70; second++) {
             if (second == 3) {
                 day.users.fill();
@@ -74,7 +74,7 @@
     void teamsAtTheirLimitsBreakNoRule() {
         List<String> failed = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + TIGHT_DAYS; seed++) {
-            TakeOverDay day = playTight(beginTight(seed));
+            FailoverScenario day = playTight(beginTight(seed));
             if (!day.verdict().isEmpty()) {
                 failed.add("seed " + seed + " " + day.verdict() + " " + day.deployment.log());
             }
@@ -86,7 +86,7 @@
     void twoTroublesBreakNoRule() {
         List<String> failed = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            TakeOverDay day = play(begin(seed));
+            FailoverScenario day = play(begin(seed));
             if (!day.verdict().isEmpty()) {
                 failed.add("seed " + seed + " " + day.verdict() + " " + day.deployment.log());
             }
--- a/src/test/java/io/micatide/simulation/FormerReader.java
+++ b/src/test/java/io/micatide/simulation/FormerVersionReader.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 
 /** The state service as a version before the switches sees it: their row is one that it cannot read. */
-record FormerReader(Http http) implements Http {
+record FormerVersionReader(Http http) implements Http {
     private static Consumer<Reply> former(Consumer<Reply> then) {
         return reply -> {
             String body = reply.body() == null ? "" : new String(reply.body(), StandardCharsets.UTF_8);
--- a/src/test/java/io/micatide/simulation/RuleCheckerTest.java
+++ b/src/test/java/io/micatide/simulation/InvariantCheckerTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Each rule that the checker holds is seen to be broken by a planted fault, and kept by its nearest neighbour. */
-class RuleCheckerTest {
+class InvariantCheckerTest {
     /**
      * Steps on a job of two tasks: {@code s0a} task 0 starts on machine a, {@code d0a} it is done there, {@code x0a} stopped there;
      * {@code t+5} five seconds pass; {@code c} its user cancels, {@code k} all troubles are over, {@code q} the user asks,
@@ -51,7 +51,7 @@
     })
     void findsWhatIsPlanted(String steps, String rule) {
         VirtualTime time = new VirtualTime();
-        RuleChecker checker = new RuleChecker(time, 30 * Micros.SECOND);
+        InvariantChecker checker = new InvariantChecker(time, 30 * Micros.SECOND);
         time.run(Micros.SECOND);
         checker.submits("wk-1", 2, false);
         for (String step : steps.split(" ")) {
@@ -86,17 +86,17 @@
             new MachineType("small", Resources.of(8, 0, 64), 25, 0.5, 0.5, 0.2, 0, List.of("x", "y"));
     private static final MachineType LARGE =
             new MachineType("large", Resources.of(16, 0, 64), 25, 0.5, 0.5, 0.2, 0, List.of("x", "y"));
-    private static final Map<Character, CloudStandIn.Rented> MACHINES = Map.of(
+    private static final Map<Character, SimulatedCloud.Rented> MACHINES = Map.of(
             'a',
-            new CloudStandIn.Rented("a", SMALL, "x", false, 0),
+            new SimulatedCloud.Rented("a", SMALL, "x", false, 0),
             'b',
-            new CloudStandIn.Rented("b", SMALL, "x", false, 0),
+            new SimulatedCloud.Rented("b", SMALL, "x", false, 0),
             'y',
-            new CloudStandIn.Rented("y", SMALL, "y", false, 0),
+            new SimulatedCloud.Rented("y", SMALL, "y", false, 0),
             'l',
-            new CloudStandIn.Rented("l", LARGE, "x", false, 0),
+            new SimulatedCloud.Rented("l", LARGE, "x", false, 0),
             's',
-            new CloudStandIn.Rented("s", SMALL, "x", true, 0));
+            new SimulatedCloud.Rented("s", SMALL, "x", true, 0));
 
     /**
      * Places and limits, on a job of four tasks of two processors whose team may use {@code limit}: {@code f0a} task 0 is taken by machine a and
@@ -149,14 +149,14 @@
                 0,
                 0,
                 -1);
-        RuleChecker checker = new RuleChecker(
+        InvariantChecker checker = new InvariantChecker(
                 new VirtualTime(),
                 30 * Micros.SECOND,
                 Map.of("blue", new Team("blue", 0, 0, (long) (limit * 1000), 0)));
         checker.submits("wk-1", 4, false);
         for (String step : steps.split(" ")) {
             String task = "wk-1/" + step.charAt(1);
-            CloudStandIn.Rented machine = MACHINES.get(step.charAt(2));
+            SimulatedCloud.Rented machine = MACHINES.get(step.charAt(2));
             switch (step.charAt(0)) {
                 case 'f' -> checker.taken(spec, task, 1, machine);
                 case 's' -> checker.started(task, 1, machine.name());
@@ -190,7 +190,7 @@
     })
     void nobodyWaitsBesideRoom(String shape, double limit, String up, int seconds, String rule) {
         VirtualTime time = new VirtualTime();
-        RuleChecker checker = new RuleChecker(
+        InvariantChecker checker = new InvariantChecker(
                 time, 30 * Micros.SECOND, Map.of("blue", new Team("blue", 0, 0, (long) (limit * 1000), 0)));
         JobSpec spec = new JobSpec(
                 "wk-1",
@@ -233,7 +233,7 @@
     @Test
     void countsWhatIsNoRuleOfItsOwn() {
         VirtualTime time = new VirtualTime();
-        RuleChecker checker = new RuleChecker(time, 30 * Micros.SECOND);
+        InvariantChecker checker = new InvariantChecker(time, 30 * Micros.SECOND);
         checker.submitsInvalid("wk-2");
         checker.heard("wk-2", time.now(), 422, null);
         assertEquals(List.of(), checker.broken());
--- a/src/test/java/io/micatide/simulation/RefusedLeaderTest.java
+++ b/src/test/java/io/micatide/simulation/LeaderWithoutStoreTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.Micros;
-import io.micatide.standby.Copy;
+import io.micatide.standby.KeyspaceReplica;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -13,12 +13,12 @@
  * The state service refuses the leader alone, another controller confirms cancellations, then the state service is away for all, for longer
  * than a cancelled job's tasks may be on machines, while workers go on reporting to the old leader.
  */
-class RefusedLeaderTest {
+class LeaderWithoutStoreTest {
     private static final int LONG = 600;
     private static final VirtualNetwork.Fate NEVER = new VirtualNetwork.Fate(10_000 * Micros.SECOND, 0, false);
 
-    private TakeOverDay begun(long seed, int controllers) {
-        TakeOverDay day = new TakeOverDay(seed, controllers, 0, Copy::new);
+    private FailoverScenario begun(long seed, int controllers) {
+        FailoverScenario day = new FailoverScenario(seed, controllers, 0, KeyspaceReplica::new);
         // What a controller tells the leader unasked never arrives: nothing may rest on it.
         day.deployment.network.fates((from, endpoint, path) -> path.equals("/withdrawn") ? NEVER : null);
         day.time.run(2 * Micros.SECOND);
@@ -41,7 +41,7 @@
     @CsvSource({"3, 500", "5, 500", "5, 1500", "5, 2400", "3, 1800", "5, 2000"})
     void aLeaderThatCouldReadNothingSinceItsClaimStopsWhatWasCancelled(int controllers, int refused) {
         for (long seed = 1; seed <= 3; seed++) {
-            TakeOverDay day = begun(seed, controllers);
+            FailoverScenario day = begun(seed, controllers);
             int leader = day.deployment.leader();
             long token = day.deployment.token();
             day.deployment.refuse(leader, 150);
@@ -56,7 +56,7 @@
                 assertTrue(day.time.now() - began < 20 * Micros.SECOND, "nobody claims " + day.deployment.log());
             }
             day.deployment.stateAway(90);
-            day.time.run(TakeOverDay.CANCEL + 10 * Micros.SECOND);
+            day.time.run(FailoverScenario.CANCEL + 10 * Micros.SECOND);
             assertEquals(
                     0,
                     day.checker.running("wk-1") + day.checker.running("wk-3"),
@@ -72,7 +72,7 @@
     @ParameterizedTest
     @CsvSource({"3, 0", "5, 0", "5, 1"})
     void anOutageOfAMinuteKillsNothing(int controllers, int former) {
-        TakeOverDay day = new TakeOverDay(7, controllers, former, Copy::new);
+        FailoverScenario day = new FailoverScenario(7, controllers, former, KeyspaceReplica::new);
         day.time.run(2 * Micros.SECOND);
         day.users.submit("batch", 16, LONG);
         day.users.submit("daemon", 8, 0);
@@ -114,7 +114,7 @@
     })
     void whatWasCancelledIsGoneInTime(int controllers, String confirming, int refused, int outage) {
         for (long seed = 1; seed <= 2; seed++) {
-            TakeOverDay day = begun(seed, controllers);
+            FailoverScenario day = begun(seed, controllers);
             int leader = day.deployment.leader();
             int other = (leader + 1) % controllers;
             day.deployment.refuse(leader, 150);
@@ -132,7 +132,7 @@
             }
             day.time.run((outage - 40) * Micros.MILLISECOND);
             day.deployment.stateAway(90);
-            day.time.run(TakeOverDay.CANCEL + 10 * Micros.SECOND);
+            day.time.run(FailoverScenario.CANCEL + 10 * Micros.SECOND);
             assertEquals(
                     0,
                     day.checker.running("wk-1") + day.checker.running("wk-3"),
--- a/src/test/java/io/micatide/simulation/RolloutDay.java
+++ b/src/test/java/io/micatide/simulation/RolloutScenario.java
@@ -1,12 +1,12 @@
 package io.micatide.simulation;
 
 import io.micatide.model.Micros;
-import io.micatide.rollout.Abilities;
+import io.micatide.rollout.Capabilities;
 import io.micatide.rollout.Feature;
-import io.micatide.rollout.Stage;
-import io.micatide.standby.Copy;
-import io.micatide.store.Row;
+import io.micatide.rollout.FeatureStage;
+import io.micatide.standby.KeyspaceReplica;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,8 +17,8 @@
  * A day on which controllers are replaced by other versions. Beside the rules, each change of the state service is held against what a
  * roll-out promises: one stage at a time, by controllers that all knew the one before, and nothing of a new form before its stage.
  */
-final class RolloutDay {
-    final TakeOverDay day;
+final class RolloutScenario {
+    final FailoverScenario day;
     final List<String> wrong = new ArrayList<>();
     private final int controllers;
     private Map<String, String> stages = Map.of();
@@ -27,24 +27,24 @@
     private Map<String, Long> kept = Map.of();
     private long leader;
 
-    RolloutDay(long seed, int controllers, Abilities version) {
+    RolloutScenario(long seed, int controllers, Capabilities version) {
         this.controllers = controllers;
-        this.day =
-                new TakeOverDay(seed, controllers, 0, Copy::new, 800 * Micros.MILLISECOND, 10 * Micros.SECOND, version);
+        this.day = new FailoverScenario(
+                seed, controllers, 0, KeyspaceReplica::new, 800 * Micros.MILLISECOND, 10 * Micros.SECOND, version);
         day.deployment.state.afterEachChange(this::look);
     }
 
-    Stage stage(Feature feature) {
-        return Stage.valueOf(stages.getOrDefault(feature.key(), Stage.OFF.name()));
+    FeatureStage stage(Feature feature) {
+        return FeatureStage.valueOf(stages.getOrDefault(feature.key(), FeatureStage.OFF.name()));
     }
 
-    private Map<String, StateStandIn.Value> values(String prefix) {
+    private Map<String, SimulatedStore.Value> values(String prefix) {
         return day.deployment.state.values().subMap(prefix, prefix + Character.MAX_VALUE);
     }
 
     /** Called after each change. */
     private void look(long revision) {
-        StateStandIn.Value row = day.deployment.state.values().get(StoreKeys.FEATURES);
+        SimulatedStore.Value row = day.deployment.state.values().get(StoreKeys.FEATURES);
         Map<String, Long> nowKept = new TreeMap<>();
         values(StoreKeys.LEARNED).forEach((key, value) -> nowKept.put(key, value.stamp()));
         values(StoreKeys.FENCE).forEach((key, value) -> nowKept.put(key, value.stamp()));
@@ -53,17 +53,18 @@
             Feature feature = key.equals(StoreKeys.FENCE)
                     ? Feature.BOOKING_FENCE
                     : key.startsWith(StoreKeys.RETURNS) ? Feature.RETURNS : Feature.LEARNED;
-            if (!stamp.equals(kept.get(key)) && stage(feature) != Stage.ON) {
+            if (!stamp.equals(kept.get(key)) && stage(feature) != FeatureStage.ON) {
                 wrong.add(key + " is written while " + feature.key() + " is " + stage(feature));
             }
         });
         kept = nowKept;
         if (row != null && row.stamp() != features) {
-            stepped(((Row.Features) Deployment.row(StoreKeys.FEATURES, row)).stages());
+            stepped(((StoredRecord.Features) SimulatedCluster.row(StoreKeys.FEATURES, row)).stages());
             features = row.stamp();
         }
         Map<String, Long> acts = new TreeMap<>();
-        values(StoreKeys.HERE).forEach((key, value) -> acts.put(key, ((Row.Here) Deployment.row(key, value)).acts()));
+        values(StoreKeys.HERE)
+                .forEach((key, value) -> acts.put(key, ((StoredRecord.Here) SimulatedCluster.row(key, value)).acts()));
         here = acts;
         if (day.deployment.token() != leader) {
             leader = day.deployment.token();
@@ -78,8 +79,8 @@
             }
         });
         for (Feature feature : Feature.values()) {
-            Stage before = stage(feature);
-            Stage after = Stage.valueOf(next.getOrDefault(feature.key(), Stage.OFF.name()));
+            FeatureStage before = stage(feature);
+            FeatureStage after = FeatureStage.valueOf(next.getOrDefault(feature.key(), FeatureStage.OFF.name()));
             if (Math.abs(feature.path().indexOf(after) - feature.path().indexOf(before)) > 1) {
                 wrong.add(feature.key() + " goes from " + before + " to " + after);
             }
@@ -92,10 +93,10 @@
         if (day.deployment.owner().isEmpty()) {
             return;
         }
-        Abilities abilities = day.abilities(day.deployment.leader());
+        Capabilities abilities = day.abilities(day.deployment.leader());
         for (Feature feature : Feature.values()) {
             if (abilities.registers()
-                    && stage(feature) != Stage.OFF
+                    && stage(feature) != FeatureStage.OFF
                     && !abilities.knows().contains(feature)) {
                 wrong.add(day.deployment.owner() + " leads and does not know " + feature.key());
             }
@@ -103,19 +104,19 @@
     }
 
     /** What an operator asks for, NONE to take it back. */
-    void ask(Feature feature, Row.Wish wish) {
+    void ask(Feature feature, StoredRecord.Wish wish) {
         String key = StoreKeys.asked(feature.key());
-        StateStandIn.Value there = day.deployment.state.values().get(key);
+        SimulatedStore.Value there = day.deployment.state.values().get(key);
         String body = "{\"if\":[{\"k\":\"" + key + "\",\"stamp\":" + (there == null ? 0 : there.stamp())
                 + "}],\"writes\":[{\"put\":\"" + key + "\",\"data\":{\"wish\":\"" + wish + "\"}}]}";
         day.deployment
                 .network
                 .from(day.deployment.user, "state")
                 .post("/txn", body.getBytes(StandardCharsets.UTF_8), Micros.SECOND, reply -> {
-                    StateStandIn.Value now = day.deployment.state.values().get(key);
+                    SimulatedStore.Value now = day.deployment.state.values().get(key);
                     if (!reply.ok()
                             && !(now != null
-                                    && Deployment.row(key, now) instanceof Row.Ask ask
+                                    && SimulatedCluster.row(key, now) instanceof StoredRecord.Ask ask
                                     && ask.wish() == wish)) {
                         day.deployment.user.later(() -> ask(feature, wish), Micros.SECOND);
                     }
--- a/src/test/java/io/micatide/simulation/RolloutTest.java
+++ b/src/test/java/io/micatide/simulation/RolloutTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.Micros;
-import io.micatide.rollout.Abilities;
+import io.micatide.rollout.Capabilities;
 import io.micatide.rollout.Feature;
-import io.micatide.rollout.Stage;
-import io.micatide.store.Row;
+import io.micatide.rollout.FeatureStage;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,19 +19,19 @@
 
 /** Controllers of up to three versions take each other's place among failures: no rule is broken, and what is new waits for all. */
 class RolloutTest {
-    /** Long runs outside CI, as for {@link TakeOverTest}. */
+    /** Long runs outside CI, as for {@link FailoverTest}. */
     private static final int DAYS = Integer.getInteger("micatide.days", 400);
 
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
-    private static final List<Abilities> VERSIONS =
-            List.of(Abilities.FORMER, Abilities.without(Feature.LEARNED), Abilities.ALL);
+    private static final List<Capabilities> VERSIONS =
+            List.of(Capabilities.FORMER, Capabilities.without(Feature.LEARNED), Capabilities.ALL);
 
-    static RolloutDay begin(long seed) {
-        return new RolloutDay(seed, seed % 2 == 0 ? 3 : 5, VERSIONS.get((int) (seed / 2 % 3)));
+    static RolloutScenario begin(long seed) {
+        return new RolloutScenario(seed, seed % 2 == 0 ? 3 : 5, VERSIONS.get((int) (seed / 2 % 3)));
     }
 
-    static RolloutDay play(RolloutDay roll) {
-        TakeOverDay day = roll.day;
+    static RolloutScenario play(RolloutScenario roll) {
+        FailoverScenario day = roll.day;
         int controllers = day.count;
         day.deployment.network.losses(0.01, 0.005);
         Feature asked = day.random.nextBoolean() ? Feature.LEARNED : Feature.BOOKING_FENCE;
@@ -40,7 +40,7 @@
                 day.users.traffic();
             }
             if (second > 3 && day.random.nextInt(3) == 0) {
-                Abilities version = VERSIONS.get(second < 16 ? day.random.nextInt(3) : 2);
+                Capabilities version = VERSIONS.get(second < 16 ? day.random.nextInt(3) : 2);
                 day.replace(
                         day.random.nextInt(controllers), version, (1 + day.random.nextInt(500)) * Micros.MILLISECOND);
             }
@@ -48,15 +48,15 @@
                 day.failBriefly();
             }
             if (second == 12 && day.random.nextInt(3) == 0) {
-                roll.ask(asked, day.random.nextBoolean() ? Row.Wish.BACK : Row.Wish.HOLD);
+                roll.ask(asked, day.random.nextBoolean() ? StoredRecord.Wish.BACK : StoredRecord.Wish.HOLD);
             }
             day.time.run(Micros.SECOND);
         }
         day.killAtInteraction(0);
         day.deployment.network.losses(0, 0);
-        roll.ask(asked, Row.Wish.NONE);
+        roll.ask(asked, StoredRecord.Wish.NONE);
         for (int i = 0; i < controllers; i++) {
-            day.replace(i, Abilities.ALL, 500 * Micros.MILLISECOND);
+            day.replace(i, Capabilities.ALL, 500 * Micros.MILLISECOND);
             day.time.run(300 * Micros.MILLISECOND);
         }
         day.time.run(70 * Micros.SECOND);
@@ -66,10 +66,10 @@
     @Test
     void drawnRollsBreakNoRule() {
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
-            RolloutDay roll = play(begin(seed));
+            RolloutScenario roll = play(begin(seed));
             assertEquals(List.of(), roll.verdict(), "seed " + seed + " " + roll.day.deployment.log());
             for (Feature feature : List.of(Feature.LEARNED, Feature.BOOKING_FENCE, Feature.RETURNS)) {
-                assertEquals(Stage.ON, roll.stage(feature), "seed " + seed + ": in the end all have it");
+                assertEquals(FeatureStage.ON, roll.stage(feature), "seed " + seed + ": in the end all have it");
             }
         }
     }
@@ -78,17 +78,17 @@
     @ParameterizedTest
     @CsvSource({"3", "5"})
     void theLastOneSwitchesItOn(int controllers) {
-        RolloutDay roll = new RolloutDay(7, controllers, Abilities.FORMER);
-        TakeOverDay day = roll.day;
+        RolloutScenario roll = new RolloutScenario(7, controllers, Capabilities.FORMER);
+        FailoverScenario day = roll.day;
         for (int i = 0; i < controllers - 1; i++) {
             day.time.run(2 * Micros.SECOND);
-            day.replace(i, Abilities.ALL, 300 * Micros.MILLISECOND);
+            day.replace(i, Capabilities.ALL, 300 * Micros.MILLISECOND);
         }
         day.time.run(20 * Micros.SECOND);
-        assertEquals(Stage.OFF, roll.stage(Feature.LEARNED));
-        day.replace(controllers - 1, Abilities.ALL, 300 * Micros.MILLISECOND);
+        assertEquals(FeatureStage.OFF, roll.stage(Feature.LEARNED));
+        day.replace(controllers - 1, Capabilities.ALL, 300 * Micros.MILLISECOND);
         long began = day.time.now();
-        while (roll.stage(Feature.LEARNED) != Stage.ON || roll.stage(Feature.BOOKING_FENCE) != Stage.ON) {
+        while (roll.stage(Feature.LEARNED) != FeatureStage.ON || roll.stage(Feature.BOOKING_FENCE) != FeatureStage.ON) {
             day.time.run(100 * Micros.MILLISECOND);
             assertTrue(day.time.now() - began < 10 * Micros.SECOND, "until on");
         }
@@ -99,11 +99,11 @@
     @ParameterizedTest
     @CsvSource({"1", "0"})
     void aFormerVersionIsShutOut(int version) {
-        RolloutDay roll = new RolloutDay(5, 3, Abilities.ALL);
-        TakeOverDay day = roll.day;
+        RolloutScenario roll = new RolloutScenario(5, 3, Capabilities.ALL);
+        FailoverScenario day = roll.day;
         day.users.submit("batch", 6, 2);
         day.time.run(15 * Micros.SECOND);
-        assertEquals(Stage.ON, roll.stage(Feature.LEARNED));
+        assertEquals(FeatureStage.ON, roll.stage(Feature.LEARNED));
         int replaced = (day.deployment.leader() + 1) % 3;
         day.replace(replaced, VERSIONS.get(version), 100 * Micros.MILLISECOND);
         day.time.run(10 * Micros.SECOND);
@@ -117,21 +117,21 @@
     /** Taken back by an operator, a feature is off in the end, and a version that does not know it serves again. */
     @Test
     void takenBackAFormerVersionServes() {
-        RolloutDay roll = new RolloutDay(6, 3, Abilities.ALL);
-        TakeOverDay day = roll.day;
+        RolloutScenario roll = new RolloutScenario(6, 3, Capabilities.ALL);
+        FailoverScenario day = roll.day;
         day.time.run(12 * Micros.SECOND);
-        day.replace(0, Abilities.without(Feature.LEARNED), 100 * Micros.MILLISECOND);
+        day.replace(0, Capabilities.without(Feature.LEARNED), 100 * Micros.MILLISECOND);
         day.time.run(5 * Micros.SECOND);
         assertEquals(List.of(1, 2), roll.healthy());
         // It cannot register, so nothing moves forward; back goes all the same once it is not there.
-        roll.ask(Feature.LEARNED, Row.Wish.BACK);
-        day.replace(0, Abilities.ALL, 100 * Micros.MILLISECOND);
+        roll.ask(Feature.LEARNED, StoredRecord.Wish.BACK);
+        day.replace(0, Capabilities.ALL, 100 * Micros.MILLISECOND);
         day.time.run(30 * Micros.SECOND);
-        assertEquals(Stage.OFF, roll.stage(Feature.LEARNED));
-        day.replace(0, Abilities.without(Feature.LEARNED), 100 * Micros.MILLISECOND);
+        assertEquals(FeatureStage.OFF, roll.stage(Feature.LEARNED));
+        day.replace(0, Capabilities.without(Feature.LEARNED), 100 * Micros.MILLISECOND);
         day.time.run(10 * Micros.SECOND);
         assertEquals(List.of(0, 1, 2), roll.healthy());
-        assertEquals(Stage.ON, roll.stage(Feature.BOOKING_FENCE));
+        assertEquals(FeatureStage.ON, roll.stage(Feature.BOOKING_FENCE));
         day.users.submit("batch", 6, 2);
         day.time.run(30 * Micros.SECOND);
         assertEquals(List.of(), roll.verdict());
@@ -145,7 +145,7 @@
     void whatDependsOnTheSwitchesHasThemAsACondition() {
         Map<String, Integer> seen = new TreeMap<>();
         for (int seed = 0; seed < 12; seed++) {
-            RolloutDay roll = new RolloutDay(seed, 3, Abilities.ALL);
+            RolloutScenario roll = new RolloutScenario(seed, 3, Capabilities.ALL);
             roll.day.deployment.state.beforeEachTransaction(body -> {
                 List<String> conditions = new ArrayList<>();
                 body.path("if").forEach(each -> conditions.add(each.path("k").asText()));
@@ -159,7 +159,7 @@
                         seen.merge(key.substring(0, 4), 1, Integer::sum);
                         assertTrue(conditions.contains(StoreKeys.FEATURES), key + " on condition of " + conditions);
                     }
-                    if (key.startsWith(StoreKeys.BOOKINGS) && roll.stage(Feature.BOOKING_FENCE) == Stage.ON) {
+                    if (key.startsWith(StoreKeys.BOOKINGS) && roll.stage(Feature.BOOKING_FENCE) == FeatureStage.ON) {
                         assertTrue(conditions.contains(key), key + " on condition of " + conditions);
                     }
                 });
@@ -186,7 +186,7 @@
     @ParameterizedTest
     @CsvSource({"3", "20"})
     void askingIsBounded(int controllers) {
-        RolloutDay roll = new RolloutDay(9, controllers, Abilities.ALL);
+        RolloutScenario roll = new RolloutScenario(9, controllers, Capabilities.ALL);
         int[] registered = {0};
         long[] refusedMicros = {0};
         roll.day.deployment.state.beforeEachTransaction(body -> body.path("writes")
@@ -202,7 +202,7 @@
                     }
                 }));
         roll.day.time.run(60 * Micros.SECOND);
-        assertEquals(Stage.ON, roll.stage(Feature.LEARNED));
+        assertEquals(FeatureStage.ON, roll.stage(Feature.LEARNED));
         int reads = roll.day.asked.getOrDefault("/store/" + StoreKeys.FEATURES, 0);
         assertTrue(reads <= 4 * controllers + 30, reads + " reads of the switches");
         assertTrue(registered[0] <= 6 * controllers, registered[0] + " registrations");
@@ -213,18 +213,18 @@
     @CsvSource({"3, 2", "5, 2", "3, 1", "3, 0"})
     void aStepThatIsCutShortAnywhere(int controllers, int back) {
         for (int at = 1; at <= 100; at++) {
-            RolloutDay roll = new RolloutDay(at, controllers, Abilities.ALL);
-            TakeOverDay day = roll.day;
+            RolloutScenario roll = new RolloutScenario(at, controllers, Capabilities.ALL);
+            FailoverScenario day = roll.day;
             day.killAtInteraction(at, 1, day.backSoon());
             day.time.run((500 + at * 30) * Micros.MILLISECOND);
             day.replace(at % controllers, VERSIONS.get(back), (1 + at * 5) * Micros.MILLISECOND);
             day.users.submit("batch", 6, 2);
             day.users.submit("daemon", 2, 0);
             day.time.run(10 * Micros.SECOND);
-            day.replace(at % controllers, Abilities.ALL, 200 * Micros.MILLISECOND);
+            day.replace(at % controllers, Capabilities.ALL, 200 * Micros.MILLISECOND);
             day.time.run(50 * Micros.SECOND);
             assertEquals(List.of(), roll.verdict(), "at " + at + " " + day.deployment.log());
-            assertEquals(Stage.ON, roll.stage(Feature.LEARNED), "at " + at + " " + day.deployment.log());
+            assertEquals(FeatureStage.ON, roll.stage(Feature.LEARNED), "at " + at + " " + day.deployment.log());
         }
     }
 }
--- a/src/test/java/io/micatide/simulation/DayUsers.java
+++ b/src/test/java/io/micatide/simulation/SimulatedUsers.java
@@ -20,13 +20,13 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** The users of a {@link TakeOverDay}: they submit, ask, cancel and try again, and tell the checker what they hear. */
-final class DayUsers {
+/** The users of a {@link FailoverScenario}: they submit, ask, cancel and try again, and tell the checker what they hear. */
+final class SimulatedUsers {
     private static final List<String> TEAMS = List.of("blue", "green", "red");
 
-    private final Deployment deployment;
+    private final SimulatedCluster deployment;
     private final VirtualTime time;
-    private final RuleChecker checker;
+    private final InvariantChecker checker;
     private final Random random;
     private final int count;
     private final boolean manyTeams;
@@ -48,9 +48,9 @@
      * @param manyTeams whether jobs are of several teams and ask for places
      * @param wrong takes what no rule covers
      */
-    DayUsers(
-            Deployment deployment,
-            RuleChecker checker,
+    SimulatedUsers(
+            SimulatedCluster deployment,
+            InvariantChecker checker,
             Random random,
             int count,
             boolean manyTeams,
--- a/src/test/java/io/micatide/simulation/UnequalTasksTest.java
+++ b/src/test/java/io/micatide/simulation/SkewedTasksTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** An array whose tasks take very different times is done all the same: its long tasks are not started over without end. */
-class UnequalTasksTest {
+class SkewedTasksTest {
     /** So many tasks, the n-th of which runs for 4n + 1 times as long as its user thinks, beside so many tasks of 200 s. */
     @ParameterizedTest
     @CsvSource({"10, 1, 12, 420", "10, 1, 0, 150", "3, 1, 12, 420"})
     void endsAllTheSame(int tasks, int estimate, int others, int seconds) {
-        TakeOverDay day = TakeOverDay.tight(83, 3, 0);
+        FailoverScenario day = FailoverScenario.tight(83, 3, 0);
         day.time.run(3 * Micros.SECOND);
         JobConstraints constraints = new JobConstraints("green", null, null, false, false, true);
         if (others > 0) {
--- a/src/test/java/io/micatide/simulation/OneTaskJobsTest.java
+++ b/src/test/java/io/micatide/simulation/SmallJobsTest.java
@@ -5,8 +5,8 @@
 
 import io.micatide.model.JobState;
 import io.micatide.model.Micros;
-import io.micatide.store.Row;
 import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Jobs of one task come four a second for minutes, a quarter of them cancelled: starts do not wait behind ends, and what is over does not pile up. */
-class OneTaskJobsTest {
+class SmallJobsTest {
     private static final int SECONDS = 150;
 
     /**
@@ -28,7 +28,7 @@
     @ParameterizedTest
     @CsvSource({"80, 30, false, 15, 60", "300, 120, false, 15, 60", "80, 30, true, 15, 80"})
     void startsDoNotWaitBehindEnds(int requests, int changes, boolean killed, int median, int most) {
-        TakeOverDay day = TakeOverDay.paced(1, 3, requests, changes);
+        FailoverScenario day = FailoverScenario.paced(1, 3, requests, changes);
         day.time.run(3 * Micros.SECOND);
         day.users.submit("batch", 40, 15);
         day.time.run(20 * Micros.SECOND);
@@ -73,15 +73,15 @@
                 0, day.deployment.state.values().subMap("ledger/", "ledger0").size(), "ledgers of jobs that are over");
     }
 
-    private static int over(TakeOverDay day) {
+    private static int over(FailoverScenario day) {
         int rows = 0;
-        for (Map.Entry<String, StateStandIn.Value> each : day.deployment
+        for (Map.Entry<String, SimulatedStore.Value> each : day.deployment
                 .state
                 .values()
                 .subMap(StoreKeys.JOBS, StoreKeys.JOBS + Character.MAX_VALUE)
                 .entrySet()) {
             rows += each.getKey().startsWith(StoreKeys.job("wk-"))
-                            && Deployment.row(each.getKey(), each.getValue()) instanceof Row.JobRow row
+                            && SimulatedCluster.row(each.getKey(), each.getValue()) instanceof StoredRecord.JobRow row
                             && row.state() != JobState.OPEN
                     ? 1
                     : 0;
--- a/src/test/java/io/micatide/simulation/CutZoneTest.java
+++ b/src/test/java/io/micatide/simulation/ZonePartitionTest.java
@@ -13,7 +13,7 @@
 import io.micatide.model.Team;
 import io.micatide.model.Tuning;
 import io.micatide.net.Http;
-import io.micatide.protocol.CloudSide;
+import io.micatide.protocol.CloudSideCodec;
 import io.micatide.protocol.MalformedException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -30,7 +30,7 @@
  * A zone is cut off together with the leader: inside it goes on answering its workers, outside users cancel jobs. On the fleet's
  * day of a cut zone tasks of cancelled jobs ran on for the whole cut (ran_cancelled).
  */
-class CutZoneTest {
+class ZonePartitionTest {
     private static final int CONTROLLERS = 3;
     private static final long LEASE = 10 * Micros.SECOND;
     private static final long CANCEL = 25 * Micros.SECOND;
@@ -38,8 +38,8 @@
     private final VirtualTime time = new VirtualTime();
     private final VirtualNetwork network = new VirtualNetwork(time, new Random(1));
     private final VirtualTime.Process world = time.new Process();
-    private final StateStandIn state = new StateStandIn(world, new StateStandIn.Limits(400, 120, 16 * 1024, 16));
-    private final CloudStandIn cloud = new CloudStandIn(
+    private final SimulatedStore state = new SimulatedStore(world, new SimulatedStore.Limits(400, 120, 16 * 1024, 16));
+    private final SimulatedCloud cloud = new SimulatedCloud(
             world,
             List.of(new MachineType(
                     "small", Resources.of(4, 0, 64), 25, 0, 0.5, 0.2, Micros.SECOND, List.of("a", "b"))),
@@ -50,7 +50,7 @@
     private final Map<VirtualTime.Process, String> zones = new HashMap<>();
     private final Map<String, String> running = new TreeMap<>();
     private final Map<String, byte[]> submitted = new HashMap<>();
-    private final Gangs gangs = new Gangs(world, settings(0));
+    private final GangRendezvous gangs = new GangRendezvous(world, settings(0));
 
     private Settings settings(int number) {
         List<Settings.Sibling> siblings = new ArrayList<>();
@@ -107,30 +107,31 @@
         time.run(5 * Micros.SECOND);
     }
 
-    private void up(CloudStandIn.Rented machine) {
+    private void up(SimulatedCloud.Rented machine) {
         VirtualTime.Process process = time.new Process();
         zones.put(process, machine.zone());
         Map<String, Http> known = new LinkedHashMap<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             known.put("c" + i, network.from(process, "c" + i));
         }
-        new WorkerStandIn(process, settings(0), machine, known, this::described, gangs, new WorkerStandIn.Witness() {
-                    @Override
-                    public void started(String task, long attempt, String name) {
-                        running.put(task, machine.zone());
-                    }
+        new SimulatedWorker(
+                        process, settings(0), machine, known, this::described, gangs, new SimulatedWorker.Witness() {
+                            @Override
+                            public void started(String task, long attempt, String name) {
+                                running.put(task, machine.zone());
+                            }
 
-                    @Override
-                    public void over(String task, long attempt, String name, ExitCause cause) {
-                        running.remove(task);
-                    }
-                })
+                            @Override
+                            public void over(String task, long attempt, String name, ExitCause cause) {
+                                running.remove(task);
+                            }
+                        })
                 .start();
     }
 
     private JobSpec described(String id) {
         try {
-            return CloudSide.described(("{\"spec\":" + new String(submitted.get(id), StandardCharsets.UTF_8) + "}")
+            return CloudSideCodec.described(("{\"spec\":" + new String(submitted.get(id), StandardCharsets.UTF_8) + "}")
                     .getBytes(StandardCharsets.UTF_8));
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
+++ b/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
@@ -9,12 +9,12 @@
 import io.micatide.model.Settings;
 import io.micatide.model.Tuning;
 import io.micatide.net.Http;
-import io.micatide.simulation.CloudStandIn;
-import io.micatide.simulation.Deployment;
-import io.micatide.simulation.RuleChecker;
+import io.micatide.simulation.InvariantChecker;
+import io.micatide.simulation.SimulatedCloud;
+import io.micatide.simulation.SimulatedCluster;
+import io.micatide.simulation.SimulatedWorker;
 import io.micatide.simulation.VirtualNetwork;
 import io.micatide.simulation.VirtualTime;
-import io.micatide.simulation.WorkerStandIn;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -29,17 +29,17 @@
     private static final int SECONDS = 30;
 
     /** A deployment of the scale run's settings under the names that virtual time knows. */
-    private static final class Shape implements Deployment.Plan, WorkerStandIn.Witness {
+    private static final class Shape implements SimulatedCluster.Plan, SimulatedWorker.Witness {
         private final ScalePlan plan;
-        private final Deployment deployment;
-        private final RuleChecker checker;
+        private final SimulatedCluster deployment;
+        private final InvariantChecker checker;
         private final ScaleUsers users;
         private int heartbeats;
         private int leasesEnded;
 
         Shape(int workers, ScalePlan.Fault fault) {
             plan = new ScalePlan(workers, CONTROLLERS, workers * 0.1, 20, 10, 0, 5, SECONDS, 1, fault);
-            deployment = new Deployment(
+            deployment = new SimulatedCluster(
                     new Random(workers),
                     CONTROLLERS,
                     this,
@@ -47,7 +47,7 @@
                     workers,
                     ScaleSettings.STATE,
                     this);
-            checker = new RuleChecker(
+            checker = new InvariantChecker(
                     deployment.time, settings(0).cancelMicros(), settings(0).teams());
             List<Http> controllers = new ArrayList<>();
             for (int i = 0; i < CONTROLLERS; i++) {
@@ -177,17 +177,17 @@
         }
 
         @Override
-        public void taken(JobSpec spec, String task, long attempt, CloudStandIn.Rented machine) {
+        public void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {
             checker.taken(spec, task, attempt, machine);
         }
 
         @Override
-        public void released(String task, long attempt, CloudStandIn.Rented machine) {
+        public void released(String task, long attempt, SimulatedCloud.Rented machine) {
             checker.released(task, attempt, machine);
         }
 
         @Override
-        public void leaseEnded(CloudStandIn.Rented machine) {
+        public void leaseEnded(SimulatedCloud.Rented machine) {
             leasesEnded++;
         }
     }
--- a/src/test/java/io/micatide/standby/SuccessionTest.java
+++ b/src/test/java/io/micatide/standby/ElectionDelayTest.java
@@ -7,7 +7,8 @@
 
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.store.Row;
+import io.micatide.model.StandbyReadiness;
+import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -15,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class SuccessionTest {
+class ElectionDelayTest {
     private static final long SECOND = Micros.SECOND;
 
     /**
@@ -60,7 +61,7 @@
     })
     void waits(String events, boolean reached, int millis) {
         long now = 100 * SECOND;
-        Succession succession = new Succession("me", 2, now);
+        ElectionDelay succession = new ElectionDelay("me", 2, now);
         long since = 0;
         for (String event : events.split(",")) {
             String[] part = event.split(":");
@@ -82,7 +83,7 @@
     /** A new leader that has heard nobody yet appoints nobody, and dismisses nobody either. */
     @Test
     void whoWasAppointedStaysSoOverATakeOver() {
-        Succession succession = new Succession("me", 2, SECOND);
+        ElectionDelay succession = new ElectionDelay("me", 2, SECOND);
         succession.told(List.of("me"), 20 * SECOND);
         succession.told(null, 22 * SECOND);
         assertTrue(succession.appointed());
@@ -139,7 +140,7 @@
     })
     void appoints(double rate, String answers, String heirs) {
         Settings settings = settings(rate, "b n-1", "b n-3", "a n-4", "a n-10");
-        Heirs appointed = new Heirs(settings);
+        StandbySelector appointed = new StandbySelector(settings);
         appointed.begin(0);
         assertNull(appointed.appoint(SECOND));
         for (String answer : answers.split(",")) {
@@ -161,7 +162,7 @@
     /** Who is appointed stays so while it answers, whoever else comes back; who falls silent is replaced. */
     @Test
     void anHeirIsKept() {
-        Heirs heirs = new Heirs(settings(300, "b n-1", "b n-3", "a n-4"));
+        StandbySelector heirs = new StandbySelector(settings(300, "b n-1", "b n-3", "a n-4"));
         heirs.begin(0);
         heirs.heard(2, StandbyReadiness.SEASONED, true, 2 * SECOND);
         heirs.heard(0, StandbyReadiness.WARM, true, 2 * SECOND);
@@ -175,19 +176,21 @@
         assertEquals(-1, heirs.first(20 * SECOND));
     }
 
-    private static Copy.Entry entry(String text) {
+    private static KeyspaceReplica.Entry entry(String text) {
         String[] part = text.split("@");
         boolean gone = part[0].startsWith("-");
-        return new Copy.Entry(
+        return new KeyspaceReplica.Entry(
                 "ledger/" + part[0].replace("-", ""),
-                gone ? null : new Row.Ledger(List.of("i-1"), 0, ""),
+                gone ? null : new StoredRecord.Ledger(List.of("i-1"), 0, ""),
                 Long.parseLong(part[1]));
     }
 
-    private static List<Copy.Entry> entries(String text) {
+    private static List<KeyspaceReplica.Entry> entries(String text) {
         return text.isEmpty()
                 ? List.of()
-                : List.of(text.split(" ")).stream().map(SuccessionTest::entry).toList();
+                : List.of(text.split(" ")).stream()
+                        .map(ElectionDelayTest::entry)
+                        .toList();
     }
 
     /**
@@ -214,7 +217,7 @@
         "'page:10:a@3', -, ''",
     })
     void copies(String steps, String outcome, String held) {
-        Copy copy = new Copy("ledger/", 1_200);
+        KeyspaceReplica copy = new KeyspaceReplica("ledger/", 1_200);
         for (String step : steps.split(",")) {
             String[] part = step.split(":", 3);
             switch (part[0]) {
--- a/src/test/java/io/micatide/standby/HintsTest.java
+++ b/src/test/java/io/micatide/standby/HintsTest.java
@@ -38,7 +38,7 @@
         int differences = 0;
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
-            HintsHeld held = new HintsHeld();
+            ReceivedHints held = new ReceivedHints();
             List<HintSender.Part> late = new ArrayList<>();
             for (long token = 5; token <= 7; token++) {
                 HintSender sender = new HintSender(token, 1);
--- a/src/test/java/io/micatide/store/MachineNamesTest.java
+++ b/src/test/java/io/micatide/store/MachineNameCodecTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class MachineNamesTest {
+class MachineNameCodecTest {
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -27,14 +27,14 @@
             })
     void shortAndBack(String names, String groups) {
         List<String> list = List.of(names.split(" "));
-        assertEquals(List.of(groups.split(" ")), MachineNames.shorten(list));
-        assertEquals(new HashSet<>(list), new HashSet<>(MachineNames.lengthen(MachineNames.shorten(list))));
+        assertEquals(List.of(groups.split(" ")), MachineNameCodec.shorten(list));
+        assertEquals(new HashSet<>(list), new HashSet<>(MachineNameCodec.lengthen(MachineNameCodec.shorten(list))));
     }
 
     @ParameterizedTest
     @CsvSource({"i-000231", "i/x/3", "i/6/3+", "i/6/", "/"})
     void whatIsNoGroupIsSaid(String text) {
-        assertThrows(IllegalArgumentException.class, () -> MachineNames.lengthen(List.of(text)));
+        assertThrows(IllegalArgumentException.class, () -> MachineNameCodec.lengthen(List.of(text)));
     }
 
     /** Any set comes back; a fleet of 505 among 1,010 fits the smallest value that the operators named. */
@@ -46,12 +46,12 @@
             for (int i = 0; i < 505; i++) {
                 names.add(String.format("i-%06d", random.nextInt(round < 100 ? 1_010 : 50_000)));
             }
-            assertEquals(names, new HashSet<>(MachineNames.lengthen(MachineNames.shorten(names))));
+            assertEquals(names, new HashSet<>(MachineNameCodec.lengthen(MachineNameCodec.shorten(names))));
         }
         List<String> worst = new ArrayList<>();
         for (int i = 0; i < 505; i++) {
             worst.add(String.format("i-%06d", 2 * i));
         }
-        assertTrue(MachineNames.bytes(worst) < 1_240, "bytes: " + MachineNames.bytes(worst));
+        assertTrue(MachineNameCodec.bytes(worst) < 1_240, "bytes: " + MachineNameCodec.bytes(worst));
     }
 }
--- a/src/test/java/io/micatide/store/ReadBackTest.java
+++ b/src/test/java/io/micatide/store/PendingReadsTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class ReadBackTest {
+class PendingReadsTest {
     /**
      * r: an answer, f: a failure, n: asked to go on. However often it fails and is asked to go on, there is one request
      * at a time, and every key is read once.
@@ -14,7 +14,7 @@
     @ParameterizedTest
     @CsvSource({"nrnrnr, 3, true", "nnn, 1, false", "nfnfnfnfnf, 5, false", "nfnnnrnrnr, 4, true", "nrnrnrnn, 3, true"})
     void oneRequestAtATime(String events, int requests, boolean finished) {
-        ReadBack readBack = new ReadBack(List.of("a", "b", "c"));
+        PendingReads readBack = new PendingReads(List.of("a", "b", "c"));
         int asked = 0;
         for (char event : events.toCharArray()) {
             switch (event) {
--- a/src/test/java/io/micatide/store/RangesTest.java
+++ b/src/test/java/io/micatide/store/TaskRangesTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class RangesTest {
+class TaskRangesTest {
     @ParameterizedTest
     @CsvSource({"'', 0, 10", "0-3, 0, 10", "'0,2,4-5', 0, 10", "'1,9', 20, 30", "0-9, 20, 30"})
     void comesBackAsItWentIn(String text, int from, int to) {
         BitSet bits = new BitSet();
-        Ranges.parseInto(text, from, bits);
+        TaskRanges.parseInto(text, from, bits);
         bits.set(to);
-        assertEquals(text, Ranges.format(bits, from, to));
+        assertEquals(text, TaskRanges.format(bits, from, to));
     }
 
     /** The worst fragmentation of a page fits the smallest value that a deployment allows us. */
@@ -28,7 +28,7 @@
             bits.set(i);
         }
         for (int from = 0; from < 100_000; from += page) {
-            int length = Ranges.format(bits, from, from + page).length();
+            int length = TaskRanges.format(bits, from, from + page).length();
             assertTrue(length < valueKb * 1024 * 5 / 8, "page at " + from + " takes " + length);
         }
     }
@@ -36,7 +36,7 @@
     @Test
     void emptyTextIsNoTask() {
         BitSet bits = new BitSet();
-        Ranges.parseInto("", 0, bits);
+        TaskRanges.parseInto("", 0, bits);
         assertTrue(bits.isEmpty());
     }
 }
