--- a/src/main/java/io/micatide/archive/Archiver.java
+++ b/src/main/java/io/micatide/archive/Archiver.java
@@ -53,7 +53,7 @@
     @FunctionalInterface
     public interface Maker {
         Archiver make(
-                long token,
+                long fencingToken,
                 int valueBytes,
                 int changes,
                 int worthARun,
@@ -82,7 +82,7 @@
     /** After every key of a run. */
     private static final String PAST = "/~";
 
-    private final long token;
+    private final long fencingToken;
     private final int worthARun;
     private final HashPartitioner spread;
     private final int mostRuns;
@@ -141,19 +141,19 @@
     }
 
     /**
-     * @param token the leader's
+     * @param fencingToken the leader's
      * @param valueBytes what a value may hold
      * @param changes what a transaction may change
      * @param worthARun how many rows are worth a run, which takes two writes
      */
     public Archiver(
-            long token,
+            long fencingToken,
             int valueBytes,
             int changes,
             int worthARun,
             StoredRecord.History manifest,
             long manifestVersion) {
-        this.token = token;
+        this.fencingToken = fencingToken;
         this.worthARun = worthARun;
         this.segmentBytes = Math.min(valueBytes, MOST_SEGMENT_BYTES);
         this.mostRuns = Math.max(FAN + 1, (valueBytes - MANIFEST_BYTES) / MANIFEST_RUN_BYTES);
@@ -241,7 +241,7 @@
     }
 
     private Transaction.Compare leads() {
-        return new Transaction.Compare(StoreKeys.LEADER, token);
+        return new Transaction.Compare(StoreKeys.LEADER, fencingToken);
     }
 
     /** Names that belong to a row go before it or with it: a row without them would be a job that nobody can read. */
@@ -307,8 +307,8 @@
     }
 
     private void start(int segments, List<StoredRecord.Run> merged, List<Ended> rows, List<ArchivedJob> jobs) {
-        String name =
-                Long.toString(token, Character.MAX_RADIX) + "-" + Integer.toString(++runsBegun, Character.MAX_RADIX);
+        String name = Long.toString(fencingToken, Character.MAX_RADIX) + "-"
+                + Integer.toString(++runsBegun, Character.MAX_RADIX);
         build = new Build(name, segments, merged, rows, new SegmentMerger(spread, segments, merged, jobs));
     }
 
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -23,17 +23,18 @@
     sealed interface Message {}
 
     /** A term whose leader keeps the archive begins, or the archive itself does. */
-    record Begin(long token, StoredRecord.History manifest, long version) implements Message {}
+    record Begin(long fencingToken, StoredRecord.History manifest, long version) implements Message {}
 
     record End() implements Message {}
 
     /** What may be archived, by a copy that had this manifest. */
-    record Offer(long token, List<Archiver.Ended> ended, long copyOfVersion, boolean anyway) implements Message {}
+    record Offer(long fencingToken, List<Archiver.Ended> ended, long copyOfVersion, boolean anyway)
+            implements Message {}
 
     /** So many changes are left over now. */
-    record Spare(long token, int writes) implements Message {}
+    record Spare(long fencingToken, int writes) implements Message {}
 
-    record Answered(Reply reply, long token, Archiver.Step step) implements Message {}
+    record Answered(Reply reply, long fencingToken, Archiver.Step step) implements Message {}
 
     /** After a step that failed, so that an outage is not asked all the time. */
     private static final long PAUSE_MICROS = Micros.SECOND;
@@ -43,7 +44,7 @@
     private final Archiver.Maker maker;
     private final StoreClient state;
     private final LeaderActor leader;
-    private long token;
+    private long fencingToken;
     private Archiver archivist;
     private long resumesMicros;
 
@@ -65,17 +66,22 @@
     @Override
     protected void receive(Message message) {
         if (message instanceof Begin m) {
-            token = m.token();
+            fencingToken = m.fencingToken();
             archivist = maker.make(
-                    token, settings.writableBytes(), settings.transactionOps(), worthARun, m.manifest(), m.version());
+                    fencingToken,
+                    settings.writableBytes(),
+                    settings.transactionOps(),
+                    worthARun,
+                    m.manifest(),
+                    m.version());
         } else if (message instanceof End) {
-            token = 0;
+            fencingToken = 0;
             archivist = null;
-        } else if (message instanceof Offer m && m.token() == token) {
+        } else if (message instanceof Offer m && m.fencingToken() == fencingToken) {
             archivist.offer(m.ended(), m.copyOfVersion(), m.anyway());
-        } else if (message instanceof Spare m && m.token() == token) {
+        } else if (message instanceof Spare m && m.fencingToken() == fencingToken) {
             spare(m.writes());
-        } else if (message instanceof Answered m && m.token() == token) {
+        } else if (message instanceof Answered m && m.fencingToken() == fencingToken) {
             try {
                 answered(m.step(), m.reply());
             } catch (MalformedException e) {
@@ -91,8 +97,8 @@
         }
         Archiver.Step step = archivist.next(writes);
         if (step instanceof Archiver.Write write) {
-            leader.tell(
-                    new TermMessage.Spent(token, write.transaction().writes().size()));
+            leader.tell(new TermMessage.Spent(
+                    fencingToken, write.transaction().writes().size()));
             state.transaction(write.transaction(), then(step));
         } else if (step instanceof Archiver.ReadSegment read) {
             state.read(read.key(), then(step));
@@ -104,7 +110,7 @@
     }
 
     private java.util.function.Consumer<Reply> then(Archiver.Step step) {
-        long term = token;
+        long term = fencingToken;
         return answer(r -> new Answered(r, term, step));
     }
 
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -37,17 +37,17 @@
     }
 
     void call(CloudCall call, long now) {
-        long token = scheduler.token();
+        long fencingToken = scheduler.fencingToken();
         if (call instanceof CloudCall.Rent rent) {
             LOG.info("rents {} {} {} {}", rent.count(), rent.type(), rent.zone(), rent.spot() ? "spot" : "ordinary");
-            cloud.rent(rent, owner.answer(r -> new TermMessage.CloudAnswered(r, token, call)));
+            cloud.rent(rent, owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
         } else if (call instanceof CloudCall.Delete delete) {
             LOG.info("returns {}", delete.machines());
-            cloud.delete(delete.machines(), owner.answer(r -> new TermMessage.CloudAnswered(r, token, call)));
+            cloud.delete(delete.machines(), owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
         } else if (call instanceof CloudCall.ListTypes) {
-            cloud.types(owner.answer(r -> new TermMessage.CloudAnswered(r, token, call)));
+            cloud.types(owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
         } else {
-            cloud.list(null, owner.answer(r -> new TermMessage.ListRead(r, token, now, List.of())));
+            cloud.list(null, owner.answer(r -> new TermMessage.ListRead(r, fencingToken, now, List.of())));
         }
     }
 
@@ -88,12 +88,12 @@
         users.tell(new UsersActor.TypesKnown(types));
         if (!types.equals(storedTypes)) {
             storedTypes = types;
-            long token = scheduler.token();
+            long fencingToken = scheduler.fencingToken();
             state.transaction(
                     new Transaction(
-                            List.of(new Transaction.Compare(StoreKeys.LEADER, token)),
+                            List.of(new Transaction.Compare(StoreKeys.LEADER, fencingToken)),
                             List.of(new Transaction.Write(StoreKeys.TYPES, new StoredRecord.Types(types), 0))),
-                    owner.answer(r -> new TermMessage.TypesStored(r, token)));
+                    owner.answer(r -> new TermMessage.TypesStored(r, fencingToken)));
         }
     }
 
@@ -113,8 +113,8 @@
                 if (page.more() && !page.machines().isEmpty()) {
                     cloud.list(
                             machines.get(machines.size() - 1).name(),
-                            owner.answer(r ->
-                                    new TermMessage.ListRead(r, message.token(), message.askedMicros(), machines)));
+                            owner.answer(r -> new TermMessage.ListRead(
+                                    r, message.fencingToken(), message.askedMicros(), machines)));
                 } else {
                     scheduler.listed(machines, message.askedMicros(), now);
                 }
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -38,16 +38,16 @@
     /** Null where there is no standby to ask. */
     private final StandbyActor standby;
 
-    private final long token;
+    private final long fencingToken;
     private boolean jobsKnown;
     private Brought ledgers;
 
-    FailoverLoader(ActorExecutor loop, StoreClient state, LeaderActor leader, StandbyActor standby, long token) {
+    FailoverLoader(ActorExecutor loop, StoreClient state, LeaderActor leader, StandbyActor standby, long fencingToken) {
         super(loop);
         this.state = state;
         this.leader = leader;
         this.standby = standby;
-        this.token = token;
+        this.fencingToken = fencingToken;
     }
 
     @Override
@@ -58,7 +58,7 @@
             tell(new Read(StoreKeys.LEARNED, null));
             tell(new Read(StoreKeys.RETURNS, null));
             if (standby != null) {
-                standby.tell(new StandbyActor.Bring(token, this));
+                standby.tell(new StandbyActor.Bring(fencingToken, this));
             } else {
                 tell(new Brought(StoreKeys.BOOKINGS, null));
                 tell(new Brought(StoreKeys.LEDGERS, null));
@@ -96,8 +96,8 @@
         if (brought.rows() == null) {
             tell(new Read(brought.prefix(), null));
         } else {
-            leader.tell(new TermMessage.RowsLoaded(token, brought.rows()));
-            leader.tell(new TermMessage.PartLoaded(token));
+            leader.tell(new TermMessage.RowsLoaded(fencingToken, brought.rows()));
+            leader.tell(new TermMessage.PartLoaded(fencingToken));
         }
     }
 
@@ -120,18 +120,18 @@
         if (reply.ok()) {
             List<MachineType> types =
                     ((StoredRecord.Types) StoreCodec.item(reply.body()).row()).types();
-            leader.tell(new TermMessage.TypesLoaded(token, types));
+            leader.tell(new TermMessage.TypesLoaded(fencingToken, types));
         } else if (reply.status() != 404) {
             tellLater(asked, RETRY_MICROS);
             return;
         }
-        leader.tell(new TermMessage.PartLoaded(token));
+        leader.tell(new TermMessage.PartLoaded(fencingToken));
     }
 
     /** Not a part that the term waits for: only bookings do. */
     private void fence(Read asked, Reply reply) {
         if (reply.ok() || reply.status() == 404) {
-            leader.tell(new TermMessage.FenceRead(reply, token));
+            leader.tell(new TermMessage.FenceRead(reply, fencingToken));
         } else {
             tellLater(asked, RETRY_MICROS);
         }
@@ -143,13 +143,13 @@
             return;
         }
         StoreCodec.Items page = StoreCodec.page(reply.body());
-        leader.tell(new TermMessage.RowsLoaded(token, page.items()));
+        leader.tell(new TermMessage.RowsLoaded(fencingToken, page.items()));
         if (page.more() && !page.items().isEmpty()) {
             tell(new Read(
                     asked.prefix(), page.items().get(page.items().size() - 1).key()));
         } else if (!asked.prefix().equals(StoreKeys.LEARNED)) {
             // What was learned is waited for by nobody.
-            leader.tell(new TermMessage.PartLoaded(token));
+            leader.tell(new TermMessage.PartLoaded(fencingToken));
         }
     }
 }
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -308,7 +308,7 @@
         }
     }
 
-    void findEnded(long token) {
+    void findEnded(long fencingToken) {
         if (leader == null
                 || !loaded
                 || (directory.ended().isEmpty() && directory.ghosts().isEmpty())) {
@@ -326,6 +326,6 @@
             }
         }
         directory.ghosts().forEach((id, version) -> result.add(new Archiver.Ended(id, version, null, 0)));
-        leader.tell(new TermMessage.EndedFound(token, result, directory.historyVersion()));
+        leader.tell(new TermMessage.EndedFound(fencingToken, result, directory.historyVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -118,7 +118,7 @@
 
     record WatchDue() implements Message {}
 
-    record PeerAnswered(Reply reply, long token, int sibling, long askedMicros) implements Message {}
+    record PeerAnswered(Reply reply, long fencingToken, int sibling, long askedMicros) implements Message {}
 
     /** A cold sibling wants to know who would lead better. */
     record AskReadiness(Request request) implements Message {}
@@ -206,9 +206,9 @@
     protected void receive(Message message) {
         noticeStall();
         if (message instanceof Report m) {
-            report(m.request());
+            heartbeat(m.request());
         } else if (message instanceof TermMessage m) {
-            if (term != null && term.token() == m.token()) {
+            if (term != null && term.fencingToken() == m.fencingToken()) {
                 term.receive(m);
             }
         } else if (message instanceof Tick) {
@@ -253,7 +253,7 @@
                 rowsSeen(message);
             }
         } else if (message instanceof StandbyMessage m) {
-            following.receive(m, term == null ? 0 : term.token());
+            following.receive(m, term == null ? 0 : term.fencingToken());
             advance();
         } else if (message instanceof AskReadiness m) {
             m.request().answer(200, PeerCodec.answer(ownAnswer(now())));
@@ -336,25 +336,25 @@
     }
 
     /** The highest token that a worker has seen: a higher one than ours means that another controller leads. */
-    void tokenSeen(long token) {
-        if (token > 0 && leadership.higherToken(token, null)) {
+    void tokenSeen(long fencingToken) {
+        if (fencingToken > 0 && leadership.higherToken(fencingToken, null)) {
             checkDeposed();
         }
     }
 
     /** The claim with this token was answered. */
-    void begin(long token, long now) {
-        log.info("became leader with fencing token {}", token);
-        Scheduler scheduler = new Scheduler(settings, tuning, token, now);
+    void begin(long fencingToken, long now) {
+        log.info("became leader with fencing token {}", fencingToken);
+        Scheduler scheduler = new Scheduler(settings, tuning, fencingToken, now);
         scheduler.holdsUntil(leadership.holdsUntilMicros());
         siblings.begin();
-        following.begin(token, now);
+        following.begin(fencingToken, now);
         reach.begin(now);
         term = new LeaderTerm(
                 this,
                 users,
                 scheduler,
-                new FailoverLoader(loop, state, this, following.standby(), token),
+                new FailoverLoader(loop, state, this, following.standby(), fencingToken),
                 new LedgerCommitter(this, scheduler, state, users),
                 new CloudCalls(this, scheduler, cloud, state, users),
                 new RolloutDriver(this, settings, tuning, scheduler, state, users, rollout),
@@ -365,8 +365,8 @@
     }
 
     private void checkDeposed() {
-        if (term != null && leadership.token() != term.token()) {
-            log.warn("fenced: term {} is over", term.token());
+        if (term != null && leadership.fencingToken() != term.fencingToken()) {
+            log.warn("fenced: term {} is over", term.fencingToken());
             term.end();
             term = null;
         }
@@ -402,7 +402,7 @@
 
     private PeerChannel.Now newsOf(long now) {
         return new PeerChannel.Now(
-                term.token(),
+                term.fencingToken(),
                 state.reach().reached(now),
                 reach.silentMicros(now),
                 following.appoint(now),
@@ -412,15 +412,15 @@
 
     // ---- workers
 
-    private void report(Request request) {
-        Heartbeat report;
+    private void heartbeat(Request request) {
+        Heartbeat heartbeat;
         try {
-            report = WorkerCodec.report(request.body());
+            heartbeat = WorkerCodec.heartbeat(request.body());
         } catch (MalformedException e) {
             request.answer(400, Json.error(e.field(), e.getMessage()));
             return;
         }
-        tokenSeen(report.token());
+        tokenSeen(heartbeat.fencingToken());
         if (handOver != null && handOver.over()) {
             request.answer(421, WorkerCodec.elsewhere(handOver.heir()));
             return;
@@ -428,7 +428,7 @@
         if (term == null) {
             String leader = leadership.leader();
             long now = now();
-            reach.cameHere(report, leadership.highestToken(), now);
+            reach.cameHere(heartbeat, leadership.highestToken(), now);
             boolean nobody = settings.label().equals(leader) || reach.leaderLost(now);
             request.answer(421, WorkerCodec.elsewhere(nobody ? null : leader));
             return;
@@ -438,7 +438,7 @@
             request.answer(503, TOO_LONG);
             return;
         }
-        request.answer(200, WorkerCodec.answer(term.token(), term.report(report)));
+        request.answer(200, WorkerCodec.answer(term.fencingToken(), term.heartbeat(heartbeat)));
     }
 
     // ---- siblings
@@ -451,9 +451,9 @@
         if (term != null && reach.givesUp(state.reach().reached(now), now)) {
             log.warn(
                     "gives up term {}: no worker has come for {} ms, and they come to a sibling",
-                    term.token(),
+                    term.fencingToken(),
                     reach.silentMicros(now) / Micros.MILLISECOND);
-            long lease = leadership.resign(now, settings.leaseMicros());
+            long lease = leadership.resign(now, settings.workerLeaseMicros());
             state.endLease(lease, reply -> log.info("lease of the former term ended: {}", reply.status()));
             checkDeposed();
         }
@@ -462,18 +462,18 @@
     private void peerNews(Request request) {
         try {
             PeerCodec.News news = PeerCodec.news(request.body());
-            if (leadership.higherToken(news.token(), news.leader())) {
+            if (leadership.higherToken(news.fencingToken(), news.leader())) {
                 checkDeposed();
             }
             long now = now();
-            if (news.token() == leadership.highestToken()) {
+            if (news.fencingToken() == leadership.highestToken()) {
                 reach.leaderSilent(news.silentMicros(), now);
             }
             rollout.newerThere(news.switches());
             if (news.stateServed()) {
                 state.reach().siblingServed(now);
             }
-            if (term == null && news.token() == leadership.highestToken()) {
+            if (term == null && news.fencingToken() == leadership.highestToken()) {
                 users.tell(new UsersActor.Progress(news.first(), news.jobs()));
                 following.told(news, now);
             }
@@ -503,7 +503,7 @@
                 "told to end{}",
                 term == null
                         ? ""
-                        : ", hands term " + term.token() + " over"
+                        : ", hands term " + term.fencingToken() + " over"
                                 + (heir < 0
                                         ? ", to nobody in particular"
                                         : " to " + settings.siblings().get(heir).label()));
@@ -512,7 +512,7 @@
                 term,
                 heir < 0 ? null : settings.siblings().get(heir).label(),
                 now,
-                () -> siblings.handOver(heir, term.token(), term.lastRevision()),
+                () -> siblings.handOver(heir, term.fencingToken(), term.lastRevision()),
                 () -> giveBack(done));
         handOver.advance(now);
     }
@@ -537,13 +537,13 @@
         }
         try {
             PeerCodec.Answer answer = PeerCodec.answer(reply.body());
-            if (leadership.higherToken(answer.token(), null)) {
+            if (leadership.higherToken(answer.fencingToken(), null)) {
                 checkDeposed();
             }
             long now = now();
             reach.strayedElsewhere(answer.strayedAgoMicros(), now);
             resignIfUnreached(now);
-            if (term != null && term.token() == message.token()) {
+            if (term != null && term.fencingToken() == message.fencingToken()) {
                 testimonies.heard(message.sibling(), answer.testimony(), message.askedMicros(), now);
                 following.heard(message.sibling(), answer, now);
             }
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -142,10 +142,10 @@
 
     private void claimed(Reply reply, long now) throws MalformedException {
         if (reply.ok()) {
-            long token = StoreCodec.revision(reply.body());
-            watchFrom = Math.max(watchFrom, token);
-            leadership.claimed(token);
-            owner.begin(token, now);
+            long fencingToken = StoreCodec.revision(reply.body());
+            watchFrom = Math.max(watchFrom, fencingToken);
+            leadership.claimed(fencingToken);
+            owner.begin(fencingToken, now);
         } else if (reply.status() == 409) {
             if (StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURES)) {
                 rollout.newerThere(rollout.switches().version() + 1);
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -83,7 +83,7 @@
 
     /** The latest revision that this term is known to have written, its claim included. */
     long lastRevision() {
-        return Math.max(token(), rounds.lastRevision());
+        return Math.max(fencingToken(), rounds.lastRevision());
     }
 
     void end() {
@@ -91,8 +91,8 @@
         users.tell(new UsersActor.Unfollow());
     }
 
-    long token() {
-        return scheduler.token();
+    long fencingToken() {
+        return scheduler.fencingToken();
     }
 
     boolean loaded() {
@@ -141,12 +141,12 @@
      * While something is still to be read a report renews the worker's lease and is told only what to stop of jobs that are known as
      * cancelled: what an answer prolongs must not be one of them. The rest of what it says is taken from the next one.
      */
-    List<Command> report(Heartbeat report) {
+    List<Command> heartbeat(Heartbeat heartbeat) {
         if (loaded()) {
-            return scheduler.report(report, owner.now());
+            return scheduler.heartbeat(heartbeat, owner.now());
         }
         List<Command> stops = new ArrayList<>();
-        for (TaskStatus line : report.tasks()) {
+        for (TaskStatus line : heartbeat.tasks()) {
             if (line.state() != TaskState.EXITED && cancelled.contains(line.job())) {
                 stops.add(new Command.Stop(line.job(), line.index(), line.attempt(), 0));
             }
@@ -261,7 +261,7 @@
             long now = owner.now();
             scheduler.loaded(now);
             cancelled.clear();
-            LOG.info("term {} rebuilt: {}", token(), scheduler.summary(now));
+            LOG.info("term {} rebuilt: {}", fencingToken(), scheduler.summary(now));
             steps.loaded();
             archiving.loaded();
         }
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -89,17 +89,17 @@
     }
 
     private void write(String key, StoredRecord.Learned row) {
-        long token = scheduler.token();
+        long fencingToken = scheduler.fencingToken();
         writing = true;
         scheduler.spent(1);
         state.transaction(
                 new Transaction(
                         List.of(
-                                new Transaction.Compare(StoreKeys.LEADER, token),
+                                new Transaction.Compare(StoreKeys.LEADER, fencingToken),
                                 new Transaction.Compare(
                                         StoreKeys.FEATURES, rollout.switches().version())),
                         List.of(new Transaction.Write(key, row, 0))),
-                owner.answer(r -> new TermMessage.LearnedStored(r, token, key, row)));
+                owner.answer(r -> new TermMessage.LearnedStored(r, fencingToken, key, row)));
     }
 
     /** Without an answer it is written again: it is the latest that counts, and only this leader writes. */
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -49,9 +49,9 @@
     void next(long now) {
         Transaction round = scheduler.round(now, owner.wall());
         if (round != null) {
-            long token = scheduler.token();
+            long fencingToken = scheduler.fencingToken();
             writing = true;
-            state.transaction(round, owner.answer(r -> new TermMessage.RoundAnswered(r, token, round)));
+            state.transaction(round, owner.answer(r -> new TermMessage.RoundAnswered(r, fencingToken, round)));
         }
     }
 
@@ -109,8 +109,8 @@
     }
 
     void readRefused(String key) {
-        long token = scheduler.token();
-        state.read(key, owner.answer(r -> new TermMessage.RefusedRead(r, token, key)));
+        long fencingToken = scheduler.fencingToken();
+        state.read(key, owner.answer(r -> new TermMessage.RefusedRead(r, fencingToken, key)));
     }
 
     void refusedRead(TermMessage.RefusedRead message) {
@@ -118,7 +118,7 @@
             scheduler.keyKnown(message.key(), owner.now());
             tellEnded();
         } else {
-            owner.tellLater(new TermMessage.RefusedDue(message.token(), message.key()), RETRY_MICROS);
+            owner.tellLater(new TermMessage.RefusedDue(message.fencingToken(), message.key()), RETRY_MICROS);
         }
     }
 
@@ -150,8 +150,8 @@
         }
         String key = unread.next();
         if (key != null) {
-            long token = scheduler.token();
-            state.read(key, owner.answer(r -> new TermMessage.KeyRead(r, token, key)));
+            long fencingToken = scheduler.fencingToken();
+            state.read(key, owner.answer(r -> new TermMessage.KeyRead(r, fencingToken, key)));
         }
     }
 
@@ -161,7 +161,7 @@
             readBack();
         } else {
             unread.failed();
-            owner.tellLater(new TermMessage.ReadBackDue(message.token()), RETRY_MICROS);
+            owner.tellLater(new TermMessage.ReadBackDue(message.fencingToken()), RETRY_MICROS);
         }
     }
 
--- a/src/main/java/io/micatide/controller/PeerChannel.java
+++ b/src/main/java/io/micatide/controller/PeerChannel.java
@@ -25,7 +25,13 @@
     private static final int NEWS_JOBS = 1_000;
 
     /** What the news of this moment say beside the counts. */
-    record Now(long token, boolean stateServed, long silentMicros, List<String> heirs, long switches, long revision) {}
+    record Now(
+            long fencingToken,
+            boolean stateServed,
+            long silentMicros,
+            List<String> heirs,
+            long switches,
+            long revision) {}
 
     private final LeaderActor owner;
     private final Settings settings;
@@ -88,7 +94,7 @@
     }
 
     /** To the heirs that do not hold the newest picture. */
-    void hints(List<Integer> heirs, HintSender hints, long token) {
+    void hints(List<Integer> heirs, HintSender hints, long fencingToken) {
         for (int heir : heirs) {
             for (HintSender.Part part : hints.parts(heir)) {
                 siblings.get(heir)
@@ -96,16 +102,16 @@
                                 "/hints",
                                 HintCodec.part(part),
                                 Http.PATIENCE_MICROS,
-                                owner.answer(r -> new StandbyMessage.HintsAnswered(r, token, heir)));
+                                owner.answer(r -> new StandbyMessage.HintsAnswered(r, fencingToken, heir)));
             }
         }
     }
 
-    void handOver(int sibling, long token, long revision) {
+    void handOver(int sibling, long fencingToken, long revision) {
         siblings.get(sibling)
                 .post(
                         "/handover",
-                        PeerCodec.handOver(token, revision),
+                        PeerCodec.handOver(fencingToken, revision),
                         HAND_OVER_MICROS,
                         owner.answer(LeaderActor.HandedOver::new));
     }
@@ -126,7 +132,7 @@
                 .post(
                         "/news",
                         PeerCodec.news(new PeerCodec.News(
-                                what.token(),
+                                what.fencingToken(),
                                 settings.label(),
                                 what.stateServed(),
                                 what.silentMicros(),
@@ -136,6 +142,6 @@
                                 what.switches(),
                                 what.revision())),
                         Http.PATIENCE_MICROS,
-                        owner.answer(r -> new LeaderActor.PeerAnswered(r, what.token(), sibling, askedMicros)));
+                        owner.answer(r -> new LeaderActor.PeerAnswered(r, what.fencingToken(), sibling, askedMicros)));
     }
 }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -108,8 +108,8 @@
         if (rollout.registers() && loaded && !looking && !stepping && now - lookedMicros >= every) {
             looking = true;
             lookedMicros = now;
-            long token = scheduler.token();
-            state.list(StoreKeys.ROLLOUT, null, owner.answer(r -> new TermMessage.RosterRead(r, token)));
+            long fencingToken = scheduler.fencingToken();
+            state.list(StoreKeys.ROLLOUT, null, owner.answer(r -> new TermMessage.RosterRead(r, fencingToken)));
         }
     }
 
@@ -159,7 +159,7 @@
 
     private List<Transaction.Compare> conditions(ControllerRegistry roster, Transaction.Compare... own) {
         List<Transaction.Compare> conditions =
-                new ArrayList<>(List.of(new Transaction.Compare(StoreKeys.LEADER, scheduler.token())));
+                new ArrayList<>(List.of(new Transaction.Compare(StoreKeys.LEADER, scheduler.fencingToken())));
         conditions.addAll(List.of(own));
         conditions.addAll(roster.conditions(settings.transactionOps() * CONDITIONS_A_CHANGE - OWN_CONDITIONS));
         return conditions;
@@ -167,14 +167,14 @@
 
     /** From the mark on, and only then, jobs that need others are accepted and names are written in short. */
     private void markLayout(ControllerRegistry roster) {
-        long token = scheduler.token();
+        long fencingToken = scheduler.fencingToken();
         StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_NEEDS, settings.pageTasks());
         stepping = true;
         state.transaction(
                 new Transaction(
                         conditions(roster, new Transaction.Compare(StoreKeys.LAYOUT, 0)),
                         List.of(new Transaction.Write(StoreKeys.LAYOUT, first, 0))),
-                owner.answer(r -> new TermMessage.LayoutMarked(r, token, first)));
+                owner.answer(r -> new TermMessage.LayoutMarked(r, fencingToken, first)));
     }
 
     void layoutMarked(TermMessage.LayoutMarked message) {
@@ -192,7 +192,7 @@
 
     /** The archive begins with an empty manifest, once every controller reads it. */
     private void beginHistory(ControllerRegistry roster) {
-        long token = scheduler.token();
+        long fencingToken = scheduler.fencingToken();
         // The mark is written anew along with it: what a former version writes of jobs that need others has the mark's
         // version as
         // a condition, and may arrive minutes late.
@@ -206,8 +206,9 @@
                                 new Transaction.Compare(StoreKeys.HISTORY, 0)),
                         List.of(
                                 new Transaction.Write(StoreKeys.LAYOUT, renewed, 0),
-                                new Transaction.Write(StoreKeys.HISTORY, Archiver.first(token, owner.wall()), 0))),
-                owner.answer(r -> new TermMessage.HistoryBegun(r, token)));
+                                new Transaction.Write(
+                                        StoreKeys.HISTORY, Archiver.first(fencingToken, owner.wall()), 0))),
+                owner.answer(r -> new TermMessage.HistoryBegun(r, fencingToken)));
     }
 
     /** Whoever wrote it, the copy of the rows tells of it. */
@@ -225,7 +226,7 @@
         if (plan.row() == null) {
             return;
         }
-        long token = scheduler.token();
+        long fencingToken = scheduler.fencingToken();
         stepping = true;
         state.transaction(
                 new Transaction(
@@ -234,7 +235,7 @@
                                 new Transaction.Compare(
                                         StoreKeys.FEATURES, rollout.switches().version())),
                         List.of(new Transaction.Write(StoreKeys.FEATURES, plan.row(), 0))),
-                owner.answer(r -> new TermMessage.Stepped(r, token, plan.row(), plan.moves())));
+                owner.answer(r -> new TermMessage.Stepped(r, fencingToken, plan.row(), plan.moves())));
     }
 
     /** Of an outcome that is not known the row itself tells. */
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -35,11 +35,12 @@
     record ChangesRead(Reply reply, long life, KeyspaceReplica copy, long askedMicros) implements Message {}
 
     /** This controller has claimed the lead: the copies, brought up to the claim, are wanted now. */
-    record Bring(long token, FailoverLoader to) implements Message {}
+    record Bring(long fencingToken, FailoverLoader to) implements Message {}
 
-    record BroughtUp(Reply reply, KeyspaceReplica copy, long token, FailoverLoader to, int tries) implements Message {}
+    record BroughtUp(Reply reply, KeyspaceReplica copy, long fencingToken, FailoverLoader to, int tries)
+            implements Message {}
 
-    record BringAgain(KeyspaceReplica copy, long token, FailoverLoader to, int tries) implements Message {}
+    record BringAgain(KeyspaceReplica copy, long fencingToken, FailoverLoader to, int tries) implements Message {}
 
     /** A leader that ends tells the last revision of its writes, and waits for the answer. */
     record CatchUp(Request request, long revision) implements Message {}
@@ -123,7 +124,7 @@
         } else if (message instanceof Bring m) {
             bring(m);
         } else if (message instanceof BringAgain m) {
-            bringUp(m.copy(), m.token(), m.to(), m.tries());
+            bringUp(m.copy(), m.fencingToken(), m.to(), m.tries());
         } else if (message instanceof BroughtUp m) {
             broughtUp(m);
         } else if (message instanceof CatchUp m) {
@@ -281,13 +282,13 @@
         life++;
         for (KeyspaceReplica copy : copies) {
             if (had && copy.whole()) {
-                bringUp(copy, message.token(), message.to(), 1);
+                bringUp(copy, message.fencingToken(), message.to(), 1);
             } else {
                 message.to().tell(new FailoverLoader.Brought(copy.prefix(), null));
                 copy.clear();
             }
         }
-        leader.tell(new TermMessage.HintsKept(message.token(), hints.all()));
+        leader.tell(new TermMessage.HintsKept(message.fencingToken(), hints.all()));
         hints.clear();
         leader.tell(new StandbyMessage.CopyIs(false));
     }
@@ -301,8 +302,8 @@
         }
     }
 
-    private void bringUp(KeyspaceReplica copy, long token, FailoverLoader to, int tries) {
-        state.changes(copy.prefix(), copy.revision(), answer(r -> new BroughtUp(r, copy, token, to, tries)));
+    private void bringUp(KeyspaceReplica copy, long fencingToken, FailoverLoader to, int tries) {
+        state.changes(copy.prefix(), copy.revision(), answer(r -> new BroughtUp(r, copy, fencingToken, to, tries)));
     }
 
     /**
@@ -312,11 +313,11 @@
     private void broughtUp(BroughtUp message) {
         KeyspaceReplica copy = message.copy();
         if (!apply(copy, message.reply()) && message.tries() < BRING_TRIES) {
-            tellLater(new BringAgain(copy, message.token(), message.to(), message.tries() + 1), AGAIN_MICROS);
+            tellLater(new BringAgain(copy, message.fencingToken(), message.to(), message.tries() + 1), AGAIN_MICROS);
             return;
         }
         List<StoreCodec.Item> items = null;
-        if (copy.wholeAt(message.token())) {
+        if (copy.wholeAt(message.fencingToken())) {
             items = new ArrayList<>(copy.size());
             for (KeyspaceReplica.Entry entry : copy.entries()) {
                 items.add(new StoreCodec.Item(entry.key(), entry.row(), entry.version()));
@@ -327,7 +328,7 @@
                     copy.prefix(),
                     copy.flaw(),
                     copy.revision(),
-                    message.token());
+                    message.fencingToken());
         }
         if (items != null) {
             witness.accept(copy.prefix(), items);
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -57,18 +57,18 @@
         return standby;
     }
 
-    /** @param token of this controller's term, 0 if it does not lead */
-    void receive(StandbyMessage message, long token) {
+    /** @param fencingToken of this controller's term, 0 if it does not lead */
+    void receive(StandbyMessage message, long fencingToken) {
         long now = owner.now();
         if (message instanceof StandbyMessage.CopyIs m) {
             succession.copyIs(m.whole());
         } else if (message instanceof StandbyMessage.WarmthTold m) {
             warmthTold(m.reply(), m.sibling(), now);
         } else if (message instanceof StandbyMessage.TakeHandOver m) {
-            takeHandOver(m.request(), token != 0, now);
+            takeHandOver(m.request(), fencingToken != 0, now);
         } else if (message instanceof StandbyMessage.TakeHints m) {
             takeHints(m.request());
-        } else if (message instanceof StandbyMessage.HintsAnswered m && m.token() == token) {
+        } else if (message instanceof StandbyMessage.HintsAnswered m && m.fencingToken() == fencingToken) {
             hintsAnswered(m.sibling(), m.reply());
         }
     }
@@ -161,10 +161,10 @@
     // ---- a leader
 
     /** A term of this controller begins. */
-    void begin(long token, long now) {
+    void begin(long fencingToken, long now) {
         succession.led();
         heirs.begin(now);
-        hints = new HintSender(token, settings.siblings().size());
+        hints = new HintSender(fencingToken, settings.siblings().size());
     }
 
     /** A sibling answered this term's news. */
@@ -186,7 +186,7 @@
     void tellHints(LeaderTerm term, long now) {
         if (!heirs.appointed().isEmpty()) {
             hints.picture(term.hints(now));
-            siblings.hints(heirs.appointed(), hints, term.token());
+            siblings.hints(heirs.appointed(), hints, term.fencingToken());
         }
     }
 
--- a/src/main/java/io/micatide/controller/StandbyMessage.java
+++ b/src/main/java/io/micatide/controller/StandbyMessage.java
@@ -18,5 +18,5 @@
     record TakeHints(Request request) implements StandbyMessage {}
 
     /** An heir's answer to hints of the term with this token. */
-    record HintsAnswered(Reply reply, long token, int sibling) implements StandbyMessage {}
+    record HintsAnswered(Reply reply, long fencingToken, int sibling) implements StandbyMessage {}
 }
--- a/src/main/java/io/micatide/controller/TermAnnouncer.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -69,7 +69,7 @@
         if (handedOver) {
             return settings.cores() * SHARE / CORE_SECONDS;
         }
-        double interval = Micros.toSeconds(settings.reportMicros());
+        double interval = Micros.toSeconds(settings.heartbeatIntervalMicros());
         double reports = scheduler.machines() / interval * CORE_SECONDS;
         double most = Math.max(0, settings.cores() - reports) * SHARE / CORE_SECONDS;
         return most * interval < scheduler.machines() ? 0 : most;
@@ -77,12 +77,12 @@
 
     private void greet(TermAnnouncement greeting, Http worker) {
         waiting++;
-        long token = scheduler.token();
+        long fencingToken = scheduler.fencingToken();
         worker.post(
                 "/commands",
-                WorkerCodec.greeting(token, greeting.session()),
+                WorkerCodec.greeting(fencingToken, greeting.incarnation()),
                 PATIENCE_MICROS,
-                owner.answer(r -> new TermMessage.Greeted(r, token, greeting, worker)));
+                owner.answer(r -> new TermMessage.Greeted(r, fencingToken, greeting, worker)));
     }
 
     void answered(TermMessage.Greeted message) {
@@ -90,16 +90,17 @@
         TermAnnouncement greeting = message.greeting();
         try {
             if (message.reply().ok()) {
-                scheduler.greeted(WorkerCodec.report(message.reply().body()), owner.now());
+                scheduler.greeted(WorkerCodec.heartbeat(message.reply().body()), owner.now());
             } else if (message.reply().status() == 409) {
-                Heartbeat report = WorkerCodec.report(message.reply().body());
-                if (report.token() <= message.token() && report.session() > greeting.session()) {
+                Heartbeat heartbeat = WorkerCodec.heartbeat(message.reply().body());
+                if (heartbeat.fencingToken() <= message.fencingToken()
+                        && heartbeat.incarnation() > greeting.incarnation()) {
                     greet(
-                            new TermAnnouncement(greeting.machine(), greeting.address(), report.session()),
+                            new TermAnnouncement(greeting.machine(), greeting.address(), heartbeat.incarnation()),
                             message.worker());
                     return;
                 }
-                owner.tokenSeen(report.token());
+                owner.tokenSeen(heartbeat.fencingToken());
             }
         } catch (MalformedException e) {
             LOG.error("answer of {}: {}", greeting.machine(), e.getMessage());
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -57,7 +57,7 @@
     private void archive() {
         if (tuning.history() && loaded && history != null && !archiving) {
             archiving = true;
-            archivist.tell(new ArchiverActor.Begin(scheduler.token(), history, historyVersion));
+            archivist.tell(new ArchiverActor.Begin(scheduler.fencingToken(), history, historyVersion));
         }
     }
 
@@ -66,12 +66,12 @@
         if (!archiving) {
             return;
         }
-        long token = scheduler.token();
+        long fencingToken = scheduler.fencingToken();
         if (now - endedAskedMicros >= ENDED_MICROS) {
             endedAskedMicros = now;
-            users.tell(new UsersActor.FindEnded(token));
+            users.tell(new UsersActor.FindEnded(fencingToken));
         }
-        archivist.tell(new ArchiverActor.Spare(token, scheduler.spareWrites(now)));
+        archivist.tell(new ArchiverActor.Spare(fencingToken, scheduler.spareWrites(now)));
     }
 
     void endedFound(TermMessage.EndedFound message) {
@@ -86,6 +86,6 @@
         if (anyway || settled.isEmpty() || settled.size() >= tuning.historyBatch()) {
             fewSinceMicros = now;
         }
-        archivist.tell(new ArchiverActor.Offer(message.token(), settled, message.copyOfVersion(), anyway));
+        archivist.tell(new ArchiverActor.Offer(message.fencingToken(), settled, message.copyOfVersion(), anyway));
     }
 }
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -16,55 +16,57 @@
 /** What concerns one term only: dropped once that term is over. */
 sealed interface TermMessage extends LeaderActor.Message {
     /** The term's token. */
-    long token();
+    long fencingToken();
 
     /** Ledgers or bookings that a new leader has read. */
-    record RowsLoaded(long token, List<StoreCodec.Item> rows) implements TermMessage {}
+    record RowsLoaded(long fencingToken, List<StoreCodec.Item> rows) implements TermMessage {}
 
-    record TypesLoaded(long token, List<MachineType> types) implements TermMessage {}
+    record TypesLoaded(long fencingToken, List<MachineType> types) implements TermMessage {}
 
     /** What the leader before told this controller when it followed. */
-    record HintsKept(long token, List<Hint> hints) implements TermMessage {}
+    record HintsKept(long fencingToken, List<Hint> hints) implements TermMessage {}
 
     /** One of the things that a new leader reads is whole. */
-    record PartLoaded(long token) implements TermMessage {}
+    record PartLoaded(long fencingToken) implements TermMessage {}
 
     /** Jobs that are over and that no open job needs, by a copy of the rows with this manifest. */
-    record EndedFound(long token, List<Archiver.Ended> ended, long copyOfVersion) implements TermMessage {}
+    record EndedFound(long fencingToken, List<Archiver.Ended> ended, long copyOfVersion) implements TermMessage {}
 
     /** The archive has used so many changes. */
-    record Spent(long token, int writes) implements TermMessage {}
+    record Spent(long fencingToken, int writes) implements TermMessage {}
 
-    record HistoryBegun(Reply reply, long token) implements TermMessage {}
+    record HistoryBegun(Reply reply, long fencingToken) implements TermMessage {}
 
     /** Who is registered and what operators ask for. */
-    record RosterRead(Reply reply, long token) implements TermMessage {}
+    record RosterRead(Reply reply, long fencingToken) implements TermMessage {}
 
-    record Stepped(Reply reply, long token, StoredRecord.Features row, List<String> moves) implements TermMessage {}
+    record Stepped(Reply reply, long fencingToken, StoredRecord.Features row, List<String> moves)
+            implements TermMessage {}
 
-    record FenceRead(Reply reply, long token) implements TermMessage {}
+    record FenceRead(Reply reply, long fencingToken) implements TermMessage {}
 
-    record LearnedStored(Reply reply, long token, String key, StoredRecord.Learned row) implements TermMessage {}
+    record LearnedStored(Reply reply, long fencingToken, String key, StoredRecord.Learned row) implements TermMessage {}
 
-    record LayoutMarked(Reply reply, long token, StoredRecord.Layout layout) implements TermMessage {}
+    record LayoutMarked(Reply reply, long fencingToken, StoredRecord.Layout layout) implements TermMessage {}
 
     /** A worker's answer to a greeting. */
-    record Greeted(Reply reply, long token, TermAnnouncement greeting, Http worker) implements TermMessage {}
+    record Greeted(Reply reply, long fencingToken, TermAnnouncement greeting, Http worker) implements TermMessage {}
 
-    record RoundAnswered(Reply reply, long token, Transaction round) implements TermMessage {}
+    record RoundAnswered(Reply reply, long fencingToken, Transaction round) implements TermMessage {}
 
-    record KeyRead(Reply reply, long token, String key) implements TermMessage {}
+    record KeyRead(Reply reply, long fencingToken, String key) implements TermMessage {}
 
     /** One of the keys that a round was refused for. */
-    record RefusedRead(Reply reply, long token, String key) implements TermMessage {}
+    record RefusedRead(Reply reply, long fencingToken, String key) implements TermMessage {}
 
-    record RefusedDue(long token, String key) implements TermMessage {}
+    record RefusedDue(long fencingToken, String key) implements TermMessage {}
 
-    record ReadBackDue(long token) implements TermMessage {}
+    record ReadBackDue(long fencingToken) implements TermMessage {}
 
-    record TypesStored(Reply reply, long token) implements TermMessage {}
+    record TypesStored(Reply reply, long fencingToken) implements TermMessage {}
 
-    record CloudAnswered(Reply reply, long token, CloudCall call) implements TermMessage {}
+    record CloudAnswered(Reply reply, long fencingToken, CloudCall call) implements TermMessage {}
 
-    record ListRead(Reply reply, long token, long askedMicros, List<ListedMachine> before) implements TermMessage {}
+    record ListRead(Reply reply, long fencingToken, long askedMicros, List<ListedMachine> before)
+            implements TermMessage {}
 }
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -64,7 +64,7 @@
     record DoubtsDue() implements Message {}
 
     /** The leader on this controller wants to know what may be archived. */
-    record FindEnded(long token) implements Message {}
+    record FindEnded(long fencingToken) implements Message {}
 
     /** The leader on this controller wants every change from now on, beginning with all open jobs. */
     record Follow(LeaderActor leader) implements Message {}
@@ -163,7 +163,7 @@
         } else if (message instanceof NeedLocated m) {
             submissions.needLocated(m);
         } else if (message instanceof FindEnded m) {
-            rows.findEnded(m.token());
+            rows.findEnded(m.fencingToken());
         } else if (message instanceof DoubtSettled m) {
             rows.doubtSettled(m);
         } else if (message instanceof DoubtsDue) {
--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -42,7 +42,7 @@
     }
 
     private static long allowedMicros(Settings settings) {
-        return settings.cancelMicros() - Micros.withDrift(settings.leaseMicros()) - MARGIN_MICROS;
+        return settings.cancelMicros() - Micros.withDrift(settings.workerLeaseMicros()) - MARGIN_MICROS;
     }
 
     /** What these settings promise and nobody could keep, for the operator; null if they can be kept. */
@@ -54,7 +54,7 @@
                         "workers.cancel_s: %.1f s with workers.lease_s of %.1f s leave %.1f s without news of cancellations, and at least %.1f s are needed:"
                                 + " tasks of a cancelled job may stay longer than that",
                         Micros.toSeconds(settings.cancelMicros()),
-                        Micros.toSeconds(settings.leaseMicros()),
+                        Micros.toSeconds(settings.workerLeaseMicros()),
                         Micros.toSeconds(allowed),
                         Micros.toSeconds(LEAST_MICROS));
     }
--- a/src/main/java/io/micatide/election/LeaderElection.java
+++ b/src/main/java/io/micatide/election/LeaderElection.java
@@ -25,7 +25,7 @@
     private String rowOwner;
     private long rowVersion;
     /** Ours while we lead, else 0. */
-    private long token;
+    private long fencingToken;
 
     private long highestToken;
     private String leader;
@@ -47,12 +47,12 @@
         return lease;
     }
 
-    public long token() {
-        return token;
+    public long fencingToken() {
+        return fencingToken;
     }
 
     public boolean leads() {
-        return token != 0;
+        return fencingToken != 0;
     }
 
     /** The label of the leader as far as it is known, or null. */
@@ -112,7 +112,7 @@
 
     /** Free, or left by this controller before it was restarted: the process that owned it is gone. */
     private boolean claimable() {
-        return rowVersion == 0 || (label.equals(rowOwner) && rowVersion != token);
+        return rowVersion == 0 || (label.equals(rowOwner) && rowVersion != fencingToken);
     }
 
     public void failed(long nowMicros, long pauseMicros) {
@@ -144,7 +144,7 @@
 
     public void claimed(long revision) {
         waiting = false;
-        token = revision;
+        fencingToken = revision;
         rowOwner = label;
         rowVersion = revision;
         rowKnown = true;
@@ -168,7 +168,7 @@
         rowKnown = true;
         rowOwner = owner;
         rowVersion = version;
-        if (leads() && version != token) {
+        if (leads() && version != fencingToken) {
             depose();
         }
         if (version > 0 && version >= highestToken) {
@@ -190,7 +190,7 @@
 
     /** A higher token was seen with a worker or told by a sibling: whoever has it leads, not we. */
     public boolean higherToken(long seen, String owner) {
-        if (seen <= highestToken && !(leads() && seen > token)) {
+        if (seen <= highestToken && !(leads() && seen > fencingToken)) {
             if (seen == highestToken && owner != null) {
                 leader = owner;
             }
@@ -232,7 +232,7 @@
 
     /** Fenced: stops quietly. */
     public void depose() {
-        token = 0;
+        fencingToken = 0;
         if (label.equals(leader)) {
             leader = null;
         }
--- a/src/main/java/io/micatide/election/WorkerConnectivity.java
+++ b/src/main/java/io/micatide/election/WorkerConnectivity.java
@@ -23,7 +23,7 @@
     /** A leader that never heard a worker most likely has none, and stops asking for them. */
     private static final long WORRIED_MICROS = 30 * Micros.SECOND;
 
-    private record Sent(long token, long atMicros, long session, long sequence) {}
+    private record Sent(long fencingToken, long atMicros, long incarnation, long sequence) {}
 
     private final long silenceMicros;
     private final long startedMicros;
@@ -41,7 +41,7 @@
         startedMicros = nowMicros;
         // Reports are up to a quarter late; a fleet of any size is never silent for longer than one of them and a
         // pause.
-        silenceMicros = settings.reportMicros() * 5 / 4 + Micros.SECOND;
+        silenceMicros = settings.heartbeatIntervalMicros() * 5 / 4 + Micros.SECOND;
     }
 
     // ---- a follower
@@ -51,25 +51,26 @@
      * the leader, or comes back from it, has lost it. A copy of an older report that arrives once more says nothing: taken for a worker that
      * came back, three of them made this controller send all others away to look for themselves.
      */
-    public void cameHere(Heartbeat report, long leaderToken, long nowMicros) {
-        String machine = report.machine();
-        long seen = report.token();
+    public void cameHere(Heartbeat heartbeat, long leaderToken, long nowMicros) {
+        String machine = heartbeat.machine();
+        long seen = heartbeat.fencingToken();
         Sent before = sent.get(machine);
-        if (before != null && !report.newerThan(before.session(), before.sequence())) {
+        if (before != null && !heartbeat.newerThan(before.incarnation(), before.sequence())) {
             return;
         }
         cameMicros = nowMicros;
-        boolean back =
-                before != null && before.token() == leaderToken && nowMicros - before.atMicros() > ARRIVES_MICROS;
+        boolean back = before != null
+                && before.fencingToken() == leaderToken
+                && nowMicros - before.atMicros() > ARRIVES_MICROS;
         if (leaderToken > 0 && (seen == leaderToken || back)) {
             lastStrayMicros = nowMicros;
             strays.put(machine, nowMicros);
         }
-        if (before == null || before.token() != leaderToken) {
-            sent.values().removeIf(each -> each.token() != leaderToken);
-            sent.put(machine, new Sent(leaderToken, nowMicros, report.session(), report.sequence()));
+        if (before == null || before.fencingToken() != leaderToken) {
+            sent.values().removeIf(each -> each.fencingToken() != leaderToken);
+            sent.put(machine, new Sent(leaderToken, nowMicros, heartbeat.incarnation(), heartbeat.sequence()));
         } else {
-            sent.put(machine, new Sent(leaderToken, before.atMicros(), report.session(), report.sequence()));
+            sent.put(machine, new Sent(leaderToken, before.atMicros(), heartbeat.incarnation(), heartbeat.sequence()));
         }
     }
 
--- a/src/main/java/io/micatide/model/Heartbeat.java
+++ b/src/main/java/io/micatide/model/Heartbeat.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** A worker's report. {@code noticeMicros} is -1 without a spot notice. */
+/** A worker's report. {@code spotNoticeMicros} is -1 without a spot notice. */
 public record Heartbeat(
         String machine,
         String address,
         String type,
         String zone,
         boolean spot,
-        long session,
+        long incarnation,
         long sequence,
-        long token,
-        long noticeMicros,
+        long fencingToken,
+        long spotNoticeMicros,
         List<TaskStatus> tasks) {
 
-    public boolean newerThan(long otherSession, long otherSequence) {
-        return session > otherSession || (session == otherSession && sequence > otherSequence);
+    public boolean newerThan(long otherIncarnation, long otherSequence) {
+        return incarnation > otherIncarnation || (incarnation == otherIncarnation && sequence > otherSequence);
     }
 }
--- a/src/main/java/io/micatide/model/Hint.java
+++ b/src/main/java/io/micatide/model/Hint.java
@@ -12,7 +12,7 @@
 
     /**
      * @param address where its worker takes commands, empty if that is not known
-     * @param session of its worker, by its last report
+     * @param incarnation of its worker, by its last report
      * @param images names of images that the machine most likely has, the one used longest ago first
      * @param gigabytes their sizes, in the same order
      * @param slow its tasks took much longer than others of their jobs, not long ago
@@ -22,7 +22,7 @@
     record OfMachine(
             String name,
             String address,
-            long session,
+            long incarnation,
             List<String> images,
             List<Double> gigabytes,
             boolean slow,
--- a/src/main/java/io/micatide/model/Settings.java
+++ b/src/main/java/io/micatide/model/Settings.java
@@ -23,8 +23,8 @@
         long clockOffMicros,
         Map<String, Team> teams,
         List<Objective> objectives,
-        long reportMicros,
-        long leaseMicros,
+        long heartbeatIntervalMicros,
+        long workerLeaseMicros,
         long gangWaitMicros,
         long gangPeerMicros,
         long cancelMicros,
@@ -55,8 +55,8 @@
      * When a confirmed machine's tasks are certainly gone, counted from the receipt of the last report that was
      * answered: its lease runs from the sending of that report, on a clock that may be slower than ours.
      */
-    public long goneAfterMicros() {
-        return Micros.withDrift(leaseMicros) + 300 * Micros.MILLISECOND;
+    public long workerLeaseExpiryMicros() {
+        return Micros.withDrift(workerLeaseMicros) + 300 * Micros.MILLISECOND;
     }
 
     /**
--- a/src/main/java/io/micatide/model/Tuning.java
+++ b/src/main/java/io/micatide/model/Tuning.java
@@ -44,6 +44,7 @@
      * tenths of that leave the rest for the claim and for workers that look for the leader.
      */
     public static Tuning defaults(Settings settings) {
-        return new Tuning(settings.leaseMicros() * 3 / 10, IDLE_MICROS, false, HISTORY_BATCH, false, false, false);
+        return new Tuning(
+                settings.workerLeaseMicros() * 3 / 10, IDLE_MICROS, false, HISTORY_BATCH, false, false, false);
     }
 }
--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /**
- * A leader's hints to an heir. Compact, since hundreds change in a second: a machine is {@code ["m", name, address, session, flags, image,
+ * A leader's hints to an heir. Compact, since hundreds change in a second: a machine is {@code ["m", name, address, incarnation, flags, image,
  * size, …]}, a
  * job {@code ["j", name, mean, tasks, probes]} with -1 probes if it is not suspected, a class {@code ["c", name, factor, spread]}; what
  * begins with another word is passed over.
@@ -24,7 +24,7 @@
     public static byte[] part(Part part) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("token", part.token());
+            out.writeNumberField("token", part.fencingToken());
             out.writeNumberField("number", part.number());
             out.writeNumberField("base", part.base());
             out.writeNumberField("index", part.index());
@@ -55,7 +55,7 @@
             out.writeString("m");
             out.writeString(each.name());
             out.writeString(each.address());
-            out.writeNumber(each.session());
+            out.writeNumber(each.incarnation());
             out.writeNumber((each.slow() ? SLOW : 0) + (each.faulty() ? FAULTY : 0) + (each.gone() ? GONE : 0));
             for (int i = 0; i < each.images().size(); i++) {
                 out.writeString(each.images().get(i));
--- a/src/main/java/io/micatide/protocol/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -20,7 +20,7 @@
      * the state service, -1 from a version that does not ask for testimony.
      */
     public record News(
-            long token,
+            long fencingToken,
             String leader,
             boolean stateServed,
             long silentMicros,
@@ -31,14 +31,14 @@
             long revision) {
         /** As versions before the switches tell them. */
         public News(
-                long token,
+                long fencingToken,
                 String leader,
                 boolean stateServed,
                 long silentMicros,
                 List<String> heirs,
                 boolean first,
                 List<JobProgress> jobs) {
-            this(token, leader, stateServed, silentMicros, heirs, first, jobs, 0, -1);
+            this(fencingToken, leader, stateServed, silentMicros, heirs, first, jobs, 0, -1);
         }
     }
 
@@ -52,25 +52,26 @@
      * asked for or from a version that gives none.
      */
     public record Answer(
-            long token,
+            long fencingToken,
             long strayedAgoMicros,
             int layout,
             boolean served,
             StandbyReadiness readiness,
             CancellationDigest testimony) {
-        public Answer(long token, long strayedAgoMicros, int layout, boolean served, StandbyReadiness readiness) {
-            this(token, strayedAgoMicros, layout, served, readiness, null);
+        public Answer(
+                long fencingToken, long strayedAgoMicros, int layout, boolean served, StandbyReadiness readiness) {
+            this(fencingToken, strayedAgoMicros, layout, served, readiness, null);
         }
 
         public Answer with(CancellationDigest word) {
-            return new Answer(token, strayedAgoMicros, layout, served, readiness, word);
+            return new Answer(fencingToken, strayedAgoMicros, layout, served, readiness, word);
         }
     }
 
     public static byte[] news(News news) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("token", news.token());
+            out.writeNumberField("token", news.fencingToken());
             out.writeStringField("leader", news.leader());
             out.writeBooleanField("stateServed", news.stateServed());
             out.writeNumberField("silentUs", news.silentMicros());
@@ -124,7 +125,7 @@
     public static byte[] answer(Answer answer) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("token", answer.token());
+            out.writeNumberField("token", answer.fencingToken());
             out.writeNumberField("strayedUs", answer.strayedAgoMicros());
             out.writeNumberField("layout", answer.layout());
             if (answer.served()) {
@@ -221,10 +222,10 @@
     }
 
     /** A controller that ends tells an heir up to which revision it has written. */
-    public static byte[] handOver(long token, long revision) {
+    public static byte[] handOver(long fencingToken, long revision) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("token", token);
+            out.writeNumberField("token", fencingToken);
             out.writeNumberField("revision", revision);
             out.writeEndObject();
         });
--- a/src/main/java/io/micatide/protocol/TuningReader.java
+++ b/src/main/java/io/micatide/protocol/TuningReader.java
@@ -46,7 +46,7 @@
         long lease = in.has("leader_lease_s")
                 ? in.seconds("leader_lease_s")
                 : standby ? Tuning.leaseWithStandby(settings) : defaults.leaderLeaseMicros();
-        if (lease < settings.leaseMicros() / 20 || lease > settings.leaseMicros() / 2) {
+        if (lease < settings.workerLeaseMicros() / 20 || lease > settings.workerLeaseMicros() / 2) {
             throw new MalformedException("leader_lease_s", "must be from a twentieth to half of the workers' lease");
         }
         return new Tuning(
--- a/src/main/java/io/micatide/protocol/WorkerCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerCodec.java
@@ -16,7 +16,7 @@
 public final class WorkerCodec {
     private WorkerCodec() {}
 
-    public static Heartbeat report(byte[] body) throws MalformedException {
+    public static Heartbeat heartbeat(byte[] body) throws MalformedException {
         try (JsonParser in = Json.FACTORY.createParser(body)) {
             return read(in);
         } catch (IOException | NumberFormatException e) {
@@ -33,9 +33,9 @@
         String type = null;
         String zone = null;
         boolean spot = false;
-        long session = -1;
+        long incarnation = -1;
         long sequence = -1;
-        long token = -1;
+        long fencingToken = -1;
         long notice = -1;
         List<TaskStatus> tasks = null;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -50,9 +50,9 @@
                 case "build" -> type = in.getValueAsString();
                 case "ground" -> zone = in.getValueAsString();
                 case "loaners" -> spot = in.getValueAsBoolean();
-                case "stint" -> session = in.getLongValue();
+                case "stint" -> incarnation = in.getLongValue();
                 case "tally" -> sequence = in.getLongValue();
-                case "armband" -> token = in.getLongValue();
+                case "armband" -> fencingToken = in.getLongValue();
                 case "recallS" -> notice = Micros.ofSeconds(in.getDoubleValue());
                 case "legs" -> tasks = tasks(in);
                 default -> in.skipChildren();
@@ -62,10 +62,10 @@
         require(type, "build");
         require(zone, "ground");
         require(tasks, "legs");
-        require(session < 0 ? null : session, "stint");
+        require(incarnation < 0 ? null : incarnation, "stint");
         require(sequence < 0 ? null : sequence, "tally");
-        require(token < 0 ? null : token, "armband");
-        return new Heartbeat(machine, address, type, zone, spot, session, sequence, token, notice, tasks);
+        require(fencingToken < 0 ? null : fencingToken, "armband");
+        return new Heartbeat(machine, address, type, zone, spot, incarnation, sequence, fencingToken, notice, tasks);
     }
 
     private static void require(Object value, String field) throws MalformedException {
@@ -139,10 +139,10 @@
         };
     }
 
-    public static byte[] answer(long token, List<Command> commands) {
+    public static byte[] answer(long fencingToken, List<Command> commands) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("armband", token);
+            out.writeNumberField("armband", fencingToken);
             out.writeArrayFieldStart("calls");
             for (Command command : commands) {
                 out.writeStartObject();
@@ -167,11 +167,11 @@
     }
 
     /** Tells a worker of a token and nothing else, outside an answer to its report. */
-    public static byte[] greeting(long token, long session) {
+    public static byte[] greeting(long fencingToken, long incarnation) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("armband", token);
-            out.writeNumberField("stint", session);
+            out.writeNumberField("armband", fencingToken);
+            out.writeNumberField("stint", incarnation);
             out.writeArrayFieldStart("calls");
             out.writeEndArray();
             out.writeEndObject();
--- a/src/main/java/io/micatide/protocol/WorkerSideCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerSideCodec.java
@@ -14,25 +14,25 @@
 public final class WorkerSideCodec {
     private WorkerSideCodec() {}
 
-    /** What a controller answers; {@code token} -1 if there is none. */
-    public record Answer(long token, List<Command> commands) {}
+    /** What a controller answers; {@code fencingToken} -1 if there is none. */
+    public record Answer(long fencingToken, List<Command> commands) {}
 
-    public static byte[] report(Heartbeat report) {
+    public static byte[] heartbeat(Heartbeat heartbeat) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeStringField("berth", report.machine());
-            out.writeStringField("addr", report.address());
-            out.writeStringField("build", report.type());
-            out.writeStringField("ground", report.zone());
-            out.writeBooleanField("loaners", report.spot());
-            out.writeNumberField("stint", report.session());
-            out.writeNumberField("tally", report.sequence());
-            out.writeNumberField("armband", report.token());
-            if (report.noticeMicros() >= 0) {
-                out.writeNumberField("recallS", Micros.toSeconds(report.noticeMicros()));
+            out.writeStringField("berth", heartbeat.machine());
+            out.writeStringField("addr", heartbeat.address());
+            out.writeStringField("build", heartbeat.type());
+            out.writeStringField("ground", heartbeat.zone());
+            out.writeBooleanField("loaners", heartbeat.spot());
+            out.writeNumberField("stint", heartbeat.incarnation());
+            out.writeNumberField("tally", heartbeat.sequence());
+            out.writeNumberField("armband", heartbeat.fencingToken());
+            if (heartbeat.spotNoticeMicros() >= 0) {
+                out.writeNumberField("recallS", Micros.toSeconds(heartbeat.spotNoticeMicros()));
             }
             out.writeArrayFieldStart("legs");
-            for (TaskStatus task : report.tasks()) {
+            for (TaskStatus task : heartbeat.tasks()) {
                 out.writeStartObject();
                 out.writeStringField("leg", task.job() + "/" + task.index());
                 out.writeNumberField("throwIn", task.attempt());
@@ -98,7 +98,7 @@
     }
 
     /** The session that direct commands are for, -1 if they do not say. */
-    public static long session(byte[] body) throws MalformedException {
+    public static long incarnation(byte[] body) throws MalformedException {
         return Json.tree(body).path("stint").asLong(-1);
     }
 
--- a/src/main/java/io/micatide/scheduler/Autoscaler.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -79,7 +79,9 @@
         plannedMicros = nowMicros;
         markDead(nowMicros, termStartMicros);
         // A new leader first hears from the workers: what waits may be running. Where no ledger was found nothing does.
-        long hears = firstTerm ? 5 * settings.reportMicros() / 4 : 2 * settings.reportMicros() + Micros.SECOND;
+        long hears = firstTerm
+                ? 5 * settings.heartbeatIntervalMicros() / 4
+                : 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
         if (nowMicros - termStartMicros > hears) {
             boolean need = rent(nowMicros);
             returnIdle(nowMicros, need);
@@ -104,9 +106,10 @@
                 if (machine.confirmed && !machine.deleting && nowMicros - machine.lastAnsweredMicros > quietMicros()) {
                     quiet.add(machine);
                 }
-                if (nowMicros - machine.lastAnsweredMicros > settings.goneAfterMicros()) {
+                if (nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros()) {
                     silent++;
-                    if (nowMicros - machine.lastAnsweredMicros > 4 * settings.goneAfterMicros() || !machine.confirmed) {
+                    if (nowMicros - machine.lastAnsweredMicros > 4 * settings.workerLeaseExpiryMicros()
+                            || !machine.confirmed) {
                         dead.add(machine);
                     }
                 }
@@ -116,7 +119,7 @@
                     dead.add(machine);
                 }
             } else if (nowMicros - Math.max(termStartMicros, machine.knownSinceMicros)
-                    > settings.goneAfterMicros() + 2 * settings.reportMicros()) {
+                    > settings.workerLeaseExpiryMicros() + 2 * settings.heartbeatIntervalMicros()) {
                 mute++;
                 dead.add(machine);
             }
@@ -164,7 +167,7 @@
     }
 
     private long quietMicros() {
-        return 4 * Micros.SECOND + 2 * settings.reportMicros();
+        return 4 * Micros.SECOND + 2 * settings.heartbeatIntervalMicros();
     }
 
     private static boolean hasReplica(Machine machine) {
@@ -532,7 +535,7 @@
         }
         for (Machine machine : fleet.machines()) {
             boolean silent = machine.lastAnsweredMicros >= 0
-                    && nowMicros - machine.lastAnsweredMicros > settings.goneAfterMicros();
+                    && nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros();
             // A ledger names it, nobody has heard of it, and a list from well after the term began does not have it.
             boolean neverThere = machine.lastAnsweredMicros < 0
                     && machine.bootStartedMicros < 0
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -44,7 +44,7 @@
                 result.add(new Hint.OfMachine(
                         machine.name,
                         machine.address,
-                        machine.session,
+                        machine.incarnation,
                         machine.images.keySet().stream().skip(older).toList(),
                         machine.images.values().stream().skip(older).toList(),
                         slow,
@@ -129,7 +129,7 @@
         Hint.OfMachine hint = machines.get(machine);
         return hint == null || hint.gone() || hint.address().isEmpty()
                 ? null
-                : new TermAnnouncement(machine, hint.address(), hint.session());
+                : new TermAnnouncement(machine, hint.address(), hint.incarnation());
     }
 
     /** The machine is confirmed by its own report. */
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -44,7 +44,7 @@
     private static final long REFUSED_PAUSE_MICROS = 5 * Micros.SECOND;
 
     private final Settings settings;
-    private final long token;
+    private final long fencingToken;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Job> dirty = new LinkedHashMap<>();
     /** How many jobs of each class this leader has seen. */
@@ -65,9 +65,9 @@
     /** A row to close. That the job is withdrawn follows from the others' rows, so this is for whoever reads only rows. */
     private record Withdrawal(String id, long version, StoredRecord.JobRow row) {}
 
-    JobLedgers(Settings settings, long token) {
+    JobLedgers(Settings settings, long fencingToken) {
         this.settings = settings;
-        this.token = token;
+        this.fencingToken = fencingToken;
         this.pageTasks = settings.pageTasks();
     }
 
@@ -286,7 +286,7 @@
             Likely likely) {
         List<Transaction.Compare> conditions = new ArrayList<>(extraConditions);
         List<Transaction.Write> writes = new ArrayList<>(extra);
-        conditions.add(new Transaction.Compare(StoreKeys.LEADER, token));
+        conditions.add(new Transaction.Compare(StoreKeys.LEADER, fencingToken));
         int most = Math.min(mostWrites, settings.transactionOps());
         int bytes = extra.size() * 200;
         List<Part> parts = new ArrayList<>();
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -27,7 +27,7 @@
     String zone;
     boolean spot;
     private Resources size;
-    long session;
+    long incarnation;
     long sequence;
     /** The highest number of any of its messages. */
     long heardSequence;
@@ -126,7 +126,8 @@
     }
 
     boolean responsive(long nowMicros, Settings settings) {
-        return lastAnsweredMicros >= 0 && nowMicros - lastAnsweredMicros < 2 * settings.reportMicros() + Micros.SECOND;
+        return lastAnsweredMicros >= 0
+                && nowMicros - lastAnsweredMicros < 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
     }
 
     boolean usable(long nowMicros, Settings settings) {
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -44,7 +44,7 @@
     }
 
     private final Settings settings;
-    private final long token;
+    private final long fencingToken;
     private final Map<String, Entry> rows = new LinkedHashMap<>();
     private final Map<String, String> rowOf = new HashMap<>();
     /** Rows that are being read back. */
@@ -54,9 +54,9 @@
     private int counter;
     private long wroteMicros = Long.MIN_VALUE / 2;
 
-    MachineDeletions(Settings settings, long token) {
+    MachineDeletions(Settings settings, long fencingToken) {
         this.settings = settings;
-        this.token = token;
+        this.fencingToken = fencingToken;
     }
 
     static boolean owns(String key) {
@@ -116,7 +116,7 @@
         }
         if (!names.isEmpty() && urgent && most > 0) {
             wroteMicros = nowMicros;
-            String key = StoreKeys.returned(token, ++counter);
+            String key = StoreKeys.returned(fencingToken, ++counter);
             rows.put(key, new Entry(names));
             names.forEach(name -> rowOf.put(name, key));
             writes.add(new Transaction.Write(key, new StoredRecord.Returned(List.copyOf(names)), 0));
--- a/src/main/java/io/micatide/scheduler/Placement.java
+++ b/src/main/java/io/micatide/scheduler/Placement.java
@@ -24,7 +24,7 @@
     Phase phase;
     TaskState state = TaskState.FETCHING;
     /** The report in whose answer the start went out: a newer report settles it. */
-    long sentSession;
+    long sentIncarnation;
 
     long sentSequence;
     /** The newest report that listed it. */
@@ -65,9 +65,9 @@
         return stopSinceMicros >= 0;
     }
 
-    boolean is(TaskStatus report) {
-        return attempt == report.attempt()
-                && index == report.index()
-                && job.id().equals(report.job());
+    boolean is(TaskStatus heartbeat) {
+        return attempt == heartbeat.attempt()
+                && index == heartbeat.index()
+                && job.id().equals(heartbeat.job());
     }
 }
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -58,7 +58,7 @@
     private static final long CLAIM_PATIENCE_MICROS = 10 * Micros.SECOND;
 
     private final Settings settings;
-    private final long token;
+    private final long fencingToken;
     private int counter;
     private boolean fenced;
     private long fenceVersion = -1;
@@ -70,9 +70,9 @@
     private final Map<Offer, Long> refusedUntil = new HashMap<>();
     private final Map<Offer, Long> refusals = new HashMap<>();
 
-    ProvisioningRequests(Settings settings, long token) {
+    ProvisioningRequests(Settings settings, long fencingToken) {
         this.settings = settings;
-        this.token = token;
+        this.fencingToken = fencingToken;
     }
 
     /** Whether the key is that of a booking or of their fence. */
@@ -150,8 +150,8 @@
 
     /** The name carries the token, so that no two leaders ever use the same one. */
     Booking claim(Offer offer, int count, long nowMicros) {
-        Booking booking =
-                new Booking("r-" + token + "-" + ++counter, offer.type(), offer.zone(), offer.spot(), count, nowMicros);
+        Booking booking = new Booking(
+                "r-" + fencingToken + "-" + ++counter, offer.type(), offer.zone(), offer.spot(), count, nowMicros);
         bookings.put(booking.name, booking);
         return booking;
     }
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -41,7 +41,7 @@
     private static final int FEWEST_OPS = 3;
 
     private final Settings settings;
-    private final long token;
+    private final long fencingToken;
     private final long termStartMicros;
     private final JobLedgers ledgers;
     private final Fleet fleet = new Fleet();
@@ -86,19 +86,19 @@
                 Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes);
     }
 
-    public Scheduler(Settings settings, Tuning tuning, long token, long nowMicros) {
-        this(settings, tuning, token, nowMicros, PlacementPlanner::new);
+    public Scheduler(Settings settings, Tuning tuning, long fencingToken, long nowMicros) {
+        this(settings, tuning, fencingToken, nowMicros, PlacementPlanner::new);
     }
 
-    Scheduler(Settings settings, Tuning tuning, long token, long nowMicros, PlannerFactory planners) {
+    Scheduler(Settings settings, Tuning tuning, long fencingToken, long nowMicros, PlannerFactory planners) {
         this.settings = settings;
-        this.token = token;
+        this.fencingToken = fencingToken;
         this.termStartMicros = nowMicros;
         this.recovery = new FailoverProgress(nowMicros);
-        this.ledgers = new JobLedgers(settings, token);
+        this.ledgers = new JobLedgers(settings, fencingToken);
         this.pipelines = new DagInheritance(ledgers, runTimes);
-        this.rentals = new ProvisioningRequests(settings, token);
-        this.returns = new MachineDeletions(settings, token);
+        this.rentals = new ProvisioningRequests(settings, fencingToken);
+        this.returns = new MachineDeletions(settings, fencingToken);
         this.planner = planners.create(this, settings, fleet, ledgers, runTimes);
         this.renter = new Autoscaler(settings, tuning, fleet, rentals, planner, returns);
         this.writeTokens = leaderWriteRate();
@@ -107,8 +107,8 @@
         this.freshMicros = nowMicros;
     }
 
-    public long token() {
-        return token;
+    public long fencingToken() {
+        return fencingToken;
     }
 
     /** Users' submissions and cancellations need the rest of the write rate. */
@@ -314,20 +314,20 @@
     }
 
     private boolean mayJudge(long nowMicros) {
-        return nowMicros - resumedMicros > 2 * settings.reportMicros() + Micros.SECOND;
+        return nowMicros - resumedMicros > 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
     }
 
     // ---- reports
 
     /** Takes a report in and answers it; a report with a higher token must not get here. */
-    public List<Command> report(Heartbeat report, long nowMicros) {
+    public List<Command> heartbeat(Heartbeat heartbeat, long nowMicros) {
         List<Command> commands = new ArrayList<>();
-        Machine machine = takeIn(report, commands, nowMicros);
+        Machine machine = takeIn(heartbeat, commands, nowMicros);
         if (machine != null) {
             if (machine.confirmed && mayPlan(nowMicros)) {
                 planner.refill(machine, nowMicros);
             }
-            addStopsAndStarts(machine, report, nowMicros, commands);
+            addStopsAndStarts(machine, heartbeat, nowMicros, commands);
         }
         return commands;
     }
@@ -340,12 +340,12 @@
      * a time, so a newer one shows what became of a start in the answer to the one before; this one may have been made before that
      * answer came, and four starts that were on their way were taken for lost and made again elsewhere (ran_twice, on three of some 6,300 drawn days).
      */
-    public void greeted(Heartbeat report, long nowMicros) {
-        Machine machine = fleet.get(report.machine());
+    public void greeted(Heartbeat heartbeat, long nowMicros) {
+        Machine machine = fleet.get(heartbeat.machine());
         if (machine == null || !machine.confirmed) {
-            takeIn(report, new ArrayList<>(), nowMicros);
+            takeIn(heartbeat, new ArrayList<>(), nowMicros);
         } else {
-            machine.heardSequence = Math.max(machine.heardSequence, report.sequence());
+            machine.heardSequence = Math.max(machine.heardSequence, heartbeat.sequence());
         }
     }
 
@@ -371,28 +371,28 @@
     }
 
     /** The machine as the report shows it, null if the report is older than what is known. */
-    private Machine takeIn(Heartbeat report, List<Command> commands, long nowMicros) {
-        if (fleet.isGone(report.machine())) {
+    private Machine takeIn(Heartbeat heartbeat, List<Command> commands, long nowMicros) {
+        if (fleet.isGone(heartbeat.machine())) {
             return null;
         }
-        Machine machine = fleet.obtain(report.machine(), nowMicros);
-        if (!report.newerThan(machine.session, machine.sequence)) {
+        Machine machine = fleet.obtain(heartbeat.machine(), nowMicros);
+        if (!heartbeat.newerThan(machine.incarnation, machine.sequence)) {
             return null;
         }
-        machine.session = report.session();
-        machine.sequence = report.sequence();
-        machine.heard(report.sequence());
-        machine.address = report.address();
-        if (machine.type == null || !machine.type.equals(report.type()) || machine.size() == null) {
-            fleet.describe(machine, report.type(), report.zone(), report.spot());
+        machine.incarnation = heartbeat.incarnation();
+        machine.sequence = heartbeat.sequence();
+        machine.heard(heartbeat.sequence());
+        machine.address = heartbeat.address();
+        if (machine.type == null || !machine.type.equals(heartbeat.type()) || machine.size() == null) {
+            fleet.describe(machine, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         }
         machine.lastAnsweredMicros = nowMicros;
-        if (report.noticeMicros() >= 0 && machine.noticeAtMicros < 0) {
-            machine.noticeAtMicros = nowMicros + report.noticeMicros();
+        if (heartbeat.spotNoticeMicros() >= 0 && machine.noticeAtMicros < 0) {
+            machine.noticeAtMicros = nowMicros + heartbeat.spotNoticeMicros();
             noticed(machine, nowMicros);
         }
-        commands.addAll(readBack(machine, report, nowMicros));
-        if (report.token() == token && !machine.confirmed) {
+        commands.addAll(readBack(machine, heartbeat, nowMicros));
+        if (heartbeat.fencingToken() == fencingToken && !machine.confirmed) {
             confirm(machine, nowMicros);
         }
         if (machine.placements.isEmpty() && machine.idleSinceMicros < 0) {
@@ -421,9 +421,9 @@
     }
 
     /** The newest list is the truth about everything that was sent before it. */
-    private List<Command> readBack(Machine machine, Heartbeat report, long nowMicros) {
+    private List<Command> readBack(Machine machine, Heartbeat heartbeat, long nowMicros) {
         List<Command> commands = new ArrayList<>();
-        for (TaskStatus line : report.tasks()) {
+        for (TaskStatus line : heartbeat.tasks()) {
             Job job = ledgers.get(line.job());
             if (line.state() == TaskState.EXITED) {
                 exited(machine, job, line, nowMicros, commands);
@@ -438,7 +438,7 @@
                 // for its team.
                 commands.add(new Command.Stop(line.job(), line.index(), line.attempt(), 0));
                 if (placement != null) {
-                    placement.listedSequence = report.sequence();
+                    placement.listedSequence = heartbeat.sequence();
                 }
                 continue;
             }
@@ -464,12 +464,12 @@
                     && line.state() != TaskState.WAITING) {
                 job.gangStarted = true;
             }
-            placement.listedSequence = report.sequence();
+            placement.listedSequence = heartbeat.sequence();
             health.runs(placement, nowMicros);
         }
         List<Placement> lost = new ArrayList<>();
         for (Placement placement : machine.placements) {
-            if (placement.listedSequence != report.sequence() && !placement.unsent()) {
+            if (placement.listedSequence != heartbeat.sequence() && !placement.unsent()) {
                 lost.add(placement);
             }
         }
@@ -586,7 +586,7 @@
         machine.touchImage(job.spec.image(), job.spec.imageGb(), type == null ? 0 : type.cacheGb());
     }
 
-    private void addStopsAndStarts(Machine machine, Heartbeat report, long nowMicros, List<Command> commands) {
+    private void addStopsAndStarts(Machine machine, Heartbeat heartbeat, long nowMicros, List<Command> commands) {
         for (Placement placement : machine.placements) {
             if (placement.stopping() && !placement.unsent()) {
                 commands.add(new Command.Stop(
@@ -599,8 +599,8 @@
         for (Placement placement : machine.placements) {
             if (placement.phase == Placement.Phase.READY && commands.size() < MOST_COMMANDS) {
                 placement.become(Placement.Phase.SENT);
-                placement.sentSession = report.session();
-                placement.sentSequence = report.sequence();
+                placement.sentIncarnation = heartbeat.incarnation();
+                placement.sentSequence = heartbeat.sequence();
                 recovery.started(nowMicros);
                 commands.add(new Command.Start(placement.job.id(), placement.index, placement.attempt));
             }
@@ -711,7 +711,7 @@
 
     /** Decides a start. Its attempt carries the token, so that it is unique without being written. */
     void place(Job job, int index, Machine machine, long nowMicros) {
-        long attempt = (token << 20) + ++attemptCounter;
+        long attempt = (fencingToken << 20) + ++attemptCounter;
         if (job.spec.kind() == JobKind.GANG) {
             long live = job.liveAttempt();
             attempt = live != 0 ? live : attempt;
@@ -814,7 +814,7 @@
                 }
             }
         }
-        if (machine.confirmed && nowMicros - machine.lastAnsweredMicros > settings.goneAfterMicros()) {
+        if (machine.confirmed && nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros()) {
             for (Placement placement : List.copyOf(machine.placements)) {
                 remove(placement);
             }
--- a/src/main/java/io/micatide/simulation/DelayedHeartbeats.java
+++ b/src/main/java/io/micatide/simulation/DelayedHeartbeats.java
@@ -18,7 +18,7 @@
 
     private final VirtualTime time;
     private final Random random;
-    private final LongSupplier token;
+    private final LongSupplier fencingToken;
     private final IntFunction<Http> controllers;
     private final int count;
     private final Consumer<String> log;
@@ -26,20 +26,20 @@
     private double share;
 
     /**
-     * @param token of the leader row
+     * @param fencingToken of the leader row
      * @param controllers how each of {@code count} is reached
      * @param log is told when the copies arrive
      */
     DelayedHeartbeats(
             VirtualTime time,
             Random random,
-            LongSupplier token,
+            LongSupplier fencingToken,
             IntFunction<Http> controllers,
             int count,
             Consumer<String> log) {
         this.time = time;
         this.random = random;
-        this.token = token;
+        this.fencingToken = fencingToken;
         this.controllers = controllers;
         this.count = count;
         this.log = log;
@@ -48,12 +48,12 @@
     /** From now on a copy of that share of the reports is kept, until another leader has led for so long, or until then at most. */
     void untilNext(double each, long until, long afterMicros) {
         share = each;
-        await(token.getAsLong(), until, afterMicros);
+        await(fencingToken.getAsLong(), until, afterMicros);
     }
 
     private void await(long before, long until, long afterMicros) {
         time.at(time.now() + LOOK_MICROS, () -> {
-            if (token.getAsLong() > before) {
+            if (fencingToken.getAsLong() > before) {
                 share = 0;
                 time.at(time.now() + afterMicros, this::arrive);
             } else if (time.now() < until) {
--- a/src/main/java/io/micatide/simulation/FailoverBenchmark.java
+++ b/src/main/java/io/micatide/simulation/FailoverBenchmark.java
@@ -238,7 +238,7 @@
 
     private void takeOver(boolean orderly) {
         int former = deployment.leader();
-        long token = stamp();
+        long fencingToken = stamp();
         long began = deployment.time.now() - SEEN_FROM_S * Micros.SECOND;
         for (int second = SEEN_FROM_S; second < SEEN_TO_S; second++) {
             users(former, began, second);
@@ -254,7 +254,7 @@
         while (deployment.time.now() - began < WATCH_S * Micros.SECOND) {
             deployment.time.run(STEP_MICROS);
             // The former leader itself may claim again, once it is back.
-            if (claimed < 0 && stamp() > token) {
+            if (claimed < 0 && stamp() > fencingToken) {
                 claimed = deployment.time.now();
             }
             if (claimed >= 0 && times == null) {
--- a/src/main/java/io/micatide/simulation/SimulatedCluster.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCluster.java
@@ -109,7 +109,7 @@
         this.network = new VirtualNetwork(time, random);
         this.state = new SimulatedStore(world, limits);
         this.kept = new DelayedHeartbeats(
-                time, random, this::token, number -> network.from(world, "c" + number), controllers, this::note);
+                time, random, this::fencingToken, number -> network.from(world, "c" + number), controllers, this::note);
         this.gangs = new GangRendezvous(world, plan.settings(0));
         this.witness = witness;
         this.cloud = new SimulatedCloud(world, types, machines, this::up, name -> {
@@ -212,7 +212,7 @@
     }
 
     /** Token of that row, 0 if there is none. */
-    public long token() {
+    public long fencingToken() {
         SimulatedStore.Value row = state.values().get(StoreKeys.LEADER);
         return row == null ? 0 : row.stamp();
     }
@@ -372,7 +372,7 @@
     /** Of that share of the workers' reports a copy arrives again, 2 s to two leases later, at the controller that had it. */
     public void lateReports(double share, int seconds) {
         note("late reports " + share + " " + seconds);
-        int most = (int) (2 * plan.settings(0).leaseMicros() / Micros.SECOND);
+        int most = (int) (2 * plan.settings(0).workerLeaseMicros() / Micros.SECOND);
         fatesFor(
                 (from, endpoint, path) -> path.equals("/v1/report") && random.nextDouble() < share
                         ? new VirtualNetwork.Fate(0, between(2, most), false)
--- a/src/main/java/io/micatide/simulation/SimulatedWorker.java
+++ b/src/main/java/io/micatide/simulation/SimulatedWorker.java
@@ -61,7 +61,7 @@
     private final GangRendezvous gangs;
     private final Witness witness;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private long session = 1;
+    private long incarnation = 1;
     private long sequence;
     private long highestToken;
     private long answeredSent;
@@ -162,10 +162,10 @@
 
     /** If it is over: a machine that hangs finds that before it does anything else, so others may call this while it does. */
     public void endLease(long now) {
-        if (!deleted && now - answeredSent > settings.leaseMicros()) {
+        if (!deleted && now - answeredSent > settings.workerLeaseMicros()) {
             witness.leaseEnded(machine);
             kill();
-            session++;
+            incarnation++;
             answeredSent = now;
             changed();
         }
@@ -191,7 +191,7 @@
                         tick();
                     }
                 },
-                settings.reportMicros());
+                settings.heartbeatIntervalMicros());
     }
 
     private void changed() {
@@ -213,18 +213,18 @@
         }
         reporting = true;
         long sent = loop.now();
-        long ofSession = session;
+        long ofIncarnation = incarnation;
         sentMicros = sent;
         controllers
                 .get(labels.get(at))
                 .post(
                         "/v1/report",
-                        WorkerSideCodec.report(newReport()),
+                        WorkerSideCodec.heartbeat(newHeartbeat()),
                         PATIENCE_MICROS,
-                        reply -> answered(reply, sent, ofSession));
+                        reply -> answered(reply, sent, ofIncarnation));
     }
 
-    private Heartbeat newReport() {
+    private Heartbeat newHeartbeat() {
         List<TaskStatus> lines = new ArrayList<>();
         for (Task task : tasks.values()) {
             lines.add(new TaskStatus(
@@ -241,20 +241,20 @@
                 machine.type().name(),
                 machine.zone(),
                 machine.spot(),
-                session,
+                incarnation,
                 ++sequence,
                 highestToken,
                 -1,
                 lines);
     }
 
-    private void answered(Reply reply, long sent, long ofSession) {
+    private void answered(Reply reply, long sent, long ofIncarnation) {
         reporting = false;
         if (deleted) {
             return;
         }
         if (reply.ok()) {
-            execute(reply, sent, ofSession);
+            execute(reply, sent, ofIncarnation);
             return;
         }
         String other = reply.status() == 421 ? WorkerSideCodec.steward(reply.body()) : null;
@@ -270,15 +270,15 @@
                 named ? 100 * Micros.MILLISECOND : ELSEWHERE_MICROS);
     }
 
-    private void execute(Reply reply, long sent, long ofSession) {
+    private void execute(Reply reply, long sent, long ofIncarnation) {
         try {
             WorkerSideCodec.Answer answer = WorkerSideCodec.answer(reply.body());
-            if (ofSession != session || answer.token() < highestToken) {
+            if (ofIncarnation != incarnation || answer.fencingToken() < highestToken) {
                 return;
             }
             answeredSent = Math.max(answeredSent, sent);
-            boolean higher = answer.token() > highestToken;
-            highestToken = answer.token();
+            boolean higher = answer.fencingToken() > highestToken;
+            highestToken = answer.fencingToken();
             answer.commands().forEach(this::execute);
             if (higher) {
                 changed();
@@ -296,16 +296,16 @@
         try {
             WorkerSideCodec.Answer direct = WorkerSideCodec.answer(request.body());
             boolean executed = request.path().equals("/commands")
-                    && direct.token() >= highestToken
-                    && WorkerSideCodec.session(request.body()) == session;
+                    && direct.fencingToken() >= highestToken
+                    && WorkerSideCodec.incarnation(request.body()) == incarnation;
             if (executed) {
-                if (direct.token() > highestToken) {
-                    highestToken = direct.token();
+                if (direct.fencingToken() > highestToken) {
+                    highestToken = direct.fencingToken();
                     changed();
                 }
                 direct.commands().forEach(this::execute);
             }
-            request.answer(executed ? 200 : 409, WorkerSideCodec.report(newReport()));
+            request.answer(executed ? 200 : 409, WorkerSideCodec.heartbeat(newHeartbeat()));
         } catch (MalformedException e) {
             request.answer(400, new byte[0]);
         }
--- a/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
+++ b/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
@@ -85,7 +85,7 @@
         worker.reachedAt(listen(machine, worker));
         worker.runs(HollowWorkers::runTime);
         workers.put(machine.name(), worker);
-        long wait = (long) (new Random(machine.name().hashCode()).nextDouble() * settings.reportMicros());
+        long wait = (long) (new Random(machine.name().hashCode()).nextDouble() * settings.heartbeatIntervalMicros());
         loop.later(worker::start, wait);
     }
 
--- a/src/main/java/io/micatide/simulation/scale/ScaleRun.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleRun.java
@@ -248,7 +248,7 @@
             case ZONE ->
                 onLoop(() -> {
                     workers.silence(ScaleSettings.zones().get(0));
-                    loop.later(() -> workers.silence(null), 2 * settings.get(0).leaseMicros());
+                    loop.later(() -> workers.silence(null), 2 * settings.get(0).workerLeaseMicros());
                     return null;
                 });
         }
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -19,17 +19,18 @@
      * @param base number of the picture that it is a difference to, 0 for a whole one
      * @param gone names that hold no more; with a whole one empty
      */
-    public record Part(long token, long number, long base, int index, int parts, List<Hint> hints, List<String> gone) {}
+    public record Part(
+            long fencingToken, long number, long base, int index, int parts, List<Hint> hints, List<String> gone) {}
 
-    private final long token;
+    private final long fencingToken;
     private final long[] held;
     private Map<String, Hint> picture = new HashMap<>();
     private List<Hint> changed = List.of();
     private List<String> gone = List.of();
     private long number;
 
-    public HintSender(long token, int siblings) {
-        this.token = token;
+    public HintSender(long fencingToken, int siblings) {
+        this.fencingToken = fencingToken;
         this.held = new long[siblings];
         Arrays.fill(held, -1);
     }
@@ -67,7 +68,7 @@
         int parts = Math.max(1, (all.size() + PART - 1) / PART);
         for (int index = 0; index < parts; index++) {
             result.add(new Part(
-                    token,
+                    fencingToken,
                     number,
                     difference ? number - 1 : 0,
                     index,
--- a/src/main/java/io/micatide/standby/ReceivedHints.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -13,17 +13,17 @@
 public final class ReceivedHints {
     private final Map<String, Hint> hints = new HashMap<>();
     private final BitSet parts = new BitSet();
-    private long token;
+    private long fencingToken;
     private long number;
     private long arriving;
 
     /** @return number of the picture that is held whole, 0 for none */
     public long take(HintSender.Part part) {
-        if (part.token() < token) {
+        if (part.fencingToken() < fencingToken) {
             return 0;
         }
-        if (part.token() > token) {
-            token = part.token();
+        if (part.fencingToken() > fencingToken) {
+            fencingToken = part.fencingToken();
             number = 0;
             arriving = 0;
         }
@@ -58,7 +58,7 @@
     public void clear() {
         hints.clear();
         parts.clear();
-        token = 0;
+        fencingToken = 0;
         number = 0;
         arriving = 0;
     }
--- a/src/main/java/io/micatide/store/StoreKeys.java
+++ b/src/main/java/io/micatide/store/StoreKeys.java
@@ -69,8 +69,8 @@
         return ASKED + feature;
     }
 
-    public static String returned(long token, int number) {
-        return RETURNS + token + "-" + number;
+    public static String returned(long fencingToken, int number) {
+        return RETURNS + fencingToken + "-" + number;
     }
 
     public static String booking(String name) {
--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -215,8 +215,8 @@
     /** The guard of the order of two writes: with it taken out, jobs that users were told of are lost. */
     @Test
     void rowsThatGoBeforeTheyAreArchivedAreMissed() {
-        Archiver.Maker hasty = (token, valueBytes, changes, worth, manifest, version) ->
-                new Archiver(token, valueBytes, changes, worth, manifest, version) {
+        Archiver.Maker hasty = (fencingToken, valueBytes, changes, worth, manifest, version) ->
+                new Archiver(fencingToken, valueBytes, changes, worth, manifest, version) {
                     @Override
                     boolean mayGo(String id, long copyOfVersion) {
                         return id.hashCode() % 4 == 0;
--- a/src/test/java/io/micatide/election/LeaderElectionTest.java
+++ b/src/test/java/io/micatide/election/LeaderElectionTest.java
@@ -37,7 +37,7 @@
         "'read::0,lease,won:5,high:4:other', 5, me, NOTHING",
         "'read::0,lease,won:5,high:5:', 5, me, NOTHING",
     })
-    void leads(String events, long token, String leader, LeaderElection.Wish next) {
+    void leads(String events, long fencingToken, String leader, LeaderElection.Wish next) {
         LeaderElection leadership = new LeaderElection("me", TTL);
         long now = Micros.SECOND;
         for (String event : events.split(",")) {
@@ -60,7 +60,7 @@
                 default -> throw new IllegalArgumentException(event);
             }
         }
-        assertEquals(token, leadership.token());
+        assertEquals(fencingToken, leadership.fencingToken());
         assertEquals(leader, leadership.leader());
         assertEquals(next, leadership.next(now, 0));
     }
--- a/src/test/java/io/micatide/election/WorkerConnectivityTest.java
+++ b/src/test/java/io/micatide/election/WorkerConnectivityTest.java
@@ -80,9 +80,9 @@
         WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < workers; i++) {
             if (sentAgo >= 0) {
-                reach.cameHere(report("i-" + i, 0, 1), 7, ago(sentAgo));
+                reach.cameHere(heartbeat("i-" + i, 0, 1), 7, ago(sentAgo));
             }
-            reach.cameHere(report("i-" + i, seen, 2), 7, NOW);
+            reach.cameHere(heartbeat("i-" + i, seen, 2), 7, NOW);
         }
         reach.leaderSilent(Micros.ofSeconds(silent), NOW);
         assertEquals(stray, reach.strayedAgoMicros(NOW) >= 0);
@@ -95,18 +95,18 @@
     void aCopyOfAnOldReportIsNoWorkerThatCameBack(int copies, boolean lost) {
         WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < copies; i++) {
-            reach.cameHere(report("i-" + i, 5, 9), 7, ago(6));
+            reach.cameHere(heartbeat("i-" + i, 5, 9), 7, ago(6));
         }
         for (int i = 0; i < copies; i++) {
-            reach.cameHere(report("i-" + i, 5, 8), 7, ago(0.2));
-            reach.cameHere(report("i-" + i, 5, 9), 7, NOW);
+            reach.cameHere(heartbeat("i-" + i, 5, 8), 7, ago(0.2));
+            reach.cameHere(heartbeat("i-" + i, 5, 9), 7, NOW);
         }
         assertEquals(lost, reach.leaderLost(NOW));
         assertEquals(-1, reach.strayedAgoMicros(NOW));
         assertEquals(false, reach.reached(NOW));
     }
 
-    private static Heartbeat report(String machine, long seen, long sequence) {
+    private static Heartbeat heartbeat(String machine, long seen, long sequence) {
         return new Heartbeat(machine, "x:1", "small", "a", false, 1, sequence, seen, -1, List.of());
     }
 
@@ -116,7 +116,7 @@
     void knowsWhetherWorkersReachIt(double began, double came, boolean reached) {
         WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, ago(began));
         if (came >= 0) {
-            reach.cameHere(report("i-1", 0, 1), 7, ago(came));
+            reach.cameHere(heartbeat("i-1", 0, 1), 7, ago(came));
         }
         assertEquals(reached, reach.reached(NOW));
     }
--- a/src/test/java/io/micatide/model/SettingsBuilder.java
+++ b/src/test/java/io/micatide/model/SettingsBuilder.java
@@ -16,8 +16,8 @@
     private long clockOffMicros = 0;
     private Map<String, Team> teams = Map.of("blue", new Team("blue", 0, 0, 0, 0));
     private List<Settings.Objective> objectives = List.of();
-    private long reportMicros = 800 * Micros.MILLISECOND;
-    private long leaseMicros = 10 * Micros.SECOND;
+    private long heartbeatIntervalMicros = 800 * Micros.MILLISECOND;
+    private long workerLeaseMicros = 10 * Micros.SECOND;
     private long gangWaitMicros = 30 * Micros.SECOND;
     private long gangPeerMicros = 5 * Micros.SECOND;
     private long cancelMicros = 30 * Micros.SECOND;
@@ -87,13 +87,13 @@
         return this;
     }
 
-    public SettingsBuilder reportMicros(long value) {
-        reportMicros = value;
+    public SettingsBuilder heartbeatIntervalMicros(long value) {
+        heartbeatIntervalMicros = value;
         return this;
     }
 
-    public SettingsBuilder leaseMicros(long value) {
-        leaseMicros = value;
+    public SettingsBuilder workerLeaseMicros(long value) {
+        workerLeaseMicros = value;
         return this;
     }
 
@@ -175,8 +175,8 @@
                 clockOffMicros,
                 teams,
                 objectives,
-                reportMicros,
-                leaseMicros,
+                heartbeatIntervalMicros,
+                workerLeaseMicros,
                 gangWaitMicros,
                 gangPeerMicros,
                 cancelMicros,
--- a/src/test/java/io/micatide/protocol/CodecTest.java
+++ b/src/test/java/io/micatide/protocol/CodecTest.java
@@ -142,7 +142,7 @@
                         + "'legs':[{'leg':'wk-1/x','throwIn':1,'standing':'running'}]}",
             })
     void aBadReportIsMalformed(String text) {
-        assertThrows(MalformedException.class, () -> WorkerCodec.report(json(text)));
+        assertThrows(MalformedException.class, () -> WorkerCodec.heartbeat(json(text)));
     }
 
     @Test
--- a/src/test/java/io/micatide/protocol/SettingsTest.java
+++ b/src/test/java/io/micatide/protocol/SettingsTest.java
@@ -22,7 +22,7 @@
     void unknownFieldsOfThePlatformAreIgnored() throws IOException, MalformedException {
         Settings settings = SettingsReader.parse("new_field = 3\n" + good());
         assertEquals("warm-0", settings.label());
-        assertEquals(10_000_000, settings.leaseMicros());
+        assertEquals(10_000_000, settings.workerLeaseMicros());
     }
 
     @ParameterizedTest
--- a/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
+++ b/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
@@ -44,7 +44,7 @@
     }
 
     /** Machine i-1 or i-2 reports running tasks by number and, after a slash, ended ones. */
-    private void report(String machine, String tasks) {
+    private void heartbeat(String machine, String tasks) {
         List<TaskStatus> lines = new ArrayList<>();
         String[] parts = tasks.split("/", -1);
         parts[0].chars()
@@ -54,7 +54,7 @@
                     .forEach(each ->
                             lines.add(new TaskStatus("wk-1", each - '0', 7, TaskState.EXITED, ExitCause.DONE, false)));
         }
-        leader.report(new Heartbeat(machine, "x:1", "small", "a", false, 1, ++sequence, TOKEN, -1, lines), now);
+        leader.heartbeat(new Heartbeat(machine, "x:1", "small", "a", false, 1, ++sequence, TOKEN, -1, lines), now);
     }
 
     /** What is due is written, and answered unless it stays in flight. */
@@ -117,8 +117,8 @@
                     ledgerStored = true;
                 }
                 case '+' -> leader.loaded(now);
-                case 'a' -> report("i-1", step.substring(1));
-                case 'b' -> report("i-2", step.substring(1));
+                case 'a' -> heartbeat("i-1", step.substring(1));
+                case 'b' -> heartbeat("i-2", step.substring(1));
                 case 'f' -> round(false);
                 case 'u' -> {
                     inFlight = null;
@@ -129,8 +129,8 @@
         }
         assertEquals(used * 1000, leader.teamUse("red").cpus(), "processors of the team");
         assertEquals(ledger, ledgerStored, "its ledger is stored");
-        report("i-1", "");
-        report("i-2", "");
+        heartbeat("i-1", "");
+        heartbeat("i-2", "");
         round(true);
         assertEquals(0, leader.teamUse("red").cpus());
         assertTrue(!ledgerStored && leader.settled("wk-1"), "nothing of it is left");
--- a/src/test/java/io/micatide/scheduler/FailureTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureTest.java
@@ -297,8 +297,12 @@
             }
             calls.addAll(world.leader.cloudCalls(world.now));
             for (SchedulerHarness.Worker worker : world.workers.values()) {
-                Heartbeat report = worker.report();
-                worker.execute(world.token, world.leader.report(report, world.now), world.now, worker.session);
+                Heartbeat heartbeat = worker.heartbeat();
+                worker.execute(
+                        world.fencingToken,
+                        world.leader.heartbeat(heartbeat, world.now),
+                        world.now,
+                        worker.incarnation);
             }
         }
         assertEquals(leads, world.starts > before);
--- a/src/test/java/io/micatide/scheduler/SchedulerHarness.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -75,7 +75,7 @@
     final Map<String, Long> notices = new HashMap<>();
 
     Scheduler leader;
-    long token;
+    long fencingToken;
     /** Interactions until the leader is killed; negative: never. */
     int killAfter = -1;
 
@@ -170,7 +170,7 @@
         final String zone;
         final boolean spot;
         long upAt;
-        long session = 1;
+        long incarnation = 1;
         long sequence;
         long seenToken;
         long lastAnsweredSent;
@@ -188,21 +188,22 @@
             this.nextReport = upAt;
         }
 
-        Heartbeat report() {
+        Heartbeat heartbeat() {
             sequence++;
             List<TaskStatus> list = new ArrayList<>();
             for (Task task : tasks.values()) {
                 list.add(new TaskStatus(task.job, task.index, task.attempt, task.state(), task.cause, false));
             }
-            return new Heartbeat(name, "x:1", TYPE.name(), zone, spot, session, sequence, seenToken, notice(), list);
+            return new Heartbeat(
+                    name, "x:1", TYPE.name(), zone, spot, incarnation, sequence, seenToken, notice(), list);
         }
 
         private long notice() {
             return notices.containsKey(name) ? Math.max(0, notices.get(name) - now) : -1;
         }
 
-        void execute(long answerToken, List<Command> commands, long sentAt, long ofSession) {
-            if (deleted || ofSession != session || answerToken < seenToken) {
+        void execute(long answerToken, List<Command> commands, long sentAt, long ofIncarnation) {
+            if (deleted || ofIncarnation != incarnation || answerToken < seenToken) {
                 return;
             }
             seenToken = answerToken;
@@ -231,9 +232,9 @@
                     task.cause = ExitCause.DONE;
                 }
             }
-            if (now - lastAnsweredSent > settings.leaseMicros()) {
+            if (now - lastAnsweredSent > settings.workerLeaseMicros()) {
                 tasks.clear();
-                session++;
+                incarnation++;
                 lastAnsweredSent = now;
             }
         }
@@ -428,9 +429,9 @@
     }
 
     void takeOver() {
-        token = ++revision;
-        put(StoreKeys.LEADER, new StoredRecord.Leader("c0"), token);
-        leader = new Scheduler(settings, Tuning.defaults(settings), token, now, planners);
+        fencingToken = ++revision;
+        put(StoreKeys.LEADER, new StoredRecord.Leader("c0"), fencingToken);
+        leader = new Scheduler(settings, Tuning.defaults(settings), fencingToken, now, planners);
         leader.hinted(hints, false, now);
         takeOvers++;
         leader.typesKnown(List.of(TYPE), now);
@@ -519,7 +520,7 @@
             }
             worker.live();
             if (now >= worker.nextReport) {
-                worker.nextReport = now + settings.reportMicros();
+                worker.nextReport = now + settings.heartbeatIntervalMicros();
                 exchange(worker);
             }
         }
@@ -558,38 +559,38 @@
     /** The leader loses the state service and all but zone a; another one takes over once its lease is out. */
     void cutOffLeader(long micros) {
         zombie = leader;
-        zombieToken = token;
+        zombieToken = fencingToken;
         zombieUntil = now + micros;
         leader = null;
         deadUntil = now + 3 * Micros.SECOND;
     }
 
     private void exchange(Worker worker) {
-        Heartbeat report = worker.report();
-        long session = worker.session;
+        Heartbeat heartbeat = worker.heartbeat();
+        long incarnation = worker.incarnation;
         if (zombie != null && worker.zone.equals("a")) {
             if (leader != null && random.nextInt(15) == 0) {
                 // It tried the new leader, whose answer was lost, and goes back to the former one.
-                leader.report(report, now);
-            } else if (report.token() <= zombieToken) {
-                worker.execute(zombieToken, zombie.report(report, now), now, session);
+                leader.heartbeat(heartbeat, now);
+            } else if (heartbeat.fencingToken() <= zombieToken) {
+                worker.execute(zombieToken, zombie.heartbeat(heartbeat, now), now, incarnation);
             }
             return;
         }
-        if (dies() || report.token() > token) {
+        if (dies() || heartbeat.fencingToken() > fencingToken) {
             return;
         }
-        List<Command> commands = leader.report(report, now);
+        List<Command> commands = leader.heartbeat(heartbeat, now);
         decisions.accept(now + " " + worker.name + " " + commands);
-        messages.accept(now + " " + worker.name + " " + text(WorkerCodec.answer(token, commands)));
+        messages.accept(now + " " + worker.name + " " + text(WorkerCodec.answer(fencingToken, commands)));
         if (greets) {
             // The greeting's answer overtakes that of the report: it was made before the commands came.
-            leader.greeted(worker.report(), now);
+            leader.greeted(worker.heartbeat(), now);
         }
         boolean lost = random.nextDouble() < lostAnswers;
         boolean diesAfter = dies();
         if (!lost && !(diesAfter && random.nextBoolean())) {
-            worker.execute(token, commands, now, session);
+            worker.execute(fencingToken, commands, now, incarnation);
         }
     }
 
--- a/src/test/java/io/micatide/simulation/BriefRestartTest.java
+++ b/src/test/java/io/micatide/simulation/BriefRestartTest.java
@@ -102,10 +102,10 @@
             day.users.submit("batch", 12, 30);
             day.time.run((8_000 + day.random.nextInt(3_000)) * Micros.MILLISECOND);
             int leader = day.deployment.leader();
-            long token = day.deployment.token();
+            long fencingToken = day.deployment.fencingToken();
             long began = day.time.now();
             day.deployment.killFor(leader, (least + day.random.nextInt(most - least)) * Micros.MILLISECOND);
-            while (day.deployment.token() <= token && day.time.now() - began < 20 * Micros.SECOND) {
+            while (day.deployment.fencingToken() <= fencingToken && day.time.now() - began < 20 * Micros.SECOND) {
                 day.time.run(10 * Micros.MILLISECOND);
             }
             gaps.add(day.time.now() - began);
--- a/src/test/java/io/micatide/simulation/FailoverScenario.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -26,9 +26,9 @@
  */
 final class FailoverScenario implements SimulatedCluster.Plan {
     /** Of a worker. */
-    private final long reportMicros;
+    private final long heartbeatIntervalMicros;
 
-    private final long leaseMicros;
+    private final long workerLeaseMicros;
     static final long CANCEL = 30 * Micros.SECOND;
     private static final int MACHINES = 24;
     private static final MachineType TYPE =
@@ -69,8 +69,13 @@
 
     /** With workers that report each so many microseconds and have a lease of so many. */
     FailoverScenario(
-            long seed, int controllers, int former, KeyspaceReplica.Maker copies, long reportMicros, long leaseMicros) {
-        this(seed, controllers, former, copies, reportMicros, leaseMicros, Capabilities.ALL);
+            long seed,
+            int controllers,
+            int former,
+            KeyspaceReplica.Maker copies,
+            long heartbeatIntervalMicros,
+            long workerLeaseMicros) {
+        this(seed, controllers, former, copies, heartbeatIntervalMicros, workerLeaseMicros, Capabilities.ALL);
     }
 
     /** With controllers that all begin with this version. */
@@ -79,16 +84,16 @@
             int controllers,
             int former,
             KeyspaceReplica.Maker copies,
-            long reportMicros,
-            long leaseMicros,
+            long heartbeatIntervalMicros,
+            long workerLeaseMicros,
             Capabilities version) {
         this(
                 seed,
                 controllers,
                 former,
                 copies,
-                reportMicros,
-                leaseMicros,
+                heartbeatIntervalMicros,
+                workerLeaseMicros,
                 version,
                 Map.of("blue", new Team("blue", 0, 0, 0, 0)),
                 List.of(TYPE),
@@ -151,8 +156,8 @@
             int controllers,
             int former,
             KeyspaceReplica.Maker copies,
-            long reportMicros,
-            long leaseMicros,
+            long heartbeatIntervalMicros,
+            long workerLeaseMicros,
             Capabilities version,
             Map<String, Team> teams,
             List<MachineType> types,
@@ -168,8 +173,8 @@
             // As in production: neither a standby nor the switches.
             Arrays.fill(versions, 0, former, Capabilities.FORMER);
         }
-        this.reportMicros = reportMicros;
-        this.leaseMicros = leaseMicros;
+        this.heartbeatIntervalMicros = heartbeatIntervalMicros;
+        this.workerLeaseMicros = workerLeaseMicros;
         this.random = new Random(seed);
         this.count = controllers;
         this.former = former;
@@ -270,8 +275,8 @@
                 0,
                 teams,
                 List.of(),
-                reportMicros,
-                leaseMicros,
+                heartbeatIntervalMicros,
+                workerLeaseMicros,
                 30 * Micros.SECOND,
                 5 * Micros.SECOND,
                 CANCEL,
--- a/src/test/java/io/micatide/simulation/FaultInteractionTest.java
+++ b/src/test/java/io/micatide/simulation/FaultInteractionTest.java
@@ -22,13 +22,13 @@
 
     private FailoverScenario day;
     private int leaders;
-    private long token;
+    private long fencingToken;
 
     private void seconds(double seconds) {
         for (long end = day.time.now() + (long) (seconds * Micros.SECOND); day.time.now() < end; ) {
             day.time.run(Math.min(100 * Micros.MILLISECOND, end - day.time.now()));
-            leaders += day.deployment.token() > token ? 1 : 0;
-            token = Math.max(token, day.deployment.token());
+            leaders += day.deployment.fencingToken() > fencingToken ? 1 : 0;
+            fencingToken = Math.max(fencingToken, day.deployment.fencingToken());
         }
     }
 
@@ -248,7 +248,7 @@
         List<String> failed = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
             leaders = 0;
-            token = 0;
+            fencingToken = 0;
             day = FailoverScenario.tight(seed, controllers, former);
             seconds(3);
             day.users.fill();
--- a/src/test/java/io/micatide/simulation/LeaderWithoutStoreTest.java
+++ b/src/test/java/io/micatide/simulation/LeaderWithoutStoreTest.java
@@ -43,7 +43,7 @@
         for (long seed = 1; seed <= 3; seed++) {
             FailoverScenario day = begun(seed, controllers);
             int leader = day.deployment.leader();
-            long token = day.deployment.token();
+            long fencingToken = day.deployment.fencingToken();
             day.deployment.refuse(leader, 150);
             day.time.run(refused * Micros.MILLISECOND);
             for (int other = 1; other < controllers; other++) {
@@ -51,7 +51,7 @@
                 day.users.cancel(other == 1 ? "wk-1" : "wk-3", () -> day.deployment.toController(at));
             }
             long began = day.time.now();
-            while (day.deployment.token() == token || day.deployment.token() == 0) {
+            while (day.deployment.fencingToken() == fencingToken || day.deployment.fencingToken() == 0) {
                 day.time.run(Micros.MILLISECOND / 5);
                 assertTrue(day.time.now() - began < 20 * Micros.SECOND, "nobody claims " + day.deployment.log());
             }
--- a/src/test/java/io/micatide/simulation/RolloutScenario.java
+++ b/src/test/java/io/micatide/simulation/RolloutScenario.java
@@ -66,8 +66,8 @@
         values(StoreKeys.HERE)
                 .forEach((key, value) -> acts.put(key, ((StoredRecord.Here) SimulatedCluster.row(key, value)).acts()));
         here = acts;
-        if (day.deployment.token() != leader) {
-            leader = day.deployment.token();
+        if (day.deployment.fencingToken() != leader) {
+            leader = day.deployment.fencingToken();
             claimed();
         }
     }
--- a/src/test/java/io/micatide/standby/HintsTest.java
+++ b/src/test/java/io/micatide/standby/HintsTest.java
@@ -40,8 +40,8 @@
             Random random = new Random(seed);
             ReceivedHints held = new ReceivedHints();
             List<HintSender.Part> late = new ArrayList<>();
-            for (long token = 5; token <= 7; token++) {
-                HintSender sender = new HintSender(token, 1);
+            for (long fencingToken = 5; fencingToken <= 7; fencingToken++) {
+                HintSender sender = new HintSender(fencingToken, 1);
                 List<Hint> picture = new ArrayList<>();
                 for (int second = 0; second < 12; second++) {
                     for (int change = random.nextInt(150); change > 0; change--) {
@@ -71,7 +71,8 @@
                         }
                     }
                 }
-                assertEquals(new HashSet<>(picture), new HashSet<>(held.all()), "seed " + seed + " term " + token);
+                assertEquals(
+                        new HashSet<>(picture), new HashSet<>(held.all()), "seed " + seed + " term " + fencingToken);
                 assertTrue(sender.parts(0).isEmpty(), "nothing is told twice");
             }
         }
