--- a/src/main/java/io/micatide/archive/Archiver.java
+++ b/src/main/java/io/micatide/archive/Archiver.java
@@ -57,7 +57,7 @@
                 int valueBytes,
                 int changes,
                 int worthARun,
-                StoredRecord.History manifest,
+                StoredRecord.ArchiveManifest manifest,
                 long manifestVersion);
     }
 
@@ -88,10 +88,10 @@
     private final int mostRuns;
     private int segmentBytes;
     private int mostChanges;
-    private StoredRecord.History manifest;
+    private StoredRecord.ArchiveManifest manifest;
     private long manifestVersion;
     private boolean manifestInDoubt;
-    private String sweptTo = StoreKeys.SEGMENTS;
+    private String sweptTo = StoreKeys.ARCHIVE_SEGMENTS;
     private boolean swept;
     private boolean sweepsAgain;
     private int runsBegun;
@@ -114,16 +114,21 @@
     private static final class Build {
         final String name;
         final int segments;
-        final List<StoredRecord.Run> merged;
+        final List<StoredRecord.ArchiveRun> merged;
         final List<Ended> rows;
         final SegmentMerger content;
         int next;
         long jobs;
         long bytes;
-        StoredRecord.Segment packed;
+        StoredRecord.ArchiveSegment packed;
         int packedJobs;
 
-        Build(String name, int segments, List<StoredRecord.Run> merged, List<Ended> rows, SegmentMerger content) {
+        Build(
+                String name,
+                int segments,
+                List<StoredRecord.ArchiveRun> merged,
+                List<Ended> rows,
+                SegmentMerger content) {
             this.name = name;
             this.segments = segments;
             this.merged = merged;
@@ -135,8 +140,8 @@
             return StoreKeys.segment(name, next);
         }
 
-        StoredRecord.Run run() {
-            return new StoredRecord.Run(name, segments, jobs, bytes);
+        StoredRecord.ArchiveRun run() {
+            return new StoredRecord.ArchiveRun(name, segments, jobs, bytes);
         }
     }
 
@@ -151,7 +156,7 @@
             int valueBytes,
             int changes,
             int worthARun,
-            StoredRecord.History manifest,
+            StoredRecord.ArchiveManifest manifest,
             long manifestVersion) {
         this.fencingToken = fencingToken;
         this.worthARun = worthARun;
@@ -164,8 +169,8 @@
     }
 
     /** Of a manifest that nobody has written yet; the salt need only differ between installations. */
-    public static StoredRecord.History first(long saltA, long saltB) {
-        return new StoredRecord.History(0, saltA & Long.MAX_VALUE, saltB & Long.MAX_VALUE, List.of());
+    public static StoredRecord.ArchiveManifest first(long saltA, long saltB) {
+        return new StoredRecord.ArchiveManifest(0, saltA & Long.MAX_VALUE, saltB & Long.MAX_VALUE, List.of());
     }
 
     /**
@@ -240,21 +245,21 @@
         return new Write(new Transaction(List.of(leads()), writes));
     }
 
-    private Transaction.Compare leads() {
-        return new Transaction.Compare(StoreKeys.LEADER, fencingToken);
+    private Transaction.Condition leads() {
+        return new Transaction.Condition(StoreKeys.LEADER, fencingToken);
     }
 
     /** Names that belong to a row go before it or with it: a row without them would be a job that nobody can read. */
     private Step removeRows(int most) {
-        List<Transaction.Compare> conditions = new ArrayList<>(List.of(leads()));
+        List<Transaction.Condition> conditions = new ArrayList<>(List.of(leads()));
         List<Transaction.Write> writes = new ArrayList<>();
         for (Ended each : removable.values()) {
             if (writes.size() + each.furtherRows() + 1 > most && !(writes.isEmpty() && each.furtherRows() > 0)) {
                 break;
             }
-            conditions.add(new Transaction.Compare(StoreKeys.job(each.id()), each.version()));
+            conditions.add(new Transaction.Condition(StoreKeys.job(each.id()), each.version()));
             for (int piece = 1; piece <= each.furtherRows() && writes.size() < most; piece++) {
-                writes.add(new Transaction.Write(StoreKeys.needs(each.id(), piece), null, 0));
+                writes.add(new Transaction.Write(StoreKeys.dependencies(each.id(), piece), null, 0));
             }
             if (writes.size() < most) {
                 writes.add(new Transaction.Write(StoreKeys.job(each.id()), null, 0));
@@ -279,12 +284,16 @@
             worthIt = false;
             return;
         }
-        List<StoredRecord.Run> merged = mergeable();
+        List<StoredRecord.ArchiveRun> merged = mergeable();
         if (!merged.isEmpty()) {
             start(
                     segments(
-                            merged.stream().mapToLong(StoredRecord.Run::jobs).sum(),
-                            merged.stream().mapToLong(StoredRecord.Run::bytes).sum()),
+                            merged.stream()
+                                    .mapToLong(StoredRecord.ArchiveRun::jobs)
+                                    .sum(),
+                            merged.stream()
+                                    .mapToLong(StoredRecord.ArchiveRun::bytes)
+                                    .sum()),
                     merged,
                     List.of(),
                     List.of());
@@ -306,7 +315,7 @@
         return (int) Math.max(1, Math.ceil(jobs / Math.max(1, root * root)));
     }
 
-    private void start(int segments, List<StoredRecord.Run> merged, List<Ended> rows, List<ArchivedJob> jobs) {
+    private void start(int segments, List<StoredRecord.ArchiveRun> merged, List<Ended> rows, List<ArchivedJob> jobs) {
         String name = Long.toString(fencingToken, Character.MAX_RADIX) + "-"
                 + Integer.toString(++runsBegun, Character.MAX_RADIX);
         build = new Build(name, segments, merged, rows, new SegmentMerger(spread, segments, merged, jobs));
@@ -326,7 +335,7 @@
         return true;
     }
 
-    private int size(StoredRecord.Run run) {
+    private int size(StoredRecord.ArchiveRun run) {
         int size = 0;
         for (long jobs = run.jobs() / worthARun; jobs >= FAN; jobs /= FAN) {
             size++;
@@ -335,14 +344,14 @@
     }
 
     /** Runs of like size once there are enough of them, or the smallest when the manifest gets long. */
-    private List<StoredRecord.Run> mergeable() {
-        Map<Integer, List<StoredRecord.Run>> bySize = new TreeMap<>();
-        for (StoredRecord.Run run : manifest.runs()) {
+    private List<StoredRecord.ArchiveRun> mergeable() {
+        Map<Integer, List<StoredRecord.ArchiveRun>> bySize = new TreeMap<>();
+        for (StoredRecord.ArchiveRun run : manifest.runs()) {
             if (!damagedRuns.contains(run.name())) {
                 bySize.computeIfAbsent(size(run), k -> new ArrayList<>()).add(run);
             }
         }
-        for (List<StoredRecord.Run> like : bySize.values()) {
+        for (List<StoredRecord.ArchiveRun> like : bySize.values()) {
             if (like.size() >= FAN) {
                 return List.copyOf(like.subList(0, Math.min(like.size(), MOST_MERGED)));
             }
@@ -350,9 +359,9 @@
         if (manifest.runs().size() < mostRuns - 1) {
             return List.of();
         }
-        List<StoredRecord.Run> smallest = new ArrayList<>();
+        List<StoredRecord.ArchiveRun> smallest = new ArrayList<>();
         bySize.values().forEach(smallest::addAll);
-        smallest.sort(Comparator.comparingLong(StoredRecord.Run::jobs));
+        smallest.sort(Comparator.comparingLong(StoredRecord.ArchiveRun::jobs));
         return smallest.size() < 2 ? List.of() : List.copyOf(smallest.subList(0, Math.min(smallest.size(), FAN)));
     }
 
@@ -361,8 +370,8 @@
             return most < 1
                     ? null
                     : new Write(new Transaction(
-                            List.of(leads(), new Transaction.Compare(StoreKeys.HISTORY, manifestVersion)),
-                            List.of(new Transaction.Write(StoreKeys.HISTORY, named(), 0))));
+                            List.of(leads(), new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, manifestVersion)),
+                            List.of(new Transaction.Write(StoreKeys.ARCHIVE_MANIFEST, named(), 0))));
         }
         if (build.packed == null) {
             String unread = build.content.unread(build.next);
@@ -384,17 +393,17 @@
                 : new Write(new Transaction(
                         List.of(
                                 leads(),
-                                new Transaction.Compare(StoreKeys.HISTORY, manifestVersion),
-                                new Transaction.Compare(build.key(), 0)),
+                                new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, manifestVersion),
+                                new Transaction.Condition(build.key(), 0)),
                         List.of(new Transaction.Write(build.key(), build.packed, 0))));
     }
 
     /** The manifest with the run that was built and without those that went into it. */
-    private StoredRecord.History named() {
-        List<StoredRecord.Run> runs = new ArrayList<>(manifest.runs());
+    private StoredRecord.ArchiveManifest named() {
+        List<StoredRecord.ArchiveRun> runs = new ArrayList<>(manifest.runs());
         runs.removeAll(build.merged);
         runs.add(build.run());
-        return new StoredRecord.History(
+        return new StoredRecord.ArchiveManifest(
                 manifest.sinceVersion() == 0 ? manifestVersion : manifest.sinceVersion(),
                 manifest.saltA(),
                 manifest.saltB(),
@@ -424,14 +433,14 @@
     /** The first key of the archive after the one asked for, null if there is none. */
     public void listed(String key) {
         underWay = false;
-        if (key == null || !key.startsWith(StoreKeys.SEGMENTS)) {
+        if (key == null || !key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
             swept = true;
             return;
         }
-        int slash = key.indexOf('/', StoreKeys.SEGMENTS.length());
-        String name = slash < 0 ? "" : key.substring(StoreKeys.SEGMENTS.length(), slash);
+        int slash = key.indexOf('/', StoreKeys.ARCHIVE_SEGMENTS.length());
+        String name = slash < 0 ? "" : key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), slash);
         if (manifest.runs().stream().anyMatch(run -> run.name().equals(name))) {
-            sweptTo = StoreKeys.SEGMENTS + name + PAST;
+            sweptTo = StoreKeys.ARCHIVE_SEGMENTS + name + PAST;
         } else {
             leftovers.add(key);
             sweptTo = key;
@@ -448,7 +457,7 @@
     /** A segment that a merge needs is missing or not what was written: its run stays as it is. */
     public void damaged(String key) {
         underWay = false;
-        damagedRuns.add(key.substring(StoreKeys.SEGMENTS.length(), key.lastIndexOf('/')));
+        damagedRuns.add(key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), key.lastIndexOf('/')));
         if (build != null) {
             abandon();
         }
@@ -458,9 +467,9 @@
     public void written(long revision) {
         underWay = false;
         Transaction.Write first = writing.writes().get(0);
-        if (first.row() instanceof StoredRecord.Segment) {
+        if (first.record() instanceof StoredRecord.ArchiveSegment) {
             segmentStored();
-        } else if (first.row() instanceof StoredRecord.History history) {
+        } else if (first.record() instanceof StoredRecord.ArchiveManifest history) {
             stored(history, revision);
         } else {
             writing.writes().forEach(this::removed);
@@ -474,10 +483,10 @@
         build.next++;
     }
 
-    private void stored(StoredRecord.History history, long version) {
+    private void stored(StoredRecord.ArchiveManifest history, long version) {
         manifest = history;
         manifestVersion = version;
-        for (StoredRecord.Run run : build.merged) {
+        for (StoredRecord.ArchiveRun run : build.merged) {
             for (int number = 0; number < run.segments(); number++) {
                 leftovers.add(StoreKeys.segment(run.name(), number));
             }
@@ -489,12 +498,12 @@
             // What was begun and given up may have come late until now; from this version on it cannot.
             sweepsAgain = false;
             swept = false;
-            sweptTo = StoreKeys.SEGMENTS;
+            sweptTo = StoreKeys.ARCHIVE_SEGMENTS;
         }
     }
 
     private void removed(Transaction.Write write) {
-        if (write.key().startsWith(StoreKeys.SEGMENTS)) {
+        if (write.key().startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
             leftovers.remove(write.key());
             return;
         }
@@ -509,10 +518,10 @@
     public void conflict(Collection<String> keys) {
         underWay = false;
         Transaction.Write first = writing.writes().get(0);
-        if (first.row() instanceof StoredRecord.Segment && !keys.contains(StoreKeys.HISTORY)) {
+        if (first.record() instanceof StoredRecord.ArchiveSegment && !keys.contains(StoreKeys.ARCHIVE_MANIFEST)) {
             // An earlier try was carried out after all: nobody else uses the name.
             segmentStored();
-        } else if (first.row() != null) {
+        } else if (first.record() != null) {
             manifestInDoubt = true;
         } else {
             for (String key : keys) {
@@ -525,11 +534,11 @@
     /** The outcome of the step under way is not known, or it was certainly not carried out: it is tried again. */
     public void repeat() {
         underWay = false;
-        manifestInDoubt |= writing != null && writing.writes().get(0).row() instanceof StoredRecord.History;
+        manifestInDoubt |= writing != null && writing.writes().get(0).record() instanceof StoredRecord.ArchiveManifest;
     }
 
     /** The manifest as it is stored. A try of ours may still arrive, so it is written again until one try is seen. */
-    public void manifestRead(StoredRecord.History stored, long version) {
+    public void manifestRead(StoredRecord.ArchiveManifest stored, long version) {
         underWay = false;
         manifestInDoubt = false;
         if (build != null && stored.runs().stream().anyMatch(run -> run.name().equals(build.name))) {
@@ -548,12 +557,12 @@
     public boolean refused() {
         underWay = false;
         Transaction.Write first = writing.writes().get(0);
-        if (first.row() instanceof StoredRecord.Segment && segmentBytes > LEAST_SEGMENT_BYTES) {
+        if (first.record() instanceof StoredRecord.ArchiveSegment && segmentBytes > LEAST_SEGMENT_BYTES) {
             segmentBytes = Math.max(LEAST_SEGMENT_BYTES, segmentBytes * 3 / 4);
             again(more(build.segments));
             return true;
         }
-        if (first.row() == null && mostChanges > 1) {
+        if (first.record() == null && mostChanges > 1) {
             mostChanges /= 2;
             return true;
         }
@@ -561,7 +570,7 @@
     }
 
     /** The manifest as far as this leader knows it. */
-    public StoredRecord.History manifest() {
+    public StoredRecord.ArchiveManifest manifest() {
         return manifest;
     }
 }
--- a/src/main/java/io/micatide/archive/HashPartitioner.java
+++ b/src/main/java/io/micatide/archive/HashPartitioner.java
@@ -14,7 +14,7 @@
 
     private final HashFunction hash;
 
-    HashPartitioner(StoredRecord.History manifest) {
+    HashPartitioner(StoredRecord.ArchiveManifest manifest) {
         hash = Hashing.sipHash24(manifest.saltA(), manifest.saltB());
     }
 
--- a/src/main/java/io/micatide/archive/MembershipFilters.java
+++ b/src/main/java/io/micatide/archive/MembershipFilters.java
@@ -26,15 +26,15 @@
     /** Runs with a segment that could not be read: looking there says what is wrong. */
     private final Set<String> unreadable = new HashSet<>();
 
-    private StoredRecord.History manifest;
+    private StoredRecord.ArchiveManifest manifest;
     private HashPartitioner spread;
 
     private static final class Filter {
         final BloomFilter<Long> ids;
-        final StoredRecord.Run run;
+        final StoredRecord.ArchiveRun run;
         int read;
 
-        Filter(StoredRecord.Run run) {
+        Filter(StoredRecord.ArchiveRun run) {
             this.run = run;
             ids = BloomFilter.create(Funnels.longFunnel(), Math.max(1, run.jobs()), MISTAKEN);
         }
@@ -50,7 +50,7 @@
     }
 
     /** From now on questions are about this manifest. */
-    public void manifest(StoredRecord.History now) {
+    public void manifest(StoredRecord.ArchiveManifest now) {
         if (manifest == null || manifest.saltA() != now.saltA() || manifest.saltB() != now.saltB()) {
             spread = new HashPartitioner(now);
         }
@@ -70,12 +70,12 @@
                 .toList();
     }
 
-    private boolean mayHold(StoredRecord.Run run, long hash) {
+    private boolean mayHold(StoredRecord.ArchiveRun run, long hash) {
         Filter filter = byRun.get(run.name());
         return filter == null || !filter.whole() || filter.ids.mightContain(hash);
     }
 
-    private static long bytes(StoredRecord.Run run) {
+    private static long bytes(StoredRecord.ArchiveRun run) {
         return run.jobs() * BITS_A_JOB / Byte.SIZE + 64;
     }
 
@@ -85,8 +85,8 @@
             return null;
         }
         long used = 0;
-        StoredRecord.Run next = null;
-        for (StoredRecord.Run run : manifest.runs()) {
+        StoredRecord.ArchiveRun next = null;
+        for (StoredRecord.ArchiveRun run : manifest.runs()) {
             Filter filter = byRun.get(run.name());
             if (filter != null) {
                 used += bytes(run);
@@ -124,7 +124,7 @@
 
     /** A segment that cannot be had as it was written; its run is asked itself from now on. */
     public void unreadable(String key) {
-        String run = key.substring(StoreKeys.SEGMENTS.length(), key.lastIndexOf('/'));
+        String run = key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), key.lastIndexOf('/'));
         unreadable.add(run);
         byRun.remove(run);
     }
--- a/src/main/java/io/micatide/archive/SegmentCodec.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -34,7 +34,7 @@
     private SegmentCodec() {}
 
     /** The value to store under {@code key}; {@code jobs} in the order of their ids, each once. */
-    public static StoredRecord.Segment pack(String key, List<ArchivedJob> jobs) {
+    public static StoredRecord.ArchiveSegment pack(String key, List<ArchivedJob> jobs) {
         ByteArrayOutputStream plain = new ByteArrayOutputStream(jobs.size() * 8 + 8);
         number(plain, jobs.size());
         byte[] before = new byte[0];
@@ -53,7 +53,7 @@
             number(plain, job.outcome().tasks() << OUTCOME_BITS | kind(job.outcome()));
         }
         byte[] packed = deflated(plain.toByteArray());
-        return new StoredRecord.Segment(digest(key, packed), packed);
+        return new StoredRecord.ArchiveSegment(digest(key, packed), packed);
     }
 
     private static int kind(JobOutcome outcome) {
@@ -65,7 +65,8 @@
      *
      * @throws DamagedSegmentException its digest is wrong, or it does not unpack; the message names the key
      */
-    public static List<ArchivedJob> unpack(String key, StoredRecord.Segment segment) throws DamagedSegmentException {
+    public static List<ArchivedJob> unpack(String key, StoredRecord.ArchiveSegment segment)
+            throws DamagedSegmentException {
         if (!digest(key, segment.packed()).equals(segment.digest())) {
             throw new DamagedSegmentException(key, "digest is wrong");
         }
@@ -100,7 +101,8 @@
      *
      * @throws DamagedSegmentException as {@link #unpack}
      */
-    public static JobOutcome find(String key, StoredRecord.Segment segment, String id) throws DamagedSegmentException {
+    public static JobOutcome find(String key, StoredRecord.ArchiveSegment segment, String id)
+            throws DamagedSegmentException {
         for (ArchivedJob job : unpack(key, segment)) {
             if (job.id().equals(id)) {
                 return job.outcome();
--- a/src/main/java/io/micatide/archive/SegmentMerger.java
+++ b/src/main/java/io/micatide/archive/SegmentMerger.java
@@ -16,16 +16,16 @@
     private final List<Source> sources = new ArrayList<>();
 
     private static final class Source {
-        final StoredRecord.Run run;
+        final StoredRecord.ArchiveRun run;
         int read;
         List<ArchivedJob> held = new ArrayList<>();
 
-        Source(StoredRecord.Run run) {
+        Source(StoredRecord.ArchiveRun run) {
             this.run = run;
         }
     }
 
-    SegmentMerger(HashPartitioner spread, int segments, List<StoredRecord.Run> runs, List<ArchivedJob> jobs) {
+    SegmentMerger(HashPartitioner spread, int segments, List<StoredRecord.ArchiveRun> runs, List<ArchivedJob> jobs) {
         this.spread = spread;
         this.segments = segments;
         runs.forEach(run -> sources.add(new Source(run)));
--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -69,7 +69,7 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.Wish.HOLD, System.out));
+        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.RequestedAction.HOLD, System.out));
     }
 
     @Command(description = "Let a feature go on that was held or taken back.", mixinStandardHelpOptions = true)
@@ -77,7 +77,7 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.Wish.NONE, System.out));
+        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.RequestedAction.NONE, System.out));
     }
 
     @Command(
@@ -87,7 +87,7 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.Wish.BACK, System.out));
+        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.RequestedAction.BACK, System.out));
     }
 
     private int run(Path config, Work work) {
@@ -95,7 +95,7 @@
         if (loaded == null) {
             return Main.EXIT_SETTINGS;
         }
-        try (RateLimitedCalls calls = new RateLimitedCalls(loaded.settings().state(), CALLS_A_SECOND)) {
+        try (RateLimitedCalls calls = new RateLimitedCalls(loaded.settings().store(), CALLS_A_SECOND)) {
             work.run(calls, loaded.settings());
             return 0;
         } catch (RefusedException | MalformedException e) {
@@ -123,10 +123,12 @@
 
     private static FeatureFlags switches(StoreCalls calls) throws RefusedException, MalformedException {
         FeatureFlags switches = new FeatureFlags(Capabilities.ALL);
-        StoreCodec.Item item = item(calls, StoreKeys.FEATURES);
+        StoreCodec.Item item = item(calls, StoreKeys.FEATURE_STAGES);
         switches.seen(
                 item.version(),
-                item.row() == null ? new StoredRecord.Features(Map.of()) : (StoredRecord.Features) item.row());
+                item.row() == null
+                        ? new StoredRecord.FeatureStages(Map.of())
+                        : (StoredRecord.FeatureStages) item.row());
         return switches;
     }
 
@@ -145,29 +147,31 @@
         StoreCodec.Item leader = item(calls, StoreKeys.LEADER);
         String leads = leader.row() == null ? "" : ((StoredRecord.Leader) leader.row()).owner();
         for (String label : labels) {
-            StoredRecord.Here here = roster.here().get(label);
+            StoredRecord.RegisteredController here = roster.here().get(label);
             out.println(label + (label.equals(leads) ? ", leads" : "") + ": "
                     + (here == null
                             ? "not registered"
                             : "build " + here.build()
-                                    + ", knows " + String.join(" ", here.knows()) + ", since "
+                                    + ", knows " + String.join(" ", here.knownFeatures()) + ", since "
                                     + Instant.EPOCH
-                                            .plus(here.sinceWall(), ChronoUnit.MICROS)
+                                            .plus(here.startedWall(), ChronoUnit.MICROS)
                                             .truncatedTo(ChronoUnit.SECONDS)
-                                    + (here.acts() == switches.version() ? "" : ", has not taken in the last step")));
+                                    + (here.actingOnVersion() == switches.version()
+                                            ? ""
+                                            : ", has not taken in the last step")));
         }
         boolean needs = item(calls, StoreKeys.LAYOUT).row() != null;
-        boolean history = item(calls, StoreKeys.HISTORY).row() != null;
+        boolean history = item(calls, StoreKeys.ARCHIVE_MANIFEST).row() != null;
         for (Feature feature : Feature.values()) {
             FeatureStage stage = feature == Feature.NEEDS
                     ? marked(needs)
                     : feature == Feature.HISTORY ? marked(history) : switches.stage(feature);
-            StoredRecord.Wish wish = roster.asked(feature);
+            StoredRecord.RequestedAction wish = roster.asked(feature);
             List<String> missing = feature.next(stage) == null ? List.of() : roster.missing(feature);
             out.println(feature.key() + ": " + stage
-                    + (wish == StoredRecord.Wish.NONE
+                    + (wish == StoredRecord.RequestedAction.NONE
                             ? ""
-                            : ", asked to " + (wish == StoredRecord.Wish.HOLD ? "stay" : "go back"))
+                            : ", asked to " + (wish == StoredRecord.RequestedAction.HOLD ? "stay" : "go back"))
                     + (missing.isEmpty() ? "" : ", waits: " + String.join(", ", missing)));
         }
         switches.unknown().forEach(each -> out.println(each + ": in use, and not known to this version"));
@@ -181,17 +185,17 @@
      * On condition of the row as it was read, and the row never goes: what an operator asked for first and that arrives minutes late must not
      * undo what was asked for since.
      */
-    private static void write(StoreCalls calls, String name, StoredRecord.Wish wish)
+    private static void write(StoreCalls calls, String name, StoredRecord.RequestedAction wish)
             throws RefusedException, MalformedException {
-        String key = StoreKeys.asked(name);
+        String key = StoreKeys.featureRequest(name);
         for (int tries = 0; tries < TRIES; tries++) {
             StoreCodec.Item there = item(calls, key);
-            if (there.row() instanceof StoredRecord.Ask ask && ask.wish() == wish) {
+            if (there.row() instanceof StoredRecord.FeatureRequest ask && ask.action() == wish) {
                 return;
             }
             byte[] body = StoreCodec.transaction(new Transaction(
-                    List.of(new Transaction.Compare(key, there.version())),
-                    List.of(new Transaction.Write(key, new StoredRecord.Ask(wish), 0))));
+                    List.of(new Transaction.Condition(key, there.version())),
+                    List.of(new Transaction.Write(key, new StoredRecord.FeatureRequest(wish), 0))));
             if (calls.post("/txn", body).ok()) {
                 return;
             }
@@ -201,7 +205,7 @@
                 "the state service does not take it; nothing is known to have changed, ask for the status");
     }
 
-    static void ask(StoreCalls calls, String name, StoredRecord.Wish wish, PrintStream out)
+    static void ask(StoreCalls calls, String name, StoredRecord.RequestedAction wish, PrintStream out)
             throws RefusedException, MalformedException {
         Feature feature = Feature.of(name);
         if (feature == null) {
@@ -212,7 +216,7 @@
             throw new RefusedException(name + " comes with the layout: it can be neither held nor taken back");
         }
         FeatureStage stage = switches(calls).stage(feature);
-        if (wish == StoredRecord.Wish.BACK && stage == FeatureStage.CLEAN) {
+        if (wish == StoredRecord.RequestedAction.BACK && stage == FeatureStage.CLEAN) {
             throw new RefusedException(name + " cannot go back: its former form is gone");
         }
         write(calls, name, wish);
--- a/src/main/java/io/micatide/cli/ServeCommand.java
+++ b/src/main/java/io/micatide/cli/ServeCommand.java
@@ -27,7 +27,7 @@
         }
         try (ControllerServer node = new ControllerServer(loaded.settings(), loaded.tuning())) {
             node.start();
-            if (loaded.tuning().standby()) {
+            if (loaded.tuning().standbyEnabled()) {
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> end(node), "end"));
             }
             node.join();
--- a/src/main/java/io/micatide/cli/SettingsFiles.java
+++ b/src/main/java/io/micatide/cli/SettingsFiles.java
@@ -22,7 +22,7 @@
         Path file = config;
         try {
             Settings settings = SettingsReader.read(config);
-            String unkept = CancellationHorizon.unkept(settings);
+            String unkept = CancellationHorizon.violationOf(settings);
             if (unkept != null) {
                 System.err.println(config + ": " + unkept);
             }
--- a/src/main/java/io/micatide/cli/SnapshotCommand.java
+++ b/src/main/java/io/micatide/cli/SnapshotCommand.java
@@ -52,7 +52,7 @@
                     if (Files.exists(file)) {
                         throw new SnapshotException(file + ": is there already");
                     }
-                    try (RateLimitedCalls calls = new RateLimitedCalls(settings.state(), rate(rate, settings))) {
+                    try (RateLimitedCalls calls = new RateLimitedCalls(settings.store(), rate(rate, settings))) {
                         StoreImage image = new SnapshotTaker(calls, System.err::println).take();
                         SnapshotFile.write(
                                 file,
@@ -105,9 +105,12 @@
                                 "say either --machines-gone or --advance: workers that have seen the former service's tokens,"
                                         + " up to " + content.image().revision() + ", listen to no lower one");
                     }
-                    try (RateLimitedCalls calls = new RateLimitedCalls(settings.state(), rate(rate, settings))) {
+                    try (RateLimitedCalls calls = new RateLimitedCalls(settings.store(), rate(rate, settings))) {
                         new SnapshotRestorer(
-                                        calls, settings.transactionOps(), settings.writableBytes(), System.err::println)
+                                        calls,
+                                        settings.maxTransactionWrites(),
+                                        settings.maxWritableValueBytes(),
+                                        System.err::println)
                                 .restore(content.image(), content.digest(), advance);
                     }
                 });
@@ -121,7 +124,9 @@
     private static double rate(Double asked, Settings settings) {
         return asked != null
                 ? asked
-                : Math.max(1, Math.min(settings.stateRate(), settings.writeRate()) / SHARE_OF_RATE);
+                : Math.max(
+                        1,
+                        Math.min(settings.storeRequestsPerSecond(), settings.storeWritesPerSecond()) / SHARE_OF_RATE);
     }
 
     private static byte[] secret(Path key) throws SnapshotException, IOException {
--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -28,7 +28,7 @@
     sealed interface Message {}
 
     /** Questions from now on are about this manifest. */
-    record Manifest(StoredRecord.History manifest) implements Message {}
+    record Manifest(StoredRecord.ArchiveManifest manifest) implements Message {}
 
     /** Asks for a job by the last manifest told; {@code then} is called on the event loop, once. */
     record Find(String id, Consumer<Found> then) implements Message {}
@@ -100,7 +100,7 @@
         }
     }
 
-    private void manifest(StoredRecord.History manifest) {
+    private void manifest(StoredRecord.ArchiveManifest manifest) {
         if (filters == null) {
             filters = new MembershipFilters(FILTER_BYTES);
             cache = CacheBuilder.newBuilder()
@@ -150,11 +150,12 @@
         String key = message.key();
         List<Question> waiting = reading.remove(key);
         Reply reply = message.reply();
-        StoredRecord.Segment segment = null;
+        StoredRecord.ArchiveSegment segment = null;
         Found failure = new Unavailable();
         try {
             if (reply.ok()) {
-                segment = (StoredRecord.Segment) StoreCodec.item(reply.body()).row();
+                segment = (StoredRecord.ArchiveSegment)
+                        StoreCodec.item(reply.body()).row();
             } else if (reply.status() == 404) {
                 failure = new Moved();
             }
@@ -181,7 +182,7 @@
         }
     }
 
-    private Found found(String key, StoredRecord.Segment segment, String id) throws DamagedSegmentException {
+    private Found found(String key, StoredRecord.ArchiveSegment segment, String id) throws DamagedSegmentException {
         JobOutcome outcome = SegmentCodec.find(key, segment, id);
         if (outcome == null) {
             return new Nowhere();
@@ -232,7 +233,7 @@
         tellLater(new FilterDue(), micros);
     }
 
-    private void filterRead(String key, StoredRecord.Segment segment) throws DamagedSegmentException {
+    private void filterRead(String key, StoredRecord.ArchiveSegment segment) throws DamagedSegmentException {
         filterKey = null;
         if (segment != null) {
             filters.read(key, SegmentCodec.unpack(key, segment));
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -23,7 +23,7 @@
     sealed interface Message {}
 
     /** A term whose leader keeps the archive begins, or the archive itself does. */
-    record Begin(long fencingToken, StoredRecord.History manifest, long version) implements Message {}
+    record Begin(long fencingToken, StoredRecord.ArchiveManifest manifest, long version) implements Message {}
 
     record End() implements Message {}
 
@@ -69,8 +69,8 @@
             fencingToken = m.fencingToken();
             archivist = maker.make(
                     fencingToken,
-                    settings.writableBytes(),
-                    settings.transactionOps(),
+                    settings.maxWritableValueBytes(),
+                    settings.maxTransactionWrites(),
                     worthARun,
                     m.manifest(),
                     m.version());
@@ -103,9 +103,9 @@
         } else if (step instanceof Archiver.ReadSegment read) {
             state.read(read.key(), then(step));
         } else if (step instanceof Archiver.FindAfter find) {
-            state.after(StoreKeys.SEGMENTS, find.key(), then(step));
+            state.after(StoreKeys.ARCHIVE_SEGMENTS, find.key(), then(step));
         } else if (step instanceof Archiver.ReadManifest) {
-            state.read(StoreKeys.HISTORY, then(step));
+            state.read(StoreKeys.ARCHIVE_MANIFEST, then(step));
         }
     }
 
@@ -127,7 +127,7 @@
             archivist.listed(items.isEmpty() ? null : items.get(0).key());
         } else if (step instanceof Archiver.ReadManifest && reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
-            archivist.manifestRead((StoredRecord.History) item.row(), item.version());
+            archivist.manifestRead((StoredRecord.ArchiveManifest) item.row(), item.version());
         } else {
             resumesMicros = now() + PAUSE_MICROS;
             archivist.repeat();
@@ -161,7 +161,7 @@
     private void segment(String key, Reply reply) {
         try {
             if (reply.ok()) {
-                archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.Segment)
+                archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
                         StoreCodec.item(reply.body()).row()));
                 return;
             }
--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -38,7 +38,7 @@
 
     void fresh(LeaderActor.StateFresh message) {
         revision = Math.max(revision, message.revision());
-        proof.read(message.askedMicros());
+        proof.storeRead(message.askedMicros());
     }
 
     // ---- a leader
@@ -53,24 +53,24 @@
 
     /** What a sibling named is in the copy, and the term has been told. */
     void takenIn(LeaderActor.TakenIn message) {
-        if (!proof.testified(message.sibling(), message.word(), message.askedMicros(), message.heardMicros())) {
+        if (!proof.digestReceived(message.sibling(), message.word(), message.askedMicros(), message.heardMicros())) {
             LOG.debug(
                     "{} leaves a gap: lived {} us, whole {}",
-                    message.word().label(),
-                    message.word().livedMicros(),
-                    message.word().whole());
+                    message.word().controller(),
+                    message.word().uptimeMicros(),
+                    message.word().complete());
         }
     }
 
     /** Whether workers may be answered; logs each change. */
     boolean mayAnswer(long now) {
-        boolean may = proof.mayAnswer(now);
+        boolean may = proof.mayAnswerWorkers(now);
         if (may == stopped) {
             stopped = !may;
             if (stopped) {
                 LOG.warn(
                         "has read no cancellations for too long, and lacks the word of {}: workers are not answered any more",
-                        proof.missing(now));
+                        proof.laggingControllers(now));
             } else {
                 LOG.info("knows of all cancellations again: workers are answered");
             }
--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -72,9 +72,9 @@
             request.answer(200, JobCodec.accepted(id, owner.standing(entry)));
             return;
         }
-        StoredRecord.JobRow row = cancelledRow(entry);
+        StoredRecord.JobRecord row = cancelledRow(entry);
         Transaction put = new Transaction(
-                List.of(new Transaction.Compare(StoreKeys.job(id), entry.version())),
+                List.of(new Transaction.Condition(StoreKeys.job(id), entry.version())),
                 List.of(new Transaction.Write(StoreKeys.job(id), row, 0)));
         state.transaction(put, owner.answer(r -> new UsersActor.Cancelled(r, request, row, id, tries)));
     }
@@ -83,17 +83,23 @@
      * The description stays: a leader that finds tasks of the job has to know what they take of their team's limit. What was
      * accepted under a larger limit of the state service keeps only that.
      */
-    private StoredRecord.JobRow cancelledRow(JobCache.Entry entry) {
-        StoredRecord.JobRow open = entry.row();
-        boolean checked = directory.history() != null;
-        StoredRecord.JobRow whole = new StoredRecord.JobRow(
-                        JobState.CANCELLED, open.spec().withNeeds(List.of()), open.submittedWall(), open.tasks())
-                .asChecked(checked);
-        return StoreCodec.size(whole) <= settings.writableBytes()
+    private StoredRecord.JobRecord cancelledRow(JobCache.Entry entry) {
+        StoredRecord.JobRecord open = entry.record();
+        boolean checked = directory.archiveManifest() != null;
+        StoredRecord.JobRecord whole = new StoredRecord.JobRecord(
+                        JobState.CANCELLED,
+                        open.spec().withDependencies(List.of()),
+                        open.submittedWall(),
+                        open.taskCount())
+                .withCheckedAgainstArchive(checked);
+        return StoreCodec.size(whole) <= settings.maxWritableValueBytes()
                 ? whole
-                : new StoredRecord.JobRow(
-                                JobState.CANCELLED, open.spec().essentials(), open.submittedWall(), open.tasks())
-                        .asChecked(checked);
+                : new StoredRecord.JobRecord(
+                                JobState.CANCELLED,
+                                open.spec().withPlacementFieldsOnly(),
+                                open.submittedWall(),
+                                open.taskCount())
+                        .withCheckedAgainstArchive(checked);
     }
 
     void cancelled(UsersActor.Cancelled message) {
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -57,17 +57,17 @@
         try {
             if (message.call() instanceof CloudCall.Rent rent) {
                 if (reply.ok()) {
-                    scheduler.rented(rent.booking(), CloudCodec.rented(reply.body()), now);
+                    scheduler.machinesRented(rent.requestName(), CloudCodec.rented(reply.body()), now);
                 } else if (reply.status() == 503 && CloudCodec.isNoCapacity(reply.body())) {
-                    scheduler.noCapacity(rent.booking(), now);
+                    scheduler.noCapacity(rent.requestName(), now);
                 } else if (reply.notExecuted()) {
-                    scheduler.rentNotExecuted(rent.booking());
+                    scheduler.provisioningNotExecuted(rent.requestName());
                 } else {
-                    scheduler.rentUnanswered(rent.booking(), now);
+                    scheduler.provisioningUnanswered(rent.requestName(), now);
                 }
             } else if (message.call() instanceof CloudCall.Delete delete) {
                 if (reply.ok()) {
-                    scheduler.deleted(delete.machines(), now);
+                    scheduler.machinesDeleted(delete.machines(), now);
                 }
             } else if (message.call() instanceof CloudCall.ListTypes && reply.ok()) {
                 typesKnown(CloudCodec.types(reply.body()), now);
@@ -80,19 +80,20 @@
     /** As the state service has them. */
     void typesLoaded(List<MachineType> types, long now) {
         storedTypes = types;
-        scheduler.typesKnown(types, now);
+        scheduler.machineTypesChanged(types, now);
     }
 
     private void typesKnown(List<MachineType> types, long now) {
-        scheduler.typesKnown(types, now);
+        scheduler.machineTypesChanged(types, now);
         users.tell(new UsersActor.TypesKnown(types));
         if (!types.equals(storedTypes)) {
             storedTypes = types;
             long fencingToken = scheduler.fencingToken();
             state.transaction(
                     new Transaction(
-                            List.of(new Transaction.Compare(StoreKeys.LEADER, fencingToken)),
-                            List.of(new Transaction.Write(StoreKeys.TYPES, new StoredRecord.Types(types), 0))),
+                            List.of(new Transaction.Condition(StoreKeys.LEADER, fencingToken)),
+                            List.of(new Transaction.Write(
+                                    StoreKeys.MACHINE_TYPES, new StoredRecord.MachineTypes(types), 0))),
                     owner.answer(r -> new TermMessage.TypesStored(r, fencingToken)));
         }
     }
@@ -116,13 +117,13 @@
                             owner.answer(r -> new TermMessage.ListRead(
                                     r, message.fencingToken(), message.askedMicros(), machines)));
                 } else {
-                    scheduler.listed(machines, message.askedMicros(), now);
+                    scheduler.machinesListed(machines, message.askedMicros(), now);
                 }
                 return;
             } catch (MalformedException e) {
                 LOG.error("cloud: {}", e.getMessage());
             }
         }
-        scheduler.listed(null, message.askedMicros(), now);
+        scheduler.machinesListed(null, message.askedMicros(), now);
     }
 }
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -45,7 +45,8 @@
             Capabilities abilities) {
         StoreClient state = new StoreClient(settings, connector, loop::now);
         CloudClient cloud = new CloudClient(settings, connector, loop::now);
-        this.users = new UsersActor(loop, settings, state, cloud, tuning.description() ? new ApiDescription() : null);
+        this.users = new UsersActor(
+                loop, settings, state, cloud, tuning.apiDescriptionServed() ? new ApiDescription() : null);
         this.leader = new LeaderActor(loop, settings, tuning, state, cloud, users, connector, maker, copies, abilities);
     }
 
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -53,14 +53,14 @@
     @Override
     protected void receive(Message message) {
         if (message instanceof Begin) {
-            tell(new Read(StoreKeys.TYPES, null));
-            tell(new Read(StoreKeys.FENCE, null));
-            tell(new Read(StoreKeys.LEARNED, null));
-            tell(new Read(StoreKeys.RETURNS, null));
+            tell(new Read(StoreKeys.MACHINE_TYPES, null));
+            tell(new Read(StoreKeys.PROVISIONING_FENCE, null));
+            tell(new Read(StoreKeys.LEARNED_STATE, null));
+            tell(new Read(StoreKeys.MACHINE_DELETIONS, null));
             if (standby != null) {
                 standby.tell(new StandbyActor.Bring(fencingToken, this));
             } else {
-                tell(new Brought(StoreKeys.BOOKINGS, null));
+                tell(new Brought(StoreKeys.PROVISIONING_REQUESTS, null));
                 tell(new Brought(StoreKeys.LEDGERS, null));
             }
         } else if (message instanceof JobsKnown) {
@@ -74,7 +74,7 @@
                 give(m);
             }
         } else if (message instanceof Read m) {
-            if (m.prefix().equals(StoreKeys.TYPES) || m.prefix().equals(StoreKeys.FENCE)) {
+            if (m.prefix().equals(StoreKeys.MACHINE_TYPES) || m.prefix().equals(StoreKeys.PROVISIONING_FENCE)) {
                 state.read(m.prefix(), answer(r -> new Answered(r, m)));
             } else {
                 state.list(m.prefix(), m.after(), answer(r -> new Answered(r, m)));
@@ -103,9 +103,9 @@
 
     private void answered(Answered message) {
         try {
-            if (message.asked().prefix().equals(StoreKeys.TYPES)) {
+            if (message.asked().prefix().equals(StoreKeys.MACHINE_TYPES)) {
                 types(message.asked(), message.reply());
-            } else if (message.asked().prefix().equals(StoreKeys.FENCE)) {
+            } else if (message.asked().prefix().equals(StoreKeys.PROVISIONING_FENCE)) {
                 fence(message.asked(), message.reply());
             } else {
                 page(message.asked(), message.reply());
@@ -119,7 +119,7 @@
     private void types(Read asked, Reply reply) throws MalformedException {
         if (reply.ok()) {
             List<MachineType> types =
-                    ((StoredRecord.Types) StoreCodec.item(reply.body()).row()).types();
+                    ((StoredRecord.MachineTypes) StoreCodec.item(reply.body()).row()).types();
             leader.tell(new TermMessage.TypesLoaded(fencingToken, types));
         } else if (reply.status() != 404) {
             tellLater(asked, RETRY_MICROS);
@@ -147,7 +147,7 @@
         if (page.more() && !page.items().isEmpty()) {
             tell(new Read(
                     asked.prefix(), page.items().get(page.items().size() - 1).key()));
-        } else if (!asked.prefix().equals(StoreKeys.LEARNED)) {
+        } else if (!asked.prefix().equals(StoreKeys.LEARNED_STATE)) {
             // What was learned is waited for by nobody.
             leader.tell(new TermMessage.PartLoaded(fencingToken));
         }
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -66,7 +66,8 @@
         this.directory = directory;
         // All controllers together take about a third of the requests for this.
         this.refreshEveryMicros = Math.max(
-                50 * Micros.MILLISECOND, (settings.siblings().size() + 1) * Micros.ofSeconds(3 / settings.stateRate()));
+                50 * Micros.MILLISECOND,
+                (settings.siblings().size() + 1) * Micros.ofSeconds(3 / settings.storeRequestsPerSecond()));
     }
 
     /** Whether the copy has been read whole. */
@@ -93,7 +94,7 @@
 
     /** Jobs that a sibling knows as cancelled; {@code then} is told to the leader's actor after what follows from them. */
     void takeIn(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then) {
-        jobs.forEach(job -> changed(directory.cancelledElsewhere(job.job(), job.version())));
+        jobs.forEach(job -> changed(directory.markCancelled(job.job(), job.version())));
         if (then != null) {
             own.tell(then);
         }
@@ -139,7 +140,7 @@
                 readPage(last);
             } else {
                 loaded = true;
-                directory.readWhole();
+                directory.allRead();
                 settleDoubts();
                 LOG.info("job rows loaded, {} open", directory.open().size());
                 refresh();
@@ -157,15 +158,15 @@
                 directory.removed(name, item.version());
                 owner.over(name);
             }
-        } else if (item.row() instanceof StoredRecord.History manifest) {
+        } else if (item.row() instanceof StoredRecord.ArchiveManifest manifest) {
             historyKnown(item.version(), manifest);
-        } else if (item.row() instanceof StoredRecord.Features features) {
+        } else if (item.row() instanceof StoredRecord.FeatureStages features) {
             own.tell(new LeaderActor.SwitchesSeen(item.version(), features));
-        } else if (item.row() instanceof StoredRecord.JobRow row) {
+        } else if (item.row() instanceof StoredRecord.JobRecord row) {
             apply(name, row, item.version());
-        } else if (item.row() instanceof StoredRecord.Needs needs) {
+        } else if (item.row() instanceof StoredRecord.FurtherDependencies needs) {
             int slash = name.indexOf('/');
-            changed(directory.applyNeeds(
+            changed(directory.applyDependencies(
                     name.substring(0, slash),
                     Integer.parseInt(name.substring(name.lastIndexOf('/') + 1)),
                     needs.names()));
@@ -174,8 +175,8 @@
         }
     }
 
-    private void historyKnown(long version, StoredRecord.History manifest) {
-        directory.historyKnown(version, manifest);
+    private void historyKnown(long version, StoredRecord.ArchiveManifest manifest) {
+        directory.archiveManifestRead(version, manifest);
         history.tell(new ArchiveReader.Manifest(manifest));
         if (leader != null) {
             leader.tell(new LeaderActor.HistorySeen(version, manifest));
@@ -189,7 +190,7 @@
         }
     }
 
-    void apply(String id, StoredRecord.JobRow row, long version) {
+    void apply(String id, StoredRecord.JobRecord row, long version) {
         changed(directory.apply(id, row, version));
     }
 
@@ -243,7 +244,7 @@
                 changes.items().stream()
                         .sorted(Comparator.comparingLong(StoreCodec.Item::version))
                         .forEach(this::apply);
-                directory.upTo(changes.revision());
+                directory.advanceTo(changes.revision());
                 settleDoubts();
                 fresh = true;
             } catch (MalformedException e) {
@@ -263,8 +264,9 @@
                     if (directory.layoutVersion() > 0) {
                         leader.tell(new LeaderActor.LayoutSeen(directory.layoutVersion(), directory.layout()));
                     }
-                    if (directory.history() != null) {
-                        leader.tell(new LeaderActor.HistorySeen(directory.historyVersion(), directory.history()));
+                    if (directory.archiveManifest() != null) {
+                        leader.tell(
+                                new LeaderActor.HistorySeen(directory.archiveVersion(), directory.archiveManifest()));
                     }
                     leader.tell(new LeaderActor.JobsSeen(directory.openAndCancelled()));
                 }
@@ -288,7 +290,7 @@
 
     /** Rows of a former version may be of jobs that were archived long ago: nothing of them is told or started before that is known. */
     void settleDoubts() {
-        for (JobCache.Entry entry : directory.doubtful()) {
+        for (JobCache.Entry entry : directory.unverified()) {
             if (doubts.add(entry.id())) {
                 history.tell(new ArchiveReader.Find(
                         entry.id(), found -> owner.tell(new UsersActor.DoubtSettled(entry.id(), found))));
@@ -300,9 +302,9 @@
         doubts.remove(message.id());
         if (message.found() instanceof ArchiveReader.Archived) {
             LOG.warn("{} has a row again although it is archived: a former version wrote it; it will go", message.id());
-            directory.ghost(message.id());
+            directory.markStale(message.id());
         } else if (message.found() instanceof ArchiveReader.Nowhere) {
-            changed(directory.sound(message.id()));
+            changed(directory.markVerified(message.id()));
         } else {
             owner.tellLater(new UsersActor.DoubtsDue(), DOUBTS_MICROS);
         }
@@ -311,10 +313,10 @@
     void findEnded(long fencingToken) {
         if (leader == null
                 || !loaded
-                || (directory.ended().isEmpty() && directory.ghosts().isEmpty())) {
+                || (directory.ended().isEmpty() && directory.staleRecords().isEmpty())) {
             return;
         }
-        Set<String> needed = directory.needed();
+        Set<String> needed = directory.dependencies();
         List<Archiver.Ended> result = new ArrayList<>();
         for (JobCache.Entry entry : directory.ended()) {
             if (result.size() >= MOST_ENDED) {
@@ -322,10 +324,10 @@
             }
             if (!needed.contains(entry.id())) {
                 result.add(new Archiver.Ended(
-                        entry.id(), entry.version(), JobOutcome.of(entry.row()), directory.furtherRows(entry.id())));
+                        entry.id(), entry.version(), JobOutcome.of(entry.record()), directory.furtherRows(entry.id())));
             }
         }
-        directory.ghosts().forEach((id, version) -> result.add(new Archiver.Ended(id, version, null, 0)));
-        leader.tell(new TermMessage.EndedFound(fencingToken, result, directory.historyVersion()));
+        directory.staleRecords().forEach((id, version) -> result.add(new Archiver.Ended(id, version, null, 0)));
+        leader.tell(new TermMessage.EndedFound(fencingToken, result, directory.archiveVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -80,10 +80,10 @@
     record LayoutSeen(long version, StoredRecord.Layout layout) implements Message {}
 
     /** The archive's manifest, as the copy of the rows has it. */
-    record HistorySeen(long version, StoredRecord.History manifest) implements Message {}
+    record HistorySeen(long version, StoredRecord.ArchiveManifest manifest) implements Message {}
 
     /** The switches, as the copy of the rows has them. */
-    record SwitchesSeen(long version, StoredRecord.Features row) implements Message {}
+    record SwitchesSeen(long version, StoredRecord.FeatureStages row) implements Message {}
 
     record SwitchesRead(Reply reply) implements Message {}
 
@@ -177,13 +177,14 @@
         this.connector = connector;
         this.siblings = new PeerChannel(this, settings, connector);
         this.activeMicros = now();
-        this.archivist = new ArchiverActor(loop, settings, tuning.historyBatch(), maker, state, this);
+        this.archivist = new ArchiverActor(loop, settings, tuning.archiveBatchSize(), maker, state, this);
         this.reach = new WorkerConnectivity(settings, now());
         this.testimonies = new CancellationExchange(settings, users);
         this.leadership = new LeaderElection(settings.label(), tuning.leaderLeaseMicros());
         this.rollout = new RolloutParticipant(this, settings, abilities, state, users);
         this.claims = new LeaderLease(this, settings.label(), state, leadership, rollout);
-        StandbyActor standby = tuning.standby() ? new StandbyActor(loop, settings, state, users, this, copies) : null;
+        StandbyActor standby =
+                tuning.standbyEnabled() ? new StandbyActor(loop, settings, state, users, this, copies) : null;
         this.following = new StandbyCoordinator(this, settings, siblings, claims, standby, now());
     }
 
@@ -275,8 +276,8 @@
             handOver.advance(now);
             return;
         }
-        rollout.advance(leadership.lease(), now);
-        claims.advance(now, following.waits(reach.reached(now), now));
+        rollout.advance(leadership.leaseId(), now);
+        claims.advance(now, following.waits(reach.isConnected(now), now));
     }
 
     /** The switches are not as they were. */
@@ -306,7 +307,7 @@
         long now = now();
         if (now - activeMicros > STALL_MICROS) {
             log.warn("process paused for {} ms", (now - activeMicros) / Micros.MILLISECOND);
-            reach.stalled(now);
+            reach.processPaused(now);
             if (term != null) {
                 term.resumed(now);
             }
@@ -324,20 +325,20 @@
     /** The lease was renewed. */
     void leaseRenewed() {
         if (term != null) {
-            term.holdsUntil(leadership.holdsUntilMicros());
+            term.holdsUntil(leadership.leaseHeldUntilMicros());
         }
     }
 
     /** A write was refused on condition of the token. */
     void fenced() {
-        leadership.depose();
+        leadership.stepDown();
         leadership.forgetRow();
         checkDeposed();
     }
 
     /** The highest token that a worker has seen: a higher one than ours means that another controller leads. */
     void tokenSeen(long fencingToken) {
-        if (fencingToken > 0 && leadership.higherToken(fencingToken, null)) {
+        if (fencingToken > 0 && leadership.observeToken(fencingToken, null)) {
             checkDeposed();
         }
     }
@@ -346,10 +347,10 @@
     void begin(long fencingToken, long now) {
         log.info("became leader with fencing token {}", fencingToken);
         Scheduler scheduler = new Scheduler(settings, tuning, fencingToken, now);
-        scheduler.holdsUntil(leadership.holdsUntilMicros());
+        scheduler.leaseHeldUntil(leadership.leaseHeldUntilMicros());
         siblings.begin();
         following.begin(fencingToken, now);
-        reach.begin(now);
+        reach.termStarted(now);
         term = new LeaderTerm(
                 this,
                 users,
@@ -378,7 +379,7 @@
             return;
         }
         if (term.loaded()) {
-            if (reach.worried(now)) {
+            if (reach.shouldAskPeers(now)) {
                 siblings.askAfterWorkers(newsOf(now), now);
             }
             if (handOver == null) {
@@ -403,7 +404,7 @@
     private PeerChannel.Now newsOf(long now) {
         return new PeerChannel.Now(
                 term.fencingToken(),
-                state.reach().reached(now),
+                state.reach().isConnected(now),
                 reach.silentMicros(now),
                 following.appoint(now),
                 rollout.switches().version(),
@@ -428,12 +429,12 @@
         if (term == null) {
             String leader = leadership.leader();
             long now = now();
-            reach.cameHere(heartbeat, leadership.highestToken(), now);
-            boolean nobody = settings.label().equals(leader) || reach.leaderLost(now);
+            reach.heartbeatRedirected(heartbeat, leadership.highestFencingToken(), now);
+            boolean nobody = settings.label().equals(leader) || reach.isLeaderUnreachable(now);
             request.answer(421, WorkerCodec.elsewhere(nobody ? null : leader));
             return;
         }
-        reach.heard(now());
+        reach.heartbeatReceived(now());
         if (!testimonies.mayAnswer(now())) {
             request.answer(503, TOO_LONG);
             return;
@@ -448,7 +449,7 @@
      * lost, the lease ends by itself.
      */
     private void resignIfUnreached(long now) {
-        if (term != null && reach.givesUp(state.reach().reached(now), now)) {
+        if (term != null && reach.shouldResign(state.reach().isConnected(now), now)) {
             log.warn(
                     "gives up term {}: no worker has come for {} ms, and they come to a sibling",
                     term.fencingToken(),
@@ -462,18 +463,18 @@
     private void peerNews(Request request) {
         try {
             PeerCodec.News news = PeerCodec.news(request.body());
-            if (leadership.higherToken(news.fencingToken(), news.leader())) {
+            if (leadership.observeToken(news.fencingToken(), news.leader())) {
                 checkDeposed();
             }
             long now = now();
-            if (news.fencingToken() == leadership.highestToken()) {
-                reach.leaderSilent(news.silentMicros(), now);
+            if (news.fencingToken() == leadership.highestFencingToken()) {
+                reach.leaderReportedSilence(news.silentMicros(), now);
             }
             rollout.newerThere(news.switches());
             if (news.stateServed()) {
-                state.reach().siblingServed(now);
+                state.reach().peerServed(now);
             }
-            if (term == null && news.fencingToken() == leadership.highestToken()) {
+            if (term == null && news.fencingToken() == leadership.highestFencingToken()) {
                 users.tell(new UsersActor.Progress(news.first(), news.jobs()));
                 following.told(news, now);
             }
@@ -485,10 +486,10 @@
 
     private PeerCodec.Answer ownAnswer(long now) {
         return new PeerCodec.Answer(
-                leadership.highestToken(),
-                reach.strayedAgoMicros(now),
+                leadership.highestFencingToken(),
+                reach.lastStrayAgoMicros(now),
                 Settings.LAYOUT,
-                state.reach().reached(now),
+                state.reach().isConnected(now),
                 handOver != null ? null : following.readiness(now));
     }
 
@@ -537,11 +538,11 @@
         }
         try {
             PeerCodec.Answer answer = PeerCodec.answer(reply.body());
-            if (leadership.higherToken(answer.fencingToken(), null)) {
+            if (leadership.observeToken(answer.fencingToken(), null)) {
                 checkDeposed();
             }
             long now = now();
-            reach.strayedElsewhere(answer.strayedAgoMicros(), now);
+            reach.peerReportedStray(answer.strayedAgoMicros(), now);
             resignIfUnreached(now);
             if (term != null && term.fencingToken() == message.fencingToken()) {
                 testimonies.heard(message.sibling(), answer.testimony(), message.askedMicros(), now);
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -55,7 +55,7 @@
      * gone, as for the claim of its own row; and what it had sent is fenced by the next claim either way.
      */
     void leaveFormerRow() {
-        if (formerLease != 0 && formerLease != leadership.lease()) {
+        if (formerLease != 0 && formerLease != leadership.leaseId()) {
             LOG.info("ends the lease of its former life for others to lead");
             state.endLease(formerLease, reply -> LOG.debug("lease of the former life: {}", reply.status()));
         }
@@ -73,17 +73,19 @@
                     owner.answer(LeaderActor.Watched::new));
         }
         // Whoever does not know what is stored leads nobody, and while that is not read nobody knows.
-        switch (leadership.next(now, rollout.mayLead() ? waitsMicros : Long.MAX_VALUE)) {
+        switch (leadership.nextAction(now, rollout.mayLead() ? waitsMicros : Long.MAX_VALUE)) {
             case READ_ROW -> state.read(StoreKeys.LEADER, owner.answer(LeaderActor.RowRead::new));
-            case GRANT_LEASE -> state.grant(leadership.ttlMicros(), owner.answer(r -> new LeaderActor.Granted(r, now)));
-            case TOUCH -> state.touch(leadership.lease(), owner.answer(r -> new LeaderActor.Touched(r, now)));
+            case GRANT_LEASE ->
+                state.grant(leadership.leaseMicros(), owner.answer(r -> new LeaderActor.Granted(r, now)));
+            case RENEW_LEASE -> state.touch(leadership.leaseId(), owner.answer(r -> new LeaderActor.Touched(r, now)));
             case CLAIM -> {
                 StoredRecord row = new StoredRecord.Leader(label);
-                List<Transaction.Compare> conditions = new ArrayList<>(rollout.claimConditions());
-                conditions.add(new Transaction.Compare(StoreKeys.LEADER, leadership.rowVersion()));
+                List<Transaction.Condition> conditions = new ArrayList<>(rollout.claimConditions());
+                conditions.add(new Transaction.Condition(StoreKeys.LEADER, leadership.rowVersion()));
                 state.transaction(
                         new Transaction(
-                                conditions, List.of(new Transaction.Write(StoreKeys.LEADER, row, leadership.lease()))),
+                                conditions,
+                                List.of(new Transaction.Write(StoreKeys.LEADER, row, leadership.leaseId()))),
                         owner.answer(LeaderActor.Claimed::new));
             }
             case NOTHING -> {}
@@ -98,9 +100,9 @@
                 rowRead(m.reply(), now);
             } else if (message instanceof LeaderActor.Granted m) {
                 if (m.reply().ok()) {
-                    leadership.granted(StoreCodec.granted(m.reply().body()), m.askedMicros());
+                    leadership.leaseGranted(StoreCodec.granted(m.reply().body()), m.askedMicros());
                 } else {
-                    leadership.failed(now, PAUSE_MICROS);
+                    leadership.requestFailed(now, PAUSE_MICROS);
                 }
             } else if (message instanceof LeaderActor.Touched m) {
                 touched(m.reply(), m.askedMicros(), now);
@@ -111,7 +113,7 @@
             }
         } catch (MalformedException e) {
             LOG.error("leader row: {}", e.getMessage());
-            leadership.failed(now, Micros.SECOND);
+            leadership.requestFailed(now, Micros.SECOND);
         }
     }
 
@@ -120,23 +122,23 @@
             StoreCodec.Item item = StoreCodec.item(reply.body());
             watchFrom = Math.max(watchFrom, item.version());
             String rowOwner = ((StoredRecord.Leader) item.row()).owner();
-            formerLease = label.equals(rowOwner) && !leadership.leads() ? StoreCodec.hold(reply.body()) : 0;
+            formerLease = label.equals(rowOwner) && !leadership.isLeader() ? StoreCodec.hold(reply.body()) : 0;
             leadership.rowRead(rowOwner, item.version());
         } else if (reply.status() == 404) {
             leadership.rowRead(null, 0);
         } else {
-            leadership.failed(now, PAUSE_MICROS);
+            leadership.requestFailed(now, PAUSE_MICROS);
         }
     }
 
     private void touched(Reply reply, long askedMicros, long now) {
         if (reply.ok()) {
-            leadership.touched(askedMicros);
+            leadership.leaseRenewed(askedMicros);
             owner.leaseRenewed();
         } else if (reply.status() == 404) {
-            leadership.leaseGone();
+            leadership.leaseExpired();
         } else {
-            leadership.failed(now, PAUSE_MICROS);
+            leadership.requestFailed(now, PAUSE_MICROS);
         }
     }
 
@@ -144,19 +146,19 @@
         if (reply.ok()) {
             long fencingToken = StoreCodec.revision(reply.body());
             watchFrom = Math.max(watchFrom, fencingToken);
-            leadership.claimed(fencingToken);
+            leadership.leadershipAcquired(fencingToken);
             owner.begin(fencingToken, now);
         } else if (reply.status() == 409) {
-            if (StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURES)) {
+            if (StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
                 rollout.newerThere(rollout.switches().version() + 1);
             }
-            leadership.claimRefused();
+            leadership.claimRejected();
         } else if (reply.status() == 400) {
-            leadership.leaseGone();
+            leadership.leaseExpired();
         } else if (reply.notExecuted()) {
-            leadership.failed(now, 100 * Micros.MILLISECOND);
+            leadership.requestFailed(now, 100 * Micros.MILLISECOND);
         } else {
-            leadership.claimUnknown(now);
+            leadership.claimOutcomeUnknown(now);
         }
     }
 
@@ -166,7 +168,7 @@
             StoreCodec.Items changes = StoreCodec.changes(reply.body());
             for (StoreCodec.Item item : changes.items()) {
                 if (item.version() >= leadership.rowVersion()) {
-                    leadership.row(
+                    leadership.rowObserved(
                             item.row() instanceof StoredRecord.Leader row ? row.owner() : null,
                             item.row() == null ? 0 : item.version());
                 }
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -100,22 +100,22 @@
     }
 
     void holdsUntil(long untilMicros) {
-        scheduler.holdsUntil(untilMicros);
+        scheduler.leaseHeldUntil(untilMicros);
     }
 
     void resumed(long now) {
-        scheduler.resumed(now);
+        scheduler.processResumed(now);
     }
 
     void stateFresh(long askedMicros) {
-        scheduler.stateFresh(askedMicros);
+        scheduler.storeReadAt(askedMicros);
     }
 
     void layoutSeen(long version, StoredRecord.Layout layout) {
         steps.layoutSeen(version, layout);
     }
 
-    void historySeen(long version, StoredRecord.History manifest) {
+    void historySeen(long version, StoredRecord.ArchiveManifest manifest) {
         steps.historySeen();
         archiving.historySeen(version, manifest);
     }
@@ -125,7 +125,7 @@
     }
 
     FailoverTimings takeOver() {
-        return scheduler.takeOver();
+        return scheduler.failoverTimings();
     }
 
     List<Hint> hints(long now) {
@@ -143,12 +143,12 @@
      */
     List<Command> heartbeat(Heartbeat heartbeat) {
         if (loaded()) {
-            return scheduler.heartbeat(heartbeat, owner.now());
+            return scheduler.handleHeartbeat(heartbeat, owner.now());
         }
         List<Command> stops = new ArrayList<>();
         for (TaskStatus line : heartbeat.tasks()) {
             if (line.state() != TaskState.EXITED && cancelled.contains(line.job())) {
-                stops.add(new Command.Stop(line.job(), line.index(), line.attempt(), 0));
+                stops.add(new Command.Stop(line.job(), line.taskIndex(), line.attempt(), 0));
             }
         }
         return stops;
@@ -178,13 +178,13 @@
         } else if (message instanceof TermMessage.RowsLoaded m) {
             rowsLoaded(m.rows());
         } else if (message instanceof TermMessage.HintsKept m) {
-            scheduler.hinted(m.hints(), false, owner.now());
+            scheduler.hintsReceived(m.hints(), false, owner.now());
         } else if (message instanceof TermMessage.PartLoaded) {
             loadedOne();
         } else if (message instanceof TermMessage.EndedFound m) {
             archiving.endedFound(m);
         } else if (message instanceof TermMessage.Spent m) {
-            scheduler.spent(m.writes());
+            scheduler.writesSpent(m.writes());
         } else if (message instanceof TermMessage.HistoryBegun m) {
             steps.historyBegun(m);
         } else if (message instanceof TermMessage.LayoutMarked m) {
@@ -213,7 +213,7 @@
         if (!loaded() && view.state() == JobState.CANCELLED) {
             cancelled.add(view.id());
         }
-        scheduler.jobSeen(view, owner.wall(), owner.now());
+        scheduler.jobChanged(view, owner.wall(), owner.now());
     }
 
     /** The open and the cancelled jobs by a read that began after our claim: every start of an earlier leader belongs to one of them. */
@@ -230,14 +230,14 @@
         for (StoreCodec.Item item : rows) {
             if (item.row() instanceof StoredRecord.Ledger ledger) {
                 scheduler.ledgerLoaded(item.key(), ledger, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.Booking booking) {
-                scheduler.bookingLoaded(
-                        item.key().substring(StoreKeys.BOOKINGS.length()), booking, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.Returned returned) {
-                scheduler.returnLoaded(item.key(), returned, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.Learned learned) {
+            } else if (item.row() instanceof StoredRecord.Provisioning booking) {
+                scheduler.provisioningRequestLoaded(
+                        item.key().substring(StoreKeys.PROVISIONING_REQUESTS.length()), booking, item.version(), now);
+            } else if (item.row() instanceof StoredRecord.MachinesToDelete returned) {
+                scheduler.machineDeletionLoaded(item.key(), returned, item.version(), now);
+            } else if (item.row() instanceof StoredRecord.LearnedState learned) {
                 learning.found(item.key(), learned);
-                scheduler.hinted(learned.hints(), true, now);
+                scheduler.hintsReceived(learned.hints(), true, now);
             }
         }
     }
@@ -247,9 +247,9 @@
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                scheduler.fenceKnown(item.version(), ((StoredRecord.Fence) item.row()).number());
+                scheduler.provisioningFenceRead(item.version(), ((StoredRecord.ProvisioningFence) item.row()).number());
             } else if (reply.status() == 404) {
-                scheduler.fenceKnown(0, 0);
+                scheduler.provisioningFenceRead(0, 0);
             }
         } catch (MalformedException e) {
             LOG.error("fence of the bookings: {}", e.getMessage());
@@ -259,7 +259,7 @@
     private void loadedOne() {
         if (--loading == 0) {
             long now = owner.now();
-            scheduler.loaded(now);
+            scheduler.allRecordsLoaded(now);
             cancelled.clear();
             LOG.info("term {} rebuilt: {}", fencingToken(), scheduler.summary(now));
             steps.loaded();
@@ -280,8 +280,8 @@
         for (CloudCall call : scheduler.cloudCalls(now)) {
             cloud.call(call, now);
         }
-        scheduler.notices().forEach(LOG::info);
-        scheduler.completions(now).forEach(LOG::debug);
+        scheduler.takeNotices().forEach(LOG::info);
+        scheduler.takeCompletions(now).forEach(LOG::debug);
     }
 
     void summary(long now) {
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -24,8 +24,10 @@
     /** All of them in a minute and no more than a change each two seconds. */
     private static final long EVERY_MICROS = 2 * Micros.SECOND;
 
-    private static final List<String> KEYS =
-            List.of(StoreKeys.LEARNED + "classes", StoreKeys.LEARNED + "jobs", StoreKeys.LEARNED + "machines");
+    private static final List<String> KEYS = List.of(
+            StoreKeys.LEARNED_STATE + "classes",
+            StoreKeys.LEARNED_STATE + "jobs",
+            StoreKeys.LEARNED_STATE + "machines");
     /** What the frame of a row takes. */
     private static final int FRAME_BYTES = 32;
 
@@ -34,7 +36,7 @@
     private final Scheduler scheduler;
     private final StoreClient state;
     private final RolloutParticipant rollout;
-    private final Map<String, StoredRecord.Learned> stored = new HashMap<>();
+    private final Map<String, StoredRecord.LearnedState> stored = new HashMap<>();
     private boolean writing;
     private int next;
     private long triedMicros = Long.MIN_VALUE / 2;
@@ -49,7 +51,7 @@
     }
 
     /** A row as an earlier leader left it. */
-    void found(String key, StoredRecord.Learned row) {
+    void found(String key, StoredRecord.LearnedState row) {
         stored.put(key, row);
     }
 
@@ -58,13 +60,13 @@
             return;
         }
         triedMicros = now;
-        List<Hint> lasting = scheduler.lasting(now);
+        List<Hint> lasting = scheduler.durableHints(now);
         for (int tries = 0; tries < KEYS.size(); tries++) {
             String key = KEYS.get(next);
             next = (next + 1) % KEYS.size();
-            StoredRecord.Learned row = row(key, lasting);
-            if (!row.equals(stored.getOrDefault(key, new StoredRecord.Learned(List.of())))) {
-                if (scheduler.spareWrites(now) >= 1) {
+            StoredRecord.LearnedState row = row(key, lasting);
+            if (!row.equals(stored.getOrDefault(key, new StoredRecord.LearnedState(List.of())))) {
+                if (scheduler.spareWriteBudget(now) >= 1) {
                     write(key, row);
                 }
                 return;
@@ -73,31 +75,32 @@
     }
 
     /** As much as a value takes; what is left out is learned anew. */
-    private StoredRecord.Learned row(String key, List<Hint> lasting) {
+    private StoredRecord.LearnedState row(String key, List<Hint> lasting) {
         List<Hint> hints = new ArrayList<>();
         int bytes = FRAME_BYTES;
         for (Hint hint : lasting) {
-            if (key.equals(KEYS.get(hint instanceof Hint.OfClass ? 0 : hint instanceof Hint.OfJob ? 1 : 2))) {
-                bytes += StoreCodec.size(new StoredRecord.Learned(List.of(hint)));
-                if (bytes > settings.writableBytes()) {
+            if (key.equals(KEYS.get(hint instanceof Hint.JobClassHint ? 0 : hint instanceof Hint.JobHint ? 1 : 2))) {
+                bytes += StoreCodec.size(new StoredRecord.LearnedState(List.of(hint)));
+                if (bytes > settings.maxWritableValueBytes()) {
                     break;
                 }
                 hints.add(hint);
             }
         }
-        return new StoredRecord.Learned(List.copyOf(hints));
+        return new StoredRecord.LearnedState(List.copyOf(hints));
     }
 
-    private void write(String key, StoredRecord.Learned row) {
+    private void write(String key, StoredRecord.LearnedState row) {
         long fencingToken = scheduler.fencingToken();
         writing = true;
-        scheduler.spent(1);
+        scheduler.writesSpent(1);
         state.transaction(
                 new Transaction(
                         List.of(
-                                new Transaction.Compare(StoreKeys.LEADER, fencingToken),
-                                new Transaction.Compare(
-                                        StoreKeys.FEATURES, rollout.switches().version())),
+                                new Transaction.Condition(StoreKeys.LEADER, fencingToken),
+                                new Transaction.Condition(
+                                        StoreKeys.FEATURE_STAGES,
+                                        rollout.switches().version())),
                         List.of(new Transaction.Write(key, row, 0))),
                 owner.answer(r -> new TermMessage.LearnedStored(r, fencingToken, key, row)));
     }
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -47,7 +47,7 @@
     }
 
     void next(long now) {
-        Transaction round = scheduler.round(now, owner.wall());
+        Transaction round = scheduler.nextWriteBatch(now, owner.wall());
         if (round != null) {
             long fencingToken = scheduler.fencingToken();
             writing = true;
@@ -62,7 +62,7 @@
         try {
             if (reply.ok()) {
                 lastRevision = StoreCodec.revision(reply.body());
-                scheduler.roundConfirmed(lastRevision, now);
+                scheduler.writeConfirmed(lastRevision, now);
                 tellEnded();
                 if (!owner.ending()) {
                     next(now);
@@ -74,12 +74,12 @@
                     rateRefused = true;
                     LOG.info("a round was above the rate of the state service: tried again");
                 }
-                scheduler.roundNotExecuted(now);
+                scheduler.writeNotExecuted(now);
                 return;
             }
             if (reply.status() == 400) {
                 logRefused(reply, message.round());
-                scheduler.roundRefused(now);
+                scheduler.writeRejected(now);
                 return;
             }
             if (reply.status() == 409) {
@@ -90,7 +90,7 @@
             LOG.error("transaction answer: {}", e.getMessage());
         }
         LOG.warn("round of unknown outcome ({}): reading back", reply.status());
-        unread = new PendingReads(scheduler.roundUnresolved());
+        unread = new PendingReads(scheduler.unresolvedWriteKeys());
         readBack();
     }
 
@@ -102,7 +102,7 @@
             return;
         }
         LOG.debug("round refused for {}", failed);
-        scheduler.roundRefusedFor(failed, now).forEach(this::readRefused);
+        scheduler.writeConflicted(failed, now).forEach(this::readRefused);
         if (!owner.ending()) {
             next(now);
         }
@@ -115,7 +115,7 @@
 
     void refusedRead(TermMessage.RefusedRead message) {
         if (takeIn(message.key(), message.reply())) {
-            scheduler.keyKnown(message.key(), owner.now());
+            scheduler.keyReadBack(message.key(), owner.now());
             tellEnded();
         } else {
             owner.tellLater(new TermMessage.RefusedDue(message.fencingToken(), message.key()), RETRY_MICROS);
@@ -127,7 +127,7 @@
         for (Transaction.Write write : round.writes()) {
             text.append(' ')
                     .append(write.key())
-                    .append(write.row() == null ? " deleted" : " " + StoreCodec.size(write.row()));
+                    .append(write.record() == null ? " deleted" : " " + StoreCodec.size(write.record()));
         }
         LOG.warn(
                 "the state service takes no such transaction: {}; {} conditions, {} changes, bytes of each:{}",
@@ -139,12 +139,14 @@
 
     /** Jobs may wait for what a round has ended: they need not wait for the next read of the changes as well. */
     private void tellEnded() {
-        scheduler.ended().forEach(each -> users.tell(new UsersActor.Stored(each.id(), each.row(), each.version())));
+        scheduler
+                .takeEndedJobs()
+                .forEach(each -> users.tell(new UsersActor.Stored(each.id(), each.record(), each.version())));
     }
 
     void readBack() {
-        if (unread.finished()) {
-            scheduler.roundResolved(owner.now());
+        if (unread.isFinished()) {
+            scheduler.writeResolved(owner.now());
             tellEnded();
             return;
         }
@@ -157,10 +159,10 @@
 
     void keyRead(TermMessage.KeyRead message) {
         if (takeIn(message.key(), message.reply())) {
-            unread.read();
+            unread.keyRead();
             readBack();
         } else {
-            unread.failed();
+            unread.keyFailed();
             owner.tellLater(new TermMessage.ReadBackDue(message.fencingToken()), RETRY_MICROS);
         }
     }
@@ -168,14 +170,14 @@
     /** What a key holds now; false if the state service did not say. */
     private boolean takeIn(String key, Reply reply) {
         try {
-            if (Scheduler.isOfDuties(key) && (reply.ok() || reply.status() == 404)) {
+            if (Scheduler.isCloudRecord(key) && (reply.ok() || reply.status() == 404)) {
                 StoreCodec.Item item = reply.ok() ? StoreCodec.item(reply.body()) : null;
-                scheduler.dutyReadBack(key, item == null ? null : item.row(), item == null ? 0 : item.version());
+                scheduler.cloudRecordReadBack(key, item == null ? null : item.row(), item == null ? 0 : item.version());
             } else if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
                 if (item.row() instanceof StoredRecord.Ledger ledger) {
                     scheduler.ledgerReadBack(item.key(), ledger, item.version());
-                } else if (item.row() instanceof StoredRecord.JobRow row) {
+                } else if (item.row() instanceof StoredRecord.JobRecord row) {
                     scheduler.jobReadBack(
                             item.key().substring(StoreKeys.JOBS.length()), row, item.version(), owner.now());
                 }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -86,7 +86,7 @@
 
     /** The scheduler writes by the switches as they are now. */
     void switchesChanged() {
-        scheduler.switches(
+        scheduler.featureFlagsChanged(
                 rollout.switches().version(),
                 rollout.switches().on(Feature.BOOKING_FENCE),
                 rollout.switches().on(Feature.RETURNS));
@@ -132,7 +132,7 @@
             if (everyoneKnows(Feature.NEEDS, roster)) {
                 markLayout(roster);
             }
-        } else if (!historyThere && tuning.history()) {
+        } else if (!historyThere && tuning.archiveEnabled()) {
             if (everyoneKnows(Feature.HISTORY, roster)) {
                 beginHistory(roster);
             }
@@ -157,11 +157,11 @@
         said = what;
     }
 
-    private List<Transaction.Compare> conditions(ControllerRegistry roster, Transaction.Compare... own) {
-        List<Transaction.Compare> conditions =
-                new ArrayList<>(List.of(new Transaction.Compare(StoreKeys.LEADER, scheduler.fencingToken())));
+    private List<Transaction.Condition> conditions(ControllerRegistry roster, Transaction.Condition... own) {
+        List<Transaction.Condition> conditions =
+                new ArrayList<>(List.of(new Transaction.Condition(StoreKeys.LEADER, scheduler.fencingToken())));
         conditions.addAll(List.of(own));
-        conditions.addAll(roster.conditions(settings.transactionOps() * CONDITIONS_A_CHANGE - OWN_CONDITIONS));
+        conditions.addAll(roster.conditions(settings.maxTransactionWrites() * CONDITIONS_A_CHANGE - OWN_CONDITIONS));
         return conditions;
     }
 
@@ -172,7 +172,7 @@
         stepping = true;
         state.transaction(
                 new Transaction(
-                        conditions(roster, new Transaction.Compare(StoreKeys.LAYOUT, 0)),
+                        conditions(roster, new Transaction.Condition(StoreKeys.LAYOUT, 0)),
                         List.of(new Transaction.Write(StoreKeys.LAYOUT, first, 0))),
                 owner.answer(r -> new TermMessage.LayoutMarked(r, fencingToken, first)));
     }
@@ -202,12 +202,12 @@
                 new Transaction(
                         conditions(
                                 roster,
-                                new Transaction.Compare(StoreKeys.LAYOUT, markVersion),
-                                new Transaction.Compare(StoreKeys.HISTORY, 0)),
+                                new Transaction.Condition(StoreKeys.LAYOUT, markVersion),
+                                new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, 0)),
                         List.of(
                                 new Transaction.Write(StoreKeys.LAYOUT, renewed, 0),
                                 new Transaction.Write(
-                                        StoreKeys.HISTORY, Archiver.first(fencingToken, owner.wall()), 0))),
+                                        StoreKeys.ARCHIVE_MANIFEST, Archiver.first(fencingToken, owner.wall()), 0))),
                 owner.answer(r -> new TermMessage.HistoryBegun(r, fencingToken)));
     }
 
@@ -220,7 +220,7 @@
     }
 
     private void features(ControllerRegistry roster) {
-        RolloutPlan plan = RolloutPlan.of(rollout.switches(), roster, tuning.rollout());
+        RolloutPlan plan = RolloutPlan.of(rollout.switches(), roster, tuning.rolloutEnabled());
         say(String.join("; ", plan.waits()));
         pending = plan.row() != null || !plan.waits().isEmpty();
         if (plan.row() == null) {
@@ -232,9 +232,10 @@
                 new Transaction(
                         conditions(
                                 roster,
-                                new Transaction.Compare(
-                                        StoreKeys.FEATURES, rollout.switches().version())),
-                        List.of(new Transaction.Write(StoreKeys.FEATURES, plan.row(), 0))),
+                                new Transaction.Condition(
+                                        StoreKeys.FEATURE_STAGES,
+                                        rollout.switches().version())),
+                        List.of(new Transaction.Write(StoreKeys.FEATURE_STAGES, plan.row(), 0))),
                 owner.answer(r -> new TermMessage.Stepped(r, fencingToken, plan.row(), plan.moves())));
     }
 
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -68,9 +68,9 @@
     }
 
     /** What a claim has as a condition. */
-    List<Transaction.Compare> claimConditions() {
+    List<Transaction.Condition> claimConditions() {
         return abilities.registers()
-                ? List.of(new Transaction.Compare(StoreKeys.FEATURES, switches.version()))
+                ? List.of(new Transaction.Condition(StoreKeys.FEATURE_STAGES, switches.version()))
                 : List.of();
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** The switches as the copy of the job rows, a read or an own step shows them. */
-    void seen(long version, StoredRecord.Features row) {
+    void seen(long version, StoredRecord.FeatureStages row) {
         if (!switches.seen(version, row)) {
             return;
         }
@@ -105,7 +105,7 @@
         }
         if ((!switches.known() || heardOf > switches.version()) && !reading && now >= readAgainMicros) {
             reading = true;
-            state.read(StoreKeys.FEATURES, owner.answer(LeaderActor.SwitchesRead::new));
+            state.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderActor.SwitchesRead::new));
         }
         if (blocked && now - saidMicros >= SAID_MICROS) {
             saidMicros = now;
@@ -126,12 +126,12 @@
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                seen(item.version(), (StoredRecord.Features) item.row());
+                seen(item.version(), (StoredRecord.FeatureStages) item.row());
                 heardOf = Math.min(heardOf, item.version());
                 return;
             }
             if (reply.status() == 404) {
-                seen(0, new StoredRecord.Features(Map.of()));
+                seen(0, new StoredRecord.FeatureStages(Map.of()));
                 heardOf = 0;
                 return;
             }
@@ -164,7 +164,7 @@
                 registration.registered(StoreCodec.revision(reply.body()));
                 return;
             }
-            if (reply.status() == 409 && StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURES)) {
+            if (reply.status() == 409 && StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
                 newerThere(switches.version() + 1);
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -92,9 +92,10 @@
         this.state = state;
         this.users = users;
         this.leader = leader;
-        this.everyMicros = Math.max(LEAST_MICROS, Micros.ofSeconds(READS / settings.stateRate()));
+        this.everyMicros = Math.max(LEAST_MICROS, Micros.ofSeconds(READS / settings.storeRequestsPerSecond()));
         long most = (long) (Math.min(MOST_MB, settings.memoryMb() * MEMORY_SHARE) * (1 << 20));
-        this.copies = List.of(maker.make(StoreKeys.LEDGERS, most * 9 / 10), maker.make(StoreKeys.BOOKINGS, most / 10));
+        this.copies = List.of(
+                maker.make(StoreKeys.LEDGERS, most * 9 / 10), maker.make(StoreKeys.PROVISIONING_REQUESTS, most / 10));
     }
 
     void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -101,13 +101,13 @@
         }
         // The copy may be old, and may get newer while the archive is asked: what is written holds only by the manifest
         // that was asked.
-        long version = directory.historyVersion();
+        long version = directory.archiveVersion();
         owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
             @Override
             public void nowhere() {
                 Submission submission = new Submission(request, spec, version, tries);
-                if (spec.needs().isEmpty()) {
-                    put(submission, new StoredRecord.JobRow(JobState.OPEN, spec, owner.wall(), spec.tasks()));
+                if (spec.dependencies().isEmpty()) {
+                    put(submission, new StoredRecord.JobRecord(JobState.OPEN, spec, owner.wall(), spec.taskCount()));
                 } else {
                     submitDependent(submission);
                 }
@@ -133,8 +133,8 @@
                 return;
             }
             List<String> left = new ArrayList<>();
-            for (String need : spec.needs()) {
-                if (directory.history() != null && directory.get(need) == null) {
+            for (String need : spec.dependencies()) {
+                if (directory.archiveManifest() != null && directory.get(need) == null) {
                     left.add(need);
                 }
             }
@@ -174,23 +174,23 @@
         }
     }
 
-    private void put(Submission submission, StoredRecord.JobRow unchecked) {
+    private void put(Submission submission, StoredRecord.JobRecord unchecked) {
         Request request = submission.request();
         String id = submission.spec().id();
-        StoredRecord.JobRow row = unchecked.asChecked(submission.historyVersion() > 0);
+        StoredRecord.JobRecord row = unchecked.withCheckedAgainstArchive(submission.historyVersion() > 0);
         // Should the archive change meanwhile, or should this arrive minutes late, it is refused.
-        List<Transaction.Compare> conditions = new ArrayList<>(List.of(
-                new Transaction.Compare(StoreKeys.job(id), 0),
-                new Transaction.Compare(StoreKeys.HISTORY, submission.historyVersion())));
-        if (row.spec() != null && !row.spec().needs().isEmpty()) {
+        List<Transaction.Condition> conditions = new ArrayList<>(List.of(
+                new Transaction.Condition(StoreKeys.job(id), 0),
+                new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, submission.historyVersion())));
+        if (row.spec() != null && !row.spec().dependencies().isEmpty()) {
             // A leader of the former version would start it at once.
-            conditions.add(new Transaction.Compare(StoreKeys.LAYOUT, directory.layoutVersion()));
+            conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, directory.layoutVersion()));
         }
         // What the state service would refuse each time is refused here, or the user would try again for nothing.
-        List<Transaction.Write> rows = StoreCodec.jobRows(id, row, settings.writableBytes());
+        List<Transaction.Write> rows = StoreCodec.jobRows(id, row, settings.maxWritableValueBytes());
         if (rows == null) {
             refuse(request, id, 400, Json.error("body", "body: is too long to be kept"));
-        } else if (rows.size() > settings.transactionOps()) {
+        } else if (rows.size() > settings.maxTransactionWrites()) {
             refuse(request, id, 400, Json.error("awaits", "awaits: more names than can be kept with the job"));
         } else {
             state.transaction(
--- a/src/main/java/io/micatide/controller/TermAnnouncer.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -59,7 +59,7 @@
         if (most < 1) {
             return;
         }
-        for (TermAnnouncement greeting : scheduler.greetings(most)) {
+        for (TermAnnouncement greeting : scheduler.nextAnnouncements(most)) {
             due--;
             greet(greeting, connector.to(greeting.address(), 1));
         }
@@ -70,9 +70,9 @@
             return settings.cores() * SHARE / CORE_SECONDS;
         }
         double interval = Micros.toSeconds(settings.heartbeatIntervalMicros());
-        double reports = scheduler.machines() / interval * CORE_SECONDS;
+        double reports = scheduler.machineCount() / interval * CORE_SECONDS;
         double most = Math.max(0, settings.cores() - reports) * SHARE / CORE_SECONDS;
-        return most * interval < scheduler.machines() ? 0 : most;
+        return most * interval < scheduler.machineCount() ? 0 : most;
     }
 
     private void greet(TermAnnouncement greeting, Http worker) {
@@ -90,7 +90,8 @@
         TermAnnouncement greeting = message.greeting();
         try {
             if (message.reply().ok()) {
-                scheduler.greeted(WorkerCodec.heartbeat(message.reply().body()), owner.now());
+                scheduler.announcementAnswered(
+                        WorkerCodec.heartbeat(message.reply().body()), owner.now());
             } else if (message.reply().status() == 409) {
                 Heartbeat heartbeat = WorkerCodec.heartbeat(message.reply().body());
                 if (heartbeat.fencingToken() <= message.fencingToken()
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -19,7 +19,7 @@
     private final UsersActor users;
     private final ArchiverActor archivist;
     private long historyVersion;
-    private StoredRecord.History history;
+    private StoredRecord.ArchiveManifest history;
     private boolean loaded;
     private boolean archiving;
     private long endedAskedMicros;
@@ -46,16 +46,16 @@
         archiving = false;
     }
 
-    void historySeen(long version, StoredRecord.History manifest) {
+    void historySeen(long version, StoredRecord.ArchiveManifest manifest) {
         historyVersion = version;
         history = manifest;
-        scheduler.historyKept();
+        scheduler.archiveEnabled();
         archive();
     }
 
     /** Once all is read and there is an archive, and if this controller is to keep it. */
     private void archive() {
-        if (tuning.history() && loaded && history != null && !archiving) {
+        if (tuning.archiveEnabled() && loaded && history != null && !archiving) {
             archiving = true;
             archivist.tell(new ArchiverActor.Begin(scheduler.fencingToken(), history, historyVersion));
         }
@@ -71,7 +71,7 @@
             endedAskedMicros = now;
             users.tell(new UsersActor.FindEnded(fencingToken));
         }
-        archivist.tell(new ArchiverActor.Spare(fencingToken, scheduler.spareWrites(now)));
+        archivist.tell(new ArchiverActor.Spare(fencingToken, scheduler.spareWriteBudget(now)));
     }
 
     void endedFound(TermMessage.EndedFound message) {
@@ -79,11 +79,11 @@
             return;
         }
         List<Archiver.Ended> settled = message.ended().stream()
-                .filter(each -> each.outcome() == null || scheduler.settled(each.id()))
+                .filter(each -> each.outcome() == null || scheduler.mayBeArchived(each.id()))
                 .toList();
         long now = owner.now();
         boolean anyway = now - fewSinceMicros >= FEW_MICROS;
-        if (anyway || settled.isEmpty() || settled.size() >= tuning.historyBatch()) {
+        if (anyway || settled.isEmpty() || settled.size() >= tuning.archiveBatchSize()) {
             fewSinceMicros = now;
         }
         archivist.tell(new ArchiverActor.Offer(message.fencingToken(), settled, message.copyOfVersion(), anyway));
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -40,12 +40,13 @@
     /** Who is registered and what operators ask for. */
     record RosterRead(Reply reply, long fencingToken) implements TermMessage {}
 
-    record Stepped(Reply reply, long fencingToken, StoredRecord.Features row, List<String> moves)
+    record Stepped(Reply reply, long fencingToken, StoredRecord.FeatureStages row, List<String> moves)
             implements TermMessage {}
 
     record FenceRead(Reply reply, long fencingToken) implements TermMessage {}
 
-    record LearnedStored(Reply reply, long fencingToken, String key, StoredRecord.Learned row) implements TermMessage {}
+    record LearnedStored(Reply reply, long fencingToken, String key, StoredRecord.LearnedState row)
+            implements TermMessage {}
 
     record LayoutMarked(Reply reply, long fencingToken, StoredRecord.Layout layout) implements TermMessage {}
 
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -47,9 +47,10 @@
 
     record ChangesRead(Reply reply, long askedMicros) implements Message {}
 
-    record Submitted(Reply reply, Submissions.Submission submission, StoredRecord.JobRow row) implements Message {}
+    record Submitted(Reply reply, Submissions.Submission submission, StoredRecord.JobRecord row) implements Message {}
 
-    record Cancelled(Reply reply, Request request, StoredRecord.JobRow row, String id, int tries) implements Message {}
+    record Cancelled(Reply reply, Request request, StoredRecord.JobRecord row, String id, int tries)
+            implements Message {}
 
     /** What the archive says of a job that the copy does not hold. */
     record Located(Request request, String id, int tries, ArchiveReader.Found found, JobLookup then)
@@ -98,7 +99,7 @@
     record Closing() implements Message {}
 
     /** A final row that the leader on this controller knows to be stored. */
-    record Stored(String id, StoredRecord.JobRow row, long version) implements Message {}
+    record Stored(String id, StoredRecord.JobRecord row, long version) implements Message {}
 
     record LayoutKnown(long version, StoredRecord.Layout layout) implements Message {}
 
@@ -173,7 +174,7 @@
             if (!typesAsked) {
                 // Once: it repeats by itself until the types are known.
                 typesAsked = true;
-                state.read(StoreKeys.TYPES, answer(TypesRead::new));
+                state.read(StoreKeys.MACHINE_TYPES, answer(TypesRead::new));
             }
         } else if (message instanceof PageRead m) {
             rows.pageRead(m);
@@ -196,7 +197,7 @@
             rows.belongsTo(m.leader());
             cancellations.belongsTo(m.leader());
         } else if (message instanceof Testify m) {
-            m.then().accept(directory.cancelLog().above(m.revision(), label, now() - startedMicros));
+            m.then().accept(directory.cancellationLog().digestSince(m.revision(), label, now() - startedMicros));
         } else if (message instanceof TakeIn m) {
             rows.takeIn(m.jobs(), m.then());
         } else if (message instanceof Closing) {
@@ -222,7 +223,9 @@
         }
         if (reply.ok()) {
             try {
-                types = ((StoredRecord.Types) StoreCodec.item(reply.body()).row()).types();
+                types = ((StoredRecord.MachineTypes)
+                                StoreCodec.item(reply.body()).row())
+                        .types();
                 return;
             } catch (MalformedException e) {
                 log.error("stored machine types: {}", e.getMessage());
@@ -264,7 +267,7 @@
 
     /** No answer of the state service; the user is sent away only if another controller can do better. */
     void unavailable(Request request) {
-        if (state.reach().lostAlone(now())) {
+        if (state.reach().isPartitionedAlone(now())) {
             request.answerAndClose(503, UNAVAILABLE, 1);
         } else {
             request.answer(503, UNAVAILABLE, 1);
@@ -298,7 +301,7 @@
         if (path.equals("/healthz")) {
             if (!request.method().equals("GET")) {
                 request.answer(405, WRONG_METHOD);
-            } else if (state.reach().lostAlone(now())) {
+            } else if (state.reach().isPartitionedAlone(now())) {
                 request.answer(503, UNAVAILABLE, 1);
             } else if (rows.loaded() && !types.isEmpty()) {
                 request.answer(200, "{\"status\":\"ok\"}".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
@@ -383,9 +386,9 @@
     void locate(Request request, String id, int tries, JobLookup then) {
         if (directory.get(id) != null) {
             then.inCopy();
-        } else if (directory.isDoubtful(id)) {
+        } else if (directory.isUnverified(id)) {
             request.answer(503, UNAVAILABLE, 1);
-        } else if (directory.history() == null) {
+        } else if (directory.archiveManifest() == null) {
             then.nowhere();
         } else {
             history.tell(new ArchiveReader.Find(id, found -> tell(new Located(request, id, tries, found, then))));
@@ -418,8 +421,8 @@
                 JobCodec.status(
                         entry.id(),
                         standing(entry),
-                        done ? entry.row().tasks() : counts == null ? 0 : counts.done(),
-                        done || counts == null || state == JobState.CANCELLED ? 0 : counts.running()));
+                        done ? entry.record().taskCount() : counts == null ? 0 : counts.finishedTasks(),
+                        done || counts == null || state == JobState.CANCELLED ? 0 : counts.runningTasks()));
     }
 
     Standing standing(JobCache.Entry entry) {
@@ -427,7 +430,7 @@
         return switch (directory.state(entry.id())) {
             case DONE -> Standing.DONE;
             case CANCELLED -> Standing.CANCELLED;
-            case OPEN -> counts != null && counts.running() > 0 ? Standing.RUNNING : Standing.QUEUED;
+            case OPEN -> counts != null && counts.runningTasks() > 0 ? Standing.RUNNING : Standing.QUEUED;
         };
     }
 }
--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -32,7 +32,7 @@
     private final List<Settings.Sibling> siblings;
     private final long limitMicros;
     private final long[] knownMicros;
-    private boolean read;
+    private boolean storeRead;
 
     public CancellationHorizon(Settings settings) {
         siblings = settings.siblings();
@@ -42,27 +42,27 @@
     }
 
     private static long allowedMicros(Settings settings) {
-        return settings.cancelMicros() - Micros.withDrift(settings.workerLeaseMicros()) - MARGIN_MICROS;
+        return settings.cancellationLimitMicros() - Micros.withDrift(settings.workerLeaseMicros()) - MARGIN_MICROS;
     }
 
     /** What these settings promise and nobody could keep, for the operator; null if they can be kept. */
-    public static String unkept(Settings settings) {
+    public static String violationOf(Settings settings) {
         long allowed = allowedMicros(settings);
         return allowed >= LEAST_MICROS
                 ? null
                 : String.format(
                         "workers.cancel_s: %.1f s with workers.lease_s of %.1f s leave %.1f s without news of cancellations, and at least %.1f s are needed:"
                                 + " tasks of a cancelled job may stay longer than that",
-                        Micros.toSeconds(settings.cancelMicros()),
+                        Micros.toSeconds(settings.cancellationLimitMicros()),
                         Micros.toSeconds(settings.workerLeaseMicros()),
                         Micros.toSeconds(allowed),
                         Micros.toSeconds(LEAST_MICROS));
     }
 
     /** The state service was asked then for what has changed, and all that it answered is taken in. */
-    public void read(long askedMicros) {
+    public void storeRead(long askedMicros) {
         // It began in this process's life, so whatever a former one in its place told is in it.
-        read = true;
+        storeRead = true;
         for (int i = 0; i < knownMicros.length; i++) {
             knownMicros[i] = Math.max(knownMicros[i], askedMicros);
         }
@@ -75,11 +75,13 @@
      * @param heardMicros when the answer came
      * @return whether it proves anything
      */
-    public boolean testified(int sibling, CancellationDigest word, long askedMicros, long heardMicros) {
+    public boolean digestReceived(int sibling, CancellationDigest word, long askedMicros, long heardMicros) {
         // Counted back from when the answer came and with the shortest that its clock allows, it was born no later than
         // this.
-        long bornMicros = heardMicros - Micros.withoutDrift(word.livedMicros());
-        if (!word.whole() || !word.label().equals(siblings.get(sibling).label()) || bornMicros > knownMicros[sibling]) {
+        long bornMicros = heardMicros - Micros.withoutDrift(word.uptimeMicros());
+        if (!word.complete()
+                || !word.controller().equals(siblings.get(sibling).label())
+                || bornMicros > knownMicros[sibling]) {
             return false;
         }
         knownMicros[sibling] = Math.max(knownMicros[sibling], askedMicros);
@@ -87,8 +89,8 @@
     }
 
     /** Whether the leader may answer workers, and by that prolong what runs on them. */
-    public boolean mayAnswer(long nowMicros) {
-        if (!read) {
+    public boolean mayAnswerWorkers(long nowMicros) {
+        if (!storeRead) {
             return false;
         }
         for (long known : knownMicros) {
@@ -100,7 +102,7 @@
     }
 
     /** Whose word is missing, for the log: labels of the siblings of which not enough is known. */
-    public List<String> missing(long nowMicros) {
+    public List<String> laggingControllers(long nowMicros) {
         return siblings.stream()
                 .filter(each -> nowMicros - knownMicros[siblings.indexOf(each)] > limitMicros)
                 .map(Settings.Sibling::label)
--- a/src/main/java/io/micatide/election/LeaderElection.java
+++ b/src/main/java/io/micatide/election/LeaderElection.java
@@ -8,17 +8,17 @@
  */
 public final class LeaderElection {
     /** What the node should do next. */
-    public enum Wish {
+    public enum Action {
         NOTHING,
         READ_ROW,
         GRANT_LEASE,
         CLAIM,
-        TOUCH
+        RENEW_LEASE
     }
 
     private final String label;
-    private final long ttlMicros;
-    private long lease;
+    private final long leaseMicros;
+    private long leaseId;
     private long leaseTouchedMicros;
     private boolean waiting;
     private boolean rowKnown;
@@ -27,7 +27,7 @@
     /** Ours while we lead, else 0. */
     private long fencingToken;
 
-    private long highestToken;
+    private long highestFencingToken;
     private String leader;
     private long retryAtMicros;
     private long claimableSinceMicros = Long.MAX_VALUE;
@@ -36,22 +36,22 @@
 
     public LeaderElection(String label, long ttlMicros) {
         this.label = label;
-        this.ttlMicros = ttlMicros;
+        this.leaseMicros = ttlMicros;
     }
 
-    public long ttlMicros() {
-        return ttlMicros;
+    public long leaseMicros() {
+        return leaseMicros;
     }
 
-    public long lease() {
-        return lease;
+    public long leaseId() {
+        return leaseId;
     }
 
     public long fencingToken() {
         return fencingToken;
     }
 
-    public boolean leads() {
+    public boolean isLeader() {
         return fencingToken != 0;
     }
 
@@ -60,8 +60,8 @@
         return leader;
     }
 
-    public long highestToken() {
-        return highestToken;
+    public long highestFencingToken() {
+        return highestFencingToken;
     }
 
     public long rowVersion() {
@@ -73,19 +73,19 @@
      *
      * @param waitsMicros for how long a row that became claimable is left to others that would lead better; nothing but courtesy
      */
-    public Wish next(long nowMicros, long waitsMicros) {
+    public Action nextAction(long nowMicros, long waitsMicros) {
         claimableForMicros(nowMicros);
         if (waiting || nowMicros < retryAtMicros) {
-            return Wish.NOTHING;
+            return Action.NOTHING;
         }
-        Wish wish = choose(nowMicros, waitsMicros);
-        waiting = wish != Wish.NOTHING;
+        Action wish = choose(nowMicros, waitsMicros);
+        waiting = wish != Action.NOTHING;
         return wish;
     }
 
     /** For how long the row has been there to be claimed, or -1 if it is not. */
     public long claimableForMicros(long nowMicros) {
-        if (leads() || !rowKnown || !claimable()) {
+        if (isLeader() || !rowKnown || !claimable()) {
             claimableSinceMicros = Long.MAX_VALUE;
             return -1;
         }
@@ -93,21 +93,21 @@
         return nowMicros - claimableSinceMicros;
     }
 
-    private Wish choose(long nowMicros, long waitsMicros) {
-        boolean touchDue = lease != 0 && nowMicros - leaseTouchedMicros >= ttlMicros / 4;
-        if (leads()) {
-            return touchDue ? Wish.TOUCH : Wish.NOTHING;
+    private Action choose(long nowMicros, long waitsMicros) {
+        boolean touchDue = leaseId != 0 && nowMicros - leaseTouchedMicros >= leaseMicros / 4;
+        if (isLeader()) {
+            return touchDue ? Action.RENEW_LEASE : Action.NOTHING;
         }
         if (!rowKnown) {
-            return Wish.READ_ROW;
+            return Action.READ_ROW;
         }
-        if (lease == 0) {
-            return Wish.GRANT_LEASE;
+        if (leaseId == 0) {
+            return Action.GRANT_LEASE;
         }
         if (claimable() && nowMicros >= claimsAfterMicros && claimableForMicros(nowMicros) >= waitsMicros) {
-            return Wish.CLAIM;
+            return Action.CLAIM;
         }
-        return touchDue ? Wish.TOUCH : Wish.NOTHING;
+        return touchDue ? Action.RENEW_LEASE : Action.NOTHING;
     }
 
     /** Free, or left by this controller before it was restarted: the process that owned it is gone. */
@@ -115,44 +115,44 @@
         return rowVersion == 0 || (label.equals(rowOwner) && rowVersion != fencingToken);
     }
 
-    public void failed(long nowMicros, long pauseMicros) {
+    public void requestFailed(long nowMicros, long pauseMicros) {
         waiting = false;
         retryAtMicros = nowMicros + pauseMicros;
     }
 
-    public void granted(long id, long nowMicros) {
+    public void leaseGranted(long id, long nowMicros) {
         waiting = false;
-        lease = id;
+        leaseId = id;
         leaseTouchedMicros = nowMicros;
     }
 
     /** @param askedMicros when the renewal was asked for: the lease runs from no earlier than that */
-    public void touched(long askedMicros) {
+    public void leaseRenewed(long askedMicros) {
         waiting = false;
         leaseTouchedMicros = askedMicros;
     }
 
     /** The lease ended, and with it the row if it was ours. */
-    public void leaseGone() {
+    public void leaseExpired() {
         waiting = false;
-        lease = 0;
-        if (leads()) {
-            depose();
+        leaseId = 0;
+        if (isLeader()) {
+            stepDown();
         }
         rowKnown = false;
     }
 
-    public void claimed(long revision) {
+    public void leadershipAcquired(long revision) {
         waiting = false;
         fencingToken = revision;
         rowOwner = label;
         rowVersion = revision;
         rowKnown = true;
         leader = label;
-        highestToken = Math.max(highestToken, revision);
+        highestFencingToken = Math.max(highestFencingToken, revision);
     }
 
-    public void claimRefused() {
+    public void claimRejected() {
         waiting = false;
         rowKnown = false;
     }
@@ -160,19 +160,19 @@
     /** The answer to READ_ROW. */
     public void rowRead(String owner, long version) {
         waiting = false;
-        row(owner, version);
+        rowObserved(owner, version);
     }
 
     /** The row as read or as watched; version 0 if there is none. */
-    public void row(String owner, long version) {
+    public void rowObserved(String owner, long version) {
         rowKnown = true;
         rowOwner = owner;
         rowVersion = version;
-        if (leads() && version != fencingToken) {
-            depose();
+        if (isLeader() && version != fencingToken) {
+            stepDown();
         }
-        if (version > 0 && version >= highestToken) {
-            highestToken = version;
+        if (version > 0 && version >= highestFencingToken) {
+            highestFencingToken = version;
             leader = owner;
         }
     }
@@ -183,26 +183,26 @@
     }
 
     /** A claim without an answer may have been applied: the row tells. */
-    public void claimUnknown(long nowMicros) {
-        failed(nowMicros, 100 * Micros.MILLISECOND);
+    public void claimOutcomeUnknown(long nowMicros) {
+        requestFailed(nowMicros, 100 * Micros.MILLISECOND);
         rowKnown = false;
     }
 
     /** A higher token was seen with a worker or told by a sibling: whoever has it leads, not we. */
-    public boolean higherToken(long seen, String owner) {
-        if (seen <= highestToken && !(leads() && seen > fencingToken)) {
-            if (seen == highestToken && owner != null) {
+    public boolean observeToken(long seen, String owner) {
+        if (seen <= highestFencingToken && !(isLeader() && seen > fencingToken)) {
+            if (seen == highestFencingToken && owner != null) {
                 leader = owner;
             }
             return false;
         }
-        highestToken = seen;
+        highestFencingToken = seen;
         if (owner != null) {
             leader = owner;
         }
-        boolean was = leads();
+        boolean was = isLeader();
         if (was) {
-            depose();
+            stepDown();
             rowKnown = false;
         }
         return was;
@@ -214,11 +214,11 @@
      * @return the lease to end, with which the row goes
      */
     public long resign(long nowMicros, long pauseMicros) {
-        long ended = lease;
-        lease = 0;
+        long ended = leaseId;
+        leaseId = 0;
         rowKnown = false;
         claimsAfterMicros = nowMicros + pauseMicros;
-        depose();
+        stepDown();
         return ended;
     }
 
@@ -226,12 +226,12 @@
      * Until when the lease runs for certain. A process that stood still may have lost it, and what it asks of the cloud is
      * not fenced.
      */
-    public long holdsUntilMicros() {
-        return leads() ? leaseTouchedMicros + ttlMicros : Long.MIN_VALUE;
+    public long leaseHeldUntilMicros() {
+        return isLeader() ? leaseTouchedMicros + leaseMicros : Long.MIN_VALUE;
     }
 
     /** Fenced: stops quietly. */
-    public void depose() {
+    public void stepDown() {
         fencingToken = 0;
         if (label.equals(leader)) {
             leader = null;
--- a/src/main/java/io/micatide/election/StoreConnectivity.java
+++ b/src/main/java/io/micatide/election/StoreConnectivity.java
@@ -13,20 +13,20 @@
     private long siblingServedMicros = Long.MIN_VALUE / 2;
 
     /** The state service answered this controller. */
-    public void served(long nowMicros) {
+    public void requestServed(long nowMicros) {
         servedMicros = nowMicros;
     }
 
     /** A sibling says that the state service answers it. */
-    public void siblingServed(long nowMicros) {
+    public void peerServed(long nowMicros) {
         siblingServedMicros = nowMicros;
     }
 
-    public boolean reached(long nowMicros) {
+    public boolean isConnected(long nowMicros) {
         return nowMicros - servedMicros < PATIENCE_MICROS;
     }
 
-    public boolean lostAlone(long nowMicros) {
-        return !reached(nowMicros) && nowMicros - siblingServedMicros < PATIENCE_MICROS;
+    public boolean isPartitionedAlone(long nowMicros) {
+        return !isConnected(nowMicros) && nowMicros - siblingServedMicros < PATIENCE_MICROS;
     }
 }
--- a/src/main/java/io/micatide/election/WorkerConnectivity.java
+++ b/src/main/java/io/micatide/election/WorkerConnectivity.java
@@ -51,11 +51,11 @@
      * the leader, or comes back from it, has lost it. A copy of an older report that arrives once more says nothing: taken for a worker that
      * came back, three of them made this controller send all others away to look for themselves.
      */
-    public void cameHere(Heartbeat heartbeat, long leaderToken, long nowMicros) {
+    public void heartbeatRedirected(Heartbeat heartbeat, long leaderToken, long nowMicros) {
         String machine = heartbeat.machine();
         long seen = heartbeat.fencingToken();
         Sent before = sent.get(machine);
-        if (before != null && !heartbeat.newerThan(before.incarnation(), before.sequence())) {
+        if (before != null && !heartbeat.isNewerThan(before.incarnation(), before.sequence())) {
             return;
         }
         cameMicros = nowMicros;
@@ -75,7 +75,7 @@
     }
 
     /** The leader says how long no worker has come to it. */
-    public void leaderSilent(long silentMicros, long nowMicros) {
+    public void leaderReportedSilence(long silentMicros, long nowMicros) {
         newsMicros = nowMicros;
         leaderSilentSinceMicros = nowMicros - silentMicros;
     }
@@ -84,7 +84,7 @@
      * Whether workers should look for themselves instead of being sent to the leader: a connection to one that is cut off
      * hangs for four seconds of a lease of ten.
      */
-    public boolean leaderLost(long nowMicros) {
+    public boolean isLeaderUnreachable(long nowMicros) {
         strays.values().removeIf(at -> nowMicros - at > RECENT_MICROS);
         return strays.size() >= MANY_STRAYS
                 || (!strays.isEmpty()
@@ -93,7 +93,7 @@
     }
 
     /** How long ago a worker that had lost the leader came here, or -1 if that is too long ago to matter. */
-    public long strayedAgoMicros(long nowMicros) {
+    public long lastStrayAgoMicros(long nowMicros) {
         long ago = nowMicros - lastStrayMicros;
         return ago < RECENT_MICROS ? ago : -1;
     }
@@ -103,7 +103,7 @@
      * should. After a leader's end all workers look for another one, so whoever hears none for long is cut off from
      * them, or there are none. A process that has just begun has had no time to hear any.
      */
-    public boolean reached(long nowMicros) {
+    public boolean isConnected(long nowMicros) {
         return nowMicros - Math.max(cameMicros, heardMicros) < RECENT_MICROS
                 || nowMicros - startedMicros < RECENT_MICROS;
     }
@@ -111,7 +111,7 @@
     // ---- the leader
 
     /** A term begins: workers have yet to find this controller. */
-    public void begin(long nowMicros) {
+    public void termStarted(long nowMicros) {
         heardAny = false;
         heardMicros = nowMicros + ARRIVES_MICROS;
         strayedElsewhereMicros = Long.MIN_VALUE / 2;
@@ -119,13 +119,13 @@
         strays.clear();
     }
 
-    public void heard(long nowMicros) {
+    public void heartbeatReceived(long nowMicros) {
         heardAny = true;
         heardMicros = nowMicros;
     }
 
     /** This process stood still: its silence says nothing about the workers. */
-    public void stalled(long nowMicros) {
+    public void processPaused(long nowMicros) {
         heardMicros = Math.max(heardMicros, nowMicros);
     }
 
@@ -134,13 +134,13 @@
     }
 
     /** Whether siblings should be asked now instead of with the next regular news. */
-    public boolean worried(long nowMicros) {
+    public boolean shouldAskPeers(long nowMicros) {
         long silent = silentMicros(nowMicros);
         return silent > silenceMicros / 2 && (heardAny || silent < WORRIED_MICROS);
     }
 
     /** A sibling's word that a worker which had lost the leader came to it that long ago; -1: none did. */
-    public void strayedElsewhere(long agoMicros, long nowMicros) {
+    public void peerReportedStray(long agoMicros, long nowMicros) {
         if (agoMicros >= 0) {
             strayedElsewhereMicros = Math.max(strayedElsewhereMicros, nowMicros - agoMicros);
         }
@@ -151,7 +151,7 @@
      * Without such news it stays, be it that all are cut off or that there are no machines: nobody could do better. Nor could
      * anybody claim while the state service is away: the cut may be over before that.
      */
-    public boolean givesUp(boolean stateServed, long nowMicros) {
+    public boolean shouldResign(boolean stateServed, long nowMicros) {
         return stateServed
                 && silentMicros(nowMicros) > silenceMicros
                 && strayedElsewhereMicros > heardMicros
--- a/src/main/java/io/micatide/jobs/CancellationLog.java
+++ b/src/main/java/io/micatide/jobs/CancellationLog.java
@@ -13,26 +13,26 @@
  */
 public final class CancellationLog {
     /** What a leader that is not served misses is seconds' worth; so many names fill a third of what a sibling may say at once. */
-    static final int MOST = 1_000;
+    static final int MAX_ENTRIES = 1_000;
 
     private final Deque<CancellationDigest.Cancelled> newest = new ArrayDeque<>();
     /** Above this revision nothing is missing: what was dropped was older, and so was what a read of all rows could not show any more. */
     private long wholeAbove;
 
-    public void cancelled(String job, long version) {
+    public void add(String job, long version) {
         newest.addLast(new CancellationDigest.Cancelled(job, version));
-        if (newest.size() > MOST) {
+        if (newest.size() > MAX_ENTRIES) {
             wholeAbove = Math.max(wholeAbove, newest.removeFirst().version());
         }
     }
 
     /** All rows were read as of this revision: what was cancelled and archived before it may not have been among them. */
-    public void readWholeAt(long revision) {
+    public void allReadAt(long revision) {
         wholeAbove = Math.max(wholeAbove, revision);
     }
 
     /** @param livedMicros how long the process has lived */
-    public CancellationDigest above(long revision, String label, long livedMicros) {
+    public CancellationDigest digestSince(long revision, String label, long livedMicros) {
         List<CancellationDigest.Cancelled> names = new ArrayList<>();
         for (CancellationDigest.Cancelled each : newest) {
             if (each.version() > revision) {
--- a/src/main/java/io/micatide/jobs/DependencyAdmission.java
+++ b/src/main/java/io/micatide/jobs/DependencyAdmission.java
@@ -13,8 +13,8 @@
 public sealed interface DependencyAdmission {
     /** It may be stored as {@code stored} with this state. */
     record Accepted(JobState state, JobSpec stored, int tasks) implements DependencyAdmission {
-        public StoredRecord.JobRow row(long submittedWall) {
-            return new StoredRecord.JobRow(state, stored, submittedWall, tasks);
+        public StoredRecord.JobRecord row(long submittedWall) {
+            return new StoredRecord.JobRecord(state, stored, submittedWall, tasks);
         }
     }
 
@@ -32,7 +32,7 @@
     static DependencyAdmission of(JobSpec spec, JobCache directory, Map<String, JobOutcome> archived) {
         List<String> left = new ArrayList<>();
         boolean withdrawn = false;
-        for (String need : spec.needs()) {
+        for (String need : spec.dependencies()) {
             JobCache.Entry entry = directory.get(need);
             JobOutcome outcome = entry == null ? archived.get(need) : null;
             if (outcome != null) {
@@ -45,7 +45,7 @@
             if (entry == null) {
                 return new Refused("awaits: " + need + " was never accepted");
             }
-            if (entry.row().spec() != null && entry.row().spec().kind() == JobKind.SERVICE) {
+            if (entry.record().spec() != null && entry.record().spec().kind() == JobKind.SERVICE) {
                 return new Refused("awaits: " + need + " is a service and never done");
             }
             JobState state = directory.state(need);
@@ -56,14 +56,14 @@
         }
         if (withdrawn) {
             // Accepted all the same, and over: it never starts, so nothing of it has to be kept.
-            return new Accepted(JobState.CANCELLED, null, spec.tasks());
+            return new Accepted(JobState.CANCELLED, null, spec.taskCount());
         }
         // Done is final, so what is done already need not be kept.
         if (left.isEmpty()) {
-            return new Accepted(JobState.OPEN, spec.withNeeds(List.of()), spec.tasks());
+            return new Accepted(JobState.OPEN, spec.withDependencies(List.of()), spec.taskCount());
         }
         return directory.layoutVersion() == 0
                 ? new NotYet()
-                : new Accepted(JobState.OPEN, spec.withNeeds(left), spec.tasks());
+                : new Accepted(JobState.OPEN, spec.withDependencies(left), spec.taskCount());
     }
 }
--- a/src/main/java/io/micatide/jobs/DependencyGraph.java
+++ b/src/main/java/io/micatide/jobs/DependencyGraph.java
@@ -22,7 +22,7 @@
 
     private final Map<String, List<String>> dependents = new HashMap<>();
     /** Open by their own row, but something that they need was cancelled. */
-    private final Set<String> withdrawn = new HashSet<>();
+    private final Set<String> isCancelledByDependency = new HashSet<>();
     /** When the last job was done that an open job needed, by the time of day. */
     private final Map<String, Long> readyWall = new HashMap<>();
 
@@ -30,15 +30,15 @@
     @FunctionalInterface
     interface Ends {
         /** The row of a job that ended, or null while it has not. */
-        StoredRecord.JobRow of(String id);
+        StoredRecord.JobRecord of(String id);
     }
 
-    boolean waits(String id) {
+    boolean hasUnfinishedDependencies(String id) {
         return missing.containsKey(id);
     }
 
-    boolean withdrawn(String id) {
-        return withdrawn.contains(id);
+    boolean isCancelledByDependency(String id) {
+        return isCancelledByDependency.contains(id);
     }
 
     long readyWall(String id, long submittedWall) {
@@ -49,9 +49,9 @@
     List<String> opened(String id, List<String> needs, Ends ends) {
         Set<String> left = new HashSet<>();
         for (String need : needs) {
-            StoredRecord.JobRow end = ends.of(need);
-            if (withdrawn.contains(need) || (end != null && end.state() == JobState.CANCELLED)) {
-                withdrawn.add(id);
+            StoredRecord.JobRecord end = ends.of(need);
+            if (isCancelledByDependency.contains(need) || (end != null && end.state() == JobState.CANCELLED)) {
+                isCancelledByDependency.add(id);
                 return cancelled(id);
             }
             if (end == null) {
@@ -68,12 +68,12 @@
         return List.of();
     }
 
-    private void done(String id, StoredRecord.JobRow end) {
+    private void done(String id, StoredRecord.JobRecord end) {
         readyWall.merge(id, end.endedWall(), Math::max);
     }
 
     /** Returns the jobs that wait for nothing any more. */
-    List<String> completed(String id, StoredRecord.JobRow row) {
+    List<String> completed(String id, StoredRecord.JobRecord row) {
         List<String> ready = new ArrayList<>();
         List<String> after = dependents.remove(id);
         if (after != null) {
@@ -99,7 +99,7 @@
             List<String> after = dependents.remove(todo.poll());
             if (after != null) {
                 for (String each : after) {
-                    if (missing.remove(each) != null && withdrawn.add(each)) {
+                    if (missing.remove(each) != null && isCancelledByDependency.add(each)) {
                         result.add(each);
                         todo.add(each);
                     }
@@ -112,7 +112,7 @@
     /** The job's own row ended it. */
     void ended(String id) {
         missing.remove(id);
-        withdrawn.remove(id);
+        isCancelledByDependency.remove(id);
         readyWall.remove(id);
     }
 }
--- a/src/main/java/io/micatide/jobs/JobAdmission.java
+++ b/src/main/java/io/micatide/jobs/JobAdmission.java
@@ -23,21 +23,21 @@
         }
         boolean fits = false;
         for (MachineType type : types) {
-            fits |= spec.each().fitsIn(type.size())
-                    && (spec.types().isEmpty() || spec.types().contains(type.name()))
+            fits |= spec.taskResources().fitsIn(type.resources())
+                    && (spec.machineTypes().isEmpty() || spec.machineTypes().contains(type.name()))
                     && (spec.zone() == null || type.zones().contains(spec.zone()));
         }
         if (!fits) {
             return "a task fits no allowed machine type";
         }
-        int together = spec.kind() == JobKind.ARRAY ? 1 : spec.tasks();
-        if (!team.allows(spec.each().times(together))) {
+        int together = spec.kind() == JobKind.ARRAY ? 1 : spec.taskCount();
+        if (!team.isWithinLimit(spec.taskResources().times(together))) {
             return "needs more than the limit of team " + spec.team();
         }
         if (spec.kind() != JobKind.ARRAY
-                && spec.tasks() > 1
-                && spec.spread()
-                && (spec.oneZone() || spec.zone() != null)) {
+                && spec.taskCount() > 1
+                && spec.spreadOverZones()
+                && (spec.singleZone() || spec.zone() != null)) {
             return "cannot be both spread and in one zone";
         }
         return null;
--- a/src/main/java/io/micatide/jobs/JobCache.java
+++ b/src/main/java/io/micatide/jobs/JobCache.java
@@ -22,17 +22,22 @@
  */
 public final class JobCache {
     /** A job's row and its version. */
-    public record Entry(String id, StoredRecord.JobRow row, long version) {}
+    public record Entry(String id, StoredRecord.JobRecord record, long version) {}
 
     /**
      * A job as it stands by its own row and by the rows of the jobs that it needs.
      *
      * @param state withdrawn with a job that it needs, it is cancelled although its row is open
-     * @param waits some job that it needs is not done
+     * @param hasUnfinishedDependencies some job that it needs is not done
      * @param readyWall from when its times count: its submission, or the end of the last job that it needs
      */
     public record View(
-            String id, StoredRecord.JobRow row, long version, JobState state, boolean waits, long readyWall) {}
+            String id,
+            StoredRecord.JobRecord record,
+            long version,
+            JobState state,
+            boolean hasUnfinishedDependencies,
+            long readyWall) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
     private final Map<String, Entry> open = new HashMap<>();
@@ -47,37 +52,37 @@
     /** How many rows of names belong to a job; they go with its row. */
     private final Map<String, Integer> furtherRows = new HashMap<>();
     /** Rows that may be of archived jobs: a late write of a former version brought them back. Nothing is told or started of them. */
-    private final Map<String, Entry> doubtful = new LinkedHashMap<>();
+    private final Map<String, Entry> unverified = new LinkedHashMap<>();
     /** What was found to be archived although it has a row, with the row's version. */
-    private final Map<String, Long> ghosts = new HashMap<>();
+    private final Map<String, Long> staleRecords = new HashMap<>();
 
-    private final CancellationLog cancelLog = new CancellationLog();
+    private final CancellationLog cancellationLog = new CancellationLog();
     /** What the full read under way has shown, null between two. */
     private Set<String> seen;
 
     private long revision;
     private long layoutVersion;
     private StoredRecord.Layout layout;
-    private long historyVersion;
-    private StoredRecord.History history;
+    private long archiveVersion;
+    private StoredRecord.ArchiveManifest archiveManifest;
 
     public long revision() {
         return revision;
     }
 
     /** All changes up to this revision have been applied. */
-    public void upTo(long newRevision) {
+    public void advanceTo(long newRevision) {
         revision = Math.max(revision, newRevision);
     }
 
-    /** Starts over from the revision of the first page of a full read; what is known stays known until {@link #readWhole}. */
+    /** Starts over from the revision of the first page of a full read; what is known stays known until {@link #allRead}. */
     public void restartAt(long newRevision) {
         revision = newRevision;
         seen = new HashSet<>();
     }
 
     /** The full read is over: what it did not show and is not younger has been archived meanwhile. */
-    public void readWhole() {
+    public void allRead() {
         List<String> gone = new ArrayList<>();
         for (Entry entry : entries.values()) {
             if (!seen.contains(entry.id()) && entry.version() <= revision) {
@@ -86,32 +91,32 @@
         }
         seen = null;
         gone.forEach(id -> removed(id, revision));
-        cancelLog.readWholeAt(revision);
+        cancellationLog.allReadAt(revision);
     }
 
     /** What this copy has come to know as cancelled, also of jobs that it does not hold any more. */
-    public CancellationLog cancelLog() {
-        return cancelLog;
+    public CancellationLog cancellationLog() {
+        return cancellationLog;
     }
 
     /**
      * A sibling's word that a job is cancelled by its row of this version; the row itself is still to be read. Returns what {@link #apply}
      * does.
      */
-    public List<String> cancelledElsewhere(String id, long version) {
+    public List<String> markCancelled(String id, long version) {
         Entry known = entries.get(id);
-        if (known == null || known.row().state().isFinal()) {
+        if (known == null || known.record().state().isFinal()) {
             return List.of();
         }
-        StoredRecord.JobRow open = known.row();
+        StoredRecord.JobRecord open = known.record();
         return apply(
                 id,
-                new StoredRecord.JobRow(
+                new StoredRecord.JobRecord(
                                 JobState.CANCELLED,
-                                open.spec().withNeeds(List.of()),
+                                open.spec().withDependencies(List.of()),
                                 open.submittedWall(),
-                                open.tasks())
-                        .asChecked(open.checked()),
+                                open.taskCount())
+                        .withCheckedAgainstArchive(open.checkedAgainstArchive()),
                 version);
     }
 
@@ -134,10 +139,10 @@
     }
 
     /** The jobs that rows of open jobs name: none of them may lose its own. */
-    public Set<String> needed() {
+    public Set<String> dependencies() {
         Set<String> names = new HashSet<>();
-        open.values().forEach(entry -> names.addAll(entry.row().spec().needs()));
-        incomplete.values().forEach(entry -> names.addAll(entry.row().spec().needs()));
+        open.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
+        incomplete.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
         return names;
     }
 
@@ -157,120 +162,120 @@
     }
 
     /** The version of the archive's manifest, or 0 while there is no archive: a condition of everything that adds a job. */
-    public long historyVersion() {
-        return historyVersion;
+    public long archiveVersion() {
+        return archiveVersion;
     }
 
     /** The archive's manifest, or null while there is none. */
-    public StoredRecord.History history() {
-        return history;
+    public StoredRecord.ArchiveManifest archiveManifest() {
+        return archiveManifest;
     }
 
-    public void historyKnown(long version, StoredRecord.History manifest) {
-        if (version > historyVersion) {
-            historyVersion = version;
-            history = manifest;
+    public void archiveManifestRead(long version, StoredRecord.ArchiveManifest manifest) {
+        if (version > archiveVersion) {
+            archiveVersion = version;
+            archiveManifest = manifest;
         }
     }
 
     /** How a known job stands, also by what it needs. */
     public JobState state(String id) {
-        JobState own = entries.get(id).row().state();
-        return own == JobState.OPEN && dependencies.withdrawn(id) ? JobState.CANCELLED : own;
+        JobState own = entries.get(id).record().state();
+        return own == JobState.OPEN && dependencies.isCancelledByDependency(id) ? JobState.CANCELLED : own;
     }
 
     public View view(String id) {
         Entry entry = entries.get(id);
         return new View(
                 id,
-                entry.row(),
+                entry.record(),
                 entry.version(),
                 state(id),
-                dependencies.waits(id),
-                dependencies.readyWall(id, entry.row().submittedWall()));
+                dependencies.hasUnfinishedDependencies(id),
+                dependencies.readyWall(id, entry.record().submittedWall()));
     }
 
     /** Everything of which a task may be on a machine, and what waits. */
     public List<View> openAndCancelled() {
         List<View> result = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            if (entry.row().state() != JobState.DONE) {
+            if (entry.record().state() != JobState.DONE) {
                 result.add(view(entry.id()));
             }
         }
         return result;
     }
 
-    private StoredRecord.JobRow end(String id) {
+    private StoredRecord.JobRecord end(String id) {
         Entry entry = entries.get(id);
-        return entry == null || !entry.row().state().isFinal() ? null : entry.row();
+        return entry == null || !entry.record().state().isFinal() ? null : entry.record();
     }
 
     /** Applies further names of a job; returns what {@link #apply} does once its row and all of them are there. */
-    public List<String> applyNeeds(String id, int piece, List<String> names) {
+    public List<String> applyDependencies(String id, int piece, List<String> names) {
         furtherRows.merge(id, piece, Math::max);
         if (entries.containsKey(id)) {
             return List.of();
         }
         pieces.computeIfAbsent(id, k -> new TreeMap<>()).put(piece, names);
         Entry row = incomplete.get(id);
-        return row == null ? List.of() : apply(id, row.row(), row.version());
+        return row == null ? List.of() : apply(id, row.record(), row.version());
     }
 
     /** The row with all names that belong to it, or null while some are missing. */
-    private StoredRecord.JobRow complete(String id, StoredRecord.JobRow row, long version) {
-        if (row.furtherNeeds() == 0 || row.state().isFinal()) {
+    private StoredRecord.JobRecord complete(String id, StoredRecord.JobRecord row, long version) {
+        if (row.furtherDependencyRecords() == 0 || row.state().isFinal()) {
             return row;
         }
         Map<Integer, List<String>> further = pieces.getOrDefault(id, Map.of());
-        if (further.size() < row.furtherNeeds()) {
+        if (further.size() < row.furtherDependencyRecords()) {
             incomplete.put(id, new Entry(id, row, version));
             return null;
         }
-        List<String> all = new ArrayList<>(row.spec().needs());
+        List<String> all = new ArrayList<>(row.spec().dependencies());
         further.values().forEach(all::addAll);
-        return row.withNeeds(all, 0);
+        return row.withDependencies(all, 0);
     }
 
     /** Applies a row unless a newer one is known; returns the jobs that stand otherwise than before, itself first. */
-    public List<String> apply(String id, StoredRecord.JobRow stored, long version) {
+    public List<String> apply(String id, StoredRecord.JobRecord stored, long version) {
         if (seen != null) {
             seen.add(id);
         }
         Entry known = entries.get(id);
-        if ((known != null && known.version() >= version) || ghosts.getOrDefault(id, 0L) >= version) {
+        if ((known != null && known.version() >= version) || staleRecords.getOrDefault(id, 0L) >= version) {
             return List.of();
         }
         if (known == null && mayBeArchived(stored, version)) {
-            doubtful.merge(id, new Entry(id, stored, version), (a, b) -> a.version() > b.version() ? a : b);
+            unverified.merge(id, new Entry(id, stored, version), (a, b) -> a.version() > b.version() ? a : b);
             return List.of();
         }
         return applySound(id, stored, version);
     }
 
     /** Of a former version, which does not ask the archive; whoever writes a row now says that it did. */
-    private boolean mayBeArchived(StoredRecord.JobRow stored, long version) {
-        return history != null
-                && !stored.checked()
-                && version > (history.sinceVersion() == 0 ? historyVersion : history.sinceVersion());
+    private boolean mayBeArchived(StoredRecord.JobRecord stored, long version) {
+        return archiveManifest != null
+                && !stored.checkedAgainstArchive()
+                && version > (archiveManifest.sinceVersion() == 0 ? archiveVersion : archiveManifest.sinceVersion());
     }
 
-    private List<String> applySound(String id, StoredRecord.JobRow stored, long version) {
+    private List<String> applySound(String id, StoredRecord.JobRecord stored, long version) {
         Entry known = entries.get(id);
-        StoredRecord.JobRow row = complete(id, stored, version);
+        StoredRecord.JobRecord row = complete(id, stored, version);
         if (row == null) {
             return List.of();
         }
         incomplete.remove(id);
         pieces.remove(id);
         // Whoever wrote a later row knew the job; the look-up of the earlier one may still be under way.
-        doubtful.remove(id);
+        unverified.remove(id);
         Entry entry = new Entry(id, row, version);
         entries.put(id, entry);
         List<String> changed = new ArrayList<>(List.of(id));
         if (row.state().isFinal()) {
             if (row.state() == JobState.CANCELLED) {
-                cancelLog.cancelled(id, version);
+                cancellationLog.add(id, version);
             }
             open.remove(id);
             ended.put(id, entry);
@@ -279,7 +284,7 @@
         } else {
             open.put(id, entry);
             if (known == null) {
-                changed.addAll(dependencies.opened(id, row.spec().needs(), this::end));
+                changed.addAll(dependencies.opened(id, row.spec().dependencies(), this::end));
             }
         }
         return changed;
@@ -297,37 +302,37 @@
             pieces.remove(id);
         }
         incomplete.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
-        doubtful.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
-        ghosts.computeIfPresent(id, (name, row) -> row <= version ? null : row);
+        unverified.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
+        staleRecords.computeIfPresent(id, (name, row) -> row <= version ? null : row);
     }
 
     // ---- rows of former versions
 
-    /** Rows that have to be looked up in the archive, by {@link #sound} or {@link #ghost}. */
-    public List<Entry> doubtful() {
-        return List.copyOf(doubtful.values());
+    /** Rows that have to be looked up in the archive, by {@link #markVerified} or {@link #markStale}. */
+    public List<Entry> unverified() {
+        return List.copyOf(unverified.values());
     }
 
-    public boolean isDoubtful(String id) {
-        return doubtful.containsKey(id);
+    public boolean isUnverified(String id) {
+        return unverified.containsKey(id);
     }
 
     /** Not archived: a job like any other; returns what {@link #apply} does. */
-    public List<String> sound(String id) {
-        Entry entry = doubtful.remove(id);
-        return entry == null ? List.of() : applySound(id, entry.row(), entry.version());
+    public List<String> markVerified(String id) {
+        Entry entry = unverified.remove(id);
+        return entry == null ? List.of() : applySound(id, entry.record(), entry.version());
     }
 
     /** Archived long ago: the row is to go, and nothing of it is ever told or started. */
-    public void ghost(String id) {
-        Entry entry = doubtful.remove(id);
+    public void markStale(String id) {
+        Entry entry = unverified.remove(id);
         if (entry != null) {
-            ghosts.put(id, entry.version());
+            staleRecords.put(id, entry.version());
         }
     }
 
     /** Ghosts whose rows are still there, with the rows' versions. */
-    public Map<String, Long> ghosts() {
-        return ghosts;
+    public Map<String, Long> staleRecords() {
+        return staleRecords;
     }
 }
--- a/src/main/java/io/micatide/model/CloudCall.java
+++ b/src/main/java/io/micatide/model/CloudCall.java
@@ -4,7 +4,7 @@
 
 /** A call to the cloud. */
 public sealed interface CloudCall {
-    record Rent(String booking, String type, String zone, boolean spot, int count) implements CloudCall {}
+    record Rent(String requestName, String type, String zone, boolean spot, int count) implements CloudCall {}
 
     record Delete(List<String> machines) implements CloudCall {}
 
--- a/src/main/java/io/micatide/model/Command.java
+++ b/src/main/java/io/micatide/model/Command.java
@@ -4,13 +4,13 @@
 public sealed interface Command {
     String job();
 
-    int index();
+    int taskIndex();
 
     long attempt();
 
-    record Start(String job, int index, long attempt) implements Command {}
+    record Start(String job, int taskIndex, long attempt) implements Command {}
 
-    record Stop(String job, int index, long attempt, long graceMicros) implements Command {}
+    record Stop(String job, int taskIndex, long attempt, long graceMicros) implements Command {}
 
-    record Forget(String job, int index, long attempt) implements Command {}
+    record Reap(String job, int taskIndex, long attempt) implements Command {}
 }
--- a/src/main/java/io/micatide/model/Heartbeat.java
+++ b/src/main/java/io/micatide/model/Heartbeat.java
@@ -15,7 +15,7 @@
         long spotNoticeMicros,
         List<TaskStatus> tasks) {
 
-    public boolean newerThan(long otherIncarnation, long otherSequence) {
+    public boolean isNewerThan(long otherIncarnation, long otherSequence) {
         return incarnation > otherIncarnation || (incarnation == otherIncarnation && sequence > otherSequence);
     }
 }
--- a/src/main/java/io/micatide/model/Hint.java
+++ b/src/main/java/io/micatide/model/Hint.java
@@ -14,34 +14,35 @@
      * @param address where its worker takes commands, empty if that is not known
      * @param incarnation of its worker, by its last report
      * @param images names of images that the machine most likely has, the one used longest ago first
-     * @param gigabytes their sizes, in the same order
+     * @param imageSizesGb their sizes, in the same order
      * @param slow its tasks took much longer than others of their jobs, not long ago
-     * @param faulty jobs failed on it that succeed elsewhere: it was to be returned
-     * @param gone its deletion was answered; ledgers may name it still
+     * @param quarantined jobs failed on it that succeed elsewhere: it was to be returned
+     * @param deleted its deletion was answered; ledgers may name it still
      */
-    record OfMachine(
+    record MachineHint(
             String name,
             String address,
             long incarnation,
             List<String> images,
-            List<Double> gigabytes,
+            List<Double> imageSizesGb,
             boolean slow,
-            boolean faulty,
-            boolean gone)
+            boolean quarantined,
+            boolean deleted)
             implements Hint {
-        public static OfMachine gone(String name) {
-            return new OfMachine(name, "", 0, List.of(), List.of(), false, false, true);
+        public static MachineHint deleted(String name) {
+            return new MachineHint(name, "", 0, List.of(), List.of(), false, false, true);
         }
     }
 
     /**
-     * @param ranMicros how long its tasks took on average, 0 if none is over
-     * @param ranTasks how many that tells of, roughly
-     * @param suspect it failed on several machines and never succeeded
+     * @param meanRuntimeMicros how long its tasks took on average, 0 if none is over
+     * @param completedTasks how many that tells of, roughly
+     * @param quarantined it failed on several machines and never succeeded
      * @param failedProbes how often it was tried since
      */
-    record OfJob(String name, long ranMicros, int ranTasks, boolean suspect, int failedProbes) implements Hint {}
+    record JobHint(String name, long meanRuntimeMicros, int completedTasks, boolean quarantined, int failedProbes)
+            implements Hint {}
 
     /** How long tasks of a class take by their owners' estimate, and how far a single one is usually from it. */
-    record OfClass(String name, double factor, double spread) implements Hint {}
+    record JobClassHint(String name, double factor, double spread) implements Hint {}
 }
--- a/src/main/java/io/micatide/model/JobSpec.java
+++ b/src/main/java/io/micatide/model/JobSpec.java
@@ -5,12 +5,12 @@
 /**
  * A job as its user described it.
  *
- * @param types allowed machine types, empty for any
+ * @param machineTypes allowed machine types, empty for any
  * @param zone the only allowed zone, or null
- * @param estimateMicros the owner's estimate of a task's run time; often wrong by half
- * @param checkpointMicros 0: the task never saves
+ * @param estimatedRuntimeMicros the owner's estimate of a task's run time; often wrong by half
+ * @param checkpointIntervalMicros 0: the task never saves
  * @param deadlineMicros from submission, or -1
- * @param needs jobs that have to be done before any task of this one starts
+ * @param dependencies jobs that have to be done before any task of this one starts
  */
 public record JobSpec(
         String id,
@@ -18,20 +18,20 @@
         String team,
         JobKind kind,
         Priority priority,
-        int tasks,
-        Resources each,
+        int taskCount,
+        Resources taskResources,
         String image,
         double imageGb,
-        List<String> types,
+        List<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
-        boolean spot,
-        long estimateMicros,
-        long checkpointMicros,
+        boolean singleZone,
+        boolean spreadOverZones,
+        boolean spotAllowed,
+        long estimatedRuntimeMicros,
+        long checkpointIntervalMicros,
         long saveMicros,
         long deadlineMicros,
-        List<String> needs) {
+        List<String> dependencies) {
 
     /** A job that needs no other. */
     public JobSpec(
@@ -75,59 +75,61 @@
                 List.of());
     }
 
-    public JobSpec withNeeds(List<String> others) {
+    public JobSpec withDependencies(List<String> others) {
         return new JobSpec(
                 id,
                 jobClass,
                 team,
                 kind,
                 priority,
-                tasks,
-                each,
+                taskCount,
+                taskResources,
                 image,
                 imageGb,
-                types,
+                machineTypes,
                 zone,
-                oneZone,
-                spread,
-                spot,
-                estimateMicros,
-                checkpointMicros,
+                singleZone,
+                spreadOverZones,
+                spotAllowed,
+                estimatedRuntimeMicros,
+                checkpointIntervalMicros,
                 saveMicros,
                 deadlineMicros,
                 others);
     }
 
     /** What a leader has to know of a cancelled job: whose its tasks are and what they take. */
-    public JobSpec essentials() {
+    public JobSpec withPlacementFieldsOnly() {
         return new JobSpec(
                 id,
                 "-",
                 team,
                 kind,
                 priority,
-                tasks,
-                each,
+                taskCount,
+                taskResources,
                 "-",
                 0,
                 List.of(),
                 null,
-                oneZone,
-                spread,
-                spot,
-                estimateMicros,
-                checkpointMicros,
+                singleZone,
+                spreadOverZones,
+                spotAllowed,
+                estimatedRuntimeMicros,
+                checkpointIntervalMicros,
                 saveMicros,
                 -1,
                 List.of());
     }
 
     /** Most tasks that may be in one zone when the job asks to be spread. */
-    public int mostInOneZone() {
-        return spread ? (tasks + 1) / 2 : Integer.MAX_VALUE;
+    public int maxTasksPerZone() {
+        return spreadOverZones ? (taskCount + 1) / 2 : Integer.MAX_VALUE;
     }
 
     public boolean allowsMachine(String type, String inZone, boolean onSpot) {
-        return (types.isEmpty() || types.contains(type)) && (zone == null || zone.equals(inZone)) && (spot || !onSpot);
+        return (machineTypes.isEmpty() || machineTypes.contains(type))
+                && (zone == null || zone.equals(inZone))
+                && (spotAllowed || !onSpot);
     }
 }
--- a/src/main/java/io/micatide/model/MachineType.java
+++ b/src/main/java/io/micatide/model/MachineType.java
@@ -5,7 +5,7 @@
 /** A machine type as the cloud offers it; prices per hour. */
 public record MachineType(
         String name,
-        Resources size,
+        Resources resources,
         double cacheGb,
         double fetchGbPerSecond,
         double price,
--- a/src/main/java/io/micatide/model/Priority.java
+++ b/src/main/java/io/micatide/model/Priority.java
@@ -7,7 +7,7 @@
     NORMAL,
     LOW;
 
-    public boolean above(Priority other) {
+    public boolean isAbove(Priority other) {
         return ordinal() < other.ordinal();
     }
 }
--- a/src/main/java/io/micatide/model/Resources.java
+++ b/src/main/java/io/micatide/model/Resources.java
@@ -1,7 +1,7 @@
 package io.micatide.model;
 
 /** What a task takes or a machine has, in thousandths, so that sums against a team's limit are exact. */
-public record Resources(long cpus, long cards, long memory) {
+public record Resources(long cpus, long gpus, long memory) {
     public static final Resources NONE = new Resources(0, 0, 0);
 
     public static Resources of(double cpus, double cards, double memoryGb) {
@@ -13,34 +13,34 @@
     }
 
     public Resources plus(Resources other) {
-        return new Resources(cpus + other.cpus, cards + other.cards, memory + other.memory);
+        return new Resources(cpus + other.cpus, gpus + other.gpus, memory + other.memory);
     }
 
     public Resources minus(Resources other) {
-        return new Resources(cpus - other.cpus, cards - other.cards, memory - other.memory);
+        return new Resources(cpus - other.cpus, gpus - other.gpus, memory - other.memory);
     }
 
     public Resources times(long count) {
-        return new Resources(cpus * count, cards * count, memory * count);
+        return new Resources(cpus * count, gpus * count, memory * count);
     }
 
     /** The lesser of each. */
-    public Resources least(Resources other) {
-        return new Resources(Math.min(cpus, other.cpus), Math.min(cards, other.cards), Math.min(memory, other.memory));
+    public Resources min(Resources other) {
+        return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memory, other.memory));
     }
 
     public boolean fitsIn(Resources room) {
-        return cpus <= room.cpus && cards <= room.cards && memory <= room.memory;
+        return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
     }
 
     /** How many of these fit into {@code room} at the same time. */
-    public long countIn(Resources room) {
+    public long timesFittingIn(Resources room) {
         long count = Long.MAX_VALUE;
         if (cpus > 0) {
             count = Math.min(count, room.cpus / cpus);
         }
-        if (cards > 0) {
-            count = Math.min(count, room.cards / cards);
+        if (gpus > 0) {
+            count = Math.min(count, room.gpus / gpus);
         }
         if (memory > 0) {
             count = Math.min(count, room.memory / memory);
--- a/src/main/java/io/micatide/model/Settings.java
+++ b/src/main/java/io/micatide/model/Settings.java
@@ -6,10 +6,10 @@
 /**
  * What the platform hands over. Everything that depends on a deployment is derived from these values.
  *
- * @param valueBytes what a value may hold today; gives the size of ledger pages
- * @param writableBytes what may be written into a value: the smaller of today's limit and the one to come, since a value
+ * @param maxValueBytes what a value may hold today; gives the size of ledger pages
+ * @param maxWritableValueBytes what may be written into a value: the smaller of today's limit and the one to come, since a value
  *     that cannot be rewritten later is stuck
- * @param transactionOps the smaller of both as well, as are the rates
+ * @param maxTransactionWrites the smaller of both as well, as are the rates
  */
 public record Settings(
         String label,
@@ -18,22 +18,22 @@
         String peerBind,
         List<Sibling> siblings,
         String cloud,
-        String state,
+        String store,
         List<String> zones,
-        long clockOffMicros,
+        long wallClockErrorMicros,
         Map<String, Team> teams,
         List<Objective> objectives,
         long heartbeatIntervalMicros,
         long workerLeaseMicros,
-        long gangWaitMicros,
-        long gangPeerMicros,
-        long cancelMicros,
-        double stateRate,
-        double writeRate,
-        int valueBytes,
-        int writableBytes,
-        int transactionOps,
-        double cloudRate,
+        long gangStartTimeoutMicros,
+        long gangPeerTimeoutMicros,
+        long cancellationLimitMicros,
+        double storeRequestsPerSecond,
+        double storeWritesPerSecond,
+        int maxValueBytes,
+        int maxWritableValueBytes,
+        int maxTransactionWrites,
+        double cloudRequestsPerSecond,
         long listLagMicros,
         double cores,
         double memoryMb,
@@ -65,6 +65,6 @@
      * that was in force when the pages were first written and never the one that is to come.
      */
     public int pageTasks() {
-        return Math.max(256, Integer.highestOneBit(valueBytes / 8));
+        return Math.max(256, Integer.highestOneBit(maxValueBytes / 8));
     }
 }
--- a/src/main/java/io/micatide/model/TaskStatus.java
+++ b/src/main/java/io/micatide/model/TaskStatus.java
@@ -1,4 +1,4 @@
 package io.micatide.model;
 
 /** A line of a worker's report; {@code cause} is null unless the task exited. */
-public record TaskStatus(String job, int index, long attempt, TaskState state, ExitCause cause, boolean saved) {}
+public record TaskStatus(String job, int taskIndex, long attempt, TaskState state, ExitCause cause, boolean saved) {}
--- a/src/main/java/io/micatide/model/Tuning.java
+++ b/src/main/java/io/micatide/model/Tuning.java
@@ -4,21 +4,21 @@
  * What an operator may set beyond the platform's file; every default is derived from the platform's settings.
  *
  * @param leaderLeaseMicros how long a silent leader keeps the lead
- * @param idleMicros how long a machine may be idle before it is returned
- * @param historyBatch how many finished jobs are worth a write of the archive
- * @param history whether this controller, when it leads, moves final states into the archive; all read it in any case
- * @param standby whether this controller follows a leader that asks it to, names others when it leads, and takes its turn
- * @param rollout whether this controller, when it leads, moves changes of the stored state forward; every controller registers in any case
- * @param description whether the description of the users' interface is served
+ * @param idleMachineMicros how long a machine may be idle before it is returned
+ * @param archiveBatchSize how many finished jobs are worth a write of the archive
+ * @param archiveEnabled whether this controller, when it leads, moves final states into the archive; all read it in any case
+ * @param standbyEnabled whether this controller follows a leader that asks it to, names others when it leads, and takes its turn
+ * @param rolloutEnabled whether this controller, when it leads, moves changes of the stored state forward; every controller registers in any case
+ * @param apiDescriptionServed whether the description of the users' interface is served
  */
 public record Tuning(
         long leaderLeaseMicros,
-        long idleMicros,
-        boolean history,
-        int historyBatch,
-        boolean standby,
-        boolean description,
-        boolean rollout) {
+        long idleMachineMicros,
+        boolean archiveEnabled,
+        int archiveBatchSize,
+        boolean standbyEnabled,
+        boolean apiDescriptionServed,
+        boolean rolloutEnabled) {
     /**
      * Bursts come half a minute apart and a machine takes as long to boot: on 24 days of six deployments 35 s were worth 0.015
      * more than 20 s for 2 to 4% more money, and 50 s no more than 35.
--- a/src/main/java/io/micatide/net/CloudClient.java
+++ b/src/main/java/io/micatide/net/CloudClient.java
@@ -16,7 +16,7 @@
     private final Http http;
 
     public CloudClient(Settings settings, Http.Connector connector, LongSupplier clock) {
-        super(settings.cloudRate() * 0.8, Math.max(1, settings.cloudRate()), clock);
+        super(settings.cloudRequestsPerSecond() * 0.8, Math.max(1, settings.cloudRequestsPerSecond()), clock);
         this.http = connector.to(settings.cloud(), 6);
     }
 
--- a/src/main/java/io/micatide/net/StoreClient.java
+++ b/src/main/java/io/micatide/net/StoreClient.java
@@ -17,9 +17,9 @@
 
     public StoreClient(Settings settings, Http.Connector connector, LongSupplier clock) {
         // One controller alone may need most of the rate; 429 and a second try settle the rare sum above it.
-        super(settings.stateRate() * 0.6, settings.stateRate() * 0.3, clock);
-        this.http = connector.to(settings.state(), 12);
-        this.watches = connector.to(settings.state(), 2);
+        super(settings.storeRequestsPerSecond() * 0.6, settings.storeRequestsPerSecond() * 0.3, clock);
+        this.http = connector.to(settings.store(), 12);
+        this.watches = connector.to(settings.store(), 2);
         this.clock = clock;
     }
 
@@ -31,7 +31,7 @@
     private Consumer<Reply> noting(Consumer<Reply> then) {
         return reply -> {
             if (reply.served()) {
-                reach.served(clock.getAsLong());
+                reach.requestServed(clock.getAsLong());
             }
             then.accept(reply);
         };
--- a/src/main/java/io/micatide/protocol/ArchiveCodec.java
+++ b/src/main/java/io/micatide/protocol/ArchiveCodec.java
@@ -17,7 +17,7 @@
 
     private ArchiveCodec() {}
 
-    static void write(JsonGenerator out, StoredRecord.History history) throws IOException {
+    static void write(JsonGenerator out, StoredRecord.ArchiveManifest history) throws IOException {
         out.writeNumberField("history", FORMAT);
         out.writeNumberField("since", history.sinceVersion());
         out.writeArrayFieldStart("salt");
@@ -25,7 +25,7 @@
         out.writeNumber(history.saltB());
         out.writeEndArray();
         out.writeArrayFieldStart("runs");
-        for (StoredRecord.Run run : history.runs()) {
+        for (StoredRecord.ArchiveRun run : history.runs()) {
             out.writeStartArray();
             out.writeString(run.name());
             out.writeNumber(run.segments());
@@ -36,40 +36,40 @@
         out.writeEndArray();
     }
 
-    static StoredRecord.History manifest(JsonFields in, JsonNode data) throws MalformedException {
+    static StoredRecord.ArchiveManifest manifest(JsonFields in, JsonNode data) throws MalformedException {
         in.count("history", FORMAT, FORMAT);
         JsonNode salt = data.path("salt");
         if (salt.size() != 2) {
             throw new MalformedException(in.path("salt"), "must be two numbers");
         }
-        List<StoredRecord.Run> runs = new ArrayList<>();
+        List<StoredRecord.ArchiveRun> runs = new ArrayList<>();
         for (JsonNode each : data.path("runs")) {
             if (each.size() != RUN_FIELDS
                     || !each.get(0).isTextual()
                     || each.get(1).asInt() < 1) {
                 throw new MalformedException(in.path("runs"), "must be lists of name, segments, jobs and bytes");
             }
-            runs.add(new StoredRecord.Run(
+            runs.add(new StoredRecord.ArchiveRun(
                     each.get(0).textValue(),
                     each.get(1).asInt(),
                     each.get(2).asLong(),
                     each.get(3).asLong()));
         }
-        return new StoredRecord.History(
+        return new StoredRecord.ArchiveManifest(
                 in.count("since", 0, Long.MAX_VALUE),
                 salt.get(0).asLong(),
                 salt.get(1).asLong(),
                 List.copyOf(runs));
     }
 
-    static void write(JsonGenerator out, StoredRecord.Segment segment) throws IOException {
+    static void write(JsonGenerator out, StoredRecord.ArchiveSegment segment) throws IOException {
         out.writeStringField("digest", segment.digest());
         out.writeStringField("packed", Base64.getEncoder().encodeToString(segment.packed()));
     }
 
-    static StoredRecord.Segment segment(JsonFields in) throws MalformedException {
+    static StoredRecord.ArchiveSegment segment(JsonFields in) throws MalformedException {
         try {
-            return new StoredRecord.Segment(
+            return new StoredRecord.ArchiveSegment(
                     in.text("digest"), Base64.getDecoder().decode(in.text("packed")));
         } catch (IllegalArgumentException e) {
             throw new MalformedException(in.path("packed"), "must be base64");
--- a/src/main/java/io/micatide/protocol/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -40,9 +40,9 @@
     static void writeType(JsonGenerator out, MachineType type) throws IOException {
         out.writeStartObject();
         out.writeStringField("label", type.name());
-        out.writeNumberField("cpus", type.size().cpus() / 1000.0);
-        out.writeNumberField("cards", type.size().cards() / 1000.0);
-        out.writeNumberField("memGb", type.size().memory() / 1000.0);
+        out.writeNumberField("cpus", type.resources().cpus() / 1000.0);
+        out.writeNumberField("cards", type.resources().gpus() / 1000.0);
+        out.writeNumberField("memGb", type.resources().memory() / 1000.0);
         out.writeNumberField("localGb", type.cacheGb());
         out.writeNumberField("pullGbPerS", type.fetchGbPerSecond());
         out.writeNumberField("hourly", type.price());
@@ -59,7 +59,7 @@
     public static byte[] rent(CloudCall.Rent rent) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeStringField("booking", rent.booking());
+            out.writeStringField("booking", rent.requestName());
             out.writeStringField("build", rent.type());
             out.writeStringField("ground", rent.zone());
             out.writeBooleanField("loaners", rent.spot());
--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -51,23 +51,23 @@
     }
 
     private static void write(JsonGenerator out, Hint hint) throws IOException {
-        if (hint instanceof Hint.OfMachine each) {
+        if (hint instanceof Hint.MachineHint each) {
             out.writeString("m");
             out.writeString(each.name());
             out.writeString(each.address());
             out.writeNumber(each.incarnation());
-            out.writeNumber((each.slow() ? SLOW : 0) + (each.faulty() ? FAULTY : 0) + (each.gone() ? GONE : 0));
+            out.writeNumber((each.slow() ? SLOW : 0) + (each.quarantined() ? FAULTY : 0) + (each.deleted() ? GONE : 0));
             for (int i = 0; i < each.images().size(); i++) {
                 out.writeString(each.images().get(i));
-                out.writeNumber(each.gigabytes().get(i));
+                out.writeNumber(each.imageSizesGb().get(i));
             }
-        } else if (hint instanceof Hint.OfJob each) {
+        } else if (hint instanceof Hint.JobHint each) {
             out.writeString("j");
             out.writeString(each.name());
-            out.writeNumber(each.ranMicros());
-            out.writeNumber(each.ranTasks());
-            out.writeNumber(each.suspect() ? each.failedProbes() : -1);
-        } else if (hint instanceof Hint.OfClass each) {
+            out.writeNumber(each.meanRuntimeMicros());
+            out.writeNumber(each.completedTasks());
+            out.writeNumber(each.quarantined() ? each.failedProbes() : -1);
+        } else if (hint instanceof Hint.JobClassHint each) {
             out.writeString("c");
             out.writeString(each.name());
             out.writeNumber(each.factor());
@@ -96,14 +96,14 @@
             switch (each.path(0).asText()) {
                 case "m" -> hints.add(machine(name, each));
                 case "j" ->
-                    hints.add(new Hint.OfJob(
+                    hints.add(new Hint.JobHint(
                             name,
                             Math.max(0, each.path(2).asLong()),
                             Math.max(0, each.path(3).asInt()),
                             each.path(4).asInt(-1) >= 0,
                             Math.max(0, each.path(4).asInt(-1))));
                 case "c" ->
-                    hints.add(new Hint.OfClass(
+                    hints.add(new Hint.JobClassHint(
                             name, each.path(2).asDouble(1), each.path(3).asDouble()));
                 default -> {
                     // Of a later version.
@@ -121,7 +121,7 @@
             sizes.add(each.path(i + 1).asDouble());
         }
         int flags = each.path(4).asInt();
-        return new Hint.OfMachine(
+        return new Hint.MachineHint(
                 name,
                 each.path(2).asText(),
                 Math.max(0, each.path(3).asLong()),
--- a/src/main/java/io/micatide/protocol/JobCodec.java
+++ b/src/main/java/io/micatide/protocol/JobCodec.java
@@ -96,15 +96,15 @@
         out.writeStringField("crew", spec.team());
         out.writeStringField("form", word(spec.kind()));
         out.writeStringField("rank", word(spec.priority()));
-        out.writeNumberField("legs", spec.tasks());
-        out.writeNumberField("cpus", spec.each().cpus() / 1000.0);
-        out.writeNumberField("cards", spec.each().cards() / 1000.0);
-        out.writeNumberField("memGb", spec.each().memory() / 1000.0);
+        out.writeNumberField("legs", spec.taskCount());
+        out.writeNumberField("cpus", spec.taskResources().cpus() / 1000.0);
+        out.writeNumberField("cards", spec.taskResources().gpus() / 1000.0);
+        out.writeNumberField("memGb", spec.taskResources().memory() / 1000.0);
         out.writeStringField("kit", spec.image());
         out.writeNumberField("sizeGb", spec.imageGb());
-        if (!spec.types().isEmpty()) {
+        if (!spec.machineTypes().isEmpty()) {
             out.writeArrayFieldStart("builds");
-            for (String type : spec.types()) {
+            for (String type : spec.machineTypes()) {
                 out.writeString(type);
             }
             out.writeEndArray();
@@ -112,18 +112,18 @@
         if (spec.zone() != null) {
             out.writeStringField("ground", spec.zone());
         }
-        out.writeBooleanField("samePlace", spec.oneZone());
-        out.writeBooleanField("scatter", spec.spread());
-        out.writeBooleanField("loaners", spec.spot());
-        out.writeNumberField("runtimeS", Micros.toSeconds(spec.estimateMicros()));
-        out.writeNumberField("halftimeS", Micros.toSeconds(spec.checkpointMicros()));
+        out.writeBooleanField("samePlace", spec.singleZone());
+        out.writeBooleanField("scatter", spec.spreadOverZones());
+        out.writeBooleanField("loaners", spec.spotAllowed());
+        out.writeNumberField("runtimeS", Micros.toSeconds(spec.estimatedRuntimeMicros()));
+        out.writeNumberField("halftimeS", Micros.toSeconds(spec.checkpointIntervalMicros()));
         out.writeNumberField("stowS", Micros.toSeconds(spec.saveMicros()));
         if (spec.deadlineMicros() >= 0) {
             out.writeNumberField("whistleS", Micros.toSeconds(spec.deadlineMicros()));
         }
-        if (!spec.needs().isEmpty()) {
+        if (!spec.dependencies().isEmpty()) {
             out.writeArrayFieldStart("awaits");
-            for (String need : spec.needs()) {
+            for (String need : spec.dependencies()) {
                 out.writeString(need);
             }
             out.writeEndArray();
--- a/src/main/java/io/micatide/protocol/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -87,8 +87,8 @@
             for (JobProgress job : news.jobs()) {
                 out.writeStartArray();
                 out.writeString(job.id());
-                out.writeNumber(job.done());
-                out.writeNumber(job.running());
+                out.writeNumber(job.finishedTasks());
+                out.writeNumber(job.runningTasks());
                 out.writeEndArray();
             }
             out.writeEndArray();
@@ -137,9 +137,9 @@
             if (answer.testimony() != null) {
                 CancellationDigest word = answer.testimony();
                 out.writeObjectFieldStart("testimony");
-                out.writeStringField("by", word.label());
-                out.writeNumberField("livedUs", word.livedMicros());
-                out.writeBooleanField("whole", word.whole());
+                out.writeStringField("by", word.controller());
+                out.writeNumberField("livedUs", word.uptimeMicros());
+                out.writeBooleanField("whole", word.complete());
                 writeCancelled(out, word.cancelled());
                 out.writeEndObject();
             }
--- a/src/main/java/io/micatide/protocol/StoreCodec.java
+++ b/src/main/java/io/micatide/protocol/StoreCodec.java
@@ -31,7 +31,7 @@
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeArrayFieldStart("if");
-            for (Transaction.Compare compare : transaction.conditions()) {
+            for (Transaction.Condition compare : transaction.conditions()) {
                 out.writeStartObject();
                 out.writeStringField("k", compare.key());
                 out.writeNumberField("stamp", compare.version());
@@ -41,14 +41,14 @@
             out.writeArrayFieldStart("writes");
             for (Transaction.Write write : transaction.writes()) {
                 out.writeStartObject();
-                if (write.row() == null) {
+                if (write.record() == null) {
                     out.writeStringField("delete", write.key());
                 } else {
                     out.writeStringField("put", write.key());
                     out.writeFieldName("data");
-                    write(out, write.row());
-                    if (write.lease() != 0) {
-                        out.writeNumberField("hold", write.lease());
+                    write(out, write.record());
+                    if (write.leaseId() != 0) {
+                        out.writeNumberField("hold", write.leaseId());
                     }
                 }
                 out.writeEndObject();
@@ -62,24 +62,24 @@
         out.writeStartObject();
         if (row instanceof StoredRecord.Leader leader) {
             out.writeStringField("owner", leader.owner());
-        } else if (row instanceof StoredRecord.JobRow job) {
+        } else if (row instanceof StoredRecord.JobRecord job) {
             out.writeStringField("state", job.state().name());
-            out.writeNumberField("tasks", job.tasks());
+            out.writeNumberField("tasks", job.taskCount());
             out.writeNumberField("submitted", job.submittedWall());
             if (job.endedWall() >= 0) {
                 out.writeNumberField("ended", job.endedWall());
             }
-            if (job.furtherNeeds() > 0) {
-                out.writeNumberField("furtherNeeds", job.furtherNeeds());
+            if (job.furtherDependencyRecords() > 0) {
+                out.writeNumberField("furtherNeeds", job.furtherDependencyRecords());
             }
-            if (job.checked()) {
+            if (job.checkedAgainstArchive()) {
                 out.writeBooleanField("checked", true);
             }
             if (job.spec() != null) {
                 out.writeFieldName("spec");
                 JobCodec.writeSpec(out, job.spec());
             }
-        } else if (row instanceof StoredRecord.Needs needs) {
+        } else if (row instanceof StoredRecord.FurtherDependencies needs) {
             out.writeArrayFieldStart("awaits");
             for (String name : needs.names()) {
                 out.writeString(name);
@@ -88,32 +88,33 @@
         } else if (row instanceof StoredRecord.Layout layout) {
             out.writeNumberField("layout", layout.number());
             out.writeNumberField("pageTasks", layout.pageTasks());
-        } else if (row instanceof StoredRecord.History history) {
+        } else if (row instanceof StoredRecord.ArchiveManifest history) {
             ArchiveCodec.write(out, history);
-        } else if (row instanceof StoredRecord.Segment segment) {
+        } else if (row instanceof StoredRecord.ArchiveSegment segment) {
             ArchiveCodec.write(out, segment);
         } else if (row instanceof StoredRecord.Ledger ledger) {
-            out.writeArrayFieldStart(ledger.dense() ? "fleet" : "machines");
-            for (String text : ledger.dense() ? MachineNameCodec.shorten(ledger.machines()) : ledger.machines()) {
+            out.writeArrayFieldStart(ledger.compressedNames() ? "fleet" : "machines");
+            for (String text :
+                    ledger.compressedNames() ? MachineNameCodec.compress(ledger.machines()) : ledger.machines()) {
                 out.writeString(text);
             }
             out.writeEndArray();
             out.writeNumberField("gang", ledger.gangAttempt());
-            out.writeStringField("done", ledger.done());
-        } else if (row instanceof StoredRecord.Booking booking) {
+            out.writeStringField("done", ledger.finishedTasks());
+        } else if (row instanceof StoredRecord.Provisioning booking) {
             out.writeStringField("state", booking.state());
             out.writeStringField("type", booking.type());
             out.writeStringField("zone", booking.zone());
             out.writeBooleanField("spot", booking.spot());
             out.writeNumberField("count", booking.count());
-        } else if (row instanceof StoredRecord.Features
-                || row instanceof StoredRecord.Here
-                || row instanceof StoredRecord.Ask
-                || row instanceof StoredRecord.Fence
-                || row instanceof StoredRecord.Learned
-                || row instanceof StoredRecord.Returned) {
+        } else if (row instanceof StoredRecord.FeatureStages
+                || row instanceof StoredRecord.RegisteredController
+                || row instanceof StoredRecord.FeatureRequest
+                || row instanceof StoredRecord.ProvisioningFence
+                || row instanceof StoredRecord.LearnedState
+                || row instanceof StoredRecord.MachinesToDelete) {
             RolloutCodec.write(out, row);
-        } else if (row instanceof StoredRecord.Types types) {
+        } else if (row instanceof StoredRecord.MachineTypes types) {
             out.writeArrayFieldStart("types");
             for (MachineType type : types.types()) {
                 CloudCodec.writeType(out, type);
@@ -126,18 +127,18 @@
     /**
      * A new job's rows: its own and, for names that it has no room for, further ones. Null if the job itself does not fit.
      */
-    public static List<Transaction.Write> jobRows(String id, StoredRecord.JobRow row, int mostBytes) {
+    public static List<Transaction.Write> jobRows(String id, StoredRecord.JobRecord row, int mostBytes) {
         List<Transaction.Write> rows = new ArrayList<>();
         if (size(row) <= mostBytes) {
             rows.add(new Transaction.Write(StoreKeys.job(id), row, 0));
             return rows;
         }
-        int left = row.spec() == null ? -1 : mostBytes - FURTHER_BYTES - size(row.withNeeds(List.of(), 0));
+        int left = row.spec() == null ? -1 : mostBytes - FURTHER_BYTES - size(row.withDependencies(List.of(), 0));
         if (left < 0) {
             return null;
         }
         List<List<String>> pieces = new ArrayList<>(List.of(new ArrayList<>()));
-        for (String name : row.spec().needs()) {
+        for (String name : row.spec().dependencies()) {
             left -= name.length() + 3;
             if (left < 0) {
                 pieces.add(new ArrayList<>());
@@ -145,9 +146,10 @@
             }
             pieces.get(pieces.size() - 1).add(name);
         }
-        rows.add(new Transaction.Write(StoreKeys.job(id), row.withNeeds(pieces.get(0), pieces.size() - 1), 0));
+        rows.add(new Transaction.Write(StoreKeys.job(id), row.withDependencies(pieces.get(0), pieces.size() - 1), 0));
         for (int piece = 1; piece < pieces.size(); piece++) {
-            rows.add(new Transaction.Write(StoreKeys.needs(id, piece), new StoredRecord.Needs(pieces.get(piece)), 0));
+            rows.add(new Transaction.Write(
+                    StoreKeys.dependencies(id, piece), new StoredRecord.FurtherDependencies(pieces.get(piece)), 0));
         }
         return rows;
     }
@@ -166,21 +168,21 @@
             return new StoredRecord.Layout(
                     (int) in.count("layout", 1, Integer.MAX_VALUE), (int) in.count("pageTasks", 1, Integer.MAX_VALUE));
         }
-        if (key.equals(StoreKeys.HISTORY)) {
+        if (key.equals(StoreKeys.ARCHIVE_MANIFEST)) {
             return ArchiveCodec.manifest(in, data);
         }
         if (RolloutCodec.isFor(key)) {
             return RolloutCodec.row(key, in, data);
         }
-        if (key.startsWith(StoreKeys.SEGMENTS)) {
+        if (key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
             return ArchiveCodec.segment(in);
         }
         if (key.startsWith(StoreKeys.JOBS) && key.indexOf('/', StoreKeys.JOBS.length()) > 0) {
-            return new StoredRecord.Needs(in.texts("awaits"));
+            return new StoredRecord.FurtherDependencies(in.texts("awaits"));
         }
         if (key.startsWith(StoreKeys.JOBS)) {
             JobState state = JobState.valueOf(in.text("state"));
-            return new StoredRecord.JobRow(
+            return new StoredRecord.JobRecord(
                     state,
                     state.isFinal() && !in.has("spec") ? null : JobCodec.spec(data.get("spec")),
                     in.count("submitted", 0, Long.MAX_VALUE),
@@ -197,23 +199,24 @@
                     data.path("done").asText(""),
                     dense);
         }
-        if (key.startsWith(StoreKeys.BOOKINGS)) {
-            return new StoredRecord.Booking(in.text("state"), in.text("type"), in.text("zone"), in.flag("spot"), (int)
-                    in.count("count", 0, 1000));
+        if (key.startsWith(StoreKeys.PROVISIONING_REQUESTS)) {
+            return new StoredRecord.Provisioning(
+                    in.text("state"), in.text("type"), in.text("zone"), in.flag("spot"), (int)
+                            in.count("count", 0, 1000));
         }
-        if (key.equals(StoreKeys.TYPES)) {
+        if (key.equals(StoreKeys.MACHINE_TYPES)) {
             List<MachineType> types = new ArrayList<>();
             for (JsonFields type : in.objects("types")) {
                 types.add(CloudCodec.type(type));
             }
-            return new StoredRecord.Types(types);
+            return new StoredRecord.MachineTypes(types);
         }
         throw new MalformedException(key, "is not a key of micatide");
     }
 
     private static List<String> fleet(JsonFields in) throws MalformedException {
         try {
-            return MachineNameCodec.lengthen(in.texts("fleet"));
+            return MachineNameCodec.decompress(in.texts("fleet"));
         } catch (IllegalArgumentException e) {
             throw new MalformedException(in.path("fleet"), "must be names in short");
         }
--- a/src/main/java/io/micatide/protocol/TuningReader.java
+++ b/src/main/java/io/micatide/protocol/TuningReader.java
@@ -51,9 +51,9 @@
         }
         return new Tuning(
                 lease,
-                in.has("idle_s") ? in.seconds("idle_s") : defaults.idleMicros(),
+                in.has("idle_s") ? in.seconds("idle_s") : defaults.idleMachineMicros(),
                 in.has("history") && in.flag("history"),
-                in.has("history_batch") ? (int) in.count("history_batch", 1, 4096) : defaults.historyBatch(),
+                in.has("history_batch") ? (int) in.count("history_batch", 1, 4096) : defaults.archiveBatchSize(),
                 standby,
                 in.has("description") && in.flag("description"),
                 in.has("rollout") && in.flag("rollout"));
--- a/src/main/java/io/micatide/protocol/WorkerCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerCodec.java
@@ -147,7 +147,7 @@
             for (Command command : commands) {
                 out.writeStartObject();
                 out.writeStringField("call", word(command));
-                out.writeStringField("leg", command.job() + "/" + command.index());
+                out.writeStringField("leg", command.job() + "/" + command.taskIndex());
                 out.writeNumberField("throwIn", command.attempt());
                 if (command instanceof Command.Stop stop) {
                     out.writeNumberField("stoppageS", Micros.toSeconds(stop.graceMicros()));
--- a/src/main/java/io/micatide/protocol/WorkerSideCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerSideCodec.java
@@ -34,7 +34,7 @@
             out.writeArrayFieldStart("legs");
             for (TaskStatus task : heartbeat.tasks()) {
                 out.writeStartObject();
-                out.writeStringField("leg", task.job() + "/" + task.index());
+                out.writeStringField("leg", task.job() + "/" + task.taskIndex());
                 out.writeNumberField("throwIn", task.attempt());
                 out.writeStringField("standing", word(task.state()));
                 if (task.cause() != null) {
@@ -91,7 +91,7 @@
                                     index,
                                     attempt,
                                     Micros.ofSeconds(call.path("stoppageS").asDouble()));
-                        default -> new Command.Forget(job, index, attempt);
+                        default -> new Command.Reap(job, index, attempt);
                     });
         }
         return new Answer(tree.path("armband").asLong(-1), commands);
--- a/src/main/java/io/micatide/rollout/ControllerRegistration.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistration.java
@@ -41,7 +41,7 @@
      */
     public ControllerRegistration(String label, String build, Capabilities abilities, long sinceWall) {
         this.abilities = abilities;
-        this.key = StoreKeys.here(label);
+        this.key = StoreKeys.controller(label);
         this.build = build;
         this.sinceWall = sinceWall;
     }
@@ -70,14 +70,16 @@
         return rowVersion < 0 ? Wish.READ : Wish.PUT;
     }
 
-    /** What to write after {@link Wish#PUT}. */
+    /** What to write after {@link Action#PUT}. */
     public Transaction put() {
         return new Transaction(
                 List.of(
-                        new Transaction.Compare(StoreKeys.FEATURES, askedActs),
-                        new Transaction.Compare(key, rowVersion)),
+                        new Transaction.Condition(StoreKeys.FEATURE_STAGES, askedActs),
+                        new Transaction.Condition(key, rowVersion)),
                 List.of(new Transaction.Write(
-                        key, new StoredRecord.Here(build, abilities.names(), askedActs, sinceWall), askedLease)));
+                        key,
+                        new StoredRecord.RegisteredController(build, abilities.names(), askedActs, sinceWall),
+                        askedLease)));
     }
 
     /** The own row as read, version 0 if there is none. */
