--- a/src/main/java/io/micatide/rollout/ControllerRegistry.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistry.java
@@ -11,9 +11,9 @@
 /** Who is registered and what operators ask for, by one read of the rows. */
 public final class ControllerRegistry {
     private final List<String> labels;
-    private final Map<String, StoredRecord.Here> here = new TreeMap<>();
+    private final Map<String, StoredRecord.RegisteredController> here = new TreeMap<>();
     private final Map<String, Long> versions = new TreeMap<>();
-    private final Map<String, StoredRecord.Ask> asked = new TreeMap<>();
+    private final Map<String, StoredRecord.FeatureRequest> asked = new TreeMap<>();
 
     /** @param labels of all controllers of the deployment */
     public ControllerRegistry(List<String> labels) {
@@ -22,33 +22,33 @@
 
     /** A row under {@link StoreKeys#ROLLOUT}. */
     public void add(String key, StoredRecord row, long version) {
-        if (row instanceof StoredRecord.Here each) {
-            String label = key.substring(StoreKeys.HERE.length());
+        if (row instanceof StoredRecord.RegisteredController each) {
+            String label = key.substring(StoreKeys.CONTROLLERS.length());
             here.put(label, each);
             versions.put(label, version);
-        } else if (row instanceof StoredRecord.Ask each) {
-            asked.put(key.substring(StoreKeys.ASKED.length()), each);
+        } else if (row instanceof StoredRecord.FeatureRequest each) {
+            asked.put(key.substring(StoreKeys.FEATURE_REQUESTS.length()), each);
         }
     }
 
-    public Map<String, StoredRecord.Here> here() {
+    public Map<String, StoredRecord.RegisteredController> here() {
         return here;
     }
 
     /** What an operator asks for of a feature, NONE for nothing. */
-    public StoredRecord.Wish asked(Feature feature) {
-        StoredRecord.Ask ask = asked.get(feature.key());
-        return ask == null ? StoredRecord.Wish.NONE : ask.wish();
+    public StoredRecord.RequestedAction asked(Feature feature) {
+        StoredRecord.FeatureRequest ask = asked.get(feature.key());
+        return ask == null ? StoredRecord.RequestedAction.NONE : ask.action();
     }
 
     /** What stands in the way of a step of a feature, by name; empty if nothing does. */
     public List<String> missing(Feature feature) {
         List<String> result = new ArrayList<>();
         for (String label : labels) {
-            StoredRecord.Here each = here.get(label);
+            StoredRecord.RegisteredController each = here.get(label);
             if (each == null) {
                 result.add(label + " is not registered");
-            } else if (!each.knows().contains(feature.key())) {
+            } else if (!each.knownFeatures().contains(feature.key())) {
                 result.add(label + " (" + each.build() + ") does not know it");
             }
         }
@@ -59,8 +59,8 @@
     public List<String> behind(long version) {
         List<String> result = new ArrayList<>();
         for (String label : labels) {
-            StoredRecord.Here each = here.get(label);
-            if (each != null && each.acts() != version) {
+            StoredRecord.RegisteredController each = here.get(label);
+            if (each != null && each.actingOnVersion() != version) {
                 result.add(label + " has not taken in the last step");
             }
         }
@@ -71,11 +71,11 @@
      * That nobody registered anew since they were read, as many as there is room for. Not needed for safety, which rests on the order of a
      * step and what was said before it (docs/rollout.md), but spares a controller that was just replaced by a former version.
      */
-    public List<Transaction.Compare> conditions(int most) {
-        List<Transaction.Compare> result = new ArrayList<>();
+    public List<Transaction.Condition> conditions(int most) {
+        List<Transaction.Condition> result = new ArrayList<>();
         for (String label : labels) {
             if (versions.containsKey(label) && result.size() < most) {
-                result.add(new Transaction.Compare(StoreKeys.here(label), versions.get(label)));
+                result.add(new Transaction.Condition(StoreKeys.controller(label), versions.get(label)));
             }
         }
         return result;
--- a/src/main/java/io/micatide/rollout/FeatureFlags.java
+++ b/src/main/java/io/micatide/rollout/FeatureFlags.java
@@ -12,14 +12,14 @@
 public final class FeatureFlags {
     private final Capabilities abilities;
     private long version = -1;
-    private StoredRecord.Features row = new StoredRecord.Features(Map.of());
+    private StoredRecord.FeatureStages row = new StoredRecord.FeatureStages(Map.of());
 
     public FeatureFlags(Capabilities abilities) {
         this.abilities = abilities;
     }
 
     /** The row as read or watched; version 0 with no stages if there is none. Returns whether that is news. */
-    public boolean seen(long newVersion, StoredRecord.Features newRow) {
+    public boolean seen(long newVersion, StoredRecord.FeatureStages newRow) {
         if (newVersion <= version) {
             return false;
         }
@@ -38,7 +38,7 @@
         return version;
     }
 
-    public StoredRecord.Features row() {
+    public StoredRecord.FeatureStages row() {
         return row;
     }
 
--- a/src/main/java/io/micatide/rollout/RolloutPlan.java
+++ b/src/main/java/io/micatide/rollout/RolloutPlan.java
@@ -14,7 +14,7 @@
  * @param moves what the step does, for the log
  * @param waits what is in the way of features that are not where they should be, by name
  */
-public record RolloutPlan(StoredRecord.Features row, List<String> moves, List<String> waits) {
+public record RolloutPlan(StoredRecord.FeatureStages row, List<String> moves, List<String> waits) {
     /** @param forward whether this leader is to move features forward; back, an operator asks for in any case */
     public static RolloutPlan of(FeatureFlags switches, ControllerRegistry roster, boolean forward) {
         Map<String, String> stages = new TreeMap<>(switches.row().stages());
@@ -26,12 +26,12 @@
                 continue;
             }
             FeatureStage now = switches.stage(feature);
-            StoredRecord.Wish wish = roster.asked(feature);
-            FeatureStage to = wish == StoredRecord.Wish.BACK
+            StoredRecord.RequestedAction wish = roster.asked(feature);
+            FeatureStage to = wish == StoredRecord.RequestedAction.BACK
                     ? feature.before(now)
-                    : wish == StoredRecord.Wish.HOLD || !forward ? null : feature.next(now);
+                    : wish == StoredRecord.RequestedAction.HOLD || !forward ? null : feature.next(now);
             if (to == null) {
-                if (wish == StoredRecord.Wish.HOLD && feature.next(now) != null) {
+                if (wish == StoredRecord.RequestedAction.HOLD && feature.next(now) != null) {
                     waits.add(feature.key() + " is held at " + now);
                 }
                 continue;
@@ -46,6 +46,6 @@
                 waits.add(feature.key() + " waits to go to " + to + ": " + String.join(", ", missing));
             }
         }
-        return new RolloutPlan(moves.isEmpty() ? null : new StoredRecord.Features(stages), moves, waits);
+        return new RolloutPlan(moves.isEmpty() ? null : new StoredRecord.FeatureStages(stages), moves, waits);
     }
 }
--- a/src/main/java/io/micatide/scheduler/Autoscaler.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -49,7 +49,7 @@
     private long listAskedMicros = Long.MIN_VALUE / 2;
     private boolean listing;
     private long typesAskedMicros = Long.MIN_VALUE / 2;
-    private boolean firstTerm;
+    private boolean noteFirstTerm;
     private long nothingWaitsSinceMicros = Long.MAX_VALUE;
 
     Autoscaler(
@@ -68,18 +68,19 @@
     }
 
     /** No leader before this one has placed anything. */
-    void firstTerm() {
-        firstTerm = true;
+    void noteFirstTerm() {
+        noteFirstTerm = true;
     }
 
     void plan(long nowMicros, long termStartMicros) {
-        if (nowMicros - plannedMicros < PLAN_EVERY_MICROS || fleet.types().isEmpty()) {
+        if (nowMicros - plannedMicros < PLAN_EVERY_MICROS
+                || fleet.machineTypes().isEmpty()) {
             return;
         }
         plannedMicros = nowMicros;
         markDead(nowMicros, termStartMicros);
         // A new leader first hears from the workers: what waits may be running. Where no ledger was found nothing does.
-        long hears = firstTerm
+        long hears = noteFirstTerm
                 ? 5 * settings.heartbeatIntervalMicros() / 4
                 : 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
         if (nowMicros - termStartMicros > hears) {
@@ -96,20 +97,25 @@
         List<Machine> quiet = new ArrayList<>();
         List<Machine> dead = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            MachineType type = machine.type == null ? null : fleet.types().get(machine.type);
+            MachineType type =
+                    machine.type == null ? null : fleet.machineTypes().get(machine.type);
             long heard = Math.max(termStartMicros, machine.lastAnsweredMicros);
-            if (machine.holdsUp && !machine.deleting && nowMicros - heard > quietMicros() + Micros.SECOND) {
+            if (machine.delaysRecovery
+                    && !machine.deletionRequested
+                    && nowMicros - heard > quietMicros() + Micros.SECOND) {
                 quiet.add(machine);
             }
             if (machine.lastAnsweredMicros >= 0) {
                 up++;
-                if (machine.confirmed && !machine.deleting && nowMicros - machine.lastAnsweredMicros > quietMicros()) {
+                if (machine.reconciled
+                        && !machine.deletionRequested
+                        && nowMicros - machine.lastAnsweredMicros > quietMicros()) {
                     quiet.add(machine);
                 }
                 if (nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros()) {
                     silent++;
                     if (nowMicros - machine.lastAnsweredMicros > 4 * settings.workerLeaseExpiryMicros()
-                            || !machine.confirmed) {
+                            || !machine.reconciled) {
                         dead.add(machine);
                     }
                 }
@@ -131,7 +137,7 @@
             return;
         }
         for (Machine machine : dead) {
-            machine.deleting = true;
+            machine.deletionRequested = true;
         }
         // One machine alone that says nothing has hung or lost its network, and most likely loses its tasks: once its
         // deletion is answered they may start elsewhere, some seconds before its lease is certainly over.
@@ -140,8 +146,8 @@
         Set<String> heard = quiet.isEmpty() || few ? Set.of() : zonesThatReport(nowMicros);
         for (Machine machine : quiet) {
             // Not for tasks of arrays alone: a machine that hangs is there again before another one has booted.
-            machine.deleting |= (few || (machine.zone != null && heard.contains(machine.zone)))
-                    && (machine.holdsUp || hasReplica(machine));
+            machine.deletionRequested |= (few || (machine.zone != null && heard.contains(machine.zone)))
+                    && (machine.delaysRecovery || hasReplica(machine));
         }
     }
 
@@ -154,7 +160,9 @@
         Multiset<String> known = HashMultiset.create();
         Multiset<String> heard = HashMultiset.create();
         for (Machine machine : fleet.machines()) {
-            if (machine.zone != null && !machine.deleting && (machine.lastAnsweredMicros >= 0 || machine.holdsUp)) {
+            if (machine.zone != null
+                    && !machine.deletionRequested
+                    && (machine.lastAnsweredMicros >= 0 || machine.delaysRecovery)) {
                 known.add(machine.zone);
                 if (machine.lastAnsweredMicros >= 0 && nowMicros - machine.lastAnsweredMicros < quietMicros() / 2) {
                     heard.add(machine.zone);
@@ -180,10 +188,10 @@
     }
 
     private boolean coming(Machine machine, long nowMicros) {
-        if (machine.deleting || machine.lastAnsweredMicros >= 0 || machine.size() == null) {
+        if (machine.deletionRequested || machine.lastAnsweredMicros >= 0 || machine.capacity() == null) {
             return false;
         }
-        MachineType type = fleet.types().get(machine.type);
+        MachineType type = fleet.machineTypes().get(machine.type);
         return machine.bootStartedMicros >= 0 && nowMicros - machine.bootStartedMicros < 2 * type.bootMicros();
     }
 
@@ -192,23 +200,23 @@
         Resources comingOrdinary = Resources.NONE;
         Resources comingSpot = Resources.NONE;
         for (Machine machine : fleet.machines()) {
-            boolean unconfirmed = !machine.confirmed
+            boolean unconfirmed = !machine.reconciled
                     && machine.lastAnsweredMicros >= 0
-                    && machine.size() != null
-                    && !machine.deleting
-                    && machine.responsive(nowMicros, settings);
+                    && machine.capacity() != null
+                    && !machine.deletionRequested
+                    && machine.isResponsive(nowMicros, settings);
             if (coming(machine, nowMicros) || unconfirmed) {
                 if (machine.spot) {
-                    comingSpot = comingSpot.plus(machine.room());
+                    comingSpot = comingSpot.plus(machine.freeCapacity());
                 } else {
-                    comingOrdinary = comingOrdinary.plus(machine.room());
+                    comingOrdinary = comingOrdinary.plus(machine.freeCapacity());
                 }
             }
         }
-        for (ProvisioningRequests.Booking booking : rentals.bookings.values()) {
-            MachineType type = fleet.types().get(booking.type);
+        for (ProvisioningRequests.Request booking : rentals.requests.values()) {
+            MachineType type = fleet.machineTypes().get(booking.type);
             if (booking.state != ProvisioningRequests.State.DONE && type != null) {
-                Resources size = type.size().times(booking.count);
+                Resources size = type.resources().times(booking.count);
                 if (booking.spot) {
                     comingSpot = comingSpot.plus(size);
                 } else {
@@ -229,15 +237,15 @@
     private boolean rentForStarving(long nowMicros) {
         boolean need = false;
         Map<EquivalenceClass, Boolean> served = new HashMap<>();
-        for (JobQueue.Queued queued : planner.order()) {
+        for (JobQueue.QueuedJob queued : planner.order()) {
             Job job = queued.job();
             if (job.spec.kind() == JobKind.ARRAY
-                    && job.live.isEmpty()
-                    && !job.suspect
-                    && planner.startable(job, nowMicros)
+                    && job.liveAttempts.isEmpty()
+                    && !job.quarantined
+                    && planner.isStartable(job, nowMicros)
                     && nowMicros - Math.max(job.readyMicros, job.lastStartMicros) > STARVES_MICROS
                     && !served.computeIfAbsent(EquivalenceClass.of(job.spec), shape -> anyMayUse(shape, nowMicros))) {
-                int count = planner.allowedMore(job, queued.waiting(), Resources.NONE);
+                int count = planner.tasksWithinLimit(job, queued.pendingTasks(), Resources.NONE);
                 if (count > 0) {
                     need = true;
                     rentFor(job.spec, count, nowMicros);
@@ -258,12 +266,12 @@
 
     /** Whether jobs of this shape could ever run there, full as the machine may be now. */
     private boolean mayUse(EquivalenceClass shape, Machine machine, long nowMicros) {
-        return machine.size() != null
-                && !machine.deleting
-                && !machine.draining
-                && (machine.usable(nowMicros, settings) || coming(machine, nowMicros) || !machine.confirmed)
+        return machine.capacity() != null
+                && !machine.deletionRequested
+                && !machine.quarantined
+                && (machine.isSchedulable(nowMicros, settings) || coming(machine, nowMicros) || !machine.reconciled)
                 && shape.allowsMachine(machine)
-                && shape.each().fitsIn(machine.size());
+                && shape.each().fitsIn(machine.capacity());
     }
 
     /** Replicas and gangs want their room now; it is what they take and nothing more. */
@@ -272,18 +280,18 @@
         Map<JobSpec, Integer> missing = new LinkedHashMap<>();
         Map<String, Resources> planned = new HashMap<>();
         Resources left = ordinary;
-        for (JobQueue.Queued queued : planner.order()) {
+        for (JobQueue.QueuedJob queued : planner.order()) {
             JobSpec spec = queued.job().spec;
-            if (spec.kind() == JobKind.ARRAY || queued.job().unsettled() || queued.job().suspect) {
+            if (spec.kind() == JobKind.ARRAY || queued.job().hasUnreconciledMachines() || queued.job().quarantined) {
                 continue;
             }
             // What its team's limit keeps from running needs no machine: one was rented, and all idle ones kept, for as
             // long as it waited.
             Resources others = planned.getOrDefault(spec.team(), Resources.NONE);
-            int count = planner.allowedMore(queued.job(), queued.waiting(), others);
-            planned.put(spec.team(), others.plus(spec.each().times(count)));
-            long fits = Math.min(count, spec.each().countIn(left));
-            left = left.minus(spec.each().times(fits));
+            int count = planner.tasksWithinLimit(queued.job(), queued.pendingTasks(), others);
+            planned.put(spec.team(), others.plus(spec.taskResources().times(count)));
+            long fits = Math.min(count, spec.taskResources().timesFittingIn(left));
+            left = left.minus(spec.taskResources().times(fits));
             count -= (int) fits;
             if (count > 0) {
                 need = true;
@@ -303,14 +311,14 @@
                 JobKind.SERVICE,
                 Priority.NORMAL,
                 1,
-                spec.each(),
+                spec.taskResources(),
                 "",
                 0,
-                spec.types(),
+                spec.machineTypes(),
                 spec.zone(),
                 false,
                 false,
-                spec.spot(),
+                spec.spotAllowed(),
                 0,
                 0,
                 0,
@@ -322,12 +330,15 @@
         List<DeadlineFeasibility.Entry> entries = planner.queue().arrays(nowMicros);
         Map<String, Resources> perTeam = new HashMap<>();
         for (DeadlineFeasibility.Entry entry : entries) {
-            perTeam.merge(entry.job.spec.team(), entry.job.spec.each().times(entry.job.unfinished()), Resources::plus);
+            perTeam.merge(
+                    entry.job.spec.team(),
+                    entry.job.spec.taskResources().times(entry.job.unfinishedCount()),
+                    Resources::plus);
         }
         double useful = 0;
         for (Map.Entry<String, Resources> entry : perTeam.entrySet()) {
             Team team = settings.teams().get(entry.getKey());
-            long most = team == null || team.cpusMax() == 0 ? Long.MAX_VALUE : team.cpusMax();
+            long most = team == null || team.maxCpus() == 0 ? Long.MAX_VALUE : team.maxCpus();
             useful += Math.min(most, entry.getValue().cpus());
         }
         double there = planner.queue().arrayCpus(nowMicros) + coming.cpus();
@@ -339,7 +350,7 @@
         }
         DeadlineFeasibility.Entry largest = null;
         for (DeadlineFeasibility.Entry entry : entries) {
-            if (!entry.job.unsettled() && (largest == null || entry.work > largest.work)) {
+            if (!entry.job.hasUnreconciledMachines() && (largest == null || entry.work > largest.work)) {
                 largest = entry;
             }
         }
@@ -347,7 +358,7 @@
             return false;
         }
         JobSpec spec = largest.job.spec;
-        rentFor(spec, (int) Math.ceil(missing / Math.max(1, spec.each().cpus())), nowMicros);
+        rentFor(spec, (int) Math.ceil(missing / Math.max(1, spec.taskResources().cpus())), nowMicros);
         return true;
     }
 
@@ -360,8 +371,8 @@
         for (Machine machine : fleet.machines()) {
             perZone.merge(String.valueOf(machine.zone), 1, Integer::sum);
         }
-        for (MachineType type : fleet.types().values()) {
-            long per = spec.each().countIn(type.size());
+        for (MachineType type : fleet.machineTypes().values()) {
+            long per = spec.taskResources().timesFittingIn(type.resources());
             if (per == 0) {
                 continue;
             }
@@ -369,8 +380,8 @@
                 for (boolean spot : new boolean[] {true, false}) {
                     ProvisioningRequests.Offer offer = new ProvisioningRequests.Offer(type.name(), zone, spot);
                     if (!spec.allowsMachine(type.name(), zone, spot)
-                            || rentals.refused(offer, nowMicros)
-                            || rentals.expected(offer) > 0) {
+                            || rentals.isBackedOff(offer, nowMicros)
+                            || rentals.expectedMachines(offer) > 0) {
                         continue;
                     }
                     double price =
@@ -385,7 +396,7 @@
         }
         if (best != null) {
             long machines = spec.kind() == JobKind.ARRAY ? count / bestPer : (count + bestPer - 1) / bestPer;
-            rentals.claim(best, (int) Math.max(1, Math.min(MOST_PER_CALL, machines)), nowMicros);
+            rentals.create(best, (int) Math.max(1, Math.min(MOST_PER_CALL, machines)), nowMicros);
         }
     }
 
@@ -397,13 +408,14 @@
         Set<EquivalenceClass> waiting = new LinkedHashSet<>();
         planner.order().forEach(queued -> waiting.add(EquivalenceClass.of(queued.job().spec)));
         for (Machine machine : fleet.machines()) {
-            if (machine.confirmed
-                    && !machine.deleting
+            if (machine.reconciled
+                    && !machine.deletionRequested
                     && machine.placements.isEmpty()
                     && machine.idleSinceMicros >= 0
-                    && (nowMicros - machine.idleSinceMicros > tuning.idleMicros() || (machine.draining && !need))
+                    && (nowMicros - machine.idleSinceMicros > tuning.idleMachineMicros()
+                            || (machine.quarantined && !need))
                     && (!need || waiting.stream().noneMatch(shape -> mayUse(shape, machine, nowMicros)))) {
-                machine.deleting = true;
+                machine.deletionRequested = true;
             }
         }
         if (!need) {
@@ -416,41 +428,43 @@
      * machines came up after the burst, stood idle and went back without ever having worked (inc-3431).
      */
     private void returnLate(long nowMicros) {
-        if (!planner.order().stream().allMatch(queued -> queued.job().suspect)) {
+        if (!planner.order().stream().allMatch(queued -> queued.job().quarantined)) {
             nothingWaitsSinceMicros = Long.MAX_VALUE;
             return;
         }
         nothingWaitsSinceMicros = Math.min(nothingWaitsSinceMicros, nowMicros);
-        if (nowMicros - nothingWaitsSinceMicros < tuning.idleMicros() / 4) {
+        if (nowMicros - nothingWaitsSinceMicros < tuning.idleMachineMicros() / 4) {
             return;
         }
         for (Machine machine : fleet.machines()) {
-            MachineType type = machine.type == null ? null : fleet.types().get(machine.type);
+            MachineType type =
+                    machine.type == null ? null : fleet.machineTypes().get(machine.type);
             if (type != null
-                    && !machine.deleting
+                    && !machine.deletionRequested
                     && machine.lastAnsweredMicros < 0
                     && machine.bootStartedMicros >= 0
-                    && !machine.holdsUp
+                    && !machine.delaysRecovery
                     && nowMicros - machine.bootStartedMicros > LATE_BOOT * type.bootMicros()) {
-                machine.deleting = true;
+                machine.deletionRequested = true;
             }
         }
     }
 
     /** The calls that are due. */
-    List<CloudCall> calls(long nowMicros) {
+    List<CloudCall> nextCalls(long nowMicros) {
         List<CloudCall> result = new ArrayList<>();
-        for (ProvisioningRequests.Booking booking : rentals.toSubmit()) {
+        for (ProvisioningRequests.Request booking : rentals.requestsToSubmit()) {
             booking.sinceMicros = nowMicros;
             result.add(new CloudCall.Rent(booking.name, booking.type, booking.zone, booking.spot, booking.count));
         }
         List<String> names = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (machine.deleting
+            if (machine.deletionRequested
                     && names.size() < 100
-                    && returns.mayAsk(machine)
-                    && (machine.deleteAskedMicros < 0 || nowMicros - machine.deleteAskedMicros > 3 * Micros.SECOND)) {
-                machine.deleteAskedMicros = nowMicros;
+                    && returns.mayRequest(machine)
+                    && (machine.deletionRequestedMicros < 0
+                            || nowMicros - machine.deletionRequestedMicros > 3 * Micros.SECOND)) {
+                machine.deletionRequestedMicros = nowMicros;
                 names.add(machine.name);
             }
         }
@@ -462,22 +476,22 @@
             listing = true;
             result.add(new CloudCall.ListMachines());
         }
-        if (nowMicros - typesAskedMicros > (fleet.types().isEmpty() ? 2 * Micros.SECOND : PRICES_EVERY_MICROS)) {
+        if (nowMicros - typesAskedMicros > (fleet.machineTypes().isEmpty() ? 2 * Micros.SECOND : PRICES_EVERY_MICROS)) {
             typesAskedMicros = nowMicros;
             result.add(new CloudCall.ListTypes());
         }
         return result;
     }
 
-    void rented(String name, List<String> machines, long nowMicros) {
-        ProvisioningRequests.Booking booking = rentals.bookings.get(name);
+    void machinesRented(String name, List<String> machines, long nowMicros) {
+        ProvisioningRequests.Request booking = rentals.requests.get(name);
         if (booking == null) {
             return;
         }
         rentals.answered(booking, machines.size(), nowMicros);
         for (String each : machines) {
-            if (!fleet.isGone(each)) {
-                Machine machine = fleet.obtain(each, nowMicros);
+            if (!fleet.isDeleted(each)) {
+                Machine machine = fleet.getOrAdd(each, nowMicros);
                 if (machine.type == null) {
                     fleet.describe(machine, booking.type, booking.zone, booking.spot);
                 }
@@ -487,28 +501,28 @@
     }
 
     void noCapacity(String name, long nowMicros) {
-        ProvisioningRequests.Booking booking = rentals.bookings.get(name);
+        ProvisioningRequests.Request booking = rentals.requests.get(name);
         if (booking != null) {
             rentals.noCapacity(booking, nowMicros);
         }
     }
 
-    void unanswered(String name, long nowMicros) {
-        ProvisioningRequests.Booking booking = rentals.bookings.get(name);
+    void requestUnanswered(String name, long nowMicros) {
+        ProvisioningRequests.Request booking = rentals.requests.get(name);
         if (booking != null) {
-            rentals.unknown(booking, nowMicros);
+            rentals.outcomeUnknown(booking, nowMicros);
         }
     }
 
-    void notExecuted(String name) {
-        ProvisioningRequests.Booking booking = rentals.bookings.get(name);
+    void requestNotExecuted(String name) {
+        ProvisioningRequests.Request booking = rentals.requests.get(name);
         if (booking != null) {
             booking.state = ProvisioningRequests.State.CLAIMED;
         }
     }
 
     /** A whole list, or null after a failed call. Machines that nobody expected are used, or returned when idle. */
-    void listed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
+    void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
         listing = false;
         if (machines == null) {
             return;
@@ -516,11 +530,11 @@
         Set<String> names = new HashSet<>();
         for (ListedMachine listed : machines) {
             names.add(listed.name());
-            if (fleet.isGone(listed.name())) {
+            if (fleet.isDeleted(listed.name())) {
                 continue;
             }
-            Machine machine = fleet.obtain(listed.name(), nowMicros);
-            machine.listed = true;
+            Machine machine = fleet.getOrAdd(listed.name(), nowMicros);
+            machine.listedByCloud = true;
             if (machine.type == null) {
                 fleet.describe(machine, listed.type(), listed.zone(), listed.spot());
             }
@@ -530,7 +544,7 @@
                 machine.bootStartedMicros = nowMicros - listed.ageMicros();
             }
             if (listed.state() == ListedMachine.State.FAILED) {
-                machine.deleting = true;
+                machine.deletionRequested = true;
             }
         }
         for (Machine machine : fleet.machines()) {
@@ -540,8 +554,8 @@
             boolean neverThere = machine.lastAnsweredMicros < 0
                     && machine.bootStartedMicros < 0
                     && askedMicros - machine.knownSinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND;
-            if (((machine.listed && silent) || neverThere) && !names.contains(machine.name)) {
-                machine.deleting = true;
+            if (((machine.listedByCloud && silent) || neverThere) && !names.contains(machine.name)) {
+                machine.deletionRequested = true;
             }
         }
         rentals.listed(askedMicros);
--- a/src/main/java/io/micatide/scheduler/CandidateMachines.java
+++ b/src/main/java/io/micatide/scheduler/CandidateMachines.java
@@ -10,8 +10,8 @@
  * not once a job: a round of a dozen jobs took 0.8 s at 2,800 machines on a quarter of a core.
  */
 final class CandidateMachines {
-    private static final Comparator<Machine> MOST_ROOM =
-            Comparator.comparingLong((Machine machine) -> -machine.room().cpus());
+    private static final Comparator<Machine> MOST_ROOM = Comparator.comparingLong(
+            (Machine machine) -> -machine.freeCapacity().cpus());
 
     private final Iterable<Machine> all;
     private final Predicate<Machine> isUsable;
@@ -88,7 +88,8 @@
     private int endOfSameRoom(int from) {
         int to = from + 1;
         while (to < byRoom.size()
-                && byRoom.get(to).room().cpus() == byRoom.get(from).room().cpus()) {
+                && byRoom.get(to).freeCapacity().cpus()
+                        == byRoom.get(from).freeCapacity().cpus()) {
             to++;
         }
         return to;
--- a/src/main/java/io/micatide/scheduler/DagInheritance.java
+++ b/src/main/java/io/micatide/scheduler/DagInheritance.java
@@ -30,7 +30,7 @@
 
         Demand and(Demand other) {
             return new Demand(
-                    priority.above(other.priority) ? priority : other.priority,
+                    priority.isAbove(other.priority) ? priority : other.priority,
                     Math.min(neededByMicros, other.neededByMicros));
         }
     }
@@ -47,11 +47,11 @@
         this.runTimes = runTimes;
     }
 
-    int size() {
+    int waitingJobs() {
         return waiting.size();
     }
 
-    void waits(JobSpec spec, long version, long submittedMicros) {
+    void jobWaits(JobSpec spec, long version, long submittedMicros) {
         long deadline = spec.deadlineMicros() < 0 ? Long.MAX_VALUE : submittedMicros + spec.deadlineMicros();
         waiting.put(spec.id(), new Waiting(spec, version, deadline));
         changed = true;
@@ -63,7 +63,7 @@
     }
 
     /** Ready, done or cancelled. */
-    void waitsNoMore(String id) {
+    void jobNoLongerWaits(String id) {
         changed |= waiting.remove(id) != null;
     }
 
@@ -74,7 +74,7 @@
         }
         changed = false;
         refreshedMicros = nowMicros;
-        demanded.forEach(job -> job.demand(false, Priority.LOW, Long.MAX_VALUE));
+        demanded.forEach(job -> job.inheritFromDependents(false, Priority.LOW, Long.MAX_VALUE));
         demanded.clear();
         // A job names only jobs accepted before it, so from the newest row to the oldest all after a job come before
         // it.
@@ -86,16 +86,16 @@
                     .and(demands.getOrDefault(each.spec().id(), Demand.NONE));
             long by = own.neededByMicros() == Long.MAX_VALUE
                     ? Long.MAX_VALUE
-                    : own.neededByMicros() - runTimes.slowest(each.spec()) - STEP_MICROS;
+                    : own.neededByMicros() - runTimes.slowestMicros(each.spec()) - STEP_MICROS;
             Demand before = new Demand(own.priority(), by);
-            for (String need : each.spec().needs()) {
+            for (String need : each.spec().dependencies()) {
                 demands.merge(need, before, Demand::and);
             }
         }
         demands.forEach((id, demand) -> {
             Job job = ledgers.get(id);
             if (job != null) {
-                job.demand(true, demand.priority(), demand.neededByMicros());
+                job.inheritFromDependents(true, demand.priority(), demand.neededByMicros());
                 demanded.add(job);
             }
         });
--- a/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
+++ b/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
@@ -82,8 +82,8 @@
             long patience = entry.job.priority() == Priority.LOW ? Long.MAX_VALUE / 2 : lateMicros;
             long left = Math.min(entry.dueMicros - nowMicros, Math.max(patience, entry.lengthMicros)) - startMicros;
             long rounds = Math.max(1, left / entry.lengthMicros);
-            long parallel = (entry.job.unfinished() + rounds - 1) / rounds;
-            double own = (double) parallel * entry.job.spec.each().cpus();
+            long parallel = (entry.job.unfinishedCount() + rounds - 1) / rounds;
+            double own = (double) parallel * entry.job.spec.taskResources().cpus();
             demands.add(new Demand(Math.max(left, entry.lengthMicros), own * rounds * entry.lengthMicros, own));
         }
         demands.sort(Comparator.comparingLong(Demand::leftMicros));
--- a/src/main/java/io/micatide/scheduler/EquivalenceClass.java
+++ b/src/main/java/io/micatide/scheduler/EquivalenceClass.java
@@ -14,7 +14,7 @@
  */
 record EquivalenceClass(Resources each, List<String> types, String zone, boolean spot) {
     static EquivalenceClass of(JobSpec spec) {
-        return new EquivalenceClass(spec.each(), spec.types(), spec.zone(), spec.spot());
+        return new EquivalenceClass(spec.taskResources(), spec.machineTypes(), spec.zone(), spec.spotAllowed());
     }
 
     boolean allowsMachine(Machine machine) {
--- a/src/main/java/io/micatide/scheduler/FailoverProgress.java
+++ b/src/main/java/io/micatide/scheduler/FailoverProgress.java
@@ -23,31 +23,31 @@
     }
 
     /** All rows are read. {@code machines}: how many the ledgers name. */
-    void rebuilt(int machines, long nowMicros) {
+    void stateLoaded(int machines, long nowMicros) {
         expected = machines;
         rebuiltMicros = nowMicros;
         count(nowMicros);
     }
 
     /** A machine that a ledger names has settled: it reported under this term, or is gone. */
-    void settled(long nowMicros) {
+    void machineReconciled(long nowMicros) {
         confirmed++;
         count(nowMicros);
     }
 
-    void started(long nowMicros) {
+    void taskStarted(long nowMicros) {
         if (firstStartMicros < 0) {
             firstStartMicros = nowMicros;
         }
     }
 
     @Override
-    public long rebuiltMicros() {
+    public long stateLoadedMicros() {
         return since(rebuiltMicros);
     }
 
     @Override
-    public long confirmedMicros(int share) {
+    public long machinesReconciledMicros(int share) {
         return since(reached[share]);
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Null until 99% are confirmed and something was started, or with no machines; then the line, once. */
-    String line() {
+    String logLine() {
         if (told || expected == 0 || reached[SHARES.length - 1] < 0 || firstStartMicros < 0) {
             return null;
         }
--- a/src/main/java/io/micatide/scheduler/FailureAttribution.java
+++ b/src/main/java/io/micatide/scheduler/FailureAttribution.java
@@ -42,30 +42,30 @@
         this.runTimes = runTimes;
     }
 
-    void succeeded(Machine machine, Job job) {
+    void taskSucceeded(Machine machine, Job job) {
         machine.failedJobs.clear();
-        machine.doubtfulJobs.clear();
+        machine.unattributedJobs.clear();
         machine.failures = 0;
         job.failedMachines.remove(machine.name);
-        job.suspect = false;
+        job.quarantined = false;
         job.failedProbes = 0;
     }
 
     /** A replica never completes; one that keeps running shows as much. */
-    void runs(Placement placement, long nowMicros) {
-        if (placement.job.suspect
+    void replicaRunning(Placement placement, long nowMicros) {
+        if (placement.job.quarantined
                 && placement.job.spec.kind() == JobKind.SERVICE
                 && placement.runningSinceMicros >= 0
                 && nowMicros - placement.runningSinceMicros > REPLICA_RUNS_MICROS) {
-            succeeded(placement.machine, placement.job);
+            taskSucceeded(placement.machine, placement.job);
         }
     }
 
     /** A completed task tells the machine's pace, if the job's other tasks have shown how long they take. */
-    void completed(Machine machine, Placement placement, long nowMicros) {
+    void recordPace(Machine machine, Placement placement, long nowMicros) {
         if (tellsPace(placement)) {
-            machine.paceTasks++;
-            machine.paceSum += Math.log(ratio(placement, nowMicros));
+            machine.paceSamples++;
+            machine.paceLogSum += Math.log(ratio(placement, nowMicros));
         }
     }
 
@@ -73,11 +73,11 @@
         return placement.job.spec.kind() == JobKind.ARRAY
                 && placement.runningSinceMicros >= 0
                 && !placement.adopted
-                && placement.job.ranTasks >= FEWEST_TASKS;
+                && placement.job.completedTasks >= FEWEST_TASKS;
     }
 
     private double ratio(Placement placement, long nowMicros) {
-        double ratio = (nowMicros - placement.runningSinceMicros) / (double) runTimes.expected(placement.job);
+        double ratio = (nowMicros - placement.runningSinceMicros) / (double) runTimes.expectedMicros(placement.job);
         return Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio));
     }
 
@@ -86,30 +86,30 @@
      * machines that it failed on, and is only probed from then on. A machine is given back when jobs fail on it that
      * succeed elsewhere. Healthy machines were once returned because the first tasks of two faulty jobs met there.
      */
-    void failed(Machine machine, Job job, Iterable<Machine> machines, long nowMicros) {
+    void taskFailed(Machine machine, Job job, Iterable<Machine> machines, long nowMicros) {
         job.failedMachines.add(machine.name);
-        if (job.works()) {
+        if (job.hasSucceeded()) {
             machine.failedJobs.add(job.id());
             machine.failures++;
-        } else if (job.suspect || job.failedMachines.size() >= MACHINES_TO_SUSPECT_A_JOB) {
+        } else if (job.quarantined || job.failedMachines.size() >= MACHINES_TO_SUSPECT_A_JOB) {
             suspect(job, machines, nowMicros);
         } else {
-            machine.doubtfulJobs.add(job.id());
+            machine.unattributedJobs.add(job.id());
         }
-        machine.draining |= machine.failedJobs.size() >= JOBS_TO_SUSPECT_A_MACHINE
+        machine.quarantined |= machine.failedJobs.size() >= JOBS_TO_SUSPECT_A_MACHINE
                 || machine.failures >= FAILURES_TO_SUSPECT_A_MACHINE
-                || machine.doubtfulJobs.size() >= DOUBTFUL_JOBS_TO_SUSPECT_A_MACHINE;
+                || machine.unattributedJobs.size() >= DOUBTFUL_JOBS_TO_SUSPECT_A_MACHINE;
     }
 
     private static void suspect(Job job, Iterable<Machine> machines, long nowMicros) {
-        if (!job.suspect) {
-            job.suspect = true;
-            machines.forEach(each -> each.doubtfulJobs.remove(job.id()));
+        if (!job.quarantined) {
+            job.quarantined = true;
+            machines.forEach(each -> each.unattributedJobs.remove(job.id()));
         }
         // Many of its tasks may be out and fail one after the other: only what fails after the pause is a probe.
-        if (nowMicros >= job.blockedUntilMicros) {
+        if (nowMicros >= job.backoffUntilMicros) {
             long pause = Math.min(LONGEST_PAUSE_MICROS, FIRST_PAUSE_MICROS << Math.min(10, job.failedProbes++));
-            job.blockedUntilMicros = nowMicros + pause;
+            job.backoffUntilMicros = nowMicros + pause;
         }
         if (job.failedMachines.size() >= MACHINES_TO_PROBE) {
             job.failedMachines.clear();
@@ -117,21 +117,21 @@
     }
 
     /** Machines that were found slow just now; work that can start over elsewhere is better off there. */
-    List<Machine> findSlow(Iterable<Machine> machines, long nowMicros) {
+    List<Machine> findSlowMachines(Iterable<Machine> machines, long nowMicros) {
         List<Machine> found = new ArrayList<>();
         if (nowMicros - lookedMicros < LOOK_EVERY_MICROS) {
             return found;
         }
         lookedMicros = nowMicros;
         for (Machine machine : machines) {
-            machine.paceTasks *= FADES;
-            machine.paceSum *= FADES;
-            double tasks = machine.paceTasks;
-            double sum = machine.paceSum;
+            machine.paceSamples *= FADES;
+            machine.paceLogSum *= FADES;
+            double tasks = machine.paceSamples;
+            double sum = machine.paceLogSum;
             for (Placement placement : machine.placements) {
                 // Those that run on say that it is at least so slow; a machine is not judged by two tasks in 32 that
                 // take long by themselves: six large ones were once emptied for nothing within 90 s.
-                if (placement.state == TaskState.RUNNING && !placement.stopping() && tellsPace(placement)) {
+                if (placement.state == TaskState.RUNNING && !placement.isStopping() && tellsPace(placement)) {
                     double ratio = ratio(placement, nowMicros);
                     if (ratio > 1) {
                         tasks++;
@@ -144,8 +144,8 @@
                     found.add(machine);
                 }
                 machine.slowUntilMicros = nowMicros + AVOID_MICROS;
-                machine.paceTasks = 0;
-                machine.paceSum = 0;
+                machine.paceSamples = 0;
+                machine.paceLogSum = 0;
             }
         }
         return found;
--- a/src/main/java/io/micatide/scheduler/Fleet.java
+++ b/src/main/java/io/micatide/scheduler/Fleet.java
@@ -11,10 +11,10 @@
 /** All machines that are known of, and the machine types. */
 final class Fleet {
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final FreeCapacityIndex roomIndex = new FreeCapacityIndex(machines.values());
-    private Map<String, MachineType> types = new LinkedHashMap<>();
+    private final FreeCapacityIndex freeCapacityIndex = new FreeCapacityIndex(machines.values());
+    private Map<String, MachineType> machineTypes = new LinkedHashMap<>();
     /** Machines whose deletion was answered: nothing can be on them, whatever a lagging list says. */
-    private final Map<String, Long> gone = new HashMap<>();
+    private final Map<String, Long> deletedMachines = new HashMap<>();
 
     Collection<Machine> machines() {
         return machines.values();
@@ -24,60 +24,60 @@
         return machines.get(name);
     }
 
-    Machine obtain(String name, long nowMicros) {
+    Machine getOrAdd(String name, long nowMicros) {
         Machine known = machines.get(name);
         if (known != null) {
             return known;
         }
-        Machine machine = new Machine(name, nowMicros, roomIndex);
+        Machine machine = new Machine(name, nowMicros, freeCapacityIndex);
         machines.put(name, machine);
-        roomIndex.added(machine);
+        freeCapacityIndex.machineAdded(machine);
         return machine;
     }
 
     /** Which of the machines have room for what. */
-    FreeCapacityIndex roomIndex() {
-        return roomIndex;
+    FreeCapacityIndex freeCapacityIndex() {
+        return freeCapacityIndex;
     }
 
-    boolean isGone(String name) {
-        return gone.containsKey(name);
+    boolean isDeleted(String name) {
+        return deletedMachines.containsKey(name);
     }
 
     /** Names whose deletion was answered in the last ten minutes. */
-    Collection<String> gone() {
-        return gone.keySet();
+    Collection<String> deletedMachines() {
+        return deletedMachines.keySet();
     }
 
-    void markGone(String name, long nowMicros) {
-        gone.put(name, nowMicros);
+    void markDeleted(String name, long nowMicros) {
+        deletedMachines.put(name, nowMicros);
         Machine machine = machines.remove(name);
         if (machine != null) {
-            machine.forgotten();
+            machine.removedFromFleet();
         }
-        gone.values().removeIf(since -> nowMicros - since > 600 * Micros.SECOND);
+        deletedMachines.values().removeIf(since -> nowMicros - since > 600 * Micros.SECOND);
     }
 
-    void setTypes(List<MachineType> list) {
+    void setMachineTypes(List<MachineType> list) {
         Map<String, MachineType> byName = new LinkedHashMap<>();
         for (MachineType type : list) {
             byName.put(type.name(), type);
         }
-        types = byName;
+        machineTypes = byName;
         for (Machine machine : machines.values()) {
             describe(machine, machine.type, machine.zone, machine.spot);
         }
     }
 
-    Map<String, MachineType> types() {
-        return types;
+    Map<String, MachineType> machineTypes() {
+        return machineTypes;
     }
 
     void describe(Machine machine, String type, String zone, boolean spot) {
         machine.type = type;
         machine.zone = zone;
         machine.spot = spot;
-        MachineType known = type == null ? null : types.get(type);
-        machine.resize(known == null ? null : known.size());
+        MachineType known = type == null ? null : machineTypes.get(type);
+        machine.resize(known == null ? null : known.resources());
     }
 }
--- a/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
+++ b/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
@@ -19,7 +19,7 @@
 /**
  * Which machines have room for a task, kept by the events that change it instead of by a walk over all machines.
  *
- * <p>Invariant: after {@link #machines} has taken in what changed, the answer holds exactly the machines whose free room, with what the demand
+ * <p>Invariant: after {@link #machinesWithCapacity} has taken in what changed, the answer holds exactly the machines whose free room, with what the demand
  * counts beside it, takes one such task. Whether a machine may be used now and suits the job is not known here; the caller asks the few
  * that are left. What could be freed is an upper bound: a caller that displaces work still chooses victims one by one.
  *
@@ -34,12 +34,12 @@
 
     private final Collection<Machine> all;
     private final Map<CapacityRequest, Tracked> demands = new HashMap<>();
-    private final Set<Machine> changed = new LinkedHashSet<>();
+    private final Set<Machine> machineChanged = new LinkedHashSet<>();
     /** Machines in the order in which they became known; null where one is gone. */
     private Machine[] slots = new Machine[FEWEST_SLOTS];
 
     private int next;
-    private long looks;
+    private long machinesExamined;
 
     /** The slots of machines that fit a demand. */
     private static final class Tracked {
@@ -53,13 +53,13 @@
     }
 
     /** A machine has become known, after all others that are. */
-    void added(Machine machine) {
+    void machineAdded(Machine machine) {
         if (next == slots.length) {
             makeRoom();
         }
-        machine.slot = next;
+        machine.indexSlot = next;
         slots[next++] = machine;
-        changed.add(machine);
+        machineChanged.add(machine);
     }
 
     /** Machines come and go all the time: slots that are free are closed up before there are more. */
@@ -70,7 +70,7 @@
         next = 0;
         for (int i = 0; i < end; i++) {
             if (former[i] != null) {
-                former[i].slot = next;
+                former[i].indexSlot = next;
                 slots[next++] = former[i];
             }
         }
@@ -78,20 +78,20 @@
     }
 
     /** Something on the machine that counts as room has changed: a placement, a stop, its size or a job's priority. */
-    void changed(Machine machine) {
-        changed.add(machine);
+    void machineChanged(Machine machine) {
+        machineChanged.add(machine);
     }
 
-    void removed(Machine machine) {
-        changed.remove(machine);
-        slots[machine.slot] = null;
+    void machineRemoved(Machine machine) {
+        machineChanged.remove(machine);
+        slots[machine.indexSlot] = null;
         for (Tracked each : demands.values()) {
-            each.fitting.clear(machine.slot);
+            each.fitting.clear(machine.indexSlot);
         }
     }
 
     /** Machines with room for one task, in the order in which they became known; a copy, so that placing may go on. */
-    List<Machine> machines(CapacityRequest demand, long nowMicros) {
+    List<Machine> machinesWithCapacity(CapacityRequest demand, long nowMicros) {
         takeIn();
         Tracked tracked = demands.get(demand);
         if (tracked == null) {
@@ -99,10 +99,10 @@
         }
         tracked.askedMicros = nowMicros;
         assert isExact(demand, tracked) : demand + " differs from a walk over all machines";
-        return machines(tracked);
+        return machinesWithCapacity(tracked);
     }
 
-    private List<Machine> machines(Tracked tracked) {
+    private List<Machine> machinesWithCapacity(Tracked tracked) {
         List<Machine> machines = new ArrayList<>(tracked.fitting.cardinality());
         for (int slot = tracked.fitting.nextSetBit(0); slot >= 0; slot = tracked.fitting.nextSetBit(slot + 1)) {
             machines.add(slots[slot]);
@@ -111,8 +111,8 @@
     }
 
     /** How many machines were looked at, to keep the index and in its answers. */
-    long looks() {
-        return looks;
+    long machinesExamined() {
+        return machinesExamined;
     }
 
     private Tracked track(CapacityRequest demand, long nowMicros) {
@@ -122,9 +122,9 @@
         }
         Tracked tracked = new Tracked();
         for (Machine machine : all) {
-            looks++;
+            machinesExamined++;
             if (fits(demand, machine)) {
-                tracked.fitting.set(machine.slot);
+                tracked.fitting.set(machine.indexSlot);
             }
         }
         demands.put(demand, tracked);
@@ -142,35 +142,36 @@
     }
 
     private void takeIn() {
-        for (Iterator<Machine> machines = changed.iterator(); machines.hasNext(); ) {
+        for (Iterator<Machine> machines = machineChanged.iterator(); machines.hasNext(); ) {
             takeIn(machines.next());
             machines.remove();
         }
     }
 
     private void takeIn(Machine machine) {
-        looks++;
+        machinesExamined++;
         Map<CapacityRequest.Source, Map<Priority, Resources>> rooms = new EnumMap<>(CapacityRequest.Source.class);
         demands.forEach((demand, tracked) -> {
             Resources room = rooms.computeIfAbsent(demand.source(), k -> new EnumMap<>(Priority.class))
                     .computeIfAbsent(demand.priority(), priority -> room(machine, demand.source(), priority));
             tracked.fitting.set(
-                    machine.slot, machine.size() != null && demand.each().fitsIn(room));
+                    machine.indexSlot,
+                    machine.capacity() != null && demand.each().fitsIn(room));
         });
     }
 
     private static boolean fits(CapacityRequest demand, Machine machine) {
-        return machine.size() != null && demand.each().fitsIn(room(machine, demand.source(), demand.priority()));
+        return machine.capacity() != null && demand.each().fitsIn(room(machine, demand.source(), demand.priority()));
     }
 
     private static Resources room(Machine machine, CapacityRequest.Source source, Priority priority) {
-        Resources room = machine.room();
+        Resources room = machine.freeCapacity();
         if (source == CapacityRequest.Source.FREE) {
             return room;
         }
         for (Placement placement : machine.placements) {
             if (counts(placement, source, priority)) {
-                room = room.plus(placement.job.spec.each());
+                room = room.plus(placement.job.spec.taskResources());
             }
         }
         return room;
@@ -178,14 +179,14 @@
 
     private static boolean counts(Placement placement, CapacityRequest.Source source, Priority priority) {
         JobSpec spec = placement.job.spec;
-        boolean lower = priority.above(placement.job.priority());
+        boolean lower = priority.isAbove(placement.job.priority());
         if (source == CapacityRequest.Source.SAVING) {
-            return lower && !placement.stopping() && spec.kind() != JobKind.SERVICE;
+            return lower && !placement.isStopping() && spec.kind() != JobKind.SERVICE;
         }
-        if (placement.stopping()) {
+        if (placement.isStopping()) {
             return placement.stopGraceMicros == 0;
         }
-        if (spec.kind() == JobKind.GANG || spec.checkpointMicros() > 0) {
+        if (spec.kind() == JobKind.GANG || spec.checkpointIntervalMicros() > 0) {
             return false;
         }
         return lower
@@ -201,6 +202,6 @@
                 walked.add(machine);
             }
         }
-        return walked.equals(machines(tracked));
+        return walked.equals(machinesWithCapacity(tracked));
     }
 }
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -21,62 +21,62 @@
 
     private static final long SLOW_FOR_MICROS = 30 * Micros.SECOND;
 
-    private final Map<String, Hint.OfMachine> machines = new HashMap<>();
-    private final Map<String, Hint.OfJob> jobs = new HashMap<>();
+    private final Map<String, Hint.MachineHint> machines = new HashMap<>();
+    private final Map<String, Hint.JobHint> jobs = new HashMap<>();
 
-    static List<Hint> of(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
+    static List<Hint> snapshot(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
         List<Hint> result = new ArrayList<>(runTimes.hints());
         for (Job job : open) {
-            if (result.size() < MOST && (job.suspect || job.ranTasks > 0)) {
-                long mean = job.ranTasks == 0 ? 0 : job.ranMicros / job.ranTasks;
-                result.add(new Hint.OfJob(
+            if (result.size() < MOST && (job.quarantined || job.completedTasks > 0)) {
+                long mean = job.completedTasks == 0 ? 0 : job.completedRuntimeMicros / job.completedTasks;
+                result.add(new Hint.JobHint(
                         job.id(),
                         Math.round(rounded((double) mean)),
-                        Integer.highestOneBit(job.ranTasks),
-                        job.suspect,
+                        Integer.highestOneBit(job.completedTasks),
+                        job.quarantined,
                         job.failedProbes));
             }
         }
         for (Machine machine : fleet.machines()) {
             boolean slow = machine.slowUntilMicros >= nowMicros;
-            if (result.size() < MOST && !machine.deleting && machine.address != null) {
+            if (result.size() < MOST && !machine.deletionRequested && machine.address != null) {
                 int older = Math.max(0, machine.images.size() - MOST_IMAGES);
-                result.add(new Hint.OfMachine(
+                result.add(new Hint.MachineHint(
                         machine.name,
                         machine.address,
                         machine.incarnation,
                         machine.images.keySet().stream().skip(older).toList(),
                         machine.images.values().stream().skip(older).toList(),
                         slow,
-                        machine.draining,
+                        machine.quarantined,
                         false));
             }
         }
-        for (String name : fleet.gone()) {
+        for (String name : fleet.deletedMachines()) {
             if (result.size() < MOST) {
-                result.add(Hint.OfMachine.gone(name));
+                result.add(Hint.MachineHint.deleted(name));
             }
         }
         return result;
     }
 
     /** The same without what changes by the second or is seen with the first report: images, addresses, jobs that go well. */
-    static List<Hint> lasting(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
+    static List<Hint> durableSnapshot(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
         List<Hint> result = new ArrayList<>(runTimes.hints());
         for (Job job : open) {
-            if (job.suspect) {
-                result.add(new Hint.OfJob(job.id(), 0, 0, true, job.failedProbes));
+            if (job.quarantined) {
+                result.add(new Hint.JobHint(job.id(), 0, 0, true, job.failedProbes));
             }
         }
         for (Machine machine : fleet.machines()) {
             boolean slow = machine.slowUntilMicros >= nowMicros;
-            if (!machine.deleting && (slow || machine.draining)) {
-                result.add(
-                        new Hint.OfMachine(machine.name, "", 0, List.of(), List.of(), slow, machine.draining, false));
+            if (!machine.deletionRequested && (slow || machine.quarantined)) {
+                result.add(new Hint.MachineHint(
+                        machine.name, "", 0, List.of(), List.of(), slow, machine.quarantined, false));
             }
         }
-        for (String name : fleet.gone()) {
-            result.add(Hint.OfMachine.gone(name));
+        for (String name : fleet.deletedMachines()) {
+            result.add(Hint.MachineHint.deleted(name));
         }
         return result;
     }
@@ -87,29 +87,29 @@
     }
 
     /** What the leader before knew; later hints replace earlier ones, but for {@code kept} ones. */
-    void take(List<Hint> hints, boolean kept, RuntimeEstimator runTimes) {
+    void add(List<Hint> hints, boolean kept, RuntimeEstimator runTimes) {
         for (Hint hint : hints) {
-            if (hint instanceof Hint.OfMachine each) {
+            if (hint instanceof Hint.MachineHint each) {
                 machines.merge(each.name(), each, (known, told) -> kept ? known : told);
-            } else if (hint instanceof Hint.OfJob each) {
+            } else if (hint instanceof Hint.JobHint each) {
                 jobs.merge(each.name(), each, (known, told) -> kept ? known : told);
-            } else if (hint instanceof Hint.OfClass each) {
-                runTimes.hinted(each);
+            } else if (hint instanceof Hint.JobClassHint each) {
+                runTimes.hintReceived(each);
             }
         }
     }
 
     /** The job was read from the rows. What this leader has seen of it itself counts more. */
     void apply(Job job) {
-        Hint.OfJob hint = jobs.remove(job.id());
-        if (hint == null || job.ranTasks > 0 || job.suspect || job.attempts > 0) {
+        Hint.JobHint hint = jobs.remove(job.id());
+        if (hint == null || job.completedTasks > 0 || job.quarantined || job.attempts > 0) {
             return;
         }
-        job.ranMicros = hint.ranMicros() * hint.ranTasks();
-        job.ranTasks = hint.ranTasks();
+        job.completedRuntimeMicros = hint.meanRuntimeMicros() * hint.completedTasks();
+        job.completedTasks = hint.completedTasks();
         // Something of it may have succeeded since that the rows tell of.
-        if (hint.suspect() && job.finishedCount() == 0) {
-            job.suspect = true;
+        if (hint.quarantined() && job.finishedCount() == 0) {
+            job.quarantined = true;
             job.failedProbes = hint.failedProbes();
         }
     }
@@ -119,34 +119,34 @@
      * wait for it; its deletion, asked for again, is answered at once and settles it. Without this they waited until a list of
      * the cloud showed that it is not there: 11 to 21 s after a take-over that followed on a wave of returns.
      */
-    boolean gone(String machine) {
-        Hint.OfMachine hint = machines.get(machine);
-        return hint != null && hint.gone();
+    boolean wasDeleted(String machine) {
+        Hint.MachineHint hint = machines.get(machine);
+        return hint != null && hint.deleted();
     }
 
     /** Where a machine that has not reported is to be greeted, null if that is not known. */
-    TermAnnouncement greeting(String machine) {
-        Hint.OfMachine hint = machines.get(machine);
-        return hint == null || hint.gone() || hint.address().isEmpty()
+    TermAnnouncement announcementFor(String machine) {
+        Hint.MachineHint hint = machines.get(machine);
+        return hint == null || hint.deleted() || hint.address().isEmpty()
                 ? null
                 : new TermAnnouncement(machine, hint.address(), hint.incarnation());
     }
 
     /** The machine is confirmed by its own report. */
     void apply(Machine machine, double cacheGb, long nowMicros) {
-        Hint.OfMachine hint = machines.remove(machine.name);
+        Hint.MachineHint hint = machines.remove(machine.name);
         if (hint == null) {
             return;
         }
         Map<String, Double> seen = new LinkedHashMap<>(machine.images);
         machine.images.clear();
         for (int i = 0; i < hint.images().size(); i++) {
-            machine.touchImage(hint.images().get(i), hint.gigabytes().get(i), cacheGb);
+            machine.touchImage(hint.images().get(i), hint.imageSizesGb().get(i), cacheGb);
         }
         seen.forEach((image, gb) -> machine.touchImage(image, gb, cacheGb));
         if (hint.slow()) {
             machine.slowUntilMicros = nowMicros + SLOW_FOR_MICROS;
         }
-        machine.draining |= hint.faulty();
+        machine.quarantined |= hint.quarantined();
     }
 }
--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -24,8 +24,8 @@
 
     long version;
     boolean cancelled;
-    /** Finished tasks, recorded or not; changed by {@link #finish} and {@link #adopt} only. */
-    final BitSet finished = new BitSet();
+    /** Finished tasks, recorded or not; changed by {@link #markFinished} and {@link #adoptRecorded} only. */
+    final BitSet finishedTasks = new BitSet();
     /** Tasks that are finished or live, so that the next one to place is found without a search. */
     private final BitSet taken = new BitSet();
 
@@ -34,27 +34,27 @@
     /** Machines with live attempts, and how many. */
     final Multiset<String> liveMachines = HashMultiset.create();
     /** Finished tasks that a confirmed write holds: only these may be forgotten by the workers. */
-    final BitSet recorded = new BitSet();
+    final BitSet recordedTasks = new BitSet();
     /** Tasks that were stopped once since their machine seemed slow; they are not stopped for that again. */
-    final BitSet leftSlow = new BitSet();
+    final BitSet evictedAsSlow = new BitSet();
     /** Attempts that may be on a machine, by task. */
-    final Map<Integer, List<Placement>> live = new HashMap<>();
+    final Map<Integer, List<Placement>> liveAttempts = new HashMap<>();
 
     /** Machines in the ledger by every outcome that the last writes can have. */
-    Set<String> recordedMachines = new HashSet<>();
+    Set<String> ledgerMachines = new HashSet<>();
     /** Machines that the next write must name because of held starts. */
-    final Set<String> neededMachines = new HashSet<>();
+    final Set<String> machinesToRecord = new HashSet<>();
     /** Machines taken over from an earlier leader's ledger that have not been settled. */
-    final Set<String> unsettledMachines = new HashSet<>();
+    final Set<String> unreconciledMachines = new HashSet<>();
 
     long gangAttempt;
     final Map<Integer, Long> pageVersions = new HashMap<>();
     final BitSet dirtyPages = new BitSet();
-    boolean writing;
+    boolean writeInFlight;
     long dirtySinceMicros = -1;
-    long blockedUntilMicros;
+    long backoffUntilMicros;
     /** Failed where nothing of it ever succeeded, on several machines: most likely submitted with a mistake. */
-    boolean suspect;
+    boolean quarantined;
     /** Probes of it that failed since it is suspected. */
     int failedProbes;
     /** Machines on which a task of it failed and none succeeded since; it is not placed there. */
@@ -64,33 +64,33 @@
     long lastStartMicros = -1;
     int attempts;
     /** Run time and number of its tasks that completed in this term. */
-    long ranMicros;
+    long completedRuntimeMicros;
 
-    int ranTasks;
+    int completedTasks;
     /** When it may next displace other work. */
-    long preemptsAgainMicros;
+    long nextPreemptionMicros;
     /** Until when room that was asked for by stopping saving work is waited for. */
-    long roomComingMicros = -1;
+    long capacityAwaitedUntilMicros = -1;
     /** A task of the gang's present attempt has run: what is missing cannot be replaced any more. */
     boolean gangStarted;
     /** The present attempt is over; the next one begins when nothing of it can be on a machine. */
     boolean gangBroken;
 
     /** Whether jobs wait for it, and what they ask of it: see {@link DagInheritance}. */
-    boolean needed;
+    boolean hasDependents;
 
     private Priority priority;
-    long neededByMicros = Long.MAX_VALUE;
+    long dependentsDueMicros = Long.MAX_VALUE;
     /** Its ledger cannot be written with further machines: what is held for them has to be given back. */
     boolean ledgerFull;
     /** What the names of its machines took at that time, without those that a round has still to name. */
-    int nameBytes;
+    int ledgerNameBytes;
 
-    long nameBytesMicros = Long.MIN_VALUE;
+    long ledgerNameBytesMicros = Long.MIN_VALUE;
     /** Until when it is not placed on machines that its ledger does not name. */
-    long fullUntilMicros = Long.MIN_VALUE;
+    long ledgerFullUntilMicros = Long.MIN_VALUE;
     /** The state service refused to write it; tried again then. */
-    long writeAgainMicros = Long.MIN_VALUE;
+    long nextWriteMicros = Long.MIN_VALUE;
 
     Job(JobSpec spec, long version, long submittedWall, long submittedMicros, long readyMicros) {
         this.readyMicros = readyMicros;
@@ -110,36 +110,36 @@
         return priority;
     }
 
-    void demand(boolean byOthers, Priority others, long byMicros) {
+    void inheritFromDependents(boolean byOthers, Priority others, long byMicros) {
         Priority before = priority;
-        needed = byOthers;
-        priority = others.above(spec.priority()) ? others : spec.priority();
+        hasDependents = byOthers;
+        priority = others.isAbove(spec.priority()) ? others : spec.priority();
         if (priority != before) {
             // What its tasks take may be freed for others now, or not any more.
-            live.values().forEach(attempts -> attempts.forEach(attempt -> attempt.machine.roomChanged()));
+            liveAttempts.values().forEach(attempts -> attempts.forEach(attempt -> attempt.machine.capacityChanged()));
         }
-        neededByMicros = byMicros;
+        dependentsDueMicros = byMicros;
     }
 
     /** Whether that is news. */
-    boolean finish(int index) {
-        if (finished.get(index)) {
+    boolean markFinished(int index) {
+        if (finishedTasks.get(index)) {
             return false;
         }
-        finished.set(index);
+        finishedTasks.set(index);
         taken.set(index);
         finishedCount++;
-        if (live.containsKey(index)) {
+        if (liveAttempts.containsKey(index)) {
             liveUnfinished--;
         }
         return true;
     }
 
     /** Finished tasks as an earlier leader recorded them. */
-    void adopt(BitSet recordedThen) {
-        recorded.or(recordedThen);
+    void adoptRecorded(BitSet recordedThen) {
+        recordedTasks.or(recordedThen);
         for (int i = recordedThen.nextSetBit(0); i >= 0; i = recordedThen.nextSetBit(i + 1)) {
-            finish(i);
+            markFinished(i);
         }
     }
 
@@ -147,59 +147,59 @@
         return finishedCount;
     }
 
-    int unfinished() {
-        return spec.tasks() - finishedCount;
+    int unfinishedCount() {
+        return spec.taskCount() - finishedCount;
     }
 
     boolean allFinished() {
-        return spec.kind() != JobKind.SERVICE && finishedCount >= spec.tasks();
+        return spec.kind() != JobKind.SERVICE && finishedCount >= spec.taskCount();
     }
 
     /** Tasks that are neither finished nor possibly on a machine that we have listed. */
-    int waiting() {
-        return cancelled ? 0 : Math.max(0, unfinished() - liveUnfinished);
+    int pendingCount() {
+        return cancelled ? 0 : Math.max(0, unfinishedCount() - liveUnfinished);
     }
 
     /** Whether any of its tasks has ever succeeded, as far as this leader can know. */
-    boolean works() {
+    boolean hasSucceeded() {
         return finishedCount > 0;
     }
 
     /** How many tasks may be placed now: of a suspected job one at a time shows whether it still fails. */
-    int placeable() {
-        if (!suspect || waiting() == 0) {
-            return waiting();
+    int placeableCount() {
+        if (!quarantined || pendingCount() == 0) {
+            return pendingCount();
         }
-        if (!live.isEmpty()) {
+        if (!liveAttempts.isEmpty()) {
             return 0;
         }
-        return spec.kind() == JobKind.GANG ? waiting() : 1;
+        return spec.kind() == JobKind.GANG ? pendingCount() : 1;
     }
 
     /** The next task that may be placed, or -1. */
-    int nextWaiting() {
+    int nextPendingTask() {
         int index = taken.nextClearBit(0);
-        return index < spec.tasks() ? index : -1;
+        return index < spec.taskCount() ? index : -1;
     }
 
     void add(Placement placement) {
-        List<Placement> list = live.computeIfAbsent(placement.index, k -> new ArrayList<>(1));
-        if (list.isEmpty() && !finished.get(placement.index)) {
+        List<Placement> list = liveAttempts.computeIfAbsent(placement.taskIndex, k -> new ArrayList<>(1));
+        if (list.isEmpty() && !finishedTasks.get(placement.taskIndex)) {
             liveUnfinished++;
         }
         list.add(placement);
-        taken.set(placement.index);
+        taken.set(placement.taskIndex);
         liveMachines.add(placement.machine.name);
     }
 
     void remove(Placement placement) {
-        List<Placement> list = live.get(placement.index);
+        List<Placement> list = liveAttempts.get(placement.taskIndex);
         if (list != null && list.remove(placement)) {
             liveMachines.remove(placement.machine.name);
             if (list.isEmpty()) {
-                live.remove(placement.index);
-                if (!finished.get(placement.index)) {
-                    taken.clear(placement.index);
+                liveAttempts.remove(placement.taskIndex);
+                if (!finishedTasks.get(placement.taskIndex)) {
+                    taken.clear(placement.taskIndex);
                     liveUnfinished--;
                 }
             }
@@ -208,20 +208,20 @@
 
     /** The attempt that all tasks of a gang share, or 0 when none is live. */
     long liveAttempt() {
-        for (List<Placement> list : live.values()) {
+        for (List<Placement> list : liveAttempts.values()) {
             return list.get(0).attempt;
         }
         return 0;
     }
 
     /** A task of which nothing was reported may still sit on a machine of an earlier leader. */
-    boolean unsettled() {
-        return !unsettledMachines.isEmpty();
+    boolean hasUnreconciledMachines() {
+        return !unreconciledMachines.isEmpty();
     }
 
     /** Whether anything of it can be on a machine: attempts of this leader, or of earlier ones on machines that have not been settled. */
-    boolean anywhere() {
-        return !live.isEmpty() || unsettled();
+    boolean mayBeRunning() {
+        return !liveAttempts.isEmpty() || hasUnreconciledMachines();
     }
 
     long deadlineMicros() {
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -63,7 +63,7 @@
     private final Map<String, Set<String>> unknownKeys = new HashMap<>();
 
     /** A row to close. That the job is withdrawn follows from the others' rows, so this is for whoever reads only rows. */
-    private record Withdrawal(String id, long version, StoredRecord.JobRow row) {}
+    private record Withdrawal(String id, long version, StoredRecord.JobRecord row) {}
 
     JobLedgers(Settings settings, long fencingToken) {
         this.settings = settings;
@@ -72,13 +72,13 @@
     }
 
     /** What a round writes of one job; {@code machines} is the set that the new ledger names. */
-    record Part(Job job, boolean over, Set<String> machines, List<Integer> pages, Map<Integer, BitSet> done) {}
+    record JobWrite(Job job, boolean last, Set<String> machines, List<Integer> pages, Map<Integer, BitSet> done) {}
 
-    /** One transaction and what it means. {@code bookings} are the rentals written along with it. */
-    record Round(
+    /** One transaction and what it means. {@code provisioningRequests} are the rentals written along with it. */
+    record WriteBatch(
             Transaction transaction,
-            List<Part> parts,
-            List<ProvisioningRequests.Booking> bookings,
+            List<JobWrite> jobWrites,
+            List<ProvisioningRequests.Request> provisioningRequests,
             List<String> withdrawals) {}
 
     Collection<Job> jobs() {
@@ -120,7 +120,7 @@
         int page = pageOf(key);
         adopt(job, page, ledger, version);
         if (page == 0) {
-            job.unsettledMachines.addAll(ledger.machines());
+            job.unreconciledMachines.addAll(ledger.machines());
             ledger.machines()
                     .forEach(machine -> unsettledOn
                             .computeIfAbsent(machine, k -> new ArrayList<>())
@@ -133,10 +133,12 @@
      * Nothing that an earlier leader sent can appear on this machine any more. Returns the open jobs that it was the last to hold up. Asking
      * every job for every machine took a million looks in the seconds after a take-over of a thousand machines.
      */
-    List<Job> settleMachine(String machine) {
+    List<Job> reconcileMachine(String machine) {
         List<Job> result = new ArrayList<>();
         for (Job job : Objects.requireNonNullElse(unsettledOn.remove(machine), List.<Job>of())) {
-            if (job.unsettledMachines.remove(machine) && !job.unsettled() && jobs.get(job.id()) == job) {
+            if (job.unreconciledMachines.remove(machine)
+                    && !job.hasUnreconciledMachines()
+                    && jobs.get(job.id()) == job) {
                 result.add(job);
             }
         }
@@ -146,44 +148,44 @@
     private void adopt(Job job, int page, StoredRecord.Ledger ledger, long version) {
         job.pageVersions.put(page, version);
         BitSet done = new BitSet();
-        TaskRanges.parseInto(ledger.done(), page * pageTasks, done);
-        job.adopt(done);
+        TaskRanges.parseInto(ledger.finishedTasks(), page * pageTasks, done);
+        job.adoptRecorded(done);
         if (page == 0) {
-            job.recordedMachines = new HashSet<>(ledger.machines());
+            job.ledgerMachines = new HashSet<>(ledger.machines());
             job.gangAttempt = Math.max(job.gangAttempt, ledger.gangAttempt());
         }
     }
 
-    void touch(Job job, long nowMicros) {
+    void markDirty(Job job, long nowMicros) {
         if (job.dirtySinceMicros < 0) {
             job.dirtySinceMicros = nowMicros;
         }
         dirty.putIfAbsent(job.id(), job);
     }
 
-    void finished(Job job, int index, long nowMicros) {
-        if (job.finish(index)) {
+    void taskFinished(Job job, int index, long nowMicros) {
+        if (job.markFinished(index)) {
             job.dirtyPages.set(index / pageTasks);
-            touch(job, nowMicros);
+            markDirty(job, nowMicros);
         }
     }
 
     /** What is written of a job that went with one that it needs; {@code row} as it is stored now. */
-    void withdraw(String id, StoredRecord.JobRow row, long version) {
+    void cancelBeforeStart(String id, StoredRecord.JobRecord row, long version) {
         withdrawals.put(id, new Withdrawal(id, version, row));
     }
 
-    void withdrawn(String id) {
+    void cancelledBeforeStart(String id) {
         withdrawals.remove(id);
     }
 
     /** Whether nothing of a job that is over is left to do: no task of it can run, no ledger of it is stored. */
-    boolean settled(String id) {
+    boolean mayBeArchived(String id) {
         return !jobs.containsKey(id) && !withdrawals.containsKey(id);
     }
 
     /** There is an archive: rows say that their writers know it. */
-    void historyKept() {
+    void archiveEnabled() {
         checked = true;
     }
 
@@ -203,7 +205,7 @@
 
     private int bytes(Collection<String> names) {
         if (dense()) {
-            return MachineNameCodec.bytes(names);
+            return MachineNameCodec.compressedBytes(names);
         }
         int bytes = 0;
         for (String name : names) {
@@ -214,13 +216,13 @@
 
     /** The part of the first page that names machines. Finished ranges have the rest, and what the names leave. */
     private int nameBytes() {
-        return (settings.writableBytes() - LEDGER_BYTES) * 5 / 8;
+        return (settings.maxWritableValueBytes() - LEDGER_BYTES) * 5 / 8;
     }
 
     /** Machines that the ledger must name whatever else it says. */
     private static Set<String> mustName(Job job) {
-        Set<String> machines = new HashSet<>(job.neededMachines);
-        machines.addAll(job.unsettledMachines);
+        Set<String> machines = new HashSet<>(job.machinesToRecord);
+        machines.addAll(job.unreconciledMachines);
         machines.addAll(job.liveMachines.elementSet());
         return machines;
     }
@@ -229,39 +231,39 @@
      * Whether the job may be placed on one more machine. No name is ever dropped to make a ledger fit: take-overs rest on
      * them. So a job uses no more machines than its ledger can name.
      */
-    boolean mayUse(Job job, Machine machine, long nowMicros) {
-        if (job.recordedMachines.contains(machine.name) || job.neededMachines.contains(machine.name)) {
+    boolean mayRecordMachine(Job job, Machine machine, long nowMicros) {
+        if (job.ledgerMachines.contains(machine.name) || job.machinesToRecord.contains(machine.name)) {
             return true;
         }
-        if (nowMicros < job.fullUntilMicros) {
+        if (nowMicros < job.ledgerFullUntilMicros) {
             return false;
         }
         int each = dense() ? DENSE_NAME_BYTES : machine.name.length() + NAME_BYTES;
         int most = nameBytes() - each;
-        int upperBound = job.neededMachines.size()
-                + job.unsettledMachines.size()
+        int upperBound = job.machinesToRecord.size()
+                + job.unreconciledMachines.size()
                 + job.liveMachines.elementSet().size();
         if (upperBound * each <= most) {
             return true;
         }
         // Exactly, once per plan; what is added meanwhile is counted as if it stood alone.
-        if (job.nameBytesMicros != nowMicros) {
-            job.nameBytesMicros = nowMicros;
-            job.nameBytes = bytes(mustName(job)) - each * job.neededMachines.size();
+        if (job.ledgerNameBytesMicros != nowMicros) {
+            job.ledgerNameBytesMicros = nowMicros;
+            job.ledgerNameBytes = bytes(mustName(job)) - each * job.machinesToRecord.size();
         }
-        return job.nameBytes + each * job.neededMachines.size() <= most;
+        return job.ledgerNameBytes + each * job.machinesToRecord.size() <= most;
     }
 
     /** Whether a job with waiting tasks is on as many machines as its ledger can name. */
-    boolean full(Job job) {
-        return job.waiting() > 0 && bytes(mustName(job)) > nameBytes() - 16;
+    boolean isFull(Job job) {
+        return job.pendingCount() > 0 && bytes(mustName(job)) > nameBytes() - 16;
     }
 
     /** Starts wait for this: the ledger must name the machine before anything can land on it. */
-    void needMachine(Job job, Machine machine, long nowMicros) {
-        if (!job.recordedMachines.contains(machine.name)) {
-            job.neededMachines.add(machine.name);
-            touch(job, nowMicros);
+    void recordMachine(Job job, Machine machine, long nowMicros) {
+        if (!job.ledgerMachines.contains(machine.name)) {
+            job.machinesToRecord.add(machine.name);
+            markDirty(job, nowMicros);
         }
     }
 
@@ -275,21 +277,21 @@
      * The next round, or null if nothing is worth writing; {@code mostWrites} is what the rate leaves for what starts or ends
      * a job, {@code mostLater} what it leaves for the rest: finished tasks can wait at their workers.
      */
-    Round nextRound(
+    WriteBatch nextWriteBatch(
             long nowMicros,
             long wallMicros,
             int mostWrites,
             int mostLater,
-            List<ProvisioningRequests.Booking> bookings,
+            List<ProvisioningRequests.Request> bookings,
             List<Transaction.Write> extra,
-            List<Transaction.Compare> extraConditions,
+            List<Transaction.Condition> extraConditions,
             Likely likely) {
-        List<Transaction.Compare> conditions = new ArrayList<>(extraConditions);
+        List<Transaction.Condition> conditions = new ArrayList<>(extraConditions);
         List<Transaction.Write> writes = new ArrayList<>(extra);
-        conditions.add(new Transaction.Compare(StoreKeys.LEADER, fencingToken));
-        int most = Math.min(mostWrites, settings.transactionOps());
+        conditions.add(new Transaction.Condition(StoreKeys.LEADER, fencingToken));
+        int most = Math.min(mostWrites, settings.maxTransactionWrites());
         int bytes = extra.size() * 200;
-        List<Part> parts = new ArrayList<>();
+        List<JobWrite> parts = new ArrayList<>();
         // Whatever else made it dirty, a cancelled job stays open here and its ledger in the store until nothing
         // of
         // it can be on a machine.
@@ -297,19 +299,19 @@
         // cut-off machine
         // counted for no team any more, neither here nor for the next leader, and teams at their limits started too
         // much (quota).
-        dirty.values().removeIf(job -> job.cancelled && job.anywhere());
+        dirty.values().removeIf(job -> job.cancelled && job.mayBeRunning());
         List<Job> candidates = List.copyOf(dirty.values());
         for (int pass = 0; pass <= LAST_PASS; pass++) {
             for (Job job : candidates) {
                 int due = pass(job);
-                if (job.writing
+                if (job.writeInFlight
                         || due != pass
-                        || nowMicros < job.writeAgainMicros
+                        || nowMicros < job.nextWriteMicros
                         || (due == LAST_PASS && nowMicros - job.dirtySinceMicros < GATHER_MICROS)) {
                     continue;
                 }
                 int before = writes.size();
-                Part part = part(
+                JobWrite part = part(
                         job,
                         conditions,
                         writes,
@@ -330,31 +332,32 @@
         if (writes.isEmpty()) {
             return null;
         }
-        for (Part part : parts) {
-            part.job().writing = true;
-            part.job().recordedMachines.retainAll(part.machines());
+        for (JobWrite part : parts) {
+            part.job().writeInFlight = true;
+            part.job().ledgerMachines.retainAll(part.machines());
             dirty.remove(part.job().id());
         }
         if (dense()
                 && writes.stream()
-                        .anyMatch(write -> write.row() instanceof StoredRecord.Ledger ledger && ledger.dense())) {
-            conditions.add(new Transaction.Compare(StoreKeys.LAYOUT, layoutVersion));
+                        .anyMatch(write ->
+                                write.record() instanceof StoredRecord.Ledger ledger && ledger.compressedNames())) {
+            conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, layoutVersion));
         }
-        return new Round(new Transaction(conditions, writes), parts, bookings, closed);
+        return new WriteBatch(new Transaction(conditions, writes), parts, bookings, closed);
     }
 
     private static final int LAST_PASS = 2;
 
     /** Which jobs are written first: what others wait for, then what starts or ends something, then finished tasks. */
     private static int pass(Job job) {
-        if (job.needed && job.allFinished() && !job.cancelled) {
+        if (job.hasDependents && job.allFinished() && !job.cancelled) {
             return 0;
         }
-        return !job.neededMachines.isEmpty() || job.allFinished() || job.cancelled ? 1 : LAST_PASS;
+        return !job.machinesToRecord.isEmpty() || job.allFinished() || job.cancelled ? 1 : LAST_PASS;
     }
 
     private List<String> closeWithdrawn(
-            List<Transaction.Compare> conditions, List<Transaction.Write> writes, int most) {
+            List<Transaction.Condition> conditions, List<Transaction.Write> writes, int most) {
         List<String> closed = new ArrayList<>();
         for (Withdrawal each : withdrawals.values()) {
             if (writes.size() >= most) {
@@ -363,16 +366,16 @@
             if (unknownKeys.containsKey(each.id())) {
                 continue;
             }
-            conditions.add(new Transaction.Compare(StoreKeys.job(each.id()), each.version()));
+            conditions.add(new Transaction.Condition(StoreKeys.job(each.id()), each.version()));
             // It never started, so nobody has to know what its tasks take.
             writes.add(new Transaction.Write(
                     StoreKeys.job(each.id()),
-                    new StoredRecord.JobRow(
+                    new StoredRecord.JobRecord(
                                     JobState.CANCELLED,
                                     null,
                                     each.row().submittedWall(),
-                                    each.row().tasks())
-                            .asChecked(checked),
+                                    each.row().taskCount())
+                            .withCheckedAgainstArchive(checked),
                     0));
             closed.add(each.id());
         }
@@ -380,15 +383,17 @@
     }
 
     private static int sizeOf(Transaction.Write write) {
-        if (write.row() instanceof StoredRecord.Ledger ledger) {
-            return 200 + ledger.done().length() + 16 * ledger.machines().size();
+        if (write.record() instanceof StoredRecord.Ledger ledger) {
+            return 200
+                    + ledger.finishedTasks().length()
+                    + 16 * ledger.machines().size();
         }
         return 300;
     }
 
-    private Part part(
+    private JobWrite part(
             Job job,
-            List<Transaction.Compare> conditions,
+            List<Transaction.Condition> conditions,
             List<Transaction.Write> writes,
             int most,
             int mostBytes,
@@ -398,10 +403,10 @@
             return lastPart(job, conditions, writes, most, wallMicros);
         }
         Set<String> machines = mustName(job);
-        int room = settings.writableBytes() - LEDGER_BYTES;
+        int room = settings.maxWritableValueBytes() - LEDGER_BYTES;
         BitSet first = TaskRanges.within(
-                job.finished,
-                job.recorded,
+                job.finishedTasks,
+                job.recordedTasks,
                 0,
                 pageTasks,
                 room - Math.max(bytes(machines), Math.min(nameBytes(), room / 4)));
@@ -423,8 +428,8 @@
             // What an earlier leader wrote under a larger limit no longer fits. It gets smaller as machines settle and
             // tasks
             // end; until then further machines cannot be named.
-            machines = new HashSet<>(job.recordedMachines);
-            job.ledgerFull |= !job.neededMachines.isEmpty();
+            machines = new HashSet<>(job.ledgerMachines);
+            job.ledgerFull |= !job.machinesToRecord.isEmpty();
         }
         for (int page = job.dirtyPages.nextSetBit(1); page >= 0; page = job.dirtyPages.nextSetBit(page + 1)) {
             pages.add(page);
@@ -442,7 +447,7 @@
         for (int page : List.copyOf(pages)) {
             BitSet bits = page == 0
                     ? first
-                    : TaskRanges.within(job.finished, job.recorded, page * size, (page + 1) * size, room);
+                    : TaskRanges.within(job.finishedTasks, job.recordedTasks, page * size, (page + 1) * size, room);
             String text = bits == null ? "" : TaskRanges.format(bits, page * size, (page + 1) * size);
             if (bits == null
                     || (page > 0 && bytes + text.length() > MOST_BYTES / 2)
@@ -472,13 +477,13 @@
             return null;
         }
         // Without this a write that arrives after the job's end would bring its ledger back: both are absent then.
-        conditions.add(new Transaction.Compare(StoreKeys.job(job.id()), job.version));
+        conditions.add(new Transaction.Condition(StoreKeys.job(job.id()), job.version));
         for (int page : pages) {
-            conditions.add(
-                    new Transaction.Compare(StoreKeys.ledger(job.id(), page), job.pageVersions.getOrDefault(page, 0L)));
+            conditions.add(new Transaction.Condition(
+                    StoreKeys.ledger(job.id(), page), job.pageVersions.getOrDefault(page, 0L)));
         }
         writes.addAll(own);
-        return new Part(job, false, machines, pages, done);
+        return new JobWrite(job, false, machines, pages, done);
     }
 
     private void addLikely(Set<String> machines, List<String> likely, int mostBytes) {
@@ -497,19 +502,23 @@
     /** Whether the page would say only what it says already; not so of the first before it was ever written. */
     private static boolean nothingNew(Job job, int page, BitSet bits, Set<String> machines) {
         BitSet news = (BitSet) bits.clone();
-        news.andNot(job.recorded);
+        news.andNot(job.recordedTasks);
         return news.isEmpty()
                 && (page > 0
                         || (job.pageVersions.containsKey(0)
-                                && job.neededMachines.isEmpty()
-                                && job.recordedMachines.equals(machines)));
+                                && job.machinesToRecord.isEmpty()
+                                && job.ledgerMachines.equals(machines)));
     }
 
     /** Completion, and the end of a cancelled job once nothing of it can be on a machine. */
-    private Part lastPart(
-            Job job, List<Transaction.Compare> conditions, List<Transaction.Write> writes, int most, long wallMicros) {
+    private JobWrite lastPart(
+            Job job,
+            List<Transaction.Condition> conditions,
+            List<Transaction.Write> writes,
+            int most,
+            long wallMicros) {
         List<Integer> pages = new ArrayList<>(job.pageVersions.keySet());
-        while (pages.size() + 1 > settings.transactionOps()) {
+        while (pages.size() + 1 > settings.maxTransactionWrites()) {
             // What is left over is removed by the leader that finds it without an open job.
             pages.remove(pages.size() - 1);
         }
@@ -517,54 +526,54 @@
             return null;
         }
         if (!job.cancelled) {
-            conditions.add(new Transaction.Compare(StoreKeys.job(job.id()), job.version));
+            conditions.add(new Transaction.Condition(StoreKeys.job(job.id()), job.version));
             writes.add(new Transaction.Write(
                     StoreKeys.job(job.id()),
-                    new StoredRecord.JobRow(
-                            JobState.DONE, null, job.submittedWall, job.spec.tasks(), wallMicros, 0, checked),
+                    new StoredRecord.JobRecord(
+                            JobState.DONE, null, job.submittedWall, job.spec.taskCount(), wallMicros, 0, checked),
                     0));
         } else if (pages.isEmpty()) {
             jobs.remove(job.id());
             return null;
         }
         for (int page : pages) {
-            conditions.add(new Transaction.Compare(StoreKeys.ledger(job.id(), page), job.pageVersions.get(page)));
+            conditions.add(new Transaction.Condition(StoreKeys.ledger(job.id(), page), job.pageVersions.get(page)));
             writes.add(new Transaction.Write(StoreKeys.ledger(job.id(), page), null, 0));
         }
-        return new Part(job, true, Set.of(), pages, Map.of());
+        return new JobWrite(job, true, Set.of(), pages, Map.of());
     }
 
     /** The round is in the state service: machines are recorded, finishes may be forgotten, starts may go out. */
-    void confirmed(Round round, long revision, long nowMicros) {
+    void writeConfirmed(WriteBatch round, long revision, long nowMicros) {
         round.withdrawals().forEach(withdrawals::remove);
-        for (Part part : round.parts()) {
+        for (JobWrite part : round.jobWrites()) {
             Job job = part.job();
-            job.writing = false;
-            if (part.over()) {
+            job.writeInFlight = false;
+            if (part.last()) {
                 jobs.remove(job.id());
                 dirty.remove(job.id());
                 continue;
             }
             for (int page : part.pages()) {
                 job.pageVersions.put(page, revision);
-                job.recorded.or(part.done().get(page));
+                job.recordedTasks.or(part.done().get(page));
             }
             if (part.pages().contains(0)) {
-                job.recordedMachines = new HashSet<>(part.machines());
+                job.ledgerMachines = new HashSet<>(part.machines());
             }
             settleAfterWrite(job, nowMicros);
         }
     }
 
     private void settleAfterWrite(Job job, long nowMicros) {
-        job.neededMachines.removeAll(job.recordedMachines);
-        for (List<Placement> list : job.live.values()) {
+        job.machinesToRecord.removeAll(job.ledgerMachines);
+        for (List<Placement> list : job.liveAttempts.values()) {
             for (Placement placement : list) {
-                if (placement.phase == Placement.Phase.HELD) {
-                    if (job.recordedMachines.contains(placement.machine.name)) {
-                        placement.become(Placement.Phase.READY);
+                if (placement.phase == Placement.Phase.AWAITING_LEDGER) {
+                    if (job.ledgerMachines.contains(placement.machine.name)) {
+                        placement.transitionTo(Placement.Phase.READY);
                     } else {
-                        job.neededMachines.add(placement.machine.name);
+                        job.machinesToRecord.add(placement.machine.name);
                     }
                 }
             }
@@ -572,23 +581,23 @@
         job.dirtyPages.clear();
         job.dirtySinceMicros = -1;
         int size = pageTasks;
-        BitSet unrecorded = (BitSet) job.finished.clone();
-        unrecorded.andNot(job.recorded);
+        BitSet unrecorded = (BitSet) job.finishedTasks.clone();
+        unrecorded.andNot(job.recordedTasks);
         for (int i = unrecorded.nextSetBit(0); i >= 0; i = unrecorded.nextSetBit((i / size + 1) * size)) {
             job.dirtyPages.set(i / size);
         }
-        if (!job.dirtyPages.isEmpty() || !job.neededMachines.isEmpty() || job.allFinished() || job.cancelled) {
-            touch(job, nowMicros);
+        if (!job.dirtyPages.isEmpty() || !job.machinesToRecord.isEmpty() || job.allFinished() || job.cancelled) {
+            markDirty(job, nowMicros);
         }
     }
 
     /** The keys whose values must be read before their jobs are written again: the outcome is not known. */
-    List<String> unresolved(Round round) {
+    List<String> unresolvedKeys(WriteBatch round) {
         List<String> keys = new ArrayList<>();
-        for (Transaction.Compare compare : round.transaction().conditions()) {
+        for (Transaction.Condition compare : round.transaction().conditions()) {
             if (!compare.key().equals(StoreKeys.LEADER)
                     && !compare.key().equals(StoreKeys.LAYOUT)
-                    && !compare.key().equals(StoreKeys.FEATURES)) {
+                    && !compare.key().equals(StoreKeys.FEATURE_STAGES)) {
                 keys.add(compare.key());
             }
         }
@@ -605,7 +614,7 @@
         if (ledger == null) {
             job.pageVersions.remove(page);
             if (page == 0) {
-                job.recordedMachines.clear();
+                job.ledgerMachines.clear();
             }
         } else if (version != job.pageVersions.getOrDefault(page, 0L)) {
             adopt(job, page, ledger, version);
@@ -616,26 +625,26 @@
      * The state service does not take what the round writes, most likely since its limits fell: its jobs go on without
      * being written for a while, so that neither the others nor the lead depend on them.
      */
-    void refused(Round round, long nowMicros) {
-        for (Part part : round.parts()) {
-            part.job().writeAgainMicros = nowMicros + REFUSED_PAUSE_MICROS;
-            part.job().ledgerFull |= !part.job().neededMachines.isEmpty();
+    void writeRejected(WriteBatch round, long nowMicros) {
+        for (JobWrite part : round.jobWrites()) {
+            part.job().nextWriteMicros = nowMicros + REFUSED_PAUSE_MICROS;
+            part.job().ledgerFull |= !part.job().machinesToRecord.isEmpty();
         }
         round.withdrawals().forEach(withdrawals::remove);
     }
 
     /** Every value of the round was read back: its jobs may be written again. */
-    void resolved(Round round, long nowMicros) {
-        for (Part part : round.parts()) {
-            resolved(part.job(), nowMicros);
+    void writeResolved(WriteBatch round, long nowMicros) {
+        for (JobWrite part : round.jobWrites()) {
+            writeResolved(part.job(), nowMicros);
         }
     }
 
-    private void resolved(Job job, long nowMicros) {
-        job.writing = false;
+    private void writeResolved(Job job, long nowMicros) {
+        job.writeInFlight = false;
         if (jobs.containsKey(job.id())) {
             settleAfterWrite(job, nowMicros);
-            touch(job, nowMicros);
+            markDirty(job, nowMicros);
         }
     }
 
@@ -643,23 +652,23 @@
      * The round was certainly not executed, since these keys are not as we knew them; whatever else it names still is. The others of its
      * jobs may be written again at once, without those that the keys belong to.
      *
-     * @return the keys to be read back, each to be followed by {@link #keyKnown}
+     * @return the keys to be read back, each to be followed by {@link #keyReadBack}
      */
-    List<String> refusedBy(Round round, Collection<String> failed, long nowMicros) {
-        Set<String> keys = new LinkedHashSet<>(unresolved(round));
+    List<String> writeConflicted(WriteBatch round, Collection<String> failed, long nowMicros) {
+        Set<String> keys = new LinkedHashSet<>(unresolvedKeys(round));
         keys.retainAll(failed);
         Set<String> held = new HashSet<>();
         for (String key : keys) {
-            if (Scheduler.isOfDuties(key)) {
+            if (Scheduler.isCloudRecord(key)) {
                 continue;
             }
             String id = jobOfKey(key);
             held.add(id);
             unknownKeys.computeIfAbsent(id, k -> new HashSet<>()).add(key);
         }
-        for (Part part : round.parts()) {
+        for (JobWrite part : round.jobWrites()) {
             if (!held.contains(part.job().id())) {
-                resolved(part.job(), nowMicros);
+                writeResolved(part.job(), nowMicros);
             }
         }
         return List.copyOf(keys);
@@ -670,14 +679,14 @@
     }
 
     /** A key that a round was refused for has been read back; its job is written again when all of them are. */
-    void keyKnown(String key, long nowMicros) {
+    void keyReadBack(String key, long nowMicros) {
         String id = jobOfKey(key);
         Set<String> unknown = unknownKeys.get(id);
         if (unknown != null && unknown.remove(key) && unknown.isEmpty()) {
             unknownKeys.remove(id);
             Job job = jobs.get(id);
             if (job != null) {
-                resolved(job, nowMicros);
+                writeResolved(job, nowMicros);
             }
         }
     }
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -32,19 +32,19 @@
     }
 
     /** A job with tasks to place and where it stands in the queue; earlier is better. */
-    record Queued(Job job, int waiting, boolean guaranteed, boolean onTime, long dueMicros) {
-        boolean sameRank(Queued other) {
+    record QueuedJob(Job job, int pendingTasks, boolean guaranteed, boolean canMeetDeadline, long dueMicros) {
+        boolean sameRank(QueuedJob other) {
             return job.priority() == other.job.priority()
                     && (job.spec.kind() == JobKind.SERVICE) == (other.job.spec.kind() == JobKind.SERVICE)
                     && guaranteed == other.guaranteed
-                    && onTime == other.onTime;
+                    && canMeetDeadline == other.canMeetDeadline;
         }
     }
 
     /** Jobs with waiting tasks in the order in which they get room. */
-    List<Queued> order(long nowMicros) {
+    List<QueuedJob> order(long nowMicros) {
         Map<String, Resources> asked = new HashMap<>();
-        List<Queued> result = new ArrayList<>();
+        List<QueuedJob> result = new ArrayList<>();
         Map<Job, DeadlineFeasibility.Entry> entries = new HashMap<>();
         for (DeadlineFeasibility.Entry entry : decide(nowMicros)) {
             entries.put(entry.job, entry);
@@ -53,17 +53,18 @@
             if (job.cancelled) {
                 continue;
             }
-            if (job.suspect) {
+            if (job.quarantined) {
                 queueProbe(job, result);
                 continue;
             }
             Team team = settings.teams().get(job.spec.team());
-            Resources total = asked.merge(job.spec.team(), job.spec.each().times(job.unfinished()), Resources::plus);
-            boolean guaranteed = team != null && team.cpus() > 0 && team.guarantees(total);
-            int waiting = job.waiting();
+            Resources total = asked.merge(
+                    job.spec.team(), job.spec.taskResources().times(job.unfinishedCount()), Resources::plus);
+            boolean guaranteed = team != null && team.guaranteedCpus() > 0 && team.isWithinGuarantee(total);
+            int waiting = job.pendingCount();
             if (waiting > 0) {
                 DeadlineFeasibility.Entry entry = entries.get(job);
-                result.add(new Queued(
+                result.add(new QueuedJob(
                         job,
                         waiting,
                         guaranteed,
@@ -71,19 +72,19 @@
                         entry == null ? job.readyMicros : entry.latestStartMicros()));
             }
         }
-        result.sort(Comparator.comparing((Queued q) -> q.job().priority())
+        result.sort(Comparator.comparing((QueuedJob q) -> q.job().priority())
                 .thenComparing(q -> q.job().spec.kind() == JobKind.SERVICE ? 0 : 1)
                 .thenComparing(q -> !q.guaranteed())
-                .thenComparing(q -> !q.onTime())
-                .thenComparing(Queued::dueMicros)
+                .thenComparing(q -> !q.canMeetDeadline())
+                .thenComparing(QueuedJob::dueMicros)
                 .thenComparing(q -> q.job().readyMicros));
         return result;
     }
 
     /** A job that fails wherever it is tried holds no guarantee and no place among what can be on time. */
-    private static void queueProbe(Job job, List<Queued> queue) {
-        if (job.placeable() > 0) {
-            queue.add(new Queued(job, job.placeable(), false, false, Long.MAX_VALUE));
+    private static void queueProbe(Job job, List<QueuedJob> queue) {
+        if (job.placeableCount() > 0) {
+            queue.add(new QueuedJob(job, job.placeableCount(), false, false, Long.MAX_VALUE));
         }
     }
 
@@ -108,7 +109,7 @@
         List<DeadlineFeasibility.Entry> possible = new ArrayList<>();
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
-            double most = team == null || team.cpusMax() == 0 ? cpus : Math.min(cpus, (double) team.cpusMax());
+            double most = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, (double) team.maxCpus());
             for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, most, nowMicros)) {
                 (entry.onTime ? possible : result).add(entry);
             }
@@ -122,11 +123,13 @@
     List<DeadlineFeasibility.Entry> arrays(long nowMicros) {
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
-            if (!job.cancelled && !job.suspect && job.spec.kind() != JobKind.SERVICE && job.unfinished() > 0) {
-                long length = runTimes.expected(job);
-                int waiting = job.waiting();
-                double work = job.spec.each().cpus() * (double) length * (waiting + 0.5 * (job.unfinished() - waiting));
-                long slowest = runTimes.slowest(job);
+            if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
+                long length = runTimes.expectedMicros(job);
+                int waiting = job.pendingCount();
+                double work = job.spec.taskResources().cpus()
+                        * (double) length
+                        * (waiting + 0.5 * (job.unfinishedCount() - waiting));
+                long slowest = runTimes.slowestMicros(job);
                 result.add(new DeadlineFeasibility.Entry(
                         job, work, slowest, due(job, slowest, nowMicros), weight(job.spec.jobClass())));
             }
@@ -147,12 +150,12 @@
     double arrayCpus(long nowMicros) {
         double cpus = 0;
         for (Machine machine : fleet.machines()) {
-            if (machine.size() != null
-                    && !machine.deleting
-                    && !machine.draining
-                    && machine.noticeAtMicros < 0
+            if (machine.capacity() != null
+                    && !machine.deletionRequested
+                    && !machine.quarantined
+                    && machine.spotNoticeEndsMicros < 0
                     && machine.slowUntilMicros < nowMicros
-                    && machine.responsive(nowMicros, settings)) {
+                    && machine.isResponsive(nowMicros, settings)) {
                 cpus += machine.cpusBesideReplicas();
             }
         }
@@ -167,8 +170,8 @@
         if (spec.deadlineMicros() >= 0 && job.deadlineMicros() >= reachable) {
             due = job.deadlineMicros();
         }
-        if (job.neededByMicros >= reachable) {
-            due = Math.min(due, job.neededByMicros);
+        if (job.dependentsDueMicros >= reachable) {
+            due = Math.min(due, job.dependentsDueMicros);
         }
         for (Settings.Objective objective : settings.objectives()) {
             if (objective.withinMicros() > 0
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -16,7 +16,7 @@
 final class Machine {
     final String name;
     /** Its place in the index of room, which is the index's to change. */
-    int slot;
+    int indexSlot;
 
     private FreeCapacityIndex index;
     /** What could be freed on it, and at what loss. */
@@ -26,46 +26,46 @@
     String type;
     String zone;
     boolean spot;
-    private Resources size;
+    private Resources capacity;
     long incarnation;
     long sequence;
     /** The highest number of any of its messages. */
-    long heardSequence;
+    long highestSequence;
     /**
      * It came straight back with its newest report, so it has heard the answer to the one before: a worker that heard nothing goes to
      * another controller first. Of a deaf machine every report comes and no start arrives; each that was sent there was lost for a lease.
      */
-    boolean hears;
+    boolean receivesResponses;
     /** Its report shows our token: no start of an older leader can land any more. */
-    boolean confirmed;
+    boolean reconciled;
     /** Receipt of the last report that was answered with our token, or -1. */
     long lastAnsweredMicros = -1;
 
     final long knownSinceMicros;
-    long noticeAtMicros = -1;
+    long spotNoticeEndsMicros = -1;
     /** Marked once and for all: a deletion that was asked for may be carried out at any later time. */
-    boolean deleting;
+    boolean deletionRequested;
 
-    long deleteAskedMicros = -1;
-    boolean listed;
+    long deletionRequestedMicros = -1;
+    boolean listedByCloud;
     /** It was told of this term. */
-    boolean greeted;
+    boolean announced;
     /** A ledger names it: until it reports to this leader or is gone, those jobs' missing tasks may be on it. */
-    boolean holdsUp;
+    boolean delaysRecovery;
 
     long bootStartedMicros = -1;
-    boolean draining;
+    boolean quarantined;
     long idleSinceMicros = -1;
     /** Jobs that succeed elsewhere and failed here since the last success here, and how often they did. */
     final Set<String> failedJobs = new HashSet<>();
 
     int failures;
     /** Jobs of which nothing has succeeded anywhere yet and that failed here: it may be they or the machine. */
-    final Set<String> doubtfulJobs = new HashSet<>();
+    final Set<String> unattributedJobs = new HashSet<>();
     /** Tasks that told its pace, fading by the second, and the sum of the logarithms of how much too long they took. */
-    double paceTasks;
+    double paceSamples;
 
-    double paceSum;
+    double paceLogSum;
     /** Until when it is held to be slower than others, or -1. */
     long slowUntilMicros = -1;
 
@@ -74,7 +74,7 @@
     /** Of that, the processors of replicas, in thousandths. */
     private long replicaCpus;
 
-    private Resources room = Resources.NONE;
+    private Resources freeCapacity = Resources.NONE;
     /** Images by last use, oldest first, with their size. */
     final Map<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
 
@@ -90,84 +90,84 @@
     }
 
     /** What counts as room on it, or could be freed, has changed. */
-    void roomChanged() {
+    void capacityChanged() {
         estimates.clear();
         if (index != null) {
-            index.changed(this);
+            index.machineChanged(this);
         }
     }
 
     /** It is not known any more; what still happens to it concerns nobody. */
-    void forgotten() {
+    void removedFromFleet() {
         if (index != null) {
-            index.removed(this);
+            index.machineRemoved(this);
             index = null;
         }
     }
 
-    Resources room() {
-        return room;
+    Resources freeCapacity() {
+        return freeCapacity;
     }
 
     /** Null until the types are known. */
-    Resources size() {
-        return size;
+    Resources capacity() {
+        return capacity;
     }
 
     void resize(Resources newSize) {
-        size = newSize;
+        capacity = newSize;
         use(used);
     }
 
     private void use(Resources newUse) {
         used = newUse;
-        room = size == null ? Resources.NONE : size.minus(used);
-        roomChanged();
+        freeCapacity = capacity == null ? Resources.NONE : capacity.minus(used);
+        capacityChanged();
     }
 
-    boolean responsive(long nowMicros, Settings settings) {
+    boolean isResponsive(long nowMicros, Settings settings) {
         return lastAnsweredMicros >= 0
                 && nowMicros - lastAnsweredMicros < 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
     }
 
-    boolean usable(long nowMicros, Settings settings) {
-        return confirmed
-                && !deleting
-                && !draining
-                && noticeAtMicros < 0
-                && size != null
-                && responsive(nowMicros, settings)
-                && hears;
+    boolean isSchedulable(long nowMicros, Settings settings) {
+        return reconciled
+                && !deletionRequested
+                && !quarantined
+                && spotNoticeEndsMicros < 0
+                && capacity != null
+                && isResponsive(nowMicros, settings)
+                && receivesResponses;
     }
 
     /** A message with this number came. */
-    void heard(long number) {
-        hears = number <= heardSequence + 1;
-        heardSequence = Math.max(heardSequence, number);
+    void messageReceived(long number) {
+        receivesResponses = number <= highestSequence + 1;
+        highestSequence = Math.max(highestSequence, number);
     }
 
     void add(Placement placement) {
         placements.add(placement);
-        use(used.plus(placement.job.spec.each()));
+        use(used.plus(placement.job.spec.taskResources()));
         replicaCpus += replicaCpus(placement);
         idleSinceMicros = -1;
     }
 
     void remove(Placement placement) {
         if (placements.remove(placement)) {
-            use(used.minus(placement.job.spec.each()));
+            use(used.minus(placement.job.spec.taskResources()));
             replicaCpus -= replicaCpus(placement);
         }
     }
 
     private static long replicaCpus(Placement placement) {
         JobSpec spec = placement.job.spec;
-        return spec.kind() == JobKind.SERVICE ? spec.each().cpus() : 0;
+        return spec.kind() == JobKind.SERVICE ? spec.taskResources().cpus() : 0;
     }
 
     /** Processors, in thousandths, that replicas leave to work that ends; only where the size is known. */
     long cpusBesideReplicas() {
-        return size.cpus() - replicaCpus;
+        return capacity.cpus() - replicaCpus;
     }
 
     void touchImage(String image, double gb, double cacheGb) {
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -50,7 +50,7 @@
     /** Rows that are being read back. */
     private final Set<String> unknown = new HashSet<>();
 
-    private boolean recording;
+    private boolean setRecorded;
     private int counter;
     private long wroteMicros = Long.MIN_VALUE / 2;
 
@@ -60,12 +60,12 @@
     }
 
     static boolean owns(String key) {
-        return key.startsWith(StoreKeys.RETURNS);
+        return key.startsWith(StoreKeys.MACHINE_DELETIONS);
     }
 
     /** Whether from now on a row has to name a machine before its deletion is asked for. */
-    void recording(boolean now) {
-        recording = now;
+    void setRecorded(boolean now) {
+        setRecorded = now;
     }
 
     /** A row of an earlier leader, whatever the switches say now. */
@@ -78,8 +78,8 @@
     }
 
     /** Whether its deletion may be asked for. */
-    boolean mayAsk(Machine machine) {
-        if (!recording) {
+    boolean mayRequest(Machine machine) {
+        if (!setRecorded) {
             return true;
         }
         Entry entry = rows.get(rowOf.get(machine.name));
@@ -87,7 +87,7 @@
     }
 
     /** The cloud has answered its deletion. */
-    void gone(String machine, long nowMicros) {
+    void machineDeleted(String machine, long nowMicros) {
         Entry entry = rows.get(rowOf.remove(machine));
         if (entry != null) {
             entry.left.remove(machine);
@@ -96,30 +96,30 @@
     }
 
     /** What the next round writes of this: one row that names machines, and one that goes. */
-    List<Transaction.Write> toWrite(Collection<Machine> machines, int most, long nowMicros) {
+    List<Transaction.Write> nextWrites(Collection<Machine> machines, int most, long nowMicros) {
         List<Transaction.Write> writes = new ArrayList<>();
-        if (!recording || !unknown.isEmpty()) {
+        if (!setRecorded || !unknown.isEmpty()) {
             return writes;
         }
         List<String> names = new ArrayList<>();
         boolean urgent = nowMicros - wroteMicros >= GATHER_MICROS;
         int bytes = FRAME_BYTES;
         for (Machine machine : machines) {
-            if (machine.deleting && !rowOf.containsKey(machine.name) && names.size() < MOST_NAMES) {
+            if (machine.deletionRequested && !rowOf.containsKey(machine.name) && names.size() < MOST_NAMES) {
                 bytes += machine.name.length() + NAME_BYTES;
-                if (bytes > settings.writableBytes()) {
+                if (bytes > settings.maxWritableValueBytes()) {
                     break;
                 }
                 names.add(machine.name);
-                urgent |= machine.holdsUp || !machine.placements.isEmpty();
+                urgent |= machine.delaysRecovery || !machine.placements.isEmpty();
             }
         }
         if (!names.isEmpty() && urgent && most > 0) {
             wroteMicros = nowMicros;
-            String key = StoreKeys.returned(fencingToken, ++counter);
+            String key = StoreKeys.machineDeletion(fencingToken, ++counter);
             rows.put(key, new Entry(names));
             names.forEach(name -> rowOf.put(name, key));
-            writes.add(new Transaction.Write(key, new StoredRecord.Returned(List.copyOf(names)), 0));
+            writes.add(new Transaction.Write(key, new StoredRecord.MachinesToDelete(List.copyOf(names)), 0));
         }
         for (Map.Entry<String, Entry> each : rows.entrySet()) {
             Entry entry = each.getValue();
@@ -136,15 +136,15 @@
         return writes;
     }
 
-    List<Transaction.Compare> conditions(List<Transaction.Write> writes) {
-        List<Transaction.Compare> conditions = new ArrayList<>();
-        writes.forEach(write -> conditions.add(new Transaction.Compare(write.key(), rows.get(write.key()).version)));
+    List<Transaction.Condition> conditions(List<Transaction.Write> writes) {
+        List<Transaction.Condition> conditions = new ArrayList<>();
+        writes.forEach(write -> conditions.add(new Transaction.Condition(write.key(), rows.get(write.key()).version)));
         return conditions;
     }
 
     /** The round with this write is confirmed. */
     void written(Transaction.Write write, long revision) {
-        if (write.row() == null) {
+        if (write.record() == null) {
             rows.remove(write.key());
         } else {
             Entry entry = rows.get(write.key());
@@ -155,7 +155,7 @@
 
     /** The round with this write was certainly not executed. */
     void notWritten(Transaction.Write write) {
-        if (write.row() == null) {
+        if (write.record() == null) {
             rows.get(write.key()).removing = false;
         } else {
             forget(write.key());
@@ -168,7 +168,7 @@
     }
 
     /** A row that is not as it was known: nothing is written before it is read back. */
-    void doubt(String key) {
+    void markUnknown(String key) {
         unknown.add(key);
     }
 
--- a/src/main/java/io/micatide/scheduler/Placement.java
+++ b/src/main/java/io/micatide/scheduler/Placement.java
@@ -8,7 +8,7 @@
     /** Where an attempt stands, as far as this leader can know. */
     enum Phase {
         /** Decided; the round that records the machine is not confirmed yet, so nothing was sent. */
-        HELD,
+        AWAITING_LEDGER,
         /** Goes out with the next answer to the machine. */
         READY,
         /** Went out and was not reported since: unknown, never failed. */
@@ -18,7 +18,7 @@
     }
 
     final Job job;
-    final int index;
+    final int taskIndex;
     final long attempt;
     final Machine machine;
     Phase phase;
@@ -28,20 +28,20 @@
 
     long sentSequence;
     /** The newest report that listed it. */
-    long listedSequence = -1;
+    long lastListedSequence = -1;
 
     long createdMicros;
     long runningSinceMicros = -1;
     /** Found running by this leader: how long it ran before is not known, so it teaches nothing about run times. */
     boolean adopted;
     /** When a stop was first decided, or -1. */
-    long stopSinceMicros = -1;
+    long stopRequestedMicros = -1;
 
     long stopGraceMicros;
 
     Placement(Job job, int index, long attempt, Machine machine, Phase phase, long nowMicros) {
         this.job = job;
-        this.index = index;
+        this.taskIndex = index;
         this.attempt = attempt;
         this.machine = machine;
         this.phase = phase;
@@ -49,25 +49,25 @@
     }
 
     /** Moves on; once it is sent, stopping it loses work. */
-    void become(Phase next) {
-        boolean before = unsent();
+    void transitionTo(Phase next) {
+        boolean before = isUnsent();
         phase = next;
-        if (before != unsent()) {
-            machine.roomChanged();
+        if (before != isUnsent()) {
+            machine.capacityChanged();
         }
     }
 
-    boolean unsent() {
-        return phase == Phase.HELD || phase == Phase.READY;
+    boolean isUnsent() {
+        return phase == Phase.AWAITING_LEDGER || phase == Phase.READY;
     }
 
-    boolean stopping() {
-        return stopSinceMicros >= 0;
+    boolean isStopping() {
+        return stopRequestedMicros >= 0;
     }
 
-    boolean is(TaskStatus heartbeat) {
+    boolean matches(TaskStatus heartbeat) {
         return attempt == heartbeat.attempt()
-                && index == heartbeat.index()
+                && taskIndex == heartbeat.taskIndex()
                 && job.id().equals(heartbeat.job());
     }
 }
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -44,9 +44,9 @@
     private static final long PRECEDENCE_MICROS = 5 * Micros.SECOND;
 
     private static final Comparator<Machine> LEAST_ROOM = Comparator.comparing((Machine machine) -> !machine.spot)
-            .thenComparing(machine -> machine.room().cpus());
+            .thenComparing(machine -> machine.freeCapacity().cpus());
     private static final Comparator<Machine> MOST_ROOM =
-            Comparator.comparing((Machine machine) -> -machine.room().cpus());
+            Comparator.comparing((Machine machine) -> -machine.freeCapacity().cpus());
 
     private final Scheduler scheduler;
     private final Settings settings;
@@ -54,7 +54,7 @@
     private final JobLedgers ledgers;
     private final JobQueue queue;
     private final long guaranteePatienceMicros;
-    private List<JobQueue.Queued> order = List.of();
+    private List<JobQueue.QueuedJob> order = List.of();
     private long orderMicros = Long.MIN_VALUE / 2;
     /** The least of each resource that any job in the order asks for. */
     private Resources least = Resources.NONE;
@@ -67,14 +67,14 @@
     private Map<String, Resources> unknown = Map.of();
     private final PlanningPass pass;
     private final Preemption preemption;
-    private CandidateMachines likely;
-    final UnschedulableClasses blocked = new UnschedulableClasses();
+    private CandidateMachines candidateMachines;
+    final UnschedulableClasses unschedulable = new UnschedulableClasses();
     /** Machines that arrays may fill in this plan: they had room for some waiting task when it began. */
     private final Set<Machine> open = new HashSet<>();
     /** Machines that something was placed on since an array had its turn and that have no such room left. */
     private final Set<Machine> filled = new HashSet<>();
 
-    private long looks;
+    private long machinesExamined;
 
     PlacementPlanner(
             Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes) {
@@ -84,7 +84,7 @@
         this.ledgers = ledgers;
         this.queue = new JobQueue(settings, fleet, ledgers, runTimes);
         this.pass = new PlanningPass(settings.cores());
-        this.preemption = new Preemption(settings, scheduler::teamUse);
+        this.preemption = new Preemption(settings, scheduler::teamUsage);
         long patience = GUARANTEE_PATIENCE_MICROS;
         for (Settings.Objective objective : settings.objectives()) {
             if (objective.kind().equals("guarantee") && objective.withinMicros() > 0) {
@@ -94,8 +94,8 @@
         this.guaranteePatienceMicros = patience;
     }
 
-    boolean startable(Job job, long nowMicros) {
-        return !job.cancelled && job.blockedUntilMicros <= nowMicros && !job.unsettled();
+    boolean isStartable(Job job, long nowMicros) {
+        return !job.cancelled && job.backoffUntilMicros <= nowMicros && !job.hasUnreconciledMachines();
     }
 
     /** Places what waits, on all machines. The order that it finds is what {@link #refill} goes by until the next time. */
@@ -108,74 +108,74 @@
             least = Resources.NONE;
             return;
         }
-        least = order.get(0).job().spec.each();
-        for (JobQueue.Queued queued : order) {
-            least = least.least(queued.job().spec.each());
+        least = order.get(0).job().spec.taskResources();
+        for (JobQueue.QueuedJob queued : order) {
+            least = least.min(queued.job().spec.taskResources());
         }
         mostTogether = Math.max(FEWEST_TOGETHER, (int) (MOST_TOGETHER_SHARE * replicas()));
-        blocked.clear();
+        unschedulable.clear();
         open.clear();
         filled.clear();
         open.addAll(usable(CapacityRequest.free(least), nowMicros));
-        pass.begin(looks());
-        for (JobQueue.Queued queued : order) {
-            if (startable(queued.job(), nowMicros) && pass.takes(queued.job())) {
-                if (pass.isOver(looks())) {
-                    pass.cut();
+        pass.begin(machinesExamined());
+        for (JobQueue.QueuedJob queued : order) {
+            if (isStartable(queued.job(), nowMicros) && pass.isPending(queued.job())) {
+                if (pass.isOver(machinesExamined())) {
+                    pass.truncate();
                     return;
                 }
                 placeJob(queued, nowMicros);
-                pass.done(queued.job());
+                pass.markVisited(queued.job());
             }
         }
         pass.end();
     }
 
     /** Plans that went on in the next tick, for the log. */
-    int cutPlans() {
-        return pass.cuts();
+    int truncatedPlans() {
+        return pass.truncations();
     }
 
     /** Machines looked at so far, here and in the index. */
-    long looks() {
-        return looks + fleet.roomIndex().looks();
+    long machinesExamined() {
+        return machinesExamined + fleet.freeCapacityIndex().machinesExamined();
     }
 
     /** A task was placed on the machine. */
-    void placed(Machine machine) {
-        if (!least.fitsIn(machine.room())) {
+    void taskPlaced(Machine machine) {
+        if (!least.fitsIn(machine.freeCapacity())) {
             filled.add(machine);
         }
-        blocked.useChanged();
+        unschedulable.useChanged();
     }
 
     /** Tasks were taken from a machine: what did not fit may fit now. */
-    void roomFreed() {
-        blocked.roomFreed();
+    void capacityFreed() {
+        unschedulable.roomFreed();
     }
 
     /** Something was placed or stopped: what could not be freed may be free to take now. */
-    void useChanged() {
-        blocked.useChanged();
+    void usageChanged() {
+        unschedulable.useChanged();
     }
 
     /**
      * Work of the lowest priority yields to what would be late otherwise, not to all that waits: hundreds of its tasks
      * of 150 s were once started over for jobs that had time.
      */
-    private boolean mayEvictLowest(JobQueue.Queued queued, long nowMicros) {
+    private boolean mayEvictLowest(JobQueue.QueuedJob queued, long nowMicros) {
         return lowestRuns && isUrgent(queued, nowMicros);
     }
 
     /** It can be on time, but only if it starts about now. */
-    private static boolean isUrgent(JobQueue.Queued queued, long nowMicros) {
-        return queued.onTime() && queued.dueMicros() - nowMicros < PRECEDENCE_MICROS;
+    private static boolean isUrgent(JobQueue.QueuedJob queued, long nowMicros) {
+        return queued.canMeetDeadline() && queued.dueMicros() - nowMicros < PRECEDENCE_MICROS;
     }
 
     /** Whether work of the lowest priority runs, which any other may displace. */
     private boolean lowestRuns() {
         for (Job job : ledgers.jobs()) {
-            if (job.priority() == Priority.LOW && !job.live.isEmpty()) {
+            if (job.priority() == Priority.LOW && !job.liveAttempts.isEmpty()) {
                 return true;
             }
         }
@@ -183,14 +183,14 @@
     }
 
     /** Attempts that had to yield in this term, for the log. */
-    String evicted() {
+    String evictionCounts() {
         return evictedByReplicas + "/" + evictedByGuarantees;
     }
 
     private int replicas() {
         int count = 0;
         for (Job job : ledgers.jobs()) {
-            count += job.spec.kind() == JobKind.SERVICE ? job.live.size() : 0;
+            count += job.spec.kind() == JobKind.SERVICE ? job.liveAttempts.size() : 0;
         }
         return count;
     }
@@ -201,7 +201,7 @@
     }
 
     /** The jobs with waiting tasks as of the last plan. */
-    List<JobQueue.Queued> order() {
+    List<JobQueue.QueuedJob> order() {
         return order;
     }
 
@@ -211,21 +211,21 @@
      * core with 373 of them, and the leader lost its lease.
      */
     void refill(Machine machine, long nowMicros) {
-        if (nowMicros - orderMicros > ORDER_MICROS || !machine.usable(nowMicros, settings)) {
+        if (nowMicros - orderMicros > ORDER_MICROS || !machine.isSchedulable(nowMicros, settings)) {
             return;
         }
-        if (order.isEmpty() || !least.fitsIn(machine.room())) {
+        if (order.isEmpty() || !least.fitsIn(machine.freeCapacity())) {
             return;
         }
         for (Job job = next(machine, nowMicros); job != null; job = next(machine, nowMicros)) {
-            scheduler.place(job, job.nextWaiting(), machine, nowMicros);
+            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
     /** The job in the order that gets room on this machine, or null. */
     private Job next(Machine machine, long nowMicros) {
-        JobQueue.Queued first = null;
-        for (JobQueue.Queued queued : order) {
+        JobQueue.QueuedJob first = null;
+        for (JobQueue.QueuedJob queued : order) {
             if (first != null
                     && (!first.sameRank(queued) || queued.dueMicros() - first.dueMicros() >= PRECEDENCE_MICROS)) {
                 break;
@@ -243,44 +243,44 @@
     private boolean mayRefill(Job job, Machine machine, long nowMicros) {
         // Asked of every waiting job at every report, so what tells most apart for the least comes first.
         return job.spec.kind() != JobKind.GANG
-                && job.spec.each().fitsIn(machine.room())
-                && job.placeable() > 0
-                && startable(job, nowMicros)
+                && job.spec.taskResources().fitsIn(machine.freeCapacity())
+                && job.placeableCount() > 0
+                && isStartable(job, nowMicros)
                 && suits(job, machine, nowMicros)
                 && teamAllows(job)
                 && ledgers.get(job.id()) == job
-                && scheduler.mayName(job, machine, nowMicros)
+                && scheduler.mayRecordMachine(job, machine, nowMicros)
                 && zoneAllows(job, machine);
     }
 
     private boolean teamAllows(Job job) {
         Team team = settings.teams().get(job.spec.team());
         return team == null
-                || team.allows(scheduler
-                        .teamUse(team.name())
+                || team.isWithinLimit(scheduler
+                        .teamUsage(team.name())
                         .plus(unknown.getOrDefault(team.name(), Resources.NONE))
-                        .plus(job.spec.each()));
+                        .plus(job.spec.taskResources()));
     }
 
     /**
      * How many of so many tasks the team's limit allows beside what it uses and {@code others}; of a gang all or none.
      */
-    int allowedMore(Job job, int count, Resources others) {
+    int tasksWithinLimit(Job job, int count, Resources others) {
         Team team = settings.teams().get(job.spec.team());
         if (team == null) {
             return count;
         }
-        Resources each = job.spec.each();
+        Resources each = job.spec.taskResources();
         Resources there = scheduler
-                .teamUse(team.name())
+                .teamUsage(team.name())
                 .plus(unknown.getOrDefault(team.name(), Resources.NONE))
                 .plus(others);
         long most = count;
-        if (team.cpusMax() > 0 && each.cpus() > 0) {
-            most = Math.min(most, Math.max(0, team.cpusMax() - there.cpus()) / each.cpus());
+        if (team.maxCpus() > 0 && each.cpus() > 0) {
+            most = Math.min(most, Math.max(0, team.maxCpus() - there.cpus()) / each.cpus());
         }
-        if (team.cardsMax() > 0 && each.cards() > 0) {
-            most = Math.min(most, Math.max(0, team.cardsMax() - there.cards()) / each.cards());
+        if (team.maxGpus() > 0 && each.gpus() > 0) {
+            most = Math.min(most, Math.max(0, team.maxGpus() - there.gpus()) / each.gpus());
         }
         return job.spec.kind() == JobKind.GANG && most < count ? 0 : (int) most;
     }
@@ -296,19 +296,18 @@
      * Machines on which tasks that still wait may be placed later. With the ledger naming them before, such a start goes
      * out with the answer to the report that told of the room, instead of waiting for a round first.
      */
-    List<String> likely(Job job, int most, long nowMicros) {
-        if (job.spec.kind() != JobKind.ARRAY || job.waiting() == 0 || job.suspect) {
+    List<String> candidateMachines(Job job, int most, long nowMicros) {
+        if (job.spec.kind() != JobKind.ARRAY || job.pendingCount() == 0 || job.quarantined) {
             return List.of();
         }
-        return likely.machines(
-                machine -> suits(job, machine, nowMicros),
-                machine -> job.recordedMachines.contains(machine.name),
-                most);
+        return candidateMachines.machines(
+                machine -> suits(job, machine, nowMicros), machine -> job.ledgerMachines.contains(machine.name), most);
     }
 
     /** A round begins: machines are named for its jobs as they are now. */
-    void beginRound(long nowMicros) {
-        likely = new CandidateMachines(fleet.machines(), machine -> machine.usable(nowMicros, settings));
+    void beginWriteBatch(long nowMicros) {
+        candidateMachines =
+                new CandidateMachines(fleet.machines(), machine -> machine.isSchedulable(nowMicros, settings));
     }
 
     /** There, or being fetched for another task of the job. */
@@ -320,35 +319,35 @@
     private Map<String, Resources> unknownUse() {
         Map<String, Resources> result = new HashMap<>();
         for (Job job : ledgers.jobs()) {
-            if (job.unsettled()) {
-                int tasks = job.cancelled ? job.spec.tasks() : job.waiting();
-                result.merge(job.spec.team(), job.spec.each().times(tasks), Resources::plus);
+            if (job.hasUnreconciledMachines()) {
+                int tasks = job.cancelled ? job.spec.taskCount() : job.pendingCount();
+                result.merge(job.spec.team(), job.spec.taskResources().times(tasks), Resources::plus);
             }
         }
         return result;
     }
 
-    private void placeJob(JobQueue.Queued queued, long nowMicros) {
+    private void placeJob(JobQueue.QueuedJob queued, long nowMicros) {
         Job job = queued.job();
         JobSpec spec = job.spec;
         // Room comes free all the time, and what is first in the queue gets it: stopping work of the same priority
         // is for a team that has waited for its guarantee.
         boolean waited = nowMicros - job.readyMicros > guaranteePatienceMicros;
-        boolean preempts = !job.suspect
+        boolean preempts = !job.quarantined
                 && (spec.kind() == JobKind.SERVICE
                         || ((queued.guaranteed() || mayEvictLowest(queued, nowMicros)) && waited)
                         || (spec.priority() == job.priority()
                                 ? spec.priority() != Priority.NORMAL
                                 : isUrgent(queued, nowMicros)));
         if (spec.kind() == JobKind.GANG) {
-            placeGang(job, queued.waiting(), preempts, nowMicros);
+            placeGang(job, queued.pendingTasks(), preempts, nowMicros);
         } else if (spec.kind() == JobKind.SERVICE) {
             placeReplicas(queued, nowMicros);
         } else {
             placeArray(job, nowMicros);
             closeFilled();
-            if (preempts && job.waiting() > 0 && nowMicros >= job.preemptsAgainMicros && othersYield(job)) {
-                job.preemptsAgainMicros = nowMicros + PREEMPT_EVERY_MICROS;
+            if (preempts && job.pendingCount() > 0 && nowMicros >= job.nextPreemptionMicros && othersYield(job)) {
+                job.nextPreemptionMicros = nowMicros + PREEMPT_EVERY_MICROS;
                 preempt(queued, nowMicros);
             }
         }
@@ -362,7 +361,7 @@
     private List<Machine> namable(Job job, List<Machine> machines, long nowMicros) {
         List<Machine> result = new ArrayList<>();
         for (Machine machine : machines) {
-            if (scheduler.mayName(job, machine, nowMicros)) {
+            if (scheduler.mayRecordMachine(job, machine, nowMicros)) {
                 result.add(machine);
             }
         }
@@ -372,33 +371,33 @@
     /** The same, whether its ledger can name them or not. */
     private List<Machine> withRoom(Job job, CapacityRequest.Source source, long nowMicros) {
         CapacityRequest demand = source == CapacityRequest.Source.FREE
-                ? CapacityRequest.free(job.spec.each())
-                : new CapacityRequest(job.spec.each(), source, job.priority());
+                ? CapacityRequest.free(job.spec.taskResources())
+                : new CapacityRequest(job.spec.taskResources(), source, job.priority());
         List<Machine> machines = usable(demand, nowMicros);
         machines.removeIf(machine -> !suits(job, machine, nowMicros));
         return machines;
     }
 
     private List<Machine> usable(CapacityRequest demand, long nowMicros) {
-        List<Machine> machines = fleet.roomIndex().machines(demand, nowMicros);
-        looks += machines.size();
-        machines.removeIf(machine -> !machine.usable(nowMicros, settings));
+        List<Machine> machines = fleet.freeCapacityIndex().machinesWithCapacity(demand, nowMicros);
+        machinesExamined += machines.size();
+        machines.removeIf(machine -> !machine.isSchedulable(nowMicros, settings));
         return machines;
     }
 
-    private void placeReplicas(JobQueue.Queued queued, long nowMicros) {
+    private void placeReplicas(JobQueue.QueuedJob queued, long nowMicros) {
         Job job = queued.job();
-        if (job.placeable() == 0 || !teamAllows(job)) {
+        if (job.placeableCount() == 0 || !teamAllows(job)) {
             return;
         }
         List<Machine> candidates = suitable(job, CapacityRequest.Source.SAME_PRIORITY, nowMicros);
-        for (int left = queued.waiting(); left > 0 && job.placeable() > 0 && teamAllows(job); left--) {
+        for (int left = queued.pendingTasks(); left > 0 && job.placeableCount() > 0 && teamAllows(job); left--) {
             Machine machine = besideReplicas(job, candidates, nowMicros);
             machine = machine != null ? machine : choose(job, candidates, true, nowMicros);
             if (machine == null) {
                 return;
             }
-            scheduler.place(job, job.nextWaiting(), machine, nowMicros);
+            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -407,7 +406,7 @@
      * for minutes, and strewn over the fleet each of them kept a machine that would have been returned.
      */
     private Machine besideReplicas(Job job, List<Machine> candidates, long nowMicros) {
-        Resources each = job.spec.each();
+        Resources each = job.spec.taskResources();
         Machine best = null;
         long bestScore = 0;
         for (Machine machine : candidates) {
@@ -418,34 +417,34 @@
             int count = 0;
             for (Placement placement : machine.placements) {
                 if (placement.job.spec.kind() == JobKind.SERVICE) {
-                    replicas = replicas.plus(placement.job.spec.each());
+                    replicas = replicas.plus(placement.job.spec.taskResources());
                     count++;
                 }
             }
-            if (count == 0 || count >= mostTogether || !each.plus(replicas).fitsIn(machine.size())) {
+            if (count == 0 || count >= mostTogether || !each.plus(replicas).fitsIn(machine.capacity())) {
                 continue;
             }
-            boolean fits = each.fitsIn(machine.room());
+            boolean fits = each.fitsIn(machine.freeCapacity());
             long score = replicas.cpus() + (fits ? 2 * each.cpus() : 0);
             if (score > bestScore && (fits || yieldsCheaply(job, machine, nowMicros))) {
                 best = machine;
                 bestScore = score;
             }
         }
-        if (best != null && !each.fitsIn(best.room())) {
+        if (best != null && !each.fitsIn(best.freeCapacity())) {
             evict(job, preemption.victims(job, best, true), nowMicros);
         }
         return best;
     }
 
     private boolean yieldsCheaply(Job job, Machine machine, long nowMicros) {
-        return preemption.loss(job, machine, true, nowMicros) < CHEAP_LOSS_MICROS;
+        return preemption.lostWork(job, machine, true, nowMicros) < CHEAP_LOSS_MICROS;
     }
 
     /** Fills one machine after another: each further one has to fetch the image and to be recorded. */
     private void placeArray(Job job, long nowMicros) {
         EquivalenceClass shape = EquivalenceClass.of(job.spec);
-        if (job.placeable() == 0 || !teamAllows(job) || blocked.isFull(shape)) {
+        if (job.placeableCount() == 0 || !teamAllows(job) || unschedulable.isFull(shape)) {
             return;
         }
         List<Machine> ready = new ArrayList<>();
@@ -459,25 +458,25 @@
         others.sort(MOST_ROOM);
         ready.addAll(others);
         for (Machine machine : ready) {
-            while (job.spec.each().fitsIn(machine.room())
+            while (job.spec.taskResources().fitsIn(machine.freeCapacity())
                     && zoneAllows(job, machine)
-                    && scheduler.mayName(job, machine, nowMicros)) {
-                if (job.placeable() == 0 || !teamAllows(job)) {
+                    && scheduler.mayRecordMachine(job, machine, nowMicros)) {
+                if (job.placeableCount() == 0 || !teamAllows(job)) {
                     return;
                 }
-                scheduler.place(job, job.nextWaiting(), machine, nowMicros);
+                scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
         if (job.failedMachines.isEmpty()
-                && ready.stream().noneMatch(machine -> job.spec.each().fitsIn(machine.room()))) {
-            blocked.full(shape);
+                && ready.stream().noneMatch(machine -> job.spec.taskResources().fitsIn(machine.freeCapacity()))) {
+            unschedulable.full(shape);
         }
     }
 
     /** What is full when an array has had its turn gets no array in this plan, also if work is displaced there. */
     private void closeFilled() {
         for (Machine machine : filled) {
-            if (!least.fitsIn(machine.room())) {
+            if (!least.fitsIn(machine.freeCapacity())) {
                 open.remove(machine);
             }
         }
@@ -490,7 +489,7 @@
             return true;
         }
         for (Team team : settings.teams().values()) {
-            if (!team.name().equals(job.spec.team()) && !team.guarantees(scheduler.teamUse(team.name()))) {
+            if (!team.name().equals(job.spec.team()) && !team.isWithinGuarantee(scheduler.teamUsage(team.name()))) {
                 return true;
             }
         }
@@ -502,16 +501,16 @@
      * room that comes free by itself serves most of a job, so a team that waits for its guarantee takes a part at a
      * time: taking all at once lost one start in ten, and some tasks were started fifteen times.
      */
-    private void preempt(JobQueue.Queued queued, long nowMicros) {
+    private void preempt(JobQueue.QueuedJob queued, long nowMicros) {
         Job job = queued.job();
-        if (blocked.findNothing(queued)) {
+        if (unschedulable.findNothing(queued)) {
             return;
         }
         CapacityRequest.Source source =
                 queued.guaranteed() ? CapacityRequest.Source.SAME_PRIORITY : CapacityRequest.Source.LOWER_PRIORITY;
         List<Machine> withRoom = withRoom(job, source, nowMicros);
         List<Machine> candidates = namable(job, withRoom, nowMicros);
-        int left = job.waiting();
+        int left = job.pendingCount();
         if (job.priority() == Priority.NORMAL) {
             long until = job.readyMicros + guaranteePatienceMicros * 3 / 2 - nowMicros;
             left = (int) Math.ceil(left * PREEMPT_EVERY_MICROS / (double) Math.max(PREEMPT_EVERY_MICROS, until));
@@ -519,13 +518,13 @@
         record Option(Machine machine, boolean image, long loss) {}
         List<Option> options = new ArrayList<>();
         for (Machine machine : candidates) {
-            long loss = preemption.loss(job, machine, queued.guaranteed(), nowMicros);
+            long loss = preemption.lostWork(job, machine, queued.guaranteed(), nowMicros);
             if (loss != Preemption.IMPOSSIBLE) {
                 options.add(new Option(machine, hasImage(machine, job), loss));
             }
         }
         if (options.isEmpty() && candidates.size() == withRoom.size() && job.failedMachines.isEmpty()) {
-            blocked.findsNothing(queued);
+            unschedulable.findsNothing(queued);
         }
         options.sort(Comparator.comparing((Option option) -> !option.image()).thenComparing(Option::loss));
         for (boolean progress = true; progress && left > 0; ) {
@@ -535,12 +534,12 @@
                 List<Placement> victims = left > 0 && zoneAllows(job, machine)
                         ? preemption.victims(job, machine, queued.guaranteed())
                         : null;
-                if (job.waiting() == 0 || !teamAllows(job)) {
+                if (job.pendingCount() == 0 || !teamAllows(job)) {
                     return;
                 }
                 if (victims != null) {
                     evict(job, victims, nowMicros);
-                    scheduler.place(job, job.nextWaiting(), machine, nowMicros);
+                    scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
                     left--;
                     progress = true;
                 }
@@ -555,7 +554,7 @@
             evictedByGuarantees += victims.size();
         }
         for (Placement victim : victims) {
-            if (victim.unsent()) {
+            if (victim.isUnsent()) {
                 scheduler.remove(victim);
             } else {
                 scheduler.stop(victim, 0, nowMicros);
@@ -567,16 +566,16 @@
     private void placeGang(Job job, int missing, boolean preempts, long nowMicros) {
         JobSpec spec = job.spec;
         Team team = settings.teams().get(spec.team());
-        boolean ended = job.gangBroken || (job.gangStarted && !job.live.isEmpty());
+        boolean ended = job.gangBroken || (job.gangStarted && !job.liveAttempts.isEmpty());
         if (ended
                 || (team != null
-                        && !team.allows(scheduler
-                                .teamUse(spec.team())
+                        && !team.isWithinLimit(scheduler
+                                .teamUsage(spec.team())
                                 .plus(unknown.getOrDefault(spec.team(), Resources.NONE))
-                                .plus(spec.each().times(missing))))) {
+                                .plus(spec.taskResources().times(missing))))) {
             return;
         }
-        Map<String, Long> atMost = job.live.isEmpty() ? blocked.room(job, preempts) : null;
+        Map<String, Long> atMost = job.liveAttempts.isEmpty() ? unschedulable.room(job, preempts) : null;
         if (atMost != null && !fits(spec, missing, zoneWithRoom(missing, atMost), atMost)) {
             return;
         }
@@ -585,24 +584,24 @@
         List<Machine> candidates = namable(job, withRoom, nowMicros);
         Map<String, Long> perZone = roomPerZone(job, candidates, preempts);
         if (candidates.size() == withRoom.size() && job.failedMachines.isEmpty()) {
-            blocked.room(job, preempts, perZone);
+            unschedulable.room(job, preempts, perZone);
         }
-        String zone = job.live.isEmpty()
+        String zone = job.liveAttempts.isEmpty()
                 ? zoneWithRoom(missing, perZone)
-                : job.live.values().iterator().next().get(0).machine.zone;
+                : job.liveAttempts.values().iterator().next().get(0).machine.zone;
         if (!fits(spec, missing, zone, perZone)) {
             return;
         }
-        if (spec.oneZone()) {
+        if (spec.singleZone()) {
             candidates.removeIf(machine -> !machine.zone.equals(zone));
         }
         for (int i = 0; i < missing; i++) {
-            int index = job.nextWaiting();
+            int index = job.nextPendingTask();
             Machine machine = index < 0 ? null : choose(job, candidates, preempts, nowMicros);
             if (machine == null) {
-                for (List<Placement> list : List.copyOf(job.live.values())) {
+                for (List<Placement> list : List.copyOf(job.liveAttempts.values())) {
                     for (Placement placement : List.copyOf(list)) {
-                        if (placement.unsent()) {
+                        if (placement.isUnsent()) {
                             scheduler.remove(placement);
                         }
                     }
@@ -618,8 +617,8 @@
         Map<String, Long> perZone = new HashMap<>();
         for (Machine machine : machines) {
             long tasks = preempts
-                    ? preemption.tasksWithYielding(job, machine)
-                    : job.spec.each().countIn(machine.room());
+                    ? preemption.tasksFittingAfterPreemption(job, machine)
+                    : job.spec.taskResources().timesFittingIn(machine.freeCapacity());
             perZone.merge(machine.zone, tasks, Long::sum);
         }
         return perZone;
@@ -637,12 +636,12 @@
 
     /** @param zone where all of them have to go if they have to be in one */
     private static boolean fits(JobSpec spec, int missing, String zone, Map<String, Long> perZone) {
-        if (spec.oneZone()) {
+        if (spec.singleZone()) {
             return zone != null && perZone.getOrDefault(zone, 0L) >= missing;
         }
         long fits = 0;
         for (long count : perZone.values()) {
-            fits += Math.min(count, spec.mostInOneZone());
+            fits += Math.min(count, spec.maxTasksPerZone());
         }
         return fits >= missing;
     }
@@ -652,7 +651,7 @@
         Machine with = null;
         Machine without = null;
         for (Machine machine : candidates) {
-            if (spec.each().fitsIn(machine.room()) && zoneAllows(job, machine)) {
+            if (spec.taskResources().fitsIn(machine.freeCapacity()) && zoneAllows(job, machine)) {
                 if (machine.images.containsKey(spec.image())) {
                     with = with == null || LEAST_ROOM.compare(machine, with) < 0 ? machine : with;
                 } else {
@@ -670,7 +669,7 @@
             for (Machine machine : candidates) {
                 boolean hasImage = machine.images.containsKey(spec.image());
                 if ((without == null || hasImage) && zoneAllows(job, machine)) {
-                    long loss = preemption.loss(job, machine, true, nowMicros);
+                    long loss = preemption.lostWork(job, machine, true, nowMicros);
                     loss += loss == Preemption.IMPOSSIBLE || hasImage ? 0 : fetchMicros(machine, spec);
                     if (loss < least) {
                         least = loss;
@@ -691,34 +690,35 @@
 
     /** The zone that all candidates are in since the job has to be in one, or null. */
     private static String onlyZone(Job job, List<Machine> candidates) {
-        return job.spec.kind() == JobKind.GANG && job.spec.oneZone() ? candidates.get(0).zone : null;
+        return job.spec.kind() == JobKind.GANG && job.spec.singleZone() ? candidates.get(0).zone : null;
     }
 
     /** Work that saves needs time to end; its room is taken once it is there. */
     private void askSavingWork(Job job, String zone, long nowMicros) {
-        if (job.roomComingMicros > nowMicros) {
+        if (job.capacityAwaitedUntilMicros > nowMicros) {
             return;
         }
         for (Machine machine : suitable(job, CapacityRequest.Source.SAVING, nowMicros)) {
             if (zone != null && !zone.equals(machine.zone)) {
                 continue;
             }
-            Resources room = machine.room();
+            Resources room = machine.freeCapacity();
             List<Placement> victims = new ArrayList<>();
             for (Placement placement : machine.placements) {
                 JobSpec theirs = placement.job.spec;
-                if (!job.spec.each().fitsIn(room)
+                if (!job.spec.taskResources().fitsIn(room)
                         && theirs.kind() != JobKind.SERVICE
-                        && !placement.stopping()
-                        && job.priority().above(placement.job.priority())) {
+                        && !placement.isStopping()
+                        && job.priority().isAbove(placement.job.priority())) {
                     victims.add(placement);
-                    room = room.plus(theirs.each());
+                    room = room.plus(theirs.taskResources());
                 }
             }
-            if (!victims.isEmpty() && job.spec.each().fitsIn(room)) {
+            if (!victims.isEmpty() && job.spec.taskResources().fitsIn(room)) {
                 for (Placement victim : victims) {
-                    job.roomComingMicros = Math.max(
-                            job.roomComingMicros, nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
+                    job.capacityAwaitedUntilMicros = Math.max(
+                            job.capacityAwaitedUntilMicros,
+                            nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
                     scheduler.stopToSave(victim, nowMicros);
                 }
                 return;
@@ -727,21 +727,21 @@
     }
 
     private long fetchMicros(Machine machine, JobSpec spec) {
-        MachineType type = fleet.types().get(machine.type);
+        MachineType type = fleet.machineTypes().get(machine.type);
         return type == null || type.fetchGbPerSecond() <= 0
                 ? 0
                 : Micros.ofSeconds(spec.imageGb() / type.fetchGbPerSecond());
     }
 
     private boolean zoneAllows(Job job, Machine machine) {
-        if (!job.spec.oneZone() && !job.spec.spread()) {
+        if (!job.spec.singleZone() && !job.spec.spreadOverZones()) {
             return true;
         }
         int inZone = 0;
-        for (List<Placement> list : job.live.values()) {
+        for (List<Placement> list : job.liveAttempts.values()) {
             for (Placement placement : list) {
                 if (placement.machine.zone == null || !placement.machine.zone.equals(machine.zone)) {
-                    if (job.spec.oneZone()) {
+                    if (job.spec.singleZone()) {
                         return false;
                     }
                 } else {
@@ -749,6 +749,6 @@
                 }
             }
         }
-        return inZone < job.spec.mostInOneZone();
+        return inZone < job.spec.maxTasksPerZone();
     }
 }
--- a/src/main/java/io/micatide/scheduler/PlanningPass.java
+++ b/src/main/java/io/micatide/scheduler/PlanningPass.java
@@ -13,7 +13,7 @@
      * Machines that a plan may look at for each core of the controller. At 0.255 of a core a plan of 6,000 looks was seen to take 0.1 to 0.2 s
      * (vision at 2,800 workers, simulated machines), so that one of {@code 0.255 * LOOKS_PER_CORE} stays below half a second.
      */
-    static final long LOOKS_PER_CORE = 60_000;
+    static final long MACHINES_EXAMINED_PER_CORE = 60_000;
 
     private final long most;
     /** Jobs that this pass has come to, in this plan or an earlier one. */
@@ -21,11 +21,11 @@
 
     private long begunAt;
     private boolean first;
-    private int cuts;
+    private int truncations;
 
     /** @param cores what the controller has of a core */
     PlanningPass(double cores) {
-        this.most = Math.max(1, Math.round(cores * LOOKS_PER_CORE));
+        this.most = Math.max(1, Math.round(cores * MACHINES_EXAMINED_PER_CORE));
     }
 
     /** @param looks machines looked at so far in this term */
@@ -35,7 +35,7 @@
     }
 
     /** Whether the pass has not come to the job yet. */
-    boolean takes(Job job) {
+    boolean isPending(Job job) {
         return !visited.contains(job);
     }
 
@@ -44,14 +44,14 @@
         return !first && looks - begunAt > most;
     }
 
-    void done(Job job) {
+    void markVisited(Job job) {
         first = false;
         visited.add(job);
     }
 
     /** The next plan goes on with the rest. */
-    void cut() {
-        cuts++;
+    void truncate() {
+        truncations++;
     }
 
     /** It has come to all; the next plan begins another one. */
@@ -59,7 +59,7 @@
         visited.clear();
     }
 
-    int cuts() {
-        return cuts;
+    int truncations() {
+        return truncations;
     }
 }
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -24,7 +24,7 @@
 
     /** Those first that lose least: what was not sent yet, then what has run for the shortest time. */
     private static final Comparator<Placement> LEAST_LOSS = Comparator.comparing(
-                    (Placement placement) -> !placement.unsent())
+                    (Placement placement) -> !placement.isUnsent())
             .thenComparing(placement -> -placement.createdMicros);
 
     private final Settings settings;
@@ -71,10 +71,10 @@
     }
 
     /** What is lost by stopping the victims, in microseconds of work. */
-    static long loss(List<Placement> victims, long nowMicros) {
+    static long lostWork(List<Placement> victims, long nowMicros) {
         long loss = 0;
         for (Placement victim : victims) {
-            if (!victim.unsent()) {
+            if (!victim.isUnsent()) {
                 loss += Micros.SECOND + nowMicros - victim.createdMicros;
             }
         }
@@ -86,7 +86,7 @@
      *
      * @param same whether work of the same priority beyond its team's guarantee may yield
      */
-    long loss(Job job, Machine machine, boolean same, long nowMicros) {
+    long lostWork(Job job, Machine machine, boolean same, long nowMicros) {
         if (same && mayYieldToSamePriority(job, machine)) {
             return worked(job, machine, true, nowMicros);
         }
@@ -97,11 +97,11 @@
 
     private long worked(Job job, Machine machine, boolean same, long nowMicros) {
         List<Placement> victims = victims(job, machine, same);
-        return victims == null ? IMPOSSIBLE : loss(victims, nowMicros);
+        return victims == null ? IMPOSSIBLE : lostWork(victims, nowMicros);
     }
 
     /** How many tasks of a gang fit with all that could yield to it. */
-    long tasksWithYielding(Job job, Machine machine) {
+    long tasksFittingAfterPreemption(Job job, Machine machine) {
         if (mayYieldToSamePriority(job, machine)) {
             return countTasks(job, machine);
         }
@@ -111,22 +111,22 @@
     }
 
     private long countTasks(Job job, Machine machine) {
-        Resources room = machine.room();
+        Resources room = machine.freeCapacity();
         for (Placement placement : machine.placements) {
-            if (!placement.stopping() && yields(placement, job)) {
-                room = room.plus(placement.job.spec.each());
+            if (!placement.isStopping() && yields(placement, job)) {
+                room = room.plus(placement.job.spec.taskResources());
             }
         }
-        return job.spec.each().countIn(room);
+        return job.spec.taskResources().timesFittingIn(room);
     }
 
     private Estimate estimate(Job job, Machine machine) {
         Estimates estimates = machine.estimates;
         Demand last = estimates.lastDemand;
-        if (last != null && last.priority() == job.priority() && last.each().equals(job.spec.each())) {
+        if (last != null && last.priority() == job.priority() && last.each().equals(job.spec.taskResources())) {
             return estimates.last;
         }
-        Demand demand = new Demand(job.spec.each(), job.priority());
+        Demand demand = new Demand(job.spec.taskResources(), job.priority());
         estimates.last = estimates.byDemand.computeIfAbsent(demand, k -> estimated(job, machine));
         estimates.lastDemand = demand;
         return estimates.last;
@@ -141,7 +141,7 @@
         int sent = 0;
         long createdSum = 0;
         for (Placement victim : victims) {
-            if (!victim.unsent()) {
+            if (!victim.isUnsent()) {
                 sent++;
                 createdSum += victim.createdMicros;
             }
@@ -155,7 +155,7 @@
         if (estimates.arraysOfPriority == null) {
             estimates.arraysOfPriority = new boolean[Priority.values().length];
             for (Placement placement : machine.placements) {
-                if (!placement.stopping() && placement.job.spec.kind() == JobKind.ARRAY) {
+                if (!placement.isStopping() && placement.job.spec.kind() == JobKind.ARRAY) {
                     estimates.arraysOfPriority[placement.job.priority().ordinal()] = true;
                 }
             }
@@ -170,37 +170,37 @@
      */
     List<Placement> victims(Job job, Machine machine, boolean same) {
         List<Placement> victims = new ArrayList<>();
-        Resources room = machine.room();
+        Resources room = machine.freeCapacity();
         List<Placement> lesser = new ArrayList<>();
         for (Placement placement : machine.placements) {
-            if (placement.stopping() && placement.stopGraceMicros == 0) {
+            if (placement.isStopping() && placement.stopGraceMicros == 0) {
                 // Stopped for others that were placed here since: without this each further task displaced more.
-                room = room.plus(placement.job.spec.each());
-            } else if (!placement.stopping() && yields(placement, job)) {
+                room = room.plus(placement.job.spec.taskResources());
+            } else if (!placement.isStopping() && yields(placement, job)) {
                 lesser.add(placement);
             }
         }
         lesser.sort(LEAST_LOSS);
         Map<String, Resources> taken = new HashMap<>();
         for (Placement placement : lesser) {
-            if (job.spec.each().fitsIn(room)) {
+            if (job.spec.taskResources().fitsIn(room)) {
                 break;
             }
             if (!placement.job.priority().equals(job.priority()) || (same && overGuarantee(placement, taken))) {
                 victims.add(placement);
-                room = room.plus(placement.job.spec.each());
-                taken.merge(placement.job.spec.team(), placement.job.spec.each(), Resources::plus);
+                room = room.plus(placement.job.spec.taskResources());
+                taken.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
             }
         }
-        return job.spec.each().fitsIn(room) ? victims : null;
+        return job.spec.taskResources().fitsIn(room) ? victims : null;
     }
 
     private static boolean yields(Placement placement, Job job) {
         JobSpec theirs = placement.job.spec;
-        if (theirs.kind() == JobKind.GANG || theirs.checkpointMicros() > 0) {
+        if (theirs.kind() == JobKind.GANG || theirs.checkpointIntervalMicros() > 0) {
             return false;
         }
-        return job.priority().above(placement.job.priority())
+        return job.priority().isAbove(placement.job.priority())
                 || (!theirs.team().equals(job.spec.team())
                         && theirs.kind() == JobKind.ARRAY
                         && job.priority() == placement.job.priority());
@@ -212,6 +212,6 @@
             return true;
         }
         Resources use = teamUse.apply(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
-        return !team.guarantees(use);
+        return !team.isWithinGuarantee(use);
     }
 }
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -28,7 +28,7 @@
     }
 
     /** One request to the cloud. */
-    static final class Booking {
+    static final class Request {
         final String name;
         final String type;
         final String zone;
@@ -42,7 +42,7 @@
         boolean writing;
         long sinceMicros;
 
-        Booking(String name, String type, String zone, boolean spot, int count, long nowMicros) {
+        Request(String name, String type, String zone, boolean spot, int count, long nowMicros) {
             this.name = name;
             this.type = type;
             this.zone = zone;
@@ -60,13 +60,13 @@
     private final Settings settings;
     private final long fencingToken;
     private int counter;
-    private boolean fenced;
+    private boolean setFenced;
     private long fenceVersion = -1;
     private long fenceNumber;
     /** Rows that are being read back. */
-    private final Set<String> unknown = new HashSet<>();
+    private final Set<String> outcomeUnknown = new HashSet<>();
 
-    final Map<String, Booking> bookings = new LinkedHashMap<>();
+    final Map<String, Request> requests = new LinkedHashMap<>();
     private final Map<Offer, Long> refusedUntil = new HashMap<>();
     private final Map<Offer, Long> refusals = new HashMap<>();
 
@@ -77,49 +77,49 @@
 
     /** Whether the key is that of a booking or of their fence. */
     static boolean owns(String key) {
-        return key.equals(StoreKeys.FENCE) || key.startsWith(StoreKeys.BOOKINGS);
+        return key.equals(StoreKeys.PROVISIONING_FENCE) || key.startsWith(StoreKeys.PROVISIONING_REQUESTS);
     }
 
     // ---- on condition of versions
 
     /** From now on rows are written on condition of their versions and of the fence, or no more. */
-    void fenced(boolean now) {
-        fenced = now;
+    void setFenced(boolean now) {
+        setFenced = now;
     }
 
-    boolean fenced() {
-        return fenced;
+    boolean setFenced() {
+        return setFenced;
     }
 
     /** The fence as the state service has it. */
-    void fenceKnown(long version, long number) {
+    void fenceRead(long version, long number) {
         fenceVersion = version;
         fenceNumber = number;
     }
 
     /** The round that moved the fence is confirmed. */
     void fenceMoved(long version) {
-        fenceKnown(version, fenceNumber + 1);
+        fenceRead(version, fenceNumber + 1);
     }
 
     /** Whether rows may be written: not before the fence is known, nor while one is read back. */
     boolean mayWrite() {
-        return fenceVersion >= 0 && unknown.isEmpty();
+        return fenceVersion >= 0 && outcomeUnknown.isEmpty();
     }
 
     /** These rows are not as they were known, and are read back. */
-    void doubt(Collection<String> keys) {
-        unknown.addAll(keys);
+    void markUnknown(Collection<String> keys) {
+        outcomeUnknown.addAll(keys);
     }
 
     /** A row as read back, version 0 if there is none. */
     void readBack(String key, StoredRecord row, long version) {
-        unknown.remove(key);
-        if (key.equals(StoreKeys.FENCE)) {
-            fenceKnown(version, row instanceof StoredRecord.Fence fence ? fence.number() : 0);
+        outcomeUnknown.remove(key);
+        if (key.equals(StoreKeys.PROVISIONING_FENCE)) {
+            fenceRead(version, row instanceof StoredRecord.ProvisioningFence fence ? fence.number() : 0);
             return;
         }
-        Booking booking = bookings.get(key.substring(StoreKeys.BOOKINGS.length()));
+        Request booking = requests.get(key.substring(StoreKeys.PROVISIONING_REQUESTS.length()));
         if (booking != null) {
             booking.version = version;
             booking.recorded = version > 0;
@@ -131,46 +131,47 @@
      * put that arrives late would bring it back, and the next leader would wait for machines that were settled long ago. So whatever
      * deletes a row moves the fence.
      */
-    List<Transaction.Compare> conditions(List<Booking> written) {
-        List<Transaction.Compare> conditions = new ArrayList<>();
-        if (fenced && !written.isEmpty()) {
-            written.forEach(
-                    each -> conditions.add(new Transaction.Compare(StoreKeys.booking(each.name), each.version)));
-            conditions.add(new Transaction.Compare(StoreKeys.FENCE, fenceVersion));
+    List<Transaction.Condition> conditions(List<Request> written) {
+        List<Transaction.Condition> conditions = new ArrayList<>();
+        if (setFenced && !written.isEmpty()) {
+            written.forEach(each ->
+                    conditions.add(new Transaction.Condition(StoreKeys.provisioningRequest(each.name), each.version)));
+            conditions.add(new Transaction.Condition(StoreKeys.PROVISIONING_FENCE, fenceVersion));
         }
         return conditions;
     }
 
     /** What is written beside these: the fence, if one of them is deleted; null for nothing. */
-    Transaction.Write fence(List<Booking> written) {
-        return fenced && written.stream().anyMatch(each -> each.state == State.DONE)
-                ? new Transaction.Write(StoreKeys.FENCE, new StoredRecord.Fence(fenceNumber + 1), 0)
+    Transaction.Write fence(List<Request> written) {
+        return setFenced && written.stream().anyMatch(each -> each.state == State.DONE)
+                ? new Transaction.Write(
+                        StoreKeys.PROVISIONING_FENCE, new StoredRecord.ProvisioningFence(fenceNumber + 1), 0)
                 : null;
     }
 
     /** The name carries the token, so that no two leaders ever use the same one. */
-    Booking claim(Offer offer, int count, long nowMicros) {
-        Booking booking = new Booking(
+    Request create(Offer offer, int count, long nowMicros) {
+        Request booking = new Request(
                 "r-" + fencingToken + "-" + ++counter, offer.type(), offer.zone(), offer.spot(), count, nowMicros);
-        bookings.put(booking.name, booking);
+        requests.put(booking.name, booking);
         return booking;
     }
 
     /** A booking of an earlier leader: whether its call went out is unknown. */
-    void load(String name, StoredRecord.Booking row, long version, long nowMicros) {
-        Booking booking = new Booking(name, row.type(), row.zone(), row.spot(), row.count(), nowMicros);
+    void load(String name, StoredRecord.Provisioning row, long version, long nowMicros) {
+        Request booking = new Request(name, row.type(), row.zone(), row.spot(), row.count(), nowMicros);
         booking.state = State.UNKNOWN;
         booking.recorded = true;
         booking.version = version;
-        bookings.put(name, booking);
+        requests.put(name, booking);
     }
 
-    boolean refused(Offer offer, long nowMicros) {
+    boolean isBackedOff(Offer offer, long nowMicros) {
         return refusedUntil.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
     }
 
     /** No capacity: asks again after a pause that grows while the answer stays the same. */
-    void noCapacity(Booking booking, long nowMicros) {
+    void noCapacity(Request booking, long nowMicros) {
         Offer offer = new Offer(booking.type, booking.zone, booking.spot);
         long pause = Math.min(30 * Micros.SECOND, refusals.getOrDefault(offer, 4 * Micros.SECOND) * 2);
         refusals.put(offer, pause);
@@ -178,7 +179,7 @@
         booking.state = State.DONE;
     }
 
-    void answered(Booking booking, int rented, long nowMicros) {
+    void answered(Request booking, int rented, long nowMicros) {
         booking.state = State.DONE;
         Offer offer = new Offer(booking.type, booking.zone, booking.spot);
         if (rented < booking.count) {
@@ -188,14 +189,14 @@
         }
     }
 
-    void unknown(Booking booking, long nowMicros) {
+    void outcomeUnknown(Request booking, long nowMicros) {
         booking.state = State.UNKNOWN;
         booking.sinceMicros = nowMicros;
     }
 
     /** The list was asked for at {@code askedMicros}: it is at most twice the lag older than that. */
     void listed(long askedMicros) {
-        for (Booking booking : bookings.values()) {
+        for (Request booking : requests.values()) {
             if (booking.state == State.UNKNOWN
                     && askedMicros - booking.sinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND) {
                 booking.state = State.DONE;
@@ -204,10 +205,10 @@
     }
 
     /** Rows to put or to delete with the next round. */
-    List<Booking> toWrite(int most, long nowMicros) {
-        List<Booking> result = new ArrayList<>();
-        for (Iterator<Booking> each = bookings.values().iterator(); each.hasNext() && result.size() < most; ) {
-            Booking booking = each.next();
+    List<Request> requestsToWrite(int most, long nowMicros) {
+        List<Request> result = new ArrayList<>();
+        for (Iterator<Request> each = requests.values().iterator(); each.hasNext() && result.size() < most; ) {
+            Request booking = each.next();
             if (booking.state == State.CLAIMED
                     && !booking.recorded
                     && nowMicros - booking.sinceMicros > CLAIM_PATIENCE_MICROS
@@ -225,9 +226,9 @@
     }
 
     /** Claims whose row is confirmed and whose call may go out. */
-    List<Booking> toSubmit() {
-        List<Booking> result = new ArrayList<>();
-        for (Booking booking : bookings.values()) {
+    List<Request> requestsToSubmit() {
+        List<Request> result = new ArrayList<>();
+        for (Request booking : requests.values()) {
             if (booking.state == State.CLAIMED && booking.recorded) {
                 booking.state = State.SUBMITTED;
                 result.add(booking);
@@ -237,9 +238,9 @@
     }
 
     /** Machines that are asked for and not known by name yet. */
-    int expected(Offer offer) {
+    int expectedMachines(Offer offer) {
         int count = 0;
-        for (Booking booking : bookings.values()) {
+        for (Request booking : requests.values()) {
             if (booking.state != State.DONE
                     && booking.type.equals(offer.type())
                     && booking.spot == offer.spot()
--- a/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
+++ b/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
@@ -30,25 +30,25 @@
     List<Hint> hints() {
         List<Hint> result = new ArrayList<>();
         factors.forEach((name, factor) ->
-                result.add(new Hint.OfClass(name, Hints.rounded(factor.mean()), Hints.rounded(factor.spread()))));
+                result.add(new Hint.JobClassHint(name, Hints.rounded(factor.mean()), Hints.rounded(factor.spread()))));
         return result;
     }
 
     /** As an earlier leader saw it; what this one has seen counts more. */
-    void hinted(Hint.OfClass hint) {
+    void hintReceived(Hint.JobClassHint hint) {
         factors.putIfAbsent(
                 hint.name(),
                 new Factor(Math.max(0.1, Math.min(10, hint.factor())), Math.max(0, Math.min(10, hint.spread()))));
     }
 
-    void finished(Job job, long ranMicros) {
+    void taskFinished(Job job, long ranMicros) {
         JobSpec spec = job.spec;
-        job.ranMicros += ranMicros;
-        job.ranTasks++;
-        if (spec.estimateMicros() <= 0) {
+        job.completedRuntimeMicros += ranMicros;
+        job.completedTasks++;
+        if (spec.estimatedRuntimeMicros() <= 0) {
             return;
         }
-        double seen = Math.max(0.1, Math.min(10, ranMicros / (double) spec.estimateMicros()));
+        double seen = Math.max(0.1, Math.min(10, ranMicros / (double) spec.estimatedRuntimeMicros()));
         Factor old = factors.getOrDefault(spec.jobClass(), UNKNOWN);
         double mean = old.mean() + (seen - old.mean()) * WEIGHT;
         double spread = old.spread() + (Math.abs(seen - mean) / mean - old.spread()) * WEIGHT;
@@ -56,27 +56,29 @@
     }
 
     /** How long a task takes on average: its owner's estimate, until the job's own tasks tell better. */
-    long expected(Job job) {
+    long expectedMicros(Job job) {
         JobSpec spec = job.spec;
-        double estimate = spec.estimateMicros()
+        double estimate = spec.estimatedRuntimeMicros()
                 * factors.getOrDefault(spec.jobClass(), UNKNOWN).mean();
         return Math.max(
                 Micros.SECOND,
-                Math.round((ESTIMATE_WEIGHT * estimate + job.ranMicros) / (ESTIMATE_WEIGHT + job.ranTasks)));
+                Math.round((ESTIMATE_WEIGHT * estimate + job.completedRuntimeMicros)
+                        / (ESTIMATE_WEIGHT + job.completedTasks)));
     }
 
     /** How long the slowest of a job's tasks is likely to take: the job is not done before that one is. */
-    long slowest(Job job) {
-        return slowest(job.spec.jobClass(), expected(job));
+    long slowestMicros(Job job) {
+        return slowestMicros(job.spec.jobClass(), expectedMicros(job));
     }
 
     /** The same of a job that has not begun. */
-    long slowest(JobSpec spec) {
+    long slowestMicros(JobSpec spec) {
         double mean = factors.getOrDefault(spec.jobClass(), UNKNOWN).mean();
-        return slowest(spec.jobClass(), Math.max(Micros.SECOND, Math.round(spec.estimateMicros() * mean)));
+        return slowestMicros(
+                spec.jobClass(), Math.max(Micros.SECOND, Math.round(spec.estimatedRuntimeMicros() * mean)));
     }
 
-    private long slowest(String jobClass, long expectedMicros) {
+    private long slowestMicros(String jobClass, long expectedMicros) {
         double spread = factors.getOrDefault(jobClass, UNKNOWN).spread();
         return Math.round(expectedMicros * (1 + Math.min(1, 2 * spread)));
     }
