--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -53,7 +53,7 @@
     private final DagInheritance pipelines;
     private final FailureAttribution health = new FailureAttribution(runTimes);
     private final Hints hints = new Hints();
-    private final Map<String, Resources> teamUse = new HashMap<>();
+    private final Map<String, Resources> teamUsage = new HashMap<>();
     private final List<Transaction.Write> extraWrites = new ArrayList<>();
     private long freshMicros;
     private long holdsUntilMicros = Long.MAX_VALUE;
@@ -62,7 +62,7 @@
 
     private long attemptCounter;
     private long switchesVersion;
-    private JobLedgers.Round inFlight;
+    private JobLedgers.WriteBatch inFlight;
     private double writeTokens;
     /** What one transaction may change; less once the state service has refused one. */
     private int mostOps;
@@ -73,11 +73,11 @@
     private boolean ledgersFound;
     private final FailoverProgress recovery;
     /** Rows of jobs that were cancelled before this term. */
-    private final Map<String, StoredRecord.JobRow> ending = new HashMap<>();
+    private final Map<String, StoredRecord.JobRecord> ending = new HashMap<>();
 
     private final List<Job> completed = new ArrayList<>();
-    private final List<Ended> ended = new ArrayList<>();
-    private final List<String> notices = new ArrayList<>();
+    private final List<EndedJob> takeEndedJobs = new ArrayList<>();
+    private final List<String> takeNotices = new ArrayList<>();
 
     /** How a term's planner is made. */
     @FunctionalInterface
@@ -102,7 +102,7 @@
         this.planner = planners.create(this, settings, fleet, ledgers, runTimes);
         this.renter = new Autoscaler(settings, tuning, fleet, rentals, planner, returns);
         this.writeTokens = leaderWriteRate();
-        this.mostOps = settings.transactionOps();
+        this.mostOps = settings.maxTransactionWrites();
         this.writeTokensMicros = nowMicros;
         this.freshMicros = nowMicros;
     }
@@ -113,27 +113,27 @@
 
     /** Users' submissions and cancellations need the rest of the write rate. */
     private double leaderWriteRate() {
-        return settings.writeRate() * 0.6;
+        return settings.storeWritesPerSecond() * 0.6;
     }
 
     // ---- what is read from the state service
 
     /** @param wallMicros the time of day, used only for the ages of jobs */
-    public void jobSeen(JobCache.View view, long wallMicros, long nowMicros) {
+    public void jobChanged(JobCache.View view, long wallMicros, long nowMicros) {
         String id = view.id();
-        StoredRecord.JobRow row = view.row();
+        StoredRecord.JobRecord row = view.record();
         Job job = ledgers.get(id);
         long submitted = nowMicros - Math.max(0, wallMicros - row.submittedWall());
-        if (view.state() == JobState.OPEN && view.waits()) {
-            pipelines.waits(row.spec(), view.version(), submitted);
+        if (view.state() == JobState.OPEN && view.hasUnfinishedDependencies()) {
+            pipelines.jobWaits(row.spec(), view.version(), submitted);
             return;
         }
-        pipelines.waitsNoMore(id);
+        pipelines.jobNoLongerWaits(id);
         if (row.state() == JobState.OPEN && view.state() == JobState.CANCELLED) {
-            ledgers.withdraw(id, row, view.version());
+            ledgers.cancelBeforeStart(id, row, view.version());
             return;
         }
-        ledgers.withdrawn(id);
+        ledgers.cancelledBeforeStart(id);
         if (row.state() == JobState.OPEN) {
             if (job == null) {
                 ledgers.add(
@@ -151,7 +151,7 @@
         } else if (job != null && !job.cancelled) {
             if (row.state() == JobState.CANCELLED) {
                 cancel(job, nowMicros);
-            } else if (!job.writing) {
+            } else if (!job.writeInFlight) {
                 // Only a leader writes this, so it was our own write whose answer is still to come or was lost.
                 ledgers.drop(job);
             }
@@ -161,7 +161,7 @@
     private void cancel(Job job, long nowMicros) {
         job.cancelled = true;
         for (Placement placement : allOf(job)) {
-            if (placement.unsent()) {
+            if (placement.isUnsent()) {
                 remove(placement);
             } else {
                 stop(placement, 0, nowMicros);
@@ -172,8 +172,8 @@
 
     /** The ledger of a cancelled job stays until nothing of it can be on a machine. */
     private void settleCancelled(Job job, long nowMicros) {
-        if (job.cancelled && !job.anywhere()) {
-            ledgers.touch(job, nowMicros);
+        if (job.cancelled && !job.mayBeRunning()) {
+            ledgers.markDirty(job, nowMicros);
         }
     }
 
@@ -192,13 +192,13 @@
         }
     }
 
-    public void bookingLoaded(String name, StoredRecord.Booking row, long version, long nowMicros) {
+    public void provisioningRequestLoaded(String name, StoredRecord.Provisioning row, long version, long nowMicros) {
         rentals.load(name, row, version, nowMicros);
     }
 
     /** The fence of the bookings as the state service has it, version 0 if there is none. */
-    public void fenceKnown(long version, long number) {
-        rentals.fenceKnown(version, number);
+    public void provisioningFenceRead(long version, long number) {
+        rentals.fenceRead(version, number);
     }
 
     /**
@@ -208,16 +208,16 @@
      * @param fenced whether bookings are written on condition of their versions and of their fence
      * @param recorded whether machines that are given back are named in a row first
      */
-    public void switches(long version, boolean fenced, boolean recorded) {
+    public void featureFlagsChanged(long version, boolean fenced, boolean recorded) {
         switchesVersion = version;
-        rentals.fenced(fenced);
-        returns.recording(recorded);
+        rentals.setFenced(fenced);
+        returns.setRecorded(recorded);
     }
 
     /** Machines that an earlier leader was giving back: nothing is placed on them, and their deletion is asked for again. */
-    public void returnLoaded(String key, StoredRecord.Returned row, long version, long nowMicros) {
+    public void machineDeletionLoaded(String key, StoredRecord.MachinesToDelete row, long version, long nowMicros) {
         returns.load(key, row.machines(), version);
-        row.machines().forEach(name -> fleet.obtain(name, nowMicros).deleting = true);
+        row.machines().forEach(name -> fleet.getOrAdd(name, nowMicros).deletionRequested = true);
     }
 
     /** Every controller reads the present layout: what an older one could not read may be written, on that condition. */
@@ -226,48 +226,48 @@
     }
 
     /** There is an archive of final states. */
-    public void historyKept() {
-        ledgers.historyKept();
+    public void archiveEnabled() {
+        ledgers.archiveEnabled();
     }
 
     /** How many machines are known of. */
-    public int machines() {
+    public int machineCount() {
         return fleet.machines().size();
     }
 
     /** Whether a job that is over may be archived as far as this leader's own work goes; only once all rows are read. */
-    public boolean settled(String id) {
-        return !loading && ledgers.settled(id);
+    public boolean mayBeArchived(String id) {
+        return !loading && ledgers.mayBeArchived(id);
     }
 
     /** How many changes rounds and users leave over now: what is above four fifths of a second's worth. */
-    public int spareWrites(long nowMicros) {
+    public int spareWriteBudget(long nowMicros) {
         fillWriteTokens(nowMicros);
         return inFlight != null ? 0 : (int) Math.max(0, writeTokens - leaderWriteRate() * ROUNDS_KEEP);
     }
 
     /** Something else that this leader writes took so many of its changes. */
-    public void spent(int writes) {
+    public void writesSpent(int writes) {
         writeTokens -= writes;
     }
 
     /** All rows are read: machines that the ledgers name are known of from here on. */
-    public void loaded(long nowMicros) {
+    public void allRecordsLoaded(long nowMicros) {
         loading = false;
-        if (!ledgersFound && rentals.bookings.isEmpty()) {
-            renter.firstTerm();
+        if (!ledgersFound && rentals.requests.isEmpty()) {
+            renter.noteFirstTerm();
         }
         for (Job job : ledgers.jobs()) {
-            for (String name : job.unsettledMachines) {
-                Machine machine = fleet.obtain(name, nowMicros);
-                machine.holdsUp = true;
+            for (String name : job.unreconciledMachines) {
+                Machine machine = fleet.getOrAdd(name, nowMicros);
+                machine.delaysRecovery = true;
             }
             settleCancelled(job, nowMicros);
         }
         hintsKnown(nowMicros);
-        recovery.rebuilt(
+        recovery.stateLoaded(
                 (int) fleet.machines().stream()
-                        .filter(machine -> machine.holdsUp)
+                        .filter(machine -> machine.delaysRecovery)
                         .count(),
                 nowMicros);
     }
@@ -275,22 +275,22 @@
     private void hintsKnown(long nowMicros) {
         ledgers.jobs().forEach(hints::apply);
         for (Machine machine : fleet.machines()) {
-            machine.deleting |= machine.holdsUp && hints.gone(machine.name);
-            if (machine.confirmed) {
+            machine.deletionRequested |= machine.delaysRecovery && hints.wasDeleted(machine.name);
+            if (machine.reconciled) {
                 applyHint(machine, nowMicros);
             }
         }
     }
 
     private void applyHint(Machine machine, long nowMicros) {
-        MachineType type = machine.type == null ? null : fleet.types().get(machine.type);
+        MachineType type = machine.type == null ? null : fleet.machineTypes().get(machine.type);
         if (type != null) {
             hints.apply(machine, type.cacheGb(), nowMicros);
         }
     }
 
     /** The state service was asked at {@code askedMicros} and the answer is applied. */
-    public void stateFresh(long askedMicros) {
+    public void storeReadAt(long askedMicros) {
         if (askedMicros >= resumedMicros) {
             freshMicros = Math.max(freshMicros, askedMicros);
         }
@@ -300,7 +300,7 @@
      * Until when the lead is certainly ours. Later nothing is started, rented or returned: a leader that stood still for 20 s
      * takes every task for gone, and on a machine that has not heard of its successor a start of its own would land.
      */
-    public void holdsUntil(long untilMicros) {
+    public void leaseHeldUntil(long untilMicros) {
         holdsUntilMicros = untilMicros;
     }
 
@@ -308,7 +308,7 @@
      * This process stood still while its clock ran: what it held as fresh is old, and machines only seem silent until
      * they had time to report again.
      */
-    public void resumed(long nowMicros) {
+    public void processResumed(long nowMicros) {
         resumedMicros = nowMicros;
         freshMicros = Math.min(freshMicros, nowMicros - FRESH_MICROS - 1);
     }
@@ -320,11 +320,11 @@
     // ---- reports
 
     /** Takes a report in and answers it; a report with a higher token must not get here. */
-    public List<Command> heartbeat(Heartbeat heartbeat, long nowMicros) {
+    public List<Command> handleHeartbeat(Heartbeat heartbeat, long nowMicros) {
         List<Command> commands = new ArrayList<>();
         Machine machine = takeIn(heartbeat, commands, nowMicros);
         if (machine != null) {
-            if (machine.confirmed && mayPlan(nowMicros)) {
+            if (machine.reconciled && mayPlan(nowMicros)) {
                 planner.refill(machine, nowMicros);
             }
             addStopsAndStarts(machine, heartbeat, nowMicros, commands);
@@ -340,12 +340,12 @@
      * a time, so a newer one shows what became of a start in the answer to the one before; this one may have been made before that
      * answer came, and four starts that were on their way were taken for lost and made again elsewhere (ran_twice, on three of some 6,300 drawn days).
      */
-    public void greeted(Heartbeat heartbeat, long nowMicros) {
+    public void announcementAnswered(Heartbeat heartbeat, long nowMicros) {
         Machine machine = fleet.get(heartbeat.machine());
-        if (machine == null || !machine.confirmed) {
+        if (machine == null || !machine.reconciled) {
             takeIn(heartbeat, new ArrayList<>(), nowMicros);
         } else {
-            machine.heardSequence = Math.max(machine.heardSequence, heartbeat.sequence());
+            machine.highestSequence = Math.max(machine.highestSequence, heartbeat.sequence());
         }
     }
 
@@ -353,15 +353,18 @@
      * Machines that jobs wait for and that have not reported to this leader, each once. The leader before told where they are; the
      * others come by themselves, and are not waited for here.
      */
-    public List<TermAnnouncement> greetings(int most) {
+    public List<TermAnnouncement> nextAnnouncements(int most) {
         List<TermAnnouncement> result = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (result.size() >= most) {
                 break;
             }
-            if (machine.holdsUp && !machine.greeted && !machine.deleting && machine.lastAnsweredMicros < 0) {
-                machine.greeted = true;
-                TermAnnouncement greeting = hints.greeting(machine.name);
+            if (machine.delaysRecovery
+                    && !machine.announced
+                    && !machine.deletionRequested
+                    && machine.lastAnsweredMicros < 0) {
+                machine.announced = true;
+                TermAnnouncement greeting = hints.announcementFor(machine.name);
                 if (greeting != null) {
                     result.add(greeting);
                 }
@@ -372,27 +375,27 @@
 
     /** The machine as the report shows it, null if the report is older than what is known. */
     private Machine takeIn(Heartbeat heartbeat, List<Command> commands, long nowMicros) {
-        if (fleet.isGone(heartbeat.machine())) {
+        if (fleet.isDeleted(heartbeat.machine())) {
             return null;
         }
-        Machine machine = fleet.obtain(heartbeat.machine(), nowMicros);
-        if (!heartbeat.newerThan(machine.incarnation, machine.sequence)) {
+        Machine machine = fleet.getOrAdd(heartbeat.machine(), nowMicros);
+        if (!heartbeat.isNewerThan(machine.incarnation, machine.sequence)) {
             return null;
         }
         machine.incarnation = heartbeat.incarnation();
         machine.sequence = heartbeat.sequence();
-        machine.heard(heartbeat.sequence());
+        machine.messageReceived(heartbeat.sequence());
         machine.address = heartbeat.address();
-        if (machine.type == null || !machine.type.equals(heartbeat.type()) || machine.size() == null) {
+        if (machine.type == null || !machine.type.equals(heartbeat.type()) || machine.capacity() == null) {
             fleet.describe(machine, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         }
         machine.lastAnsweredMicros = nowMicros;
-        if (heartbeat.spotNoticeMicros() >= 0 && machine.noticeAtMicros < 0) {
-            machine.noticeAtMicros = nowMicros + heartbeat.spotNoticeMicros();
+        if (heartbeat.spotNoticeMicros() >= 0 && machine.spotNoticeEndsMicros < 0) {
+            machine.spotNoticeEndsMicros = nowMicros + heartbeat.spotNoticeMicros();
             noticed(machine, nowMicros);
         }
         commands.addAll(readBack(machine, heartbeat, nowMicros));
-        if (heartbeat.fencingToken() == fencingToken && !machine.confirmed) {
+        if (heartbeat.fencingToken() == fencingToken && !machine.reconciled) {
             confirm(machine, nowMicros);
         }
         if (machine.placements.isEmpty() && machine.idleSinceMicros < 0) {
@@ -402,10 +405,10 @@
     }
 
     private void confirm(Machine machine, long nowMicros) {
-        machine.confirmed = true;
-        if (machine.holdsUp) {
-            machine.holdsUp = false;
-            recovery.settled(nowMicros);
+        machine.reconciled = true;
+        if (machine.delaysRecovery) {
+            machine.delaysRecovery = false;
+            recovery.machineReconciled(nowMicros);
         }
         applyHint(machine, nowMicros);
         settle(machine.name, nowMicros);
@@ -413,10 +416,10 @@
 
     /** Nothing that an earlier leader sent can appear on this machine any more. */
     private void settle(String machineName, long nowMicros) {
-        for (Job job : ledgers.settleMachine(machineName)) {
+        for (Job job : ledgers.reconcileMachine(machineName)) {
             // Not at each machine: written anew for each of them, all ledgers together took the write rate for seconds.
             settleCancelled(job, nowMicros);
-            ledgers.touch(job, nowMicros);
+            ledgers.markDirty(job, nowMicros);
         }
     }
 
@@ -436,22 +439,22 @@
             if (job == null) {
                 // The job is over: what is left of it is stopped now and forgotten once it exited. Until then it counts
                 // for its team.
-                commands.add(new Command.Stop(line.job(), line.index(), line.attempt(), 0));
+                commands.add(new Command.Stop(line.job(), line.taskIndex(), line.attempt(), 0));
                 if (placement != null) {
-                    placement.listedSequence = heartbeat.sequence();
+                    placement.lastListedSequence = heartbeat.sequence();
                 }
                 continue;
             }
             if (placement == null) {
-                placement =
-                        new Placement(job, line.index(), line.attempt(), machine, Placement.Phase.REPORTED, nowMicros);
+                placement = new Placement(
+                        job, line.taskIndex(), line.attempt(), machine, Placement.Phase.REPORTED, nowMicros);
                 placement.adopted = true;
                 add(placement);
-                if (job.cancelled || (job.spec.kind() != JobKind.SERVICE && job.finished.get(line.index()))) {
+                if (job.cancelled || (job.spec.kind() != JobKind.SERVICE && job.finishedTasks.get(line.taskIndex()))) {
                     stop(placement, 0, nowMicros);
                 }
             }
-            placement.become(Placement.Phase.REPORTED);
+            placement.transitionTo(Placement.Phase.REPORTED);
             placement.state = line.state();
             if (line.state() == TaskState.RUNNING && placement.runningSinceMicros < 0) {
                 placement.runningSinceMicros = nowMicros;
@@ -464,12 +467,12 @@
                     && line.state() != TaskState.WAITING) {
                 job.gangStarted = true;
             }
-            placement.listedSequence = heartbeat.sequence();
-            health.runs(placement, nowMicros);
+            placement.lastListedSequence = heartbeat.sequence();
+            health.replicaRunning(placement, nowMicros);
         }
         List<Placement> lost = new ArrayList<>();
         for (Placement placement : machine.placements) {
-            if (placement.listedSequence != heartbeat.sequence() && !placement.unsent()) {
+            if (placement.lastListedSequence != heartbeat.sequence() && !placement.isUnsent()) {
                 lost.add(placement);
             }
         }
@@ -482,7 +485,7 @@
      * its team like anything else. Null if it is not one.
      */
     private Job cancelledBefore(String id, long nowMicros) {
-        StoredRecord.JobRow row = ending.get(id);
+        StoredRecord.JobRecord row = ending.get(id);
         if (row == null) {
             return null;
         }
@@ -495,21 +498,21 @@
         Placement placement = find(machine, line);
         boolean done = line.cause() == ExitCause.DONE && job != null && job.spec.kind() != JobKind.SERVICE;
         if (done && !job.cancelled) {
-            if (!job.finished.get(line.index())) {
+            if (!job.finishedTasks.get(line.taskIndex())) {
                 learn(machine, placement, nowMicros);
-                health.succeeded(machine, job);
+                health.taskSucceeded(machine, job);
                 hasImage(machine, job);
                 if (job.spec.kind() == JobKind.GANG) {
                     // A gang completes together, so one report tells of all, also of those that are lost now.
-                    for (int index = 0; index < job.spec.tasks(); index++) {
-                        ledgers.finished(job, index, nowMicros);
+                    for (int index = 0; index < job.spec.taskCount(); index++) {
+                        ledgers.taskFinished(job, index, nowMicros);
                     }
                 } else {
-                    ledgers.finished(job, line.index(), nowMicros);
+                    ledgers.taskFinished(job, line.taskIndex(), nowMicros);
                 }
-                for (Placement other : List.copyOf(job.live.getOrDefault(line.index(), List.of()))) {
+                for (Placement other : List.copyOf(job.liveAttempts.getOrDefault(line.taskIndex(), List.of()))) {
                     if (other != placement) {
-                        if (other.unsent()) {
+                        if (other.isUnsent()) {
                             remove(other);
                         } else {
                             stop(other, 0, nowMicros);
@@ -517,14 +520,14 @@
                     }
                 }
             }
-            if (job.recorded.get(line.index())) {
-                commands.add(new Command.Forget(line.job(), line.index(), line.attempt()));
+            if (job.recordedTasks.get(line.taskIndex())) {
+                commands.add(new Command.Reap(line.job(), line.taskIndex(), line.attempt()));
             }
         } else {
             if (placement != null && job != null) {
                 failed(machine, job, line.cause(), nowMicros);
             }
-            commands.add(new Command.Forget(line.job(), line.index(), line.attempt()));
+            commands.add(new Command.Reap(line.job(), line.taskIndex(), line.attempt()));
         }
         if (placement != null) {
             remove(placement);
@@ -532,7 +535,7 @@
                     && line.cause() != ExitCause.NO_ROOM
                     && line.cause() != ExitCause.BUSY
                     && line.cause() != ExitCause.UNKNOWN) {
-                placement.job.gangBroken = !placement.job.live.isEmpty();
+                placement.job.gangBroken = !placement.job.liveAttempts.isEmpty();
             }
         }
     }
@@ -540,33 +543,33 @@
     private void failed(Machine machine, Job job, ExitCause cause, long nowMicros) {
         switch (cause) {
             case ERROR -> {
-                boolean suspectBefore = job.suspect;
-                boolean drainingBefore = machine.draining;
-                health.failed(machine, job, fleet.machines(), nowMicros);
-                if (job.suspect) {
+                boolean suspectBefore = job.quarantined;
+                boolean drainingBefore = machine.quarantined;
+                health.taskFailed(machine, job, fleet.machines(), nowMicros);
+                if (job.quarantined) {
                     dropUnsent(job);
                 }
-                if (job.suspect && !suspectBefore) {
-                    notices.add(String.format(
+                if (job.quarantined && !suspectBefore) {
+                    takeNotices.add(String.format(
                             "%s (%s) is suspected: it failed on %d machines and never succeeded; it is"
                                     + " only probed now",
                             job.id(), job.spec.jobClass(), job.failedMachines.size()));
                 }
-                if (machine.draining && !drainingBefore) {
-                    notices.add(String.format(
+                if (machine.quarantined && !drainingBefore) {
+                    takeNotices.add(String.format(
                             "%s is suspected: %d failures of jobs that succeed elsewhere, %d jobs of"
                                     + " unknown worth failed on it",
-                            machine.name, machine.failures, machine.doubtfulJobs.size()));
+                            machine.name, machine.failures, machine.unattributedJobs.size()));
                 }
             }
-            case UNKNOWN, NO_ROOM, BUSY -> job.blockedUntilMicros = nowMicros + Micros.SECOND;
+            case UNKNOWN, NO_ROOM, BUSY -> job.backoffUntilMicros = nowMicros + Micros.SECOND;
             default -> {}
         }
     }
 
     private void dropUnsent(Job job) {
         for (Placement placement : allOf(job)) {
-            if (placement.unsent()) {
+            if (placement.isUnsent()) {
                 remove(placement);
             }
         }
@@ -574,35 +577,35 @@
 
     private void learn(Machine machine, Placement placement, long nowMicros) {
         if (placement != null && placement.runningSinceMicros >= 0) {
-            health.completed(machine, placement, nowMicros);
+            health.recordPace(machine, placement, nowMicros);
             if (machine.slowUntilMicros < nowMicros && !placement.adopted) {
-                runTimes.finished(placement.job, nowMicros - placement.runningSinceMicros);
+                runTimes.taskFinished(placement.job, nowMicros - placement.runningSinceMicros);
             }
         }
     }
 
     private void hasImage(Machine machine, Job job) {
-        MachineType type = machine.type == null ? null : fleet.types().get(machine.type);
+        MachineType type = machine.type == null ? null : fleet.machineTypes().get(machine.type);
         machine.touchImage(job.spec.image(), job.spec.imageGb(), type == null ? 0 : type.cacheGb());
     }
 
     private void addStopsAndStarts(Machine machine, Heartbeat heartbeat, long nowMicros, List<Command> commands) {
         for (Placement placement : machine.placements) {
-            if (placement.stopping() && !placement.unsent()) {
+            if (placement.isStopping() && !placement.isUnsent()) {
                 commands.add(new Command.Stop(
-                        placement.job.id(), placement.index, placement.attempt, placement.stopGraceMicros));
+                        placement.job.id(), placement.taskIndex, placement.attempt, placement.stopGraceMicros));
             }
         }
-        if (!machine.confirmed || machine.deleting || !mayStart(nowMicros)) {
+        if (!machine.reconciled || machine.deletionRequested || !mayStart(nowMicros)) {
             return;
         }
         for (Placement placement : machine.placements) {
             if (placement.phase == Placement.Phase.READY && commands.size() < MOST_COMMANDS) {
-                placement.become(Placement.Phase.SENT);
+                placement.transitionTo(Placement.Phase.SENT);
                 placement.sentIncarnation = heartbeat.incarnation();
                 placement.sentSequence = heartbeat.sequence();
-                recovery.started(nowMicros);
-                commands.add(new Command.Start(placement.job.id(), placement.index, placement.attempt));
+                recovery.taskStarted(nowMicros);
+                commands.add(new Command.Start(placement.job.id(), placement.taskIndex, placement.attempt));
             }
         }
     }
@@ -610,9 +613,9 @@
     /** The cloud takes the machine away: what can save is told to, the rest may still finish in time. */
     private void noticed(Machine machine, long nowMicros) {
         for (Placement placement : List.copyOf(machine.placements)) {
-            if (placement.unsent()) {
+            if (placement.isUnsent()) {
                 remove(placement);
-            } else if (placement.job.spec.checkpointMicros() > 0) {
+            } else if (placement.job.spec.checkpointIntervalMicros() > 0) {
                 stopToSave(placement, nowMicros);
             }
         }
@@ -624,16 +627,16 @@
         long grace = Micros.withDrift(job.spec.saveMicros()) + Micros.SECOND;
         if (job.spec.kind() == JobKind.GANG) {
             for (Placement each : allOf(job)) {
-                if (each.unsent()) {
+                if (each.isUnsent()) {
                     remove(each);
                 } else {
-                    stop(each, grace + settings.gangPeerMicros(), nowMicros);
+                    stop(each, grace + settings.gangPeerTimeoutMicros(), nowMicros);
                 }
             }
             // Of two tasks that have to yield at once the first takes the whole gang away: with nothing left of it
             // there is nothing to
             // wait for. A gang that was held to be broken then was never placed again.
-            job.gangBroken = !job.live.isEmpty();
+            job.gangBroken = !job.liveAttempts.isEmpty();
         } else {
             stop(placement, grace, nowMicros);
         }
@@ -642,16 +645,19 @@
     /** A gang that lost a task after it started cannot go on, and one that gave up waiting is not completed. */
     private void endBrokenGangs(long nowMicros) {
         for (Job job : ledgers.jobs()) {
-            if (job.spec.kind() != JobKind.GANG || job.live.isEmpty() || job.unsettled() || job.allFinished()) {
+            if (job.spec.kind() != JobKind.GANG
+                    || job.liveAttempts.isEmpty()
+                    || job.hasUnreconciledMachines()
+                    || job.allFinished()) {
                 continue;
             }
-            boolean incomplete = job.gangStarted && job.live.size() < job.spec.tasks();
+            boolean incomplete = job.gangStarted && job.liveAttempts.size() < job.spec.taskCount();
             if (incomplete || job.gangBroken) {
                 job.gangBroken = true;
                 for (Placement each : allOf(job)) {
-                    if (each.unsent()) {
+                    if (each.isUnsent()) {
                         remove(each);
-                    } else if (!each.stopping()) {
+                    } else if (!each.isStopping()) {
                         stop(each, 0, nowMicros);
                     }
                 }
@@ -663,7 +669,7 @@
 
     private static Placement find(Machine machine, TaskStatus line) {
         for (Placement placement : machine.placements) {
-            if (placement.is(line)) {
+            if (placement.matches(line)) {
                 return placement;
             }
         }
@@ -672,23 +678,24 @@
 
     private static List<Placement> allOf(Job job) {
         List<Placement> result = new ArrayList<>();
-        job.live.values().forEach(result::addAll);
+        job.liveAttempts.values().forEach(result::addAll);
         return result;
     }
 
     private void add(Placement placement) {
         placement.machine.add(placement);
         placement.job.add(placement);
-        teamUse.merge(placement.job.spec.team(), placement.job.spec.each(), Resources::plus);
-        planner.placed(placement.machine);
+        teamUsage.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
+        planner.taskPlaced(placement.machine);
     }
 
     void remove(Placement placement) {
         placement.machine.remove(placement);
         placement.job.remove(placement);
-        teamUse.merge(placement.job.spec.team(), Resources.NONE.minus(placement.job.spec.each()), Resources::plus);
-        planner.roomFreed();
-        if (placement.job.live.isEmpty()) {
+        teamUsage.merge(
+                placement.job.spec.team(), Resources.NONE.minus(placement.job.spec.taskResources()), Resources::plus);
+        planner.capacityFreed();
+        if (placement.job.liveAttempts.isEmpty()) {
             placement.job.gangStarted = false;
             placement.job.gangBroken = false;
         }
@@ -698,14 +705,14 @@
     }
 
     void stop(Placement placement, long graceMicros, long nowMicros) {
-        planner.useChanged();
-        if (!placement.stopping()) {
-            placement.stopSinceMicros = nowMicros;
+        planner.usageChanged();
+        if (!placement.isStopping()) {
+            placement.stopRequestedMicros = nowMicros;
             placement.stopGraceMicros = graceMicros;
-            placement.machine.roomChanged();
+            placement.machine.capacityChanged();
         } else if (graceMicros < placement.stopGraceMicros) {
             placement.stopGraceMicros = graceMicros;
-            placement.machine.roomChanged();
+            placement.machine.capacityChanged();
         }
     }
 
@@ -717,10 +724,15 @@
             attempt = live != 0 ? live : attempt;
             job.gangAttempt = attempt;
         }
-        boolean recorded = job.recordedMachines.contains(machine.name);
+        boolean recorded = job.ledgerMachines.contains(machine.name);
         add(new Placement(
-                job, index, attempt, machine, recorded ? Placement.Phase.READY : Placement.Phase.HELD, nowMicros));
-        ledgers.needMachine(job, machine, nowMicros);
+                job,
+                index,
+                attempt,
+                machine,
+                recorded ? Placement.Phase.READY : Placement.Phase.AWAITING_LEDGER,
+                nowMicros));
+        ledgers.recordMachine(job, machine, nowMicros);
         if (job.firstStartMicros < 0) {
             job.firstStartMicros = nowMicros;
         }
@@ -729,17 +741,17 @@
     }
 
     /** Whether the job may be placed on that machine as far as its ledger goes. */
-    boolean mayName(Job job, Machine machine, long nowMicros) {
-        return ledgers.mayUse(job, machine, nowMicros);
+    boolean mayRecordMachine(Job job, Machine machine, long nowMicros) {
+        return ledgers.mayRecordMachine(job, machine, nowMicros);
     }
 
     /** Machines that plans looked at in this term. */
-    long machinesLookedAt() {
-        return planner.looks();
+    long machinesExamined() {
+        return planner.machinesExamined();
     }
 
-    Resources teamUse(String team) {
-        return teamUse.getOrDefault(team, Resources.NONE);
+    Resources teamUsage(String team) {
+        return teamUsage.getOrDefault(team, Resources.NONE);
     }
 
     // ---- time
@@ -753,7 +765,7 @@
             expire(machine, nowMicros);
         }
         endBrokenGangs(nowMicros);
-        for (Machine machine : health.findSlow(fleet.machines(), nowMicros)) {
+        for (Machine machine : health.findSlowMachines(fleet.machines(), nowMicros)) {
             leaveSlow(machine, nowMicros);
         }
         pipelines.refresh(nowMicros);
@@ -771,13 +783,13 @@
     /** What is held for machines that the ledger cannot name waits for others of the job's machines. */
     private void giveHeldBack(Job job, long nowMicros) {
         job.ledgerFull = false;
-        job.fullUntilMicros = nowMicros + Micros.SECOND;
+        job.ledgerFullUntilMicros = nowMicros + Micros.SECOND;
         for (Placement placement : allOf(job)) {
-            if (placement.phase == Placement.Phase.HELD) {
+            if (placement.phase == Placement.Phase.AWAITING_LEDGER) {
                 remove(placement);
             }
         }
-        job.neededMachines.clear();
+        job.machinesToRecord.clear();
     }
 
     /** Starts over elsewhere what would take longer where it is. */
@@ -787,14 +799,14 @@
             if (placement.job.spec.kind() != JobKind.ARRAY) {
                 continue;
             }
-            if (placement.unsent()) {
+            if (placement.isUnsent()) {
                 remove(placement);
-            } else if (!placement.job.leftSlow.get(placement.index)) {
+            } else if (!placement.job.evictedAsSlow.get(placement.taskIndex)) {
                 // One that was long elsewhere too is long itself: of an array whose tasks take very different times the
                 // long ones made
                 // each machine seem slow, and were started over without end.
-                placement.job.leftSlow.set(placement.index);
-                if (placement.job.spec.checkpointMicros() > 0) {
+                placement.job.evictedAsSlow.set(placement.taskIndex);
+                if (placement.job.spec.checkpointIntervalMicros() > 0) {
                     stopToSave(placement, nowMicros);
                 } else {
                     stop(placement, 0, nowMicros);
@@ -807,14 +819,14 @@
         if (machine.placements.isEmpty()) {
             return;
         }
-        if (machine.lastAnsweredMicros >= 0 && !machine.responsive(nowMicros, settings)) {
+        if (machine.lastAnsweredMicros >= 0 && !machine.isResponsive(nowMicros, settings)) {
             for (Placement placement : List.copyOf(machine.placements)) {
-                if (placement.unsent()) {
+                if (placement.isUnsent()) {
                     remove(placement);
                 }
             }
         }
-        if (machine.confirmed && nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros()) {
+        if (machine.reconciled && nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros()) {
             for (Placement placement : List.copyOf(machine.placements)) {
                 remove(placement);
             }
@@ -822,7 +834,7 @@
     }
 
     private boolean mayPlan(long nowMicros) {
-        return mayStart(nowMicros) && !fleet.types().isEmpty();
+        return mayStart(nowMicros) && !fleet.machineTypes().isEmpty();
     }
 
     private boolean mayStart(long nowMicros) {
@@ -842,7 +854,7 @@
      *
      * @param wallMicros the time of day, which the rows of completed jobs keep
      */
-    public Transaction round(long nowMicros, long wallMicros) {
+    public Transaction nextWriteBatch(long nowMicros, long wallMicros) {
         if (inFlight != null) {
             return null;
         }
@@ -854,24 +866,24 @@
         }
         List<Transaction.Write> writes =
                 new ArrayList<>(extraWrites.subList(0, Math.min(extraWrites.size(), most / 2)));
-        List<ProvisioningRequests.Booking> bookings =
-                rentals.mayWrite() ? rentals.toWrite(Math.max(1, most / 2), nowMicros) : List.of();
-        for (ProvisioningRequests.Booking booking : bookings) {
+        List<ProvisioningRequests.Request> bookings =
+                rentals.mayWrite() ? rentals.requestsToWrite(Math.max(1, most / 2), nowMicros) : List.of();
+        for (ProvisioningRequests.Request booking : bookings) {
             writes.add(new Transaction.Write(
-                    StoreKeys.booking(booking.name),
+                    StoreKeys.provisioningRequest(booking.name),
                     booking.state == ProvisioningRequests.State.DONE
                             ? null
-                            : new StoredRecord.Booking(
+                            : new StoredRecord.Provisioning(
                                     "claimed", booking.type, booking.zone, booking.spot, booking.count),
                     0));
         }
-        List<Transaction.Compare> conditions = rentals.conditions(bookings);
+        List<Transaction.Condition> conditions = rentals.conditions(bookings);
         List<Transaction.Write> given =
-                returns.toWrite(fleet.machines(), most - bookings.size() - writes.size() - 1, nowMicros);
+                returns.nextWrites(fleet.machines(), most - bookings.size() - writes.size() - 1, nowMicros);
         conditions.addAll(returns.conditions(given));
         writes.addAll(given);
         if (!conditions.isEmpty()) {
-            conditions.add(new Transaction.Compare(StoreKeys.FEATURES, switchesVersion));
+            conditions.add(new Transaction.Condition(StoreKeys.FEATURE_STAGES, switchesVersion));
         }
         Transaction.Write fence = rentals.fence(bookings);
         if (fence != null) {
@@ -881,8 +893,8 @@
         // may
         // hold, as before, it came to two where that is five, and finished tasks took what starts then waited for.
         int later = (int) Math.max(0, Math.min(mostOps, writeTokens - rate / 2));
-        planner.beginRound(nowMicros);
-        JobLedgers.Round round = ledgers.nextRound(
+        planner.beginWriteBatch(nowMicros);
+        JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
                 nowMicros,
                 wallMicros,
                 most,
@@ -890,7 +902,7 @@
                 bookings,
                 writes,
                 conditions,
-                (job, likely) -> planner.likely(job, likely, nowMicros));
+                (job, likely) -> planner.candidateMachines(job, likely, nowMicros));
         if (round == null) {
             given.forEach(returns::notWritten);
             return null;
@@ -901,54 +913,55 @@
         return round.transaction();
     }
 
-    public void roundConfirmed(long revision, long nowMicros) {
-        JobLedgers.Round round = inFlight;
+    public void writeConfirmed(long revision, long nowMicros) {
+        JobLedgers.WriteBatch round = inFlight;
         inFlight = null;
         for (Transaction.Write write : round.transaction().writes()) {
             if (MachineDeletions.owns(write.key())) {
                 returns.written(write, revision);
-            } else if (write.row() == null) {
+            } else if (write.record() == null) {
                 extraWrites.remove(write);
             }
         }
-        for (JobLedgers.Part part : round.parts()) {
-            if (part.over() && !part.job().cancelled) {
+        for (JobLedgers.JobWrite part : round.jobWrites()) {
+            if (part.last() && !part.job().cancelled) {
                 completed.add(part.job());
             }
         }
         for (Transaction.Write write : round.transaction().writes()) {
-            if (write.row() instanceof StoredRecord.JobRow row) {
-                ended.add(new Ended(write.key().substring(StoreKeys.JOBS.length()), row, revision));
+            if (write.record() instanceof StoredRecord.JobRecord row) {
+                takeEndedJobs.add(new EndedJob(write.key().substring(StoreKeys.JOBS.length()), row, revision));
             }
         }
-        ledgers.confirmed(round, revision, nowMicros);
-        if (round.transaction().writes().stream().anyMatch(write -> write.row() instanceof StoredRecord.Fence)) {
+        ledgers.writeConfirmed(round, revision, nowMicros);
+        if (round.transaction().writes().stream()
+                .anyMatch(write -> write.record() instanceof StoredRecord.ProvisioningFence)) {
             rentals.fenceMoved(revision);
         }
-        for (ProvisioningRequests.Booking booking : round.bookings()) {
+        for (ProvisioningRequests.Request booking : round.provisioningRequests()) {
             booking.writing = false;
             booking.version = booking.state == ProvisioningRequests.State.DONE ? 0 : revision;
             booking.recorded = booking.state != ProvisioningRequests.State.DONE;
             if (booking.state == ProvisioningRequests.State.DONE) {
-                rentals.bookings.remove(booking.name);
+                rentals.requests.remove(booking.name);
             }
         }
     }
 
-    /** Not applied or of unknown outcome: the keys returned must be read back before {@link #roundResolved}. */
-    public List<String> roundUnresolved() {
-        return ledgers.unresolved(inFlight);
+    /** Not applied or of unknown outcome: the keys returned must be read back before {@link #writeResolved}. */
+    public List<String> unresolvedWriteKeys() {
+        return ledgers.unresolvedKeys(inFlight);
     }
 
     /** The service will never take this transaction. */
-    public void roundRefused(long nowMicros) {
-        JobLedgers.Round round = inFlight;
+    public void writeRejected(long nowMicros) {
+        JobLedgers.WriteBatch round = inFlight;
         if (round.transaction().writes().size() > FEWEST_OPS) {
             mostOps = Math.max(FEWEST_OPS, round.transaction().writes().size() / 2);
         }
-        ledgers.refused(round, nowMicros);
+        ledgers.writeRejected(round, nowMicros);
         returnsOf(round).forEach(returns::notWritten);
-        roundResolved(nowMicros);
+        writeResolved(nowMicros);
     }
 
     /**
@@ -956,34 +969,34 @@
      * a user who cancels one job must not hold up the other fifteen of a round, nor cost the reads of all their keys (after a restart of all
      * controllers at 1.5 times the fleet 80 rounds of a day were refused whole, each read back with some 30 requests).
      *
-     * @return the keys to be read back, each to be followed by {@link #keyKnown}
+     * @return the keys to be read back, each to be followed by {@link #keyReadBack}
      */
-    public List<String> roundRefusedFor(List<String> failed, long nowMicros) {
-        JobLedgers.Round round = inFlight;
+    public List<String> writeConflicted(List<String> failed, long nowMicros) {
+        JobLedgers.WriteBatch round = inFlight;
         inFlight = null;
-        for (ProvisioningRequests.Booking booking : round.bookings()) {
+        for (ProvisioningRequests.Request booking : round.provisioningRequests()) {
             booking.writing = false;
         }
-        rentals.doubt(failed.stream().filter(ProvisioningRequests::owns).toList());
+        rentals.markUnknown(failed.stream().filter(ProvisioningRequests::owns).toList());
         for (Transaction.Write write : returnsOf(round)) {
             if (failed.contains(write.key())) {
-                returns.doubt(write.key());
+                returns.markUnknown(write.key());
             } else {
                 returns.notWritten(write);
             }
         }
-        return ledgers.refusedBy(round, failed, nowMicros);
+        return ledgers.writeConflicted(round, failed, nowMicros);
     }
 
     /** A key that a round was refused for was read back and taken in. */
-    public void keyKnown(String key, long nowMicros) {
-        if (!isOfDuties(key)) {
-            ledgers.keyKnown(key, nowMicros);
+    public void keyReadBack(String key, long nowMicros) {
+        if (!isCloudRecord(key)) {
+            ledgers.keyReadBack(key, nowMicros);
         }
     }
 
     /** A booking, their fence or a row of machines that are given back, as read back; null with version 0 if there is none. */
-    public void dutyReadBack(String key, StoredRecord row, long version) {
+    public void cloudRecordReadBack(String key, StoredRecord row, long version) {
         if (MachineDeletions.owns(key)) {
             returns.readBack(key, version);
         } else {
@@ -992,20 +1005,20 @@
     }
 
     /** Whether the key is of what is asked of the cloud, and not of a job. */
-    public static boolean isOfDuties(String key) {
+    public static boolean isCloudRecord(String key) {
         return ProvisioningRequests.owns(key) || MachineDeletions.owns(key);
     }
 
-    private static List<Transaction.Write> returnsOf(JobLedgers.Round round) {
+    private static List<Transaction.Write> returnsOf(JobLedgers.WriteBatch round) {
         return round.transaction().writes().stream()
                 .filter(write -> MachineDeletions.owns(write.key()))
                 .toList();
     }
 
     /** The round was certainly not executed; nothing needs to be read. */
-    public void roundNotExecuted(long nowMicros) {
+    public void writeNotExecuted(long nowMicros) {
         returnsOf(inFlight).forEach(returns::notWritten);
-        roundResolved(nowMicros);
+        writeResolved(nowMicros);
     }
 
     public void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version) {
@@ -1013,97 +1026,97 @@
     }
 
     /** A job row as read back: our own completion of it, a cancellation, or still open. */
-    public void jobReadBack(String id, StoredRecord.JobRow row, long version, long nowMicros) {
+    public void jobReadBack(String id, StoredRecord.JobRecord row, long version, long nowMicros) {
         Job job = ledgers.get(id);
         if (job != null && row.state() == JobState.DONE) {
             ledgers.drop(job);
-            ended.add(new Ended(id, row, version));
+            takeEndedJobs.add(new EndedJob(id, row, version));
         } else if (job != null && row.state() == JobState.CANCELLED && !job.cancelled) {
             cancel(job, nowMicros);
         } else if (job != null) {
             job.version = version;
         } else if (row.state() == JobState.CANCELLED) {
-            ledgers.withdrawn(id);
+            ledgers.cancelledBeforeStart(id);
         }
     }
 
     /** A job's final row that is in the state service. */
-    public record Ended(String id, StoredRecord.JobRow row, long version) {}
+    public record EndedJob(String id, StoredRecord.JobRecord record, long version) {}
 
     /** Final rows that this leader knows to be stored since the last call: jobs may wait for them. */
-    public List<Ended> ended() {
-        List<Ended> result = List.copyOf(ended);
-        ended.clear();
+    public List<EndedJob> takeEndedJobs() {
+        List<EndedJob> result = List.copyOf(takeEndedJobs);
+        takeEndedJobs.clear();
         return result;
     }
 
-    public void roundResolved(long nowMicros) {
-        JobLedgers.Round round = inFlight;
+    public void writeResolved(long nowMicros) {
+        JobLedgers.WriteBatch round = inFlight;
         inFlight = null;
-        for (ProvisioningRequests.Booking booking : round.bookings()) {
+        for (ProvisioningRequests.Request booking : round.provisioningRequests()) {
             booking.writing = false;
         }
-        ledgers.resolved(round, nowMicros);
+        ledgers.writeResolved(round, nowMicros);
     }
 
     // ---- the cloud
 
-    public void typesKnown(List<MachineType> types, long nowMicros) {
-        fleet.setTypes(types);
+    public void machineTypesChanged(List<MachineType> types, long nowMicros) {
+        fleet.setMachineTypes(types);
     }
 
     public List<CloudCall> cloudCalls(long nowMicros) {
-        return nowMicros < holdsUntilMicros && mayJudge(nowMicros) ? renter.calls(nowMicros) : List.of();
+        return nowMicros < holdsUntilMicros && mayJudge(nowMicros) ? renter.nextCalls(nowMicros) : List.of();
     }
 
-    public void rented(String booking, List<String> names, long nowMicros) {
-        renter.rented(booking, names, nowMicros);
+    public void machinesRented(String booking, List<String> names, long nowMicros) {
+        renter.machinesRented(booking, names, nowMicros);
     }
 
     public void noCapacity(String booking, long nowMicros) {
         renter.noCapacity(booking, nowMicros);
     }
 
-    public void rentUnanswered(String booking, long nowMicros) {
-        renter.unanswered(booking, nowMicros);
+    public void provisioningUnanswered(String booking, long nowMicros) {
+        renter.requestUnanswered(booking, nowMicros);
     }
 
     /** A request that the cloud refused without executing it may be sent again under the same name. */
-    public void rentNotExecuted(String booking) {
-        renter.notExecuted(booking);
+    public void provisioningNotExecuted(String booking) {
+        renter.requestNotExecuted(booking);
     }
 
-    public void deleted(List<String> names, long nowMicros) {
+    public void machinesDeleted(List<String> names, long nowMicros) {
         for (String name : names) {
             Machine machine = fleet.get(name);
             if (machine != null) {
-                if (machine.holdsUp) {
-                    recovery.settled(nowMicros);
+                if (machine.delaysRecovery) {
+                    recovery.machineReconciled(nowMicros);
                 }
                 for (Placement placement : List.copyOf(machine.placements)) {
                     remove(placement);
                 }
             }
-            returns.gone(name, nowMicros);
-            fleet.markGone(name, nowMicros);
+            returns.machineDeleted(name, nowMicros);
+            fleet.markDeleted(name, nowMicros);
             settle(name, nowMicros);
         }
     }
 
-    public void listed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
-        renter.listed(machines, askedMicros, nowMicros);
+    public void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
+        renter.machinesListed(machines, askedMicros, nowMicros);
     }
 
     // ---- what others show
 
     /** How this term got back what the one before knew. */
-    public FailoverTimings takeOver() {
+    public FailoverTimings failoverTimings() {
         return recovery;
     }
 
     /** What this leader has learned and no row holds, for those who may follow it. */
     public List<Hint> hints(long nowMicros) {
-        return Hints.of(fleet, ledgers.jobs(), runTimes, nowMicros);
+        return Hints.snapshot(fleet, ledgers.jobs(), runTimes, nowMicros);
     }
 
     /**
@@ -1111,16 +1124,16 @@
      *
      * @param kept as rows keep it: older than what an heir was told, which it leaves as it is
      */
-    public void hinted(List<Hint> earlier, boolean kept, long nowMicros) {
-        hints.take(earlier, kept, runTimes);
+    public void hintsReceived(List<Hint> earlier, boolean kept, long nowMicros) {
+        hints.add(earlier, kept, runTimes);
         if (!loading) {
             hintsKnown(nowMicros);
         }
     }
 
     /** Of what lasts beyond a take-over without an heir: run times, suspicions, slow, faulty and returned machines. */
-    public List<Hint> lasting(long nowMicros) {
-        return Hints.lasting(fleet, ledgers.jobs(), runTimes, nowMicros);
+    public List<Hint> durableHints(long nowMicros) {
+        return Hints.durableSnapshot(fleet, ledgers.jobs(), runTimes, nowMicros);
     }
 
     /** Tasks done and running of every open job, for display. */
@@ -1128,7 +1141,7 @@
         List<JobProgress> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             int running = 0;
-            for (List<Placement> list : job.live.values()) {
+            for (List<Placement> list : job.liveAttempts.values()) {
                 for (Placement placement : list) {
                     if (placement.phase == Placement.Phase.REPORTED && placement.state != TaskState.FETCHING) {
                         running++;
@@ -1142,18 +1155,18 @@
     }
 
     /** Lines for the log on jobs and machines that came under suspicion since the last call. */
-    public List<String> notices() {
-        String recovered = recovery.line();
+    public List<String> takeNotices() {
+        String recovered = recovery.logLine();
         if (recovered != null) {
-            notices.add(recovered);
+            takeNotices.add(recovered);
         }
-        List<String> lines = List.copyOf(notices);
-        notices.clear();
+        List<String> lines = List.copyOf(takeNotices);
+        takeNotices.clear();
         return lines;
     }
 
     /** A line for the log on each job completed since the last call. */
-    public List<String> completions(long nowMicros) {
+    public List<String> takeCompletions(long nowMicros) {
         List<String> lines = new ArrayList<>();
         for (Job job : completed) {
             String starts = job.attempts == 0
@@ -1170,9 +1183,9 @@
                     job.spec.jobClass(),
                     Micros.toSeconds(nowMicros - job.submittedMicros),
                     Micros.toSeconds(nowMicros - job.readyMicros),
-                    job.spec.tasks(),
+                    job.spec.taskCount(),
                     starts,
-                    Micros.toSeconds(runTimes.expected(job))));
+                    Micros.toSeconds(runTimes.expectedMicros(job))));
         }
         completed.clear();
         return lines;
@@ -1180,6 +1193,7 @@
 
     /** One line for the log. */
     public String summary(long nowMicros) {
-        return new TermSummary(fleet, ledgers, settings, nowMicros).line(pipelines.size(), planner, slowFound, rentals);
+        return new TermSummary(fleet, ledgers, settings, nowMicros)
+                .line(pipelines.waitingJobs(), planner, slowFound, rentals);
     }
 }
--- a/src/main/java/io/micatide/scheduler/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -27,7 +27,7 @@
         this.fleet = fleet;
         this.ledgers = ledgers;
         for (Machine machine : fleet.machines()) {
-            count(machine, machine.usable(nowMicros, settings));
+            count(machine, machine.isSchedulable(nowMicros, settings));
         }
         for (Job job : ledgers.jobs()) {
             count(job);
@@ -35,29 +35,29 @@
     }
 
     private void count(Machine machine, boolean isUsable) {
-        confirmed += machine.confirmed ? 1 : 0;
+        confirmed += machine.reconciled ? 1 : 0;
         booting += machine.lastAnsweredMicros < 0 ? 1 : 0;
         if (isUsable) {
             usable++;
-            size = size.plus(machine.size());
+            size = size.plus(machine.capacity());
             used = used.plus(machine.used);
-            spotCpus += machine.spot ? machine.size().cpus() : 0;
+            spotCpus += machine.spot ? machine.capacity().cpus() : 0;
         }
         int before = replicas;
         for (Placement placement : machine.placements) {
             replicas += placement.job.spec.kind() == JobKind.SERVICE ? 1 : 0;
             if (placement.phase == Placement.Phase.REPORTED && placement.state == TaskState.RUNNING) {
-                runningCpus += placement.job.spec.each().cpus();
+                runningCpus += placement.job.spec.taskResources().cpus();
             }
         }
         serving += replicas > before ? 1 : 0;
     }
 
     private void count(Job job) {
-        full += ledgers.full(job) ? 1 : 0;
-        suspect += job.suspect ? 1 : 0;
-        waiting += job.waiting();
-        unsettled += job.unsettled() ? 1 : 0;
+        full += ledgers.isFull(job) ? 1 : 0;
+        suspect += job.quarantined ? 1 : 0;
+        waiting += job.pendingCount();
+        unsettled += job.hasUnreconciledMachines() ? 1 : 0;
     }
 
     /**
@@ -80,12 +80,12 @@
                 + " booting=" + booting
                 + " replicas=" + replicas
                 + " serving=" + serving
-                + " looked=" + planner.looks()
-                + " cut=" + planner.cutPlans()
-                + " evicted=" + planner.evicted()
+                + " looked=" + planner.machinesExamined()
+                + " cut=" + planner.truncatedPlans()
+                + " evicted=" + planner.evictionCounts()
                 + " slow=" + slowFound
                 + " suspect=" + suspect
                 + " full=" + full
-                + " bookings=" + rentals.bookings.size();
+                + " bookings=" + rentals.requests.size();
     }
 }
--- a/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
+++ b/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
@@ -26,7 +26,7 @@
 
     /** Arrays that may displace the same work. */
     private record Displacer(EquivalenceClass shape, Priority priority, String team, boolean guaranteed) {
-        static Displacer of(JobQueue.Queued queued) {
+        static Displacer of(JobQueue.QueuedJob queued) {
             Job job = queued.job();
             return new Displacer(EquivalenceClass.of(job.spec), job.priority(), job.spec.team(), queued.guaranteed());
         }
@@ -63,11 +63,11 @@
     }
 
     /** An array like this one found nothing to displace. */
-    void findsNothing(JobQueue.Queued queued) {
+    void findsNothing(JobQueue.QueuedJob queued) {
         findNothing.add(Displacer.of(queued));
     }
 
-    boolean findNothing(JobQueue.Queued queued) {
+    boolean findNothing(JobQueue.QueuedJob queued) {
         return findNothing.contains(Displacer.of(queued));
     }
 
--- a/src/main/java/io/micatide/simulation/FailoverBenchmark.java
+++ b/src/main/java/io/micatide/simulation/FailoverBenchmark.java
@@ -124,7 +124,7 @@
                 standby ? Tuning.leaseWithStandby(settings) : defaults.leaderLeaseMicros(),
                 600 * Micros.SECOND,
                 true,
-                defaults.historyBatch(),
+                defaults.archiveBatchSize(),
                 standby,
                 false,
                 false);
@@ -267,10 +267,10 @@
         longestMillis =
                 Math.max(longestMillis, deployment.process(deployment.leader()).longestNanos() / 1e6);
         record("end to claim", claimed - began);
-        record("claim to rebuilt", times.rebuiltMicros());
-        record("claim to 50% confirmed", times.confirmedMicros(0));
-        record("claim to 90% confirmed", times.confirmedMicros(1));
-        record("claim to 99% confirmed", times.confirmedMicros(2));
+        record("claim to rebuilt", times.stateLoadedMicros());
+        record("claim to 50% confirmed", times.machinesReconciledMicros(0));
+        record("claim to 90% confirmed", times.machinesReconciledMicros(1));
+        record("claim to 99% confirmed", times.machinesReconciledMicros(2));
         deployment.time.run(SETTLE_S * Micros.SECOND);
     }
 
--- a/src/main/java/io/micatide/simulation/GangRendezvous.java
+++ b/src/main/java/io/micatide/simulation/GangRendezvous.java
@@ -35,8 +35,8 @@
         Map<SimulatedWorker.Task, SimulatedWorker> peers =
                 present.computeIfAbsent(attempt(task), k -> new LinkedHashMap<>());
         peers.put(task, worker);
-        if (peers.size() == task.spec.tasks()) {
-            peers.forEach((each, at) -> at.run(each, each.spec.estimateMicros()));
+        if (peers.size() == task.spec.taskCount()) {
+            peers.forEach((each, at) -> at.run(each, each.spec.estimatedRuntimeMicros()));
         } else {
             loop.later(
                     () -> {
@@ -44,7 +44,7 @@
                             worker.exit(task, ExitCause.ALONE);
                         }
                     },
-                    settings.gangWaitMicros());
+                    settings.gangStartTimeoutMicros());
         }
     }
 
@@ -63,7 +63,7 @@
             broken.add(attempt(task));
             loop.later(
                     () -> others.forEach(each -> each.getValue().exit(each.getKey(), ExitCause.PEERS)),
-                    settings.gangPeerMicros());
+                    settings.gangPeerTimeoutMicros());
         }
     }
 }
--- a/src/main/java/io/micatide/simulation/InvariantChecker.java
+++ b/src/main/java/io/micatide/simulation/InvariantChecker.java
@@ -174,10 +174,10 @@
             return;
         }
         heldOf.computeIfAbsent(spec.id(), k -> new HashMap<>()).merge(task, 1, Integer::sum);
-        taken.merge(machine.name(), spec.each(), Resources::plus);
-        Resources all = used.merge(spec.team(), spec.each(), Resources::plus);
+        taken.merge(machine.name(), spec.taskResources(), Resources::plus);
+        Resources all = used.merge(spec.team(), spec.taskResources(), Resources::plus);
         Team team = teams.get(spec.team());
-        if (team != null && !team.allows(all)) {
+        if (team != null && !team.isWithinLimit(all)) {
             broke("quota", spec.team() + " uses " + all + " of " + team + " with " + task + " on " + machine.name());
         }
     }
@@ -186,7 +186,7 @@
     public void released(String task, long attempt, SimulatedCloud.Rented machine) {
         Held gone = held.remove(key(task, attempt, machine.name()));
         if (gone != null) {
-            Resources freed = Resources.NONE.minus(gone.spec().each());
+            Resources freed = Resources.NONE.minus(gone.spec().taskResources());
             used.merge(gone.spec().team(), freed, Resources::plus);
             taken.merge(machine.name(), freed, Resources::plus);
             heldOf.get(gone.spec().id()).computeIfPresent(task, (name, attempts) -> attempts > 1 ? attempts - 1 : null);
@@ -215,11 +215,11 @@
             together += same ? 1 : 0;
             apart |= at != null && !same;
         }
-        if (spec.oneZone() && apart) {
+        if (spec.singleZone() && apart) {
             broke("wrong_place", task + " in " + there.zone() + " apart from its job");
         }
-        if (together > spec.mostInOneZone()) {
-            broke("wrong_place", task + " is one of " + together + " in " + there.zone() + ", of " + spec.tasks());
+        if (together > spec.maxTasksPerZone()) {
+            broke("wrong_place", task + " is one of " + together + " in " + there.zone() + ", of " + spec.taskCount());
         }
     }
 
@@ -283,8 +283,8 @@
     private void lookBesideRoom(String id, Job job) {
         if (job.spec == null
                 || job.spec.kind() == JobKind.GANG
-                || job.spec.oneZone()
-                || job.spec.spread()
+                || job.spec.singleZone()
+                || job.spec.spreadOverZones()
                 || job.waitedTooLong
                 || job.told != Told.ACCEPTED
                 || job.cancelAsked
@@ -306,14 +306,15 @@
     private boolean fitsSomewhere(JobSpec spec) {
         Team team = teams.get(spec.team());
         if (team != null
-                && !team.allows(used.getOrDefault(spec.team(), Resources.NONE).plus(spec.each()))) {
+                && !team.isWithinLimit(
+                        used.getOrDefault(spec.team(), Resources.NONE).plus(spec.taskResources()))) {
             return false;
         }
         return machines.get().stream()
                 .anyMatch(machine -> spec.allowsMachine(machine.type().name(), machine.zone(), machine.spot())
-                        && spec.each()
+                        && spec.taskResources()
                                 .fitsIn(machine.type()
-                                        .size()
+                                        .resources()
                                         .minus(taken.getOrDefault(machine.name(), Resources.NONE))));
     }
 
--- a/src/main/java/io/micatide/simulation/LocalDeployment.java
+++ b/src/main/java/io/micatide/simulation/LocalDeployment.java
@@ -93,9 +93,9 @@
         Tuning defaults = Tuning.defaults(settings.get(0));
         tuning = new Tuning(
                 defaults.leaderLeaseMicros(),
-                defaults.idleMicros(),
+                defaults.idleMachineMicros(),
                 true,
-                defaults.historyBatch(),
+                defaults.archiveBatchSize(),
                 true,
                 description,
                 true);
--- a/src/main/java/io/micatide/simulation/SimulatedCloud.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCloud.java
@@ -105,7 +105,7 @@
     }
 
     private void rent(Request request, CloudCall.Rent rent) {
-        List<String> names = bookings.get(rent.booking());
+        List<String> names = bookings.get(rent.requestName());
         if (names == null) {
             MachineType type = types.stream()
                     .filter(each -> each.name().equals(rent.type()))
@@ -120,7 +120,7 @@
             for (int i = 0; i < count; i++) {
                 names.add(start(type, rent.zone(), rent.spot()));
             }
-            bookings.put(rent.booking(), names);
+            bookings.put(rent.requestName(), names);
         }
         request.answer(200, CloudSideCodec.rented(names));
     }
--- a/src/main/java/io/micatide/simulation/SimulatedWorker.java
+++ b/src/main/java/io/micatide/simulation/SimulatedWorker.java
@@ -314,23 +314,23 @@
     // ---- tasks
 
     private void execute(Command command) {
-        String key = command.job() + "/" + command.index() + "@" + command.attempt();
+        String key = command.job() + "/" + command.taskIndex() + "@" + command.attempt();
         Task task = tasks.get(key);
         if (command instanceof Command.Start && task == null) {
             start(command, key);
         } else if (command instanceof Command.Stop stop && task != null && !task.over()) {
             stop(task, stop.graceMicros());
-        } else if (command instanceof Command.Forget && task != null && task.over()) {
+        } else if (command instanceof Command.Reap && task != null && task.over()) {
             tasks.remove(key);
         }
     }
 
     private void start(Command command, String key) {
         JobSpec spec = described.apply(command.job());
-        Task task = new Task(command.job(), command.index(), command.attempt(), spec);
+        Task task = new Task(command.job(), command.taskIndex(), command.attempt(), spec);
         tasks.put(key, task);
         changed();
-        if (spec == null || command.index() >= spec.tasks()) {
+        if (spec == null || command.taskIndex() >= spec.taskCount()) {
             task.cause = ExitCause.UNKNOWN;
         } else if (!hasRoom()) {
             task.cause = ExitCause.NO_ROOM;
@@ -352,11 +352,11 @@
         Resources used = Resources.NONE;
         for (Task each : tasks.values()) {
             if (!each.over()) {
-                used = used.plus(each.spec.each());
+                used = used.plus(each.spec.taskResources());
             }
         }
-        Resources size = machine.type().size();
-        return used.cpus() <= size.cpus() && used.cards() <= size.cards() && used.memory() <= size.memory();
+        Resources size = machine.type().resources();
+        return used.cpus() <= size.cpus() && used.gpus() <= size.gpus() && used.memory() <= size.memory();
     }
 
     private void fetched(Task task) {
@@ -368,7 +368,7 @@
             task.state = TaskState.WAITING;
             gangs.arrived(this, task);
         } else {
-            run(task, runTime.micros(task.job, task.index, task.spec.estimateMicros()));
+            run(task, runTime.micros(task.job, task.index, task.spec.estimatedRuntimeMicros()));
         }
         changed();
     }
@@ -390,7 +390,7 @@
 
     private void stop(Task task, long graceMicros) {
         if (task.state == TaskState.RUNNING
-                && task.spec.checkpointMicros() > 0
+                && task.spec.checkpointIntervalMicros() > 0
                 && graceMicros >= task.spec.saveMicros()) {
             task.state = TaskState.SAVING;
             loop.later(
--- a/src/main/java/io/micatide/simulation/StartupBenchmark.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -87,7 +87,7 @@
         SimulatedCloud cloud =
                 new SimulatedCloud(new NettyActorExecutor(loop), List.of(TYPE), 0, machine -> {}, name -> {});
         new HttpServer(cloud::handle, 1000).bind(loop, "127.0.0.1:" + ports[1]).sync();
-        loop.submit(() -> state[0].preset(StoreKeys.TYPES, json(new StoredRecord.Types(List.of(TYPE)))))
+        loop.submit(() -> state[0].preset(StoreKeys.MACHINE_TYPES, json(new StoredRecord.MachineTypes(List.of(TYPE)))))
                 .get();
         List<String> log = new ArrayList<>();
         long[] requests = new long[1];
@@ -123,8 +123,8 @@
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
         long values = state[0].values()
-                .tailMap(StoreKeys.SEGMENTS)
-                .headMap(StoreKeys.SEGMENTS + "~")
+                .tailMap(StoreKeys.ARCHIVE_SEGMENTS)
+                .headMap(StoreKeys.ARCHIVE_SEGMENTS + "~")
                 .size();
         return String.format(
                 Locale.ROOT,
@@ -155,12 +155,12 @@
             for (int i = 0; i < jobs; i++) {
                 state.preset(
                         StoreKeys.job(id(i)),
-                        json(new StoredRecord.JobRow(
+                        json(new StoredRecord.JobRecord(
                                 JobState.DONE, null, 1_790_000_000_000_000L + i, 16, 1_790_000_060_000_000L + i, 0)));
             }
             return 0;
         }
-        StoredRecord.History manifest = Archiver.first(17, 4711);
+        StoredRecord.ArchiveManifest manifest = Archiver.first(17, 4711);
         long version = 1;
         long changes = 0;
         Archiver archivist = new Archiver(1, LIMITS.valueBytes(), LIMITS.transactionChanges(), 256, manifest, version);
@@ -177,10 +177,10 @@
             } else if (step instanceof Archiver.Write write) {
                 changes += write.transaction().writes().size();
                 for (Transaction.Write each : write.transaction().writes()) {
-                    if (each.row() == null) {
+                    if (each.record() == null) {
                         state.values().remove(each.key());
                     } else {
-                        state.preset(each.key(), json(each.row()));
+                        state.preset(each.key(), json(each.record()));
                     }
                 }
                 archivist.written(++version);
@@ -191,7 +191,7 @@
             }
         }
         state.preset(StoreKeys.LAYOUT, json(new StoredRecord.Layout(3, 2048)));
-        state.preset(StoreKeys.HISTORY, json(archivist.manifest()));
+        state.preset(StoreKeys.ARCHIVE_MANIFEST, json(archivist.manifest()));
         return changes;
     }
 
@@ -199,7 +199,7 @@
         try {
             String value = "{\"k\":\"" + key + "\",\"data\":"
                     + new String(state.values().get(key).json(), StandardCharsets.UTF_8) + ",\"stamp\":1}";
-            archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.Segment)
+            archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
                     StoreCodec.item(value.getBytes(StandardCharsets.UTF_8)).row()));
         } catch (MalformedException | DamagedSegmentException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/io/micatide/simulation/scale/ScaleRun.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleRun.java
@@ -135,7 +135,9 @@
         state = new SimulatedStore(new NettyActorExecutor(stateLoop), ScaleSettings.STATE);
         MachineType type = ScaleSettings.machineType();
         checker = new InvariantChecker(
-                loop::now, settings.get(0).cancelMicros(), settings.get(0).teams());
+                loop::now,
+                settings.get(0).cancellationLimitMicros(),
+                settings.get(0).teams());
         List<Http> forUsers = new ArrayList<>();
         for (int i = 0; i < plan.controllers(); i++) {
             HttpClient client = new HttpClient(eventLoop, settings.get(i).bind(), USER_CONNECTIONS);
--- a/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
@@ -56,7 +56,7 @@
             this.spec = spec;
             this.urgent = urgent;
             this.body = UserSideCodec.submission(spec);
-            for (int task = 0; task < spec.tasks(); task++) {
+            for (int task = 0; task < spec.taskCount(); task++) {
                 left.add(task);
             }
         }
@@ -238,7 +238,7 @@
         UserJob job = new UserJob(spec, urgent);
         jobs.put(spec.id(), job);
         uploads.accept(spec.id(), job.body);
-        checker.submits(spec.id(), spec.tasks(), false);
+        checker.submits(spec.id(), spec.taskCount(), false);
         checker.describes(spec);
         job.submittedMicros = loop.now();
         send(job);
--- a/src/main/java/io/micatide/snapshot/StoreImage.java
+++ b/src/main/java/io/micatide/snapshot/StoreImage.java
@@ -15,15 +15,15 @@
 public record StoreImage(long revision, SortedMap<String, RawStoreCodec.Value> values) {
     /** One for each owner of the writes; {@link StoreKeys#LEADER} and registrations are left out: they are bound to leases. */
     static final List<String> PREFIXES = List.of(
-            StoreKeys.BOOKINGS,
-            StoreKeys.FENCE,
-            StoreKeys.LEARNED,
-            StoreKeys.RETURNS,
-            StoreKeys.ASKED,
-            StoreKeys.SEGMENTS,
+            StoreKeys.PROVISIONING_REQUESTS,
+            StoreKeys.PROVISIONING_FENCE,
+            StoreKeys.LEARNED_STATE,
+            StoreKeys.MACHINE_DELETIONS,
+            StoreKeys.FEATURE_REQUESTS,
+            StoreKeys.ARCHIVE_SEGMENTS,
             StoreKeys.JOBS,
             StoreKeys.LEDGERS,
-            StoreKeys.TYPES);
+            StoreKeys.MACHINE_TYPES);
 
     /** How many values there are of each prefix. */
     public Map<String, Integer> counts() {
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -53,7 +53,7 @@
 
     /** A job and a machine may have the same name. */
     static String key(Hint hint) {
-        return (hint instanceof Hint.OfMachine ? "m/" : hint instanceof Hint.OfJob ? "j/" : "c/") + hint.name();
+        return (hint instanceof Hint.MachineHint ? "m/" : hint instanceof Hint.JobHint ? "j/" : "c/") + hint.name();
     }
 
     /** What an heir is to be told now; empty if it holds this picture already. */
--- a/src/main/java/io/micatide/standby/KeyspaceReplica.java
+++ b/src/main/java/io/micatide/standby/KeyspaceReplica.java
@@ -182,13 +182,14 @@
                         .map(name -> names.computeIfAbsent(name, k -> k))
                         .toList(),
                 ledger.gangAttempt(),
-                ledger.done(),
-                ledger.dense());
+                ledger.finishedTasks(),
+                ledger.compressedNames());
     }
 
     private static long bytes(Entry entry) {
         long rest = entry.row() instanceof StoredRecord.Ledger ledger
-                ? (long) ledger.machines().size() * NAME_BYTES + ledger.done().length()
+                ? (long) ledger.machines().size() * NAME_BYTES
+                        + ledger.finishedTasks().length()
                 : 0;
         return ENTRY_BYTES + entry.key().length() + rest;
     }
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -85,8 +85,8 @@
         fit.sort(Comparator.comparing((Integer each) -> !before.contains(each))
                 .thenComparing(each -> settings.siblings().get(each).zone().equals(settings.zone()))
                 .thenComparing(this::behind));
-        List<Integer> now =
-                new ArrayList<>(fit.subList(0, Math.min(fit.size(), settings.stateRate() < RATE_OF_TWO ? 1 : 2)));
+        List<Integer> now = new ArrayList<>(
+                fit.subList(0, Math.min(fit.size(), settings.storeRequestsPerSecond() < RATE_OF_TWO ? 1 : 2)));
         // A warm one goes before one that still reads, and otherwise the order stays.
         now.sort(Comparator.comparing((Integer each) -> readiness[each] != StandbyReadiness.WARM)
                 .thenComparing(each -> before.contains(each) ? before.indexOf(each) : before.size()));
--- a/src/main/java/io/micatide/store/JobOutcome.java
+++ b/src/main/java/io/micatide/store/JobOutcome.java
@@ -12,7 +12,7 @@
  */
 public record JobOutcome(JobState state, boolean service, int tasks) {
     /** Of a job's final row. */
-    public static JobOutcome of(StoredRecord.JobRow row) {
-        return new JobOutcome(row.state(), row.spec() != null && row.spec().kind() == JobKind.SERVICE, row.tasks());
+    public static JobOutcome of(StoredRecord.JobRecord row) {
+        return new JobOutcome(row.state(), row.spec() != null && row.spec().kind() == JobKind.SERVICE, row.taskCount());
     }
 }
--- a/src/main/java/io/micatide/store/MachineNameCodec.java
+++ b/src/main/java/io/micatide/store/MachineNameCodec.java
@@ -59,7 +59,7 @@
     }
 
     /** The groups, in a fixed order; names without a number are groups without steps. */
-    public static List<String> shorten(Collection<String> names) {
+    public static List<String> compress(Collection<String> names) {
         TreeMap<Group, Numbers> groups = new TreeMap<>();
         Group group = null;
         Numbers numbers = null;
@@ -112,8 +112,8 @@
         }
     }
 
-    /** What {@link #shorten} was given; a text that it did not make is an {@link IllegalArgumentException}. */
-    public static List<String> lengthen(Collection<String> groups) {
+    /** What {@link #compress} was given; a text that it did not make is an {@link IllegalArgumentException}. */
+    public static List<String> decompress(Collection<String> groups) {
         List<String> names = new ArrayList<>();
         for (String group : groups) {
             int last = group.lastIndexOf('/');
@@ -146,9 +146,9 @@
     }
 
     /** What the groups take as JSON, with quotes and commas. */
-    public static int bytes(Collection<String> names) {
+    public static int compressedBytes(Collection<String> names) {
         int bytes = 0;
-        for (String group : shorten(names)) {
+        for (String group : compress(names)) {
             bytes += group.length() + 3;
         }
         return bytes;
--- a/src/main/java/io/micatide/store/PendingReads.java
+++ b/src/main/java/io/micatide/store/PendingReads.java
@@ -26,7 +26,7 @@
     }
 
     /** The answer to the read that is under way was taken in. */
-    public void read() {
+    public void keyRead() {
         if (asking) {
             asking = false;
             unread.removeFirst();
@@ -34,11 +34,11 @@
     }
 
     /** The read that is under way failed; the same key is next, after a pause that the caller makes. */
-    public void failed() {
+    public void keyFailed() {
         asking = false;
     }
 
-    public boolean finished() {
+    public boolean isFinished() {
         return unread.isEmpty();
     }
 }
--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -147,7 +147,7 @@
         day.busy(30);
         day.settle();
         List<String> segments = day.state.values().keySet().stream()
-                .filter(key -> key.startsWith(StoreKeys.SEGMENTS))
+                .filter(key -> key.startsWith(StoreKeys.ARCHIVE_SEGMENTS))
                 .toList();
         day.damage(segments.get(0));
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -545,13 +545,13 @@
     /** What the manifest names is all there and all that is there, and holds what users were told, each job once in rows or runs. */
     void checkStored() throws MalformedException, DamagedSegmentException {
         Map<String, Outcomes> found = new TreeMap<>();
-        SimulatedStore.Value manifest = state.values().get(StoreKeys.HISTORY);
+        SimulatedStore.Value manifest = state.values().get(StoreKeys.ARCHIVE_MANIFEST);
         if (manifest == null) {
             broken.add("no archive");
             return;
         }
         Set<String> named = new HashSet<>();
-        for (StoredRecord.Run run : ((StoredRecord.History) row(StoreKeys.HISTORY)).runs()) {
+        for (StoredRecord.ArchiveRun run : ((StoredRecord.ArchiveManifest) row(StoreKeys.ARCHIVE_MANIFEST)).runs()) {
             for (int number = 0; number < run.segments(); number++) {
                 String key = StoreKeys.segment(run.name(), number);
                 named.add(key);
@@ -559,7 +559,7 @@
                     broken.add("missing " + key);
                     continue;
                 }
-                for (ArchivedJob each : SegmentCodec.unpack(key, (StoredRecord.Segment) row(key))) {
+                for (ArchivedJob each : SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) row(key))) {
                     found.computeIfAbsent(each.id(), k -> new Outcomes())
                             .add(each.outcome().state().name());
                 }
@@ -567,13 +567,13 @@
         }
         int rows = 0;
         for (String key : state.values().keySet()) {
-            if (key.startsWith(StoreKeys.SEGMENTS) && !named.contains(key)) {
+            if (key.startsWith(StoreKeys.ARCHIVE_SEGMENTS) && !named.contains(key)) {
                 broken.add("unnamed " + key);
             }
             if (key.startsWith("job/wk-") && key.indexOf('/', 4) < 0) {
                 rows++;
                 found.computeIfAbsent(key.substring(4), k -> new Outcomes())
-                        .add(((StoredRecord.JobRow) row(key)).state().name());
+                        .add(((StoredRecord.JobRecord) row(key)).state().name());
             }
         }
         for (Job job : jobs.values()) {
--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -28,7 +28,7 @@
     private static final class Store {
         final TreeMap<String, StoredRecord> values = new TreeMap<>();
         final List<Archiver.Ended> rows = new ArrayList<>();
-        StoredRecord.History manifest = Archiver.first(3, 5);
+        StoredRecord.ArchiveManifest manifest = Archiver.first(3, 5);
         long version = 1;
         int changes;
         int reads;
@@ -37,7 +37,7 @@
 
         Store(int limit) {
             this.limit = limit;
-            values.put(StoreKeys.HISTORY, manifest);
+            values.put(StoreKeys.ARCHIVE_MANIFEST, manifest);
         }
 
         void carryOut(Archiver archivist, Archiver.Step step) throws DamagedSegmentException {
@@ -48,8 +48,8 @@
             } else if (step instanceof Archiver.ReadSegment read) {
                 reads++;
                 try {
-                    archivist.segment(
-                            read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.Segment) values.get(read.key())));
+                    archivist.segment(read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.ArchiveSegment)
+                            values.get(read.key())));
                 } catch (DamagedSegmentException e) {
                     archivist.damaged(read.key());
                 }
@@ -58,7 +58,7 @@
 
         private void write(Archiver archivist, Transaction transaction) {
             for (Transaction.Write each : transaction.writes()) {
-                if (each.row() != null && StoreCodec.size(each.row()) > limit) {
+                if (each.record() != null && StoreCodec.size(each.record()) > limit) {
                     refusals++;
                     assertTrue(archivist.refused());
                     return;
@@ -67,15 +67,15 @@
             version++;
             for (Transaction.Write each : transaction.writes()) {
                 changes++;
-                if (each.row() != null) {
-                    values.put(each.key(), each.row());
+                if (each.record() != null) {
+                    values.put(each.key(), each.record());
                 } else if (each.key().startsWith(StoreKeys.JOBS)) {
                     rows.removeIf(row -> StoreKeys.job(row.id()).equals(each.key()));
                 } else {
                     values.remove(each.key());
                 }
             }
-            if (transaction.writes().get(0).row() instanceof StoredRecord.History history) {
+            if (transaction.writes().get(0).record() instanceof StoredRecord.ArchiveManifest history) {
                 manifest = history;
             }
             archivist.written(version);
@@ -138,7 +138,7 @@
         MembershipFilters filters = new MembershipFilters(1 << 20);
         filters.manifest(store.manifest);
         for (String key = filters.wanted(); key != null; key = filters.wanted()) {
-            filters.read(key, SegmentCodec.unpack(key, (StoredRecord.Segment) store.values.get(key)));
+            filters.read(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) store.values.get(key)));
         }
         int reads = 0;
         for (int number = 0; number < jobs; number++) {
@@ -146,7 +146,7 @@
             JobOutcome found = null;
             for (String key : filters.candidates(job.id())) {
                 reads++;
-                JobOutcome here = SegmentCodec.find(key, (StoredRecord.Segment) store.values.get(key), job.id());
+                JobOutcome here = SegmentCodec.find(key, (StoredRecord.ArchiveSegment) store.values.get(key), job.id());
                 found = here == null ? found : here;
             }
             assertEquals(job.outcome(), found, job.id());
@@ -174,7 +174,9 @@
         assertEquals(List.of(), store.rows);
         assertEquals(
                 3000,
-                store.manifest.runs().stream().mapToLong(StoredRecord.Run::jobs).sum());
+                store.manifest.runs().stream()
+                        .mapToLong(StoredRecord.ArchiveRun::jobs)
+                        .sum());
         Set<String> named = new HashSet<>();
         store.manifest.runs().forEach(run -> {
             for (int number = 0; number < run.segments(); number++) {
@@ -184,7 +186,7 @@
         assertEquals(
                 named,
                 new HashSet<>(store.values
-                        .subMap(StoreKeys.SEGMENTS, StoreKeys.SEGMENTS + "~")
+                        .subMap(StoreKeys.ARCHIVE_SEGMENTS, StoreKeys.ARCHIVE_SEGMENTS + "~")
                         .keySet()));
     }
 
@@ -202,9 +204,9 @@
             if (round == 0) {
                 damaged = store.manifest.runs().get(0).name();
                 String key = StoreKeys.segment(damaged, 0);
-                StoredRecord.Segment segment = (StoredRecord.Segment) store.values.get(key);
+                StoredRecord.ArchiveSegment segment = (StoredRecord.ArchiveSegment) store.values.get(key);
                 segment.packed()[20] ^= 1;
-                StoredRecord.Segment changed = segment;
+                StoredRecord.ArchiveSegment changed = segment;
                 assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack(key, changed));
             }
         }
@@ -212,7 +214,9 @@
         assertTrue(store.manifest.runs().stream().anyMatch(run -> run.name().equals(name)));
         assertEquals(
                 12 * 256,
-                store.manifest.runs().stream().mapToLong(StoredRecord.Run::jobs).sum());
+                store.manifest.runs().stream()
+                        .mapToLong(StoredRecord.ArchiveRun::jobs)
+                        .sum());
         assertTrue(store.manifest.runs().size() < 9);
     }
 
@@ -227,8 +231,8 @@
         store.drain(first, true);
         Set<String> named = Set.copyOf(store.values.keySet());
         for (String run : List.of("0-1", "6-1", "7-9", "zz-1")) {
-            store.values.put(StoreKeys.segment(run, 0), new StoredRecord.Segment("x", new byte[1]));
-            store.values.put(StoreKeys.segment(run, 1), new StoredRecord.Segment("x", new byte[1]));
+            store.values.put(StoreKeys.segment(run, 0), new StoredRecord.ArchiveSegment("x", new byte[1]));
+            store.values.put(StoreKeys.segment(run, 1), new StoredRecord.ArchiveSegment("x", new byte[1]));
         }
         store.drain(new Archiver(8, 16384, 16, 256, store.manifest, store.version), false);
         assertEquals(named, store.values.keySet());
@@ -241,19 +245,19 @@
         for (int number = 0; number < 200; number++) {
             jobs.add(new ArchivedJob(String.format("wk-%06d", number * 31), outcome(number)));
         }
-        StoredRecord.Segment segment = SegmentCodec.pack("history/a/000000", jobs);
+        StoredRecord.ArchiveSegment segment = SegmentCodec.pack("history/a/000000", jobs);
         assertEquals(jobs, SegmentCodec.unpack("history/a/000000", segment));
         assertNotNull(SegmentCodec.find("history/a/000000", segment, "wk-000031"));
         assertNull(SegmentCodec.find("history/a/000000", segment, "wk-000032"));
         for (int at = 0; at < segment.packed().length; at++) {
             byte[] changed = segment.packed().clone();
             changed[at] ^= 1 << at % 8;
-            StoredRecord.Segment damaged = new StoredRecord.Segment(segment.digest(), changed);
+            StoredRecord.ArchiveSegment damaged = new StoredRecord.ArchiveSegment(segment.digest(), changed);
             assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000000", damaged));
         }
         assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000001", segment));
-        StoredRecord.Segment half =
-                new StoredRecord.Segment(segment.digest(), java.util.Arrays.copyOf(segment.packed(), 20));
+        StoredRecord.ArchiveSegment half =
+                new StoredRecord.ArchiveSegment(segment.digest(), java.util.Arrays.copyOf(segment.packed(), 20));
         assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000000", half));
     }
 }
--- a/src/test/java/io/micatide/archive/SnapshotTest.java
+++ b/src/test/java/io/micatide/archive/SnapshotTest.java
@@ -82,7 +82,7 @@
     private static Map<String, String> stored(SimulatedStore state) {
         Map<String, String> values = new TreeMap<>();
         state.values().forEach((key, value) -> {
-            if (!key.equals(StoreKeys.LEADER) && !key.startsWith(StoreKeys.HERE) && !key.equals("restored")) {
+            if (!key.equals(StoreKeys.LEADER) && !key.startsWith(StoreKeys.CONTROLLERS) && !key.equals("restored")) {
                 values.put(key, new String(value.json(), StandardCharsets.UTF_8));
             }
         });
--- a/src/test/java/io/micatide/election/CancellationHorizonTest.java
+++ b/src/test/java/io/micatide/election/CancellationHorizonTest.java
@@ -90,13 +90,13 @@
         StringBuilder text = new StringBuilder();
         for (String step : steps.split(" ")) {
             if (step.charAt(0) == 'r') {
-                proof.read(micros(step.substring(1)));
+                proof.storeRead(micros(step.substring(1)));
             } else if (step.charAt(0) == 'a') {
-                text.append(proof.mayAnswer(micros(step.substring(1))) ? 'y' : 'n');
+                text.append(proof.mayAnswerWorkers(micros(step.substring(1))) ? 'y' : 'n');
             } else {
                 String[] word = step.substring(2).replaceAll("[!?]", "").split("[-/]");
                 int sibling = step.charAt(0) - '0';
-                proof.testified(
+                proof.digestReceived(
                         sibling,
                         new CancellationDigest(
                                 step.endsWith("?") ? "c9" : "c" + (sibling + 1),
@@ -141,9 +141,9 @@
                 100,
                 100);
         CancellationHorizon proof = new CancellationHorizon(alone);
-        assertEquals(false, proof.mayAnswer(Micros.SECOND));
-        proof.read(Micros.SECOND);
-        assertEquals(true, proof.mayAnswer(900 * Micros.SECOND));
+        assertEquals(false, proof.mayAnswerWorkers(Micros.SECOND));
+        proof.storeRead(Micros.SECOND);
+        assertEquals(true, proof.mayAnswerWorkers(900 * Micros.SECOND));
     }
 
     /** Settings that leave less than a take-over needs are told to the operator; a margin of a second and the drift of clocks count. */
@@ -178,7 +178,8 @@
                 1,
                 100,
                 100);
-        assertEquals(kept, CancellationHorizon.unkept(settings) == null, CancellationHorizon.unkept(settings));
+        assertEquals(
+                kept, CancellationHorizon.violationOf(settings) == null, CancellationHorizon.violationOf(settings));
     }
 
     private static long micros(String seconds) {
@@ -206,16 +207,16 @@
             String[] parts = step.substring(1).split("@");
             long number = Long.parseLong(parts[0]);
             switch (step.charAt(0)) {
-                case 'c' -> log.cancelled("wk-1", number);
-                case 'l' -> log.readWholeAt(number);
+                case 'c' -> log.add("wk-1", number);
+                case 'l' -> log.allReadAt(number);
                 default -> {
                     for (long each = 0; each < number; each++) {
-                        log.cancelled("wk-" + each, Long.parseLong(parts[1]) + each);
+                        log.add("wk-" + each, Long.parseLong(parts[1]) + each);
                     }
                 }
             }
         }
-        CancellationDigest word = log.above(revision, "c1", 0);
-        assertEquals(told, word.whole() + " " + word.cancelled().size());
+        CancellationDigest word = log.digestSince(revision, "c1", 0);
+        assertEquals(told, word.complete() + " " + word.cancelled().size());
     }
 }
--- a/src/test/java/io/micatide/election/LeaderElectionTest.java
+++ b/src/test/java/io/micatide/election/LeaderElectionTest.java
@@ -37,7 +37,7 @@
         "'read::0,lease,won:5,high:4:other', 5, me, NOTHING",
         "'read::0,lease,won:5,high:5:', 5, me, NOTHING",
     })
-    void leads(String events, long fencingToken, String leader, LeaderElection.Wish next) {
+    void leads(String events, long fencingToken, String leader, LeaderElection.Action next) {
         LeaderElection leadership = new LeaderElection("me", TTL);
         long now = Micros.SECOND;
         for (String event : events.split(",")) {
@@ -45,39 +45,39 @@
             String owner = part.length > 1 && !part[1].isEmpty() ? part[1] : null;
             switch (part[0]) {
                 case "read" -> leadership.rowRead(owner, Long.parseLong(part[2]));
-                case "row" -> leadership.row(owner, Long.parseLong(part[2]));
-                case "lease" -> leadership.granted(7, now);
-                case "won" -> leadership.claimed(Long.parseLong(part[1]));
-                case "lost" -> leadership.claimRefused();
+                case "row" -> leadership.rowObserved(owner, Long.parseLong(part[2]));
+                case "lease" -> leadership.leaseGranted(7, now);
+                case "won" -> leadership.leadershipAcquired(Long.parseLong(part[1]));
+                case "lost" -> leadership.claimRejected();
                 case "resign" -> assertEquals(7, leadership.resign(now, 10 * Micros.SECOND));
                 case "later" -> {
                     now += 11 * Micros.SECOND;
-                    leadership.touched(now);
+                    leadership.leaseRenewed(now);
                 }
-                case "gone" -> leadership.leaseGone();
-                case "unknown" -> leadership.claimUnknown(now - Micros.SECOND);
-                case "high" -> leadership.higherToken(Long.parseLong(part[1]), part[2].isEmpty() ? null : part[2]);
+                case "gone" -> leadership.leaseExpired();
+                case "unknown" -> leadership.claimOutcomeUnknown(now - Micros.SECOND);
+                case "high" -> leadership.observeToken(Long.parseLong(part[1]), part[2].isEmpty() ? null : part[2]);
                 default -> throw new IllegalArgumentException(event);
             }
         }
         assertEquals(fencingToken, leadership.fencingToken());
         assertEquals(leader, leadership.leader());
-        assertEquals(next, leadership.next(now, 0));
+        assertEquals(next, leadership.nextAction(now, 0));
     }
 
     /** A row that became free is left to others for as long as is said; it is no matter when it was asked about. */
     @ParameterizedTest
     @CsvSource({"0, 0, CLAIM", "600, 0, NOTHING", "600, 500, NOTHING", "600, 700, CLAIM"})
-    void leavesAFreeRowToOthers(int waitsMillis, int afterMillis, LeaderElection.Wish next) {
+    void leavesAFreeRowToOthers(int waitsMillis, int afterMillis, LeaderElection.Action next) {
         LeaderElection leadership = new LeaderElection("me", TTL);
         long now = Micros.SECOND;
         long waits = waitsMillis * Micros.MILLISECOND;
         leadership.rowRead("other", 4);
-        leadership.granted(7, now);
+        leadership.leaseGranted(7, now);
         assertEquals(-1, leadership.claimableForMicros(now));
-        assertEquals(LeaderElection.Wish.NOTHING, leadership.next(now, waits));
-        leadership.row(null, 0);
+        assertEquals(LeaderElection.Action.NOTHING, leadership.nextAction(now, waits));
+        leadership.rowObserved(null, 0);
         assertEquals(0, leadership.claimableForMicros(now));
-        assertEquals(next, leadership.next(now + afterMillis * Micros.MILLISECOND, waits));
+        assertEquals(next, leadership.nextAction(now + afterMillis * Micros.MILLISECOND, waits));
     }
 }
--- a/src/test/java/io/micatide/election/StoreConnectivityTest.java
+++ b/src/test/java/io/micatide/election/StoreConnectivityTest.java
@@ -22,11 +22,11 @@
         StoreConnectivity reach = new StoreConnectivity();
         long now = 100 * Micros.SECOND;
         if (served >= 0) {
-            reach.served(now - Micros.ofSeconds(served));
+            reach.requestServed(now - Micros.ofSeconds(served));
         }
         if (sibling >= 0) {
-            reach.siblingServed(now - Micros.ofSeconds(sibling));
+            reach.peerServed(now - Micros.ofSeconds(sibling));
         }
-        assertEquals(lostAlone, reach.lostAlone(now));
+        assertEquals(lostAlone, reach.isPartitionedAlone(now));
     }
 }
--- a/src/test/java/io/micatide/election/WorkerConnectivityTest.java
+++ b/src/test/java/io/micatide/election/WorkerConnectivityTest.java
@@ -47,15 +47,15 @@
     void givesUpOnlyForASiblingThatIsReached(
             double began, double heard, double strayed, double stalled, boolean served, boolean givesUp) {
         WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
-        reach.begin(ago(began));
+        reach.termStarted(ago(began));
         if (heard >= 0) {
-            reach.heard(ago(heard));
+            reach.heartbeatReceived(ago(heard));
         }
-        reach.strayedElsewhere(strayed < 0 ? -1 : Micros.ofSeconds(strayed), NOW);
+        reach.peerReportedStray(strayed < 0 ? -1 : Micros.ofSeconds(strayed), NOW);
         if (stalled >= 0) {
-            reach.stalled(ago(stalled));
+            reach.processPaused(ago(stalled));
         }
-        assertEquals(givesUp, reach.givesUp(served, NOW));
+        assertEquals(givesUp, reach.shouldResign(served, NOW));
     }
 
     /**
@@ -80,13 +80,13 @@
         WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < workers; i++) {
             if (sentAgo >= 0) {
-                reach.cameHere(heartbeat("i-" + i, 0, 1), 7, ago(sentAgo));
+                reach.heartbeatRedirected(heartbeat("i-" + i, 0, 1), 7, ago(sentAgo));
             }
-            reach.cameHere(heartbeat("i-" + i, seen, 2), 7, NOW);
+            reach.heartbeatRedirected(heartbeat("i-" + i, seen, 2), 7, NOW);
         }
-        reach.leaderSilent(Micros.ofSeconds(silent), NOW);
-        assertEquals(stray, reach.strayedAgoMicros(NOW) >= 0);
-        assertEquals(lost, reach.leaderLost(NOW));
+        reach.leaderReportedSilence(Micros.ofSeconds(silent), NOW);
+        assertEquals(stray, reach.lastStrayAgoMicros(NOW) >= 0);
+        assertEquals(lost, reach.isLeaderUnreachable(NOW));
     }
 
     /** Copies of reports that came long ago arrive again: nobody has lost the leader, and none of them is a worker that is here. */
@@ -95,15 +95,15 @@
     void aCopyOfAnOldReportIsNoWorkerThatCameBack(int copies, boolean lost) {
         WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < copies; i++) {
-            reach.cameHere(heartbeat("i-" + i, 5, 9), 7, ago(6));
+            reach.heartbeatRedirected(heartbeat("i-" + i, 5, 9), 7, ago(6));
         }
         for (int i = 0; i < copies; i++) {
-            reach.cameHere(heartbeat("i-" + i, 5, 8), 7, ago(0.2));
-            reach.cameHere(heartbeat("i-" + i, 5, 9), 7, NOW);
+            reach.heartbeatRedirected(heartbeat("i-" + i, 5, 8), 7, ago(0.2));
+            reach.heartbeatRedirected(heartbeat("i-" + i, 5, 9), 7, NOW);
         }
-        assertEquals(lost, reach.leaderLost(NOW));
-        assertEquals(-1, reach.strayedAgoMicros(NOW));
-        assertEquals(false, reach.reached(NOW));
+        assertEquals(lost, reach.isLeaderUnreachable(NOW));
+        assertEquals(-1, reach.lastStrayAgoMicros(NOW));
+        assertEquals(false, reach.isConnected(NOW));
     }
 
     private static Heartbeat heartbeat(String machine, long seen, long sequence) {
@@ -116,8 +116,8 @@
     void knowsWhetherWorkersReachIt(double began, double came, boolean reached) {
         WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, ago(began));
         if (came >= 0) {
-            reach.cameHere(heartbeat("i-1", 0, 1), 7, ago(came));
+            reach.heartbeatRedirected(heartbeat("i-1", 0, 1), 7, ago(came));
         }
-        assertEquals(reached, reach.reached(NOW));
+        assertEquals(reached, reach.isConnected(NOW));
     }
 }
--- a/src/test/java/io/micatide/protocol/CodecTest.java
+++ b/src/test/java/io/micatide/protocol/CodecTest.java
@@ -75,7 +75,7 @@
             })
     void namesOfNeededJobsCountOnce(String part, String needs) throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB.replace("'whistleS':90.0", part))));
-        assertEquals(needs == null ? "" : needs, String.join(" ", spec.needs()));
+        assertEquals(needs == null ? "" : needs, String.join(" ", spec.dependencies()));
     }
 
     @ParameterizedTest
@@ -116,10 +116,10 @@
     /** What is stored of an accepted job is what was submitted. */
     @Test
     void aJobComesBackFromTheStore() throws MalformedException {
-        JobSpec spec = JobCodec.spec(Json.tree(json(JOB))).withNeeds(List.of("wk-7", "wk-8"));
-        StoredRecord.JobRow row = new StoredRecord.JobRow(JobState.OPEN, spec, 5, 16);
+        JobSpec spec = JobCodec.spec(Json.tree(json(JOB))).withDependencies(List.of("wk-7", "wk-8"));
+        StoredRecord.JobRecord row = new StoredRecord.JobRecord(JobState.OPEN, spec, 5, 16);
         byte[] sent = StoreCodec.transaction(new Transaction(
-                List.of(new Transaction.Compare("job/wk-1", 0)), List.of(new Transaction.Write("job/wk-1", row, 0))));
+                List.of(new Transaction.Condition("job/wk-1", 0)), List.of(new Transaction.Write("job/wk-1", row, 0))));
         String data = Json.MAPPER
                 .convertValue(
                         Json.tree(sent).path("writes").get(0).path("data"),
@@ -151,7 +151,7 @@
                 41,
                 List.of(
                         new Command.Stop("wk-1", 0, 3, 10 * Micros.SECOND),
-                        new Command.Forget("wk-2", 1, 4),
+                        new Command.Reap("wk-2", 1, 4),
                         new Command.Start("wk-3", 2, 5)));
         assertEquals(
                 "{'armband':41,'calls':[{'call':'halt','leg':'wk-1/0','throwIn':3,'stoppageS':10.0},"
--- a/src/test/java/io/micatide/protocol/SettingsTest.java
+++ b/src/test/java/io/micatide/protocol/SettingsTest.java
@@ -54,9 +54,9 @@
             throws IOException, MalformedException {
         Settings settings = SettingsReader.parse(
                 good().replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]"));
-        assertEquals(writeRate, settings.writeRate());
-        assertEquals(valueBytes, settings.writableBytes());
-        assertEquals(ops, settings.transactionOps());
+        assertEquals(writeRate, settings.storeWritesPerSecond());
+        assertEquals(valueBytes, settings.maxWritableValueBytes());
+        assertEquals(ops, settings.maxTransactionWrites());
         assertEquals(2048, settings.pageTasks(), "stored pages stay as they are");
     }
 
--- a/src/test/java/io/micatide/protocol/StoredFormatTest.java
+++ b/src/test/java/io/micatide/protocol/StoredFormatTest.java
@@ -63,7 +63,7 @@
     void rowsOfProduction(String key, String data) throws MalformedException {
         StoreCodec.Item item = StoreCodec.item(json("{'k':'" + key + "','data':" + data + ",'stamp':9}"));
         byte[] again = StoreCodec.transaction(new Transaction(
-                List.of(new Transaction.Compare(key, 9)), List.of(new Transaction.Write(key, item.row(), 0))));
+                List.of(new Transaction.Condition(key, 9)), List.of(new Transaction.Write(key, item.row(), 0))));
         assertEquals(
                 "{'if':[{'k':'" + key + "','stamp':9}],'writes':[{'put':'" + key + "','data':" + data + "}]}",
                 new String(again, StandardCharsets.UTF_8).replace('"', '\''));
@@ -73,7 +73,7 @@
     void aRowOfProductionMeansWhatItMeant() throws MalformedException {
         StoreCodec.Item item = StoreCodec.item(json("{'k':'job/wk-1','data':{'state':'OPEN','tasks':16,'submitted':7,"
                 + "'spec':" + SPEC + "},'stamp':9}"));
-        JobSpec spec = ((StoredRecord.JobRow) item.row()).spec();
+        JobSpec spec = ((StoredRecord.JobRecord) item.row()).spec();
         assertEquals(
                 new JobSpec(
                         "wk-1",
@@ -95,7 +95,7 @@
                         0,
                         90_000_000),
                 spec);
-        assertEquals(JobState.OPEN, ((StoredRecord.JobRow) item.row()).state());
+        assertEquals(JobState.OPEN, ((StoredRecord.JobRecord) item.row()).state());
     }
 
     /** A list of any length is kept whole, in as many rows as it takes, none above the limit. */
@@ -114,7 +114,7 @@
         for (int i = 0; i < names; i++) {
             needs.add(String.format("wk-%06d", i));
         }
-        StoredRecord.JobRow row = new StoredRecord.JobRow(
+        StoredRecord.JobRecord row = new StoredRecord.JobRecord(
                 JobState.OPEN,
                 new JobSpec(
                         "wk-x",
@@ -142,15 +142,15 @@
         assertEquals(rows, writes.size());
         JobCache directory = new JobCache();
         for (Transaction.Write write : writes) {
-            assertTrue(StoreCodec.size(write.row()) <= limit, write.key());
-            if (write.row() instanceof StoredRecord.Needs further) {
-                directory.applyNeeds(
+            assertTrue(StoreCodec.size(write.record()) <= limit, write.key());
+            if (write.record() instanceof StoredRecord.FurtherDependencies further) {
+                directory.applyDependencies(
                         "wk-x", Integer.parseInt(write.key().substring("job/wk-x/needs/".length())), further.names());
             } else {
-                directory.apply("wk-x", (StoredRecord.JobRow) write.row(), 5);
+                directory.apply("wk-x", (StoredRecord.JobRecord) write.record(), 5);
             }
         }
-        assertEquals(row, directory.get("wk-x").row());
+        assertEquals(row, directory.get("wk-x").record());
         assertNull(StoreCodec.jobRows("wk-x", row, 200), "the job itself has to fit");
     }
 
--- a/src/test/java/io/micatide/rollout/RolloutPlanTest.java
+++ b/src/test/java/io/micatide/rollout/RolloutPlanTest.java
@@ -35,7 +35,7 @@
         stages.put(
                 "returns",
                 text != null && text.contains("=ON") ? "ON" : text != null && text.contains("=READ") ? "READ" : "OFF");
-        switches.seen(VERSION, new StoredRecord.Features(stages));
+        switches.seen(VERSION, new StoredRecord.FeatureStages(stages));
         return switches;
     }
 
@@ -46,8 +46,8 @@
             char how = there.charAt(i);
             if (how != '.') {
                 roster.add(
-                        StoreKeys.here("abc".substring(i, i + 1)),
-                        new StoredRecord.Here(
+                        StoreKeys.controller("abc".substring(i, i + 1)),
+                        new StoredRecord.RegisteredController(
                                 "1",
                                 how == 'o' ? List.of("needs", "history") : Capabilities.ALL.names(),
                                 how == '-' ? VERSION - 1 : VERSION,
@@ -56,8 +56,10 @@
             }
         }
         stages(asked)
-                .forEach((feature, wish) ->
-                        roster.add(StoreKeys.asked(feature), new StoredRecord.Ask(StoredRecord.Wish.valueOf(wish)), 3));
+                .forEach((feature, wish) -> roster.add(
+                        StoreKeys.featureRequest(feature),
+                        new StoredRecord.FeatureRequest(StoredRecord.RequestedAction.valueOf(wish)),
+                        3));
         return roster;
     }
 
@@ -116,7 +118,7 @@
     @Test
     void conditions() {
         assertEquals(
-                List.of(new Transaction.Compare("rollout/here/a", 7), new Transaction.Compare("rollout/here/b", 8)),
+                List.of(new Transaction.Condition("rollout/here/a", 7), new Transaction.Condition("rollout/here/b", 8)),
                 roster("+++", "").conditions(2));
     }
 
@@ -126,12 +128,12 @@
         FeatureFlags former = new FeatureFlags(Capabilities.without(Feature.LEARNED));
         assertFalse(former.known());
         assertTrue(former.seen(
-                9, new StoredRecord.Features(Map.of("learned", "READ", "booking-fence", "ON", "later", "OFF"))));
+                9, new StoredRecord.FeatureStages(Map.of("learned", "READ", "booking-fence", "ON", "later", "OFF"))));
         assertEquals(List.of("learned (READ)"), former.unknown());
-        assertFalse(former.seen(8, new StoredRecord.Features(Map.of())));
+        assertFalse(former.seen(8, new StoredRecord.FeatureStages(Map.of())));
         assertEquals(List.of("learned (READ)"), former.unknown());
         assertTrue(former.seen(
-                10, new StoredRecord.Features(Map.of("later", "ON", "booking-fence", "BOTH", "learned", "OFF"))));
+                10, new StoredRecord.FeatureStages(Map.of("later", "ON", "booking-fence", "BOTH", "learned", "OFF"))));
         assertEquals(
                 List.of("booking-fence (BOTH)", "later (ON)"),
                 former.unknown().stream().sorted().toList());
@@ -148,9 +150,9 @@
         mine.read(12);
         assertEquals(ControllerRegistration.Wish.PUT, mine.next(3, 40, 0));
         assertEquals(
-                List.of(new Transaction.Compare("job/features", 40), new Transaction.Compare("rollout/here/a", 12)),
+                List.of(new Transaction.Condition("job/features", 40), new Transaction.Condition("rollout/here/a", 12)),
                 mine.put().conditions());
-        assertEquals(3, mine.put().writes().get(0).lease());
+        assertEquals(3, mine.put().writes().get(0).leaseId());
         mine.registered(50);
         assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, 40, 0));
         assertEquals(ControllerRegistration.Wish.PUT, mine.next(3, 60, 0), "newer switches");
--- a/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
+++ b/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
@@ -35,12 +35,12 @@
     private Transaction inFlight;
     private boolean ledgerStored;
 
-    private static StoredRecord.JobRow row(JobState state) {
-        return new StoredRecord.JobRow(state, SPEC, 0, SPEC.tasks());
+    private static StoredRecord.JobRecord row(JobState state) {
+        return new StoredRecord.JobRecord(state, SPEC, 0, SPEC.taskCount());
     }
 
     private void seen(JobState state, long version) {
-        leader.jobSeen(new JobCache.View(SPEC.id(), row(state), version, state, false, 0), now, now);
+        leader.jobChanged(new JobCache.View(SPEC.id(), row(state), version, state, false, 0), now, now);
     }
 
     /** Machine i-1 or i-2 reports running tasks by number and, after a slash, ended ones. */
@@ -54,23 +54,24 @@
                     .forEach(each ->
                             lines.add(new TaskStatus("wk-1", each - '0', 7, TaskState.EXITED, ExitCause.DONE, false)));
         }
-        leader.heartbeat(new Heartbeat(machine, "x:1", "small", "a", false, 1, ++sequence, TOKEN, -1, lines), now);
+        leader.handleHeartbeat(
+                new Heartbeat(machine, "x:1", "small", "a", false, 1, ++sequence, TOKEN, -1, lines), now);
     }
 
     /** What is due is written, and answered unless it stays in flight. */
     private void round(boolean answered) {
         for (int each = 0; each < 5; each++) {
             now += 300 * Micros.MILLISECOND;
-            leader.stateFresh(now);
+            leader.storeReadAt(now);
             leader.tick(now);
-            Transaction next = inFlight != null ? null : leader.round(now, now);
+            Transaction next = inFlight != null ? null : leader.nextWriteBatch(now, now);
             inFlight = next == null ? inFlight : next;
             if (inFlight != null && answered) {
                 for (Transaction.Write write : inFlight.writes()) {
-                    ledgerStored = write.key().equals("ledger/wk-1") ? write.row() != null : ledgerStored;
+                    ledgerStored = write.key().equals("ledger/wk-1") ? write.record() != null : ledgerStored;
                 }
                 inFlight = null;
-                leader.roundConfirmed(++revision, now);
+                leader.writeConfirmed(++revision, now);
             }
         }
     }
@@ -107,7 +108,7 @@
         "o l + a01234 b/01234 w a012 w, 6, false",
     })
     void countsUntilNothingIsAnywhere(String steps, int used, boolean ledger) {
-        leader.typesKnown(List.of(SchedulerHarness.TYPE), 0);
+        leader.machineTypesChanged(List.of(SchedulerHarness.TYPE), 0);
         for (String step : steps.split(" ")) {
             switch (step.charAt(0)) {
                 case 'o' -> seen(JobState.OPEN, 3);
@@ -116,23 +117,23 @@
                     leader.ledgerLoaded("ledger/wk-1", new StoredRecord.Ledger(List.of("i-1", "i-2"), 0, ""), 4, now);
                     ledgerStored = true;
                 }
-                case '+' -> leader.loaded(now);
+                case '+' -> leader.allRecordsLoaded(now);
                 case 'a' -> heartbeat("i-1", step.substring(1));
                 case 'b' -> heartbeat("i-2", step.substring(1));
                 case 'f' -> round(false);
                 case 'u' -> {
                     inFlight = null;
-                    leader.roundNotExecuted(now);
+                    leader.writeNotExecuted(now);
                 }
                 default -> round(true);
             }
         }
-        assertEquals(used * 1000, leader.teamUse("red").cpus(), "processors of the team");
+        assertEquals(used * 1000, leader.teamUsage("red").cpus(), "processors of the team");
         assertEquals(ledger, ledgerStored, "its ledger is stored");
         heartbeat("i-1", "");
         heartbeat("i-2", "");
         round(true);
-        assertEquals(0, leader.teamUse("red").cpus());
-        assertTrue(!ledgerStored && leader.settled("wk-1"), "nothing of it is left");
+        assertEquals(0, leader.teamUsage("red").cpus());
+        assertTrue(!ledgerStored && leader.mayBeArchived("wk-1"), "nothing of it is left");
     }
 }
--- a/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
@@ -17,7 +17,7 @@
 class DependencyFailureTest {
     private static JobSpec job(String id, Priority priority, int tasks, int seconds, String... needs) {
         return SchedulerHarness.job(id, JobKind.ARRAY, "blue", priority, tasks, seconds)
-                .withNeeds(List.of(needs));
+                .withDependencies(List.of(needs));
     }
 
     /** A diamond and a chain; the chain's second job is cancelled while the first runs. */
--- a/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
@@ -23,7 +23,7 @@
 class DependencyGraphTest {
     private static JobSpec spec(String id, List<String> needs) {
         return SchedulerHarness.job(id, JobKind.ARRAY, "blue", Priority.NORMAL, 2, 5)
-                .withNeeds(needs);
+                .withDependencies(needs);
     }
 
     /** Steps are {@code b<a} (a row that needs others), {@code +a} (done) and {@code -a} (cancelled), oldest first. */
@@ -35,12 +35,13 @@
                 JobState state = step.startsWith("+") ? JobState.DONE : JobState.CANCELLED;
                 directory.apply(
                         step.substring(1),
-                        new StoredRecord.JobRow(state, null, 0, 2, state == JobState.DONE ? version : -1, 0),
+                        new StoredRecord.JobRecord(state, null, 0, 2, state == JobState.DONE ? version : -1, 0),
                         version);
             } else {
                 String[] parts = step.split("<");
                 List<String> needs = parts.length > 1 ? List.of(parts[1].split("&")) : List.of();
-                directory.apply(parts[0], new StoredRecord.JobRow(JobState.OPEN, spec(parts[0], needs), 0, 2), version);
+                directory.apply(
+                        parts[0], new StoredRecord.JobRecord(JobState.OPEN, spec(parts[0], needs), 0, 2), version);
             }
         }
     }
@@ -53,7 +54,7 @@
             text.append(
                     view.state() == JobState.DONE
                             ? 'd'
-                            : view.state() == JobState.CANCELLED ? 'x' : view.waits() ? 'w' : 'r');
+                            : view.state() == JobState.CANCELLED ? 'x' : view.hasUnfinishedDependencies() ? 'w' : 'r');
         }
         return text.toString();
     }
@@ -92,7 +93,7 @@
             for (String name : jobs.split("")) {
                 rowsNow.add(order == 0 ? rowsNow.size() : 0, live.get(name));
             }
-            rowsNow.forEach(entry -> late.apply(entry.id(), entry.row(), entry.version()));
+            rowsNow.forEach(entry -> late.apply(entry.id(), entry.record(), entry.version()));
             assertEquals(told, told(late, jobs), "read later, order " + order);
         }
     }
@@ -108,7 +109,7 @@
         }
         play(directory, steps, 0);
         List<String> changed = directory.apply(
-                "j0", new StoredRecord.JobRow(cancel ? JobState.CANCELLED : JobState.DONE, null, 0, 2), length + 1);
+                "j0", new StoredRecord.JobRecord(cancel ? JobState.CANCELLED : JobState.DONE, null, 0, 2), length + 1);
         assertEquals(cancel ? length : 2, changed.size());
         assertEquals(cancel ? JobState.CANCELLED : JobState.OPEN, directory.state("j" + (length - 1)));
     }
@@ -141,7 +142,7 @@
         play(directory, List.of(rows.split(" ")), 0);
         directory.apply(
                 "s",
-                new StoredRecord.JobRow(
+                new StoredRecord.JobRecord(
                         JobState.OPEN, SchedulerHarness.job("s", JobKind.SERVICE, "blue", Priority.NORMAL, 2, 0), 0, 2),
                 50);
         directory.layoutMarked(marked ? 7 : 0, new StoredRecord.Layout(2, 2048));
@@ -150,7 +151,7 @@
                 ? accepted.state() + " "
                         + (accepted.stored() == null
                                 ? 0
-                                : accepted.stored().needs().size())
+                                : accepted.stored().dependencies().size())
                 : said.getClass().getSimpleName();
         assertEquals(outcome, text);
         assertInstanceOf(DependencyAdmission.Refused.class, DependencyAdmission.of(spec("x", List.of("s")), directory));
@@ -187,7 +188,7 @@
                         JobKind.ARRAY,
                         Priority.HIGH,
                         2,
-                        waiting.each(),
+                        waiting.taskResources(),
                         "img-1",
                         1,
                         List.of(),
@@ -199,22 +200,22 @@
                         0,
                         0,
                         100 * Micros.SECOND,
-                        waiting.needs());
+                        waiting.dependencies());
             }
-            pipelines.waits(waiting, ++version, 0);
+            pipelines.jobWaits(waiting, ++version, 0);
         }
         pipelines.refresh(0);
         assertEquals(inherited, first.priority());
-        long before = 100 * Micros.SECOND - first.neededByMicros;
+        long before = 100 * Micros.SECOND - first.dependentsDueMicros;
         if (steps == 0) {
-            assertEquals(Long.MAX_VALUE, first.neededByMicros);
+            assertEquals(Long.MAX_VALUE, first.dependentsDueMicros);
         } else {
             assertTrue(
                     before >= steps * 5 * Micros.SECOND && before <= steps * 12 * Micros.SECOND, "before: " + before);
         }
-        pipelines.waitsNoMore("d");
+        pipelines.jobNoLongerWaits("d");
         pipelines.refresh(0);
-        assertEquals(Long.MAX_VALUE, first.neededByMicros);
+        assertEquals(Long.MAX_VALUE, first.dependentsDueMicros);
     }
 
     /** Names that a row has no room for come in rows of their own, before it or after it: nothing is told of half a list. */
@@ -223,20 +224,21 @@
     void furtherNamesBelongToTheRow(String order, boolean known) {
         JobCache directory = new JobCache();
         play(directory, List.of("a", "b", "c"), 0);
-        StoredRecord.JobRow row =
-                new StoredRecord.JobRow(JobState.OPEN, spec("d", List.of("a")), 0, 2).withNeeds(List.of("a"), 2);
+        StoredRecord.JobRecord row = new StoredRecord.JobRecord(JobState.OPEN, spec("d", List.of("a")), 0, 2)
+                .withDependencies(List.of("a"), 2);
         for (char part : order.toCharArray()) {
             if (part == 'r') {
                 directory.apply("d", row, 9);
             } else {
-                directory.applyNeeds("d", part - '0', List.of(part == '1' ? "b" : "c"));
+                directory.applyDependencies("d", part - '0', List.of(part == '1' ? "b" : "c"));
             }
         }
         assertEquals(known, directory.get("d") != null);
         if (known) {
-            assertEquals(List.of("a", "b", "c"), directory.get("d").row().spec().needs());
+            assertEquals(
+                    List.of("a", "b", "c"), directory.get("d").record().spec().dependencies());
             play(directory, List.of("+a", "+b"), 20);
-            assertTrue(directory.view("d").waits());
+            assertTrue(directory.view("d").hasUnfinishedDependencies());
             play(directory, List.of("-c"), 30);
             assertEquals(JobState.CANCELLED, directory.state("d"));
         }
--- a/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
@@ -38,7 +38,7 @@
         FailureAttribution health = new FailureAttribution(runTimes);
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
         for (int i = 0; i < 10; i++) {
-            runTimes.finished(job, 10 * Micros.SECOND);
+            runTimes.taskFinished(job, 10 * Micros.SECOND);
         }
         long now = 100 * Micros.SECOND;
         Machine machine = new Machine("i-1", 0);
@@ -48,7 +48,7 @@
             placement.runningSinceMicros = now - (i < outliers ? longSeconds : usualSeconds) * Micros.SECOND;
             machine.add(placement);
         }
-        assertEquals(slow ? List.of(machine) : List.of(), health.findSlow(List.of(machine), now));
+        assertEquals(slow ? List.of(machine) : List.of(), health.findSlowMachines(List.of(machine), now));
     }
 
     /** Each row plays outcomes as job:machine, failed unless marked +, and says which jobs and machines are suspected. */
@@ -82,21 +82,21 @@
                     part[0],
                     k -> new Job(SchedulerHarness.job(k, JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0));
             if (outcome.startsWith("+")) {
-                job.finish(job.nextWaiting());
-                health.succeeded(allMachines.get(part[1]), job);
+                job.markFinished(job.nextPendingTask());
+                health.taskSucceeded(allMachines.get(part[1]), job);
             } else {
-                health.failed(allMachines.get(part[1]), job, allMachines.values(), Micros.SECOND);
+                health.taskFailed(allMachines.get(part[1]), job, allMachines.values(), Micros.SECOND);
             }
         }
         List<String> suspects = new ArrayList<>();
         allJobs.forEach((name, job) -> {
-            if (job.suspect) {
+            if (job.quarantined) {
                 suspects.add(name);
             }
         });
         List<String> drained = new ArrayList<>();
         allMachines.forEach((name, machine) -> {
-            if (machine.draining) {
+            if (machine.quarantined) {
                 drained.add(name);
             }
         });
--- a/src/test/java/io/micatide/scheduler/FailureTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureTest.java
@@ -75,8 +75,8 @@
         SchedulerHarness world = new SchedulerHarness(7, 3);
         world.takeOver();
         world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 4, 6));
-        String key = StoreKeys.booking("r-99-1");
-        world.rows.put(key, new StoredRecord.Booking("claimed", SchedulerHarness.TYPE.name(), "a", true, 2));
+        String key = StoreKeys.provisioningRequest("r-99-1");
+        world.rows.put(key, new StoredRecord.Provisioning("claimed", SchedulerHarness.TYPE.name(), "a", true, 2));
         world.versions.put(key, ++world.revision);
         world.takeOver();
         assertTrue(world.leader.summary(world.now).contains("bookings=1"), world.leader.summary(world.now));
@@ -97,7 +97,7 @@
         String gone = ledger.machines().get(0);
         world.workers.get(gone).deleted = true;
         world.workers.get(gone).tasks.clear();
-        world.hints = told ? List.of(Hint.OfMachine.gone(gone)) : List.of();
+        world.hints = told ? List.of(Hint.MachineHint.deleted(gone)) : List.of();
         world.takeOver();
         world.run(seconds * Micros.SECOND);
         assertEquals(told, world.leader.summary(world.now).contains("unsettled=0"), world.leader.summary(world.now));
@@ -130,9 +130,10 @@
             SchedulerHarness world = new SchedulerHarness(seed, 3);
             world.lostAnswers = 0.02;
             world.killAfter = 20 + 7 * seed;
-            List<Hint> lies = new ArrayList<>(List.of(new Hint.OfClass("class", 9, 3), new Hint.OfClass("x", -4, -1)));
+            List<Hint> lies =
+                    new ArrayList<>(List.of(new Hint.JobClassHint("class", 9, 3), new Hint.JobClassHint("x", -4, -1)));
             for (int job = 0; job <= 6; job++) {
-                lies.add(new Hint.OfJob(
+                lies.add(new Hint.JobHint(
                         "wk-" + job,
                         world.random.nextInt(90) * Micros.SECOND,
                         world.random.nextInt(50),
@@ -140,7 +141,7 @@
                         job));
             }
             for (int machine = 0; machine < 12; machine++) {
-                lies.add(new Hint.OfMachine(
+                lies.add(new Hint.MachineHint(
                         String.format("i-%06d", machine),
                         "x:1",
                         3,
@@ -278,29 +279,29 @@
         world.takeOver();
         world.run(15 * Micros.SECOND);
         long held = world.now + 3 * Micros.SECOND;
-        world.leader.holdsUntil(held);
+        world.leader.leaseHeldUntil(held);
         world.submit(SchedulerHarness.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 9, 60));
         world.now += seconds * Micros.SECOND;
-        world.leader.resumed(world.now);
+        world.leader.processResumed(world.now);
         int before = world.starts;
         List<CloudCall> calls = new ArrayList<>();
         for (int step = 0; step < 80; step++) {
             world.now += SchedulerHarness.STEP;
             if (leads) {
-                world.leader.holdsUntil(world.now + 3 * Micros.SECOND);
+                world.leader.leaseHeldUntil(world.now + 3 * Micros.SECOND);
             }
-            world.leader.stateFresh(world.now);
+            world.leader.storeReadAt(world.now);
             world.leader.tick(world.now);
-            Transaction round = world.leader.round(world.now, world.now);
+            Transaction round = world.leader.nextWriteBatch(world.now, world.now);
             if (round != null) {
-                world.leader.roundConfirmed(world.apply(round), world.now);
+                world.leader.writeConfirmed(world.apply(round), world.now);
             }
             calls.addAll(world.leader.cloudCalls(world.now));
             for (SchedulerHarness.Worker worker : world.workers.values()) {
                 Heartbeat heartbeat = worker.heartbeat();
                 worker.execute(
                         world.fencingToken,
-                        world.leader.heartbeat(heartbeat, world.now),
+                        world.leader.handleHeartbeat(heartbeat, world.now),
                         world.now,
                         worker.incarnation);
             }
--- a/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
+++ b/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
@@ -22,15 +22,15 @@
     private void change(int step) {
         int what = random.nextInt(10);
         if (what < 4 || fleet.machines().isEmpty()) {
-            Machine machine = fleet.obtain("i-" + named++, step);
+            Machine machine = fleet.getOrAdd("i-" + named++, step);
             fleet.describe(machine, TYPE.name(), "a", false);
         } else if (what < 7) {
-            fleet.markGone(drawn().name, step);
+            fleet.markDeleted(drawn().name, step);
         } else if (drawn().placements.isEmpty()) {
             Machine machine = drawn();
             Job job =
                     new Job(SchedulerHarness.job("wk-" + step, JobKind.ARRAY, "blue", Priority.LOW, 1, 1), 1, 0, 0, 0);
-            machine.add(new Placement(job, 0, step, machine, Placement.Phase.HELD, step));
+            machine.add(new Placement(job, 0, step, machine, Placement.Phase.AWAITING_LEDGER, step));
         } else {
             Machine machine = drawn();
             List.copyOf(machine.placements).forEach(machine::remove);
@@ -45,34 +45,38 @@
     /** Hundreds of machines come and go, so that slots are closed up many times. */
     @Test
     void answersAsAWalkWould() {
-        fleet.setTypes(List.of(TYPE));
-        CapacityRequest whole = CapacityRequest.free(TYPE.size());
-        CapacityRequest freed = new CapacityRequest(TYPE.size(), CapacityRequest.Source.LOWER_PRIORITY, Priority.HIGH);
+        fleet.setMachineTypes(List.of(TYPE));
+        CapacityRequest whole = CapacityRequest.free(TYPE.resources());
+        CapacityRequest freed =
+                new CapacityRequest(TYPE.resources(), CapacityRequest.Source.LOWER_PRIORITY, Priority.HIGH);
         for (int step = 0; step < 4_000; step++) {
             change(step);
             List<Machine> empty = fleet.machines().stream()
                     .filter(machine -> machine.placements.isEmpty())
                     .toList();
-            assertEquals(empty, fleet.roomIndex().machines(whole, step));
-            assertEquals(List.copyOf(fleet.machines()), fleet.roomIndex().machines(freed, step));
+            assertEquals(empty, fleet.freeCapacityIndex().machinesWithCapacity(whole, step));
+            assertEquals(
+                    List.copyOf(fleet.machines()), fleet.freeCapacityIndex().machinesWithCapacity(freed, step));
         }
     }
 
     /** With more kinds of tasks than it keeps track of it forgets the one that was asked for longest ago, and is right all the same. */
     @Test
     void manyKindsOfTasks() {
-        fleet.setTypes(List.of(TYPE));
+        fleet.setMachineTypes(List.of(TYPE));
         for (int step = 0; step < 60; step++) {
             change(step);
         }
         for (int step = 100; step < 1_000; step++) {
             Resources each = new Resources(1 + step % 300, 0, 1);
             int expected = (int) fleet.machines().stream()
-                    .filter(machine -> each.fitsIn(machine.room()))
+                    .filter(machine -> each.fitsIn(machine.freeCapacity()))
                     .count();
             assertEquals(
                     expected,
-                    fleet.roomIndex().machines(CapacityRequest.free(each), step).size());
+                    fleet.freeCapacityIndex()
+                            .machinesWithCapacity(CapacityRequest.free(each), step)
+                            .size());
         }
     }
 }
--- a/src/test/java/io/micatide/scheduler/JobLedgersTest.java
+++ b/src/test/java/io/micatide/scheduler/JobLedgersTest.java
@@ -43,16 +43,16 @@
         JobSpec spec = SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5);
         Job job = ledgers.add(spec, 7, 0, 0, 0);
         for (int i = 0; i < tasks - 1; i += step) {
-            ledgers.finished(job, i, 0);
+            ledgers.taskFinished(job, i, 0);
         }
         Map<String, StoredRecord.Ledger> stored = new HashMap<>();
         int rounds = 0;
         for (long now = 10 * Micros.SECOND; ; now += 10 * Micros.SECOND) {
-            JobLedgers.Round round = ledgers.nextRound(
+            JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
                     now,
                     now,
-                    settings.transactionOps(),
-                    settings.transactionOps(),
+                    settings.maxTransactionWrites(),
+                    settings.maxTransactionWrites(),
                     List.of(),
                     List.of(),
                     List.of(),
@@ -63,32 +63,32 @@
             assertTrue(++rounds < 200, "it never ends");
             int sum = 0;
             for (Transaction.Write write : round.transaction().writes()) {
-                StoredRecord.Ledger ledger = (StoredRecord.Ledger) write.row();
-                assertTrue(ledger.done().length() < settings.valueBytes() * 5 / 8, write.key());
+                StoredRecord.Ledger ledger = (StoredRecord.Ledger) write.record();
+                assertTrue(ledger.finishedTasks().length() < settings.maxValueBytes() * 5 / 8, write.key());
                 assertTrue(StoreCodec.size(ledger) <= bytes, write.key());
-                sum += ledger.done().length() + 200;
+                sum += ledger.finishedTasks().length() + 200;
                 stored.put(write.key(), ledger);
             }
             assertTrue(sum < 60_000, "a transaction of " + sum + " bytes");
-            assertTrue(round.transaction().writes().size() <= settings.transactionOps());
-            assertTrue(round.transaction().conditions().size() <= 4 * settings.transactionOps());
-            ledgers.confirmed(round, 100 + rounds, now);
+            assertTrue(round.transaction().writes().size() <= settings.maxTransactionWrites());
+            assertTrue(round.transaction().conditions().size() <= 4 * settings.maxTransactionWrites());
+            ledgers.writeConfirmed(round, 100 + rounds, now);
         }
-        BitSet recorded = (BitSet) job.recorded.clone();
-        recorded.andNot(job.finished);
+        BitSet recorded = (BitSet) job.recordedTasks.clone();
+        recorded.andNot(job.finishedTasks);
         assertTrue(recorded.isEmpty());
-        if (bytes == settings.valueBytes()) {
-            assertEquals(job.finished, job.recorded);
+        if (bytes == settings.maxValueBytes()) {
+            assertEquals(job.finishedTasks, job.recordedTasks);
         } else {
             // The rest stays with the workers; what fits is recorded once and not written again.
             assertTrue(
-                    job.recorded.cardinality() > Math.min(tasks / step - 2, 300),
-                    "recorded: " + job.recorded.cardinality());
+                    job.recordedTasks.cardinality() > Math.min(tasks / step - 2, 300),
+                    "recorded: " + job.recordedTasks.cardinality());
         }
         JobLedgers next = new JobLedgers(settings, 900);
         Job found = next.add(spec, 7, 0, 0, 0);
         stored.forEach((key, ledger) -> assertTrue(next.load(key, ledger, 1)));
-        assertEquals(job.recorded, found.finished);
+        assertEquals(job.recordedTasks, found.finishedTasks);
     }
 
     /**
@@ -131,24 +131,25 @@
                             TaskRanges.format(before, page * size, (page + 1) * size)),
                     5));
         }
-        assertEquals(before, job.recorded);
+        assertEquals(before, job.recordedTasks);
         int written = 0;
         int idle = 0;
         for (int second = 1; second < 400 && idle < 20; second++) {
             long now = second * Micros.SECOND;
             // Machines settle one after the other, and tasks end here and there.
-            if (second % 2 == 0 && !job.unsettledMachines.isEmpty()) {
-                job.unsettledMachines.remove(job.unsettledMachines.iterator().next());
-                ledgers.touch(job, now);
+            if (second % 2 == 0 && !job.unreconciledMachines.isEmpty()) {
+                job.unreconciledMachines.remove(
+                        job.unreconciledMachines.iterator().next());
+                ledgers.markDirty(job, now);
             }
             if (second < 200) {
-                ledgers.finished(job, (second * 7919) % tasks, now);
+                ledgers.taskFinished(job, (second * 7919) % tasks, now);
             }
-            JobLedgers.Round round = ledgers.nextRound(
+            JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
                     now,
                     now,
-                    settings.transactionOps(),
-                    settings.transactionOps() - 2,
+                    settings.maxTransactionWrites(),
+                    settings.maxTransactionWrites() - 2,
                     List.of(),
                     List.of(),
                     List.of(),
@@ -161,26 +162,26 @@
             assertTrue(round.transaction().writes().size() <= ops);
             assertTrue(round.transaction().conditions().size() <= 4 * ops);
             for (Transaction.Write write : round.transaction().writes()) {
-                assertTrue(StoreCodec.size(write.row()) <= 2048, write.key());
+                assertTrue(StoreCodec.size(write.record()) <= 2048, write.key());
                 if (write.key().equals(StoreKeys.ledger("wk-1", 0))) {
-                    assertTrue(((StoredRecord.Ledger) write.row()).machines().containsAll(job.unsettledMachines));
+                    assertTrue(((StoredRecord.Ledger) write.record()).machines().containsAll(job.unreconciledMachines));
                     // Names in short are written on condition that everybody reads them.
-                    assertEquals(dense, ((StoredRecord.Ledger) write.row()).dense());
+                    assertEquals(dense, ((StoredRecord.Ledger) write.record()).compressedNames());
                     assertEquals(
                             dense,
-                            round.transaction().conditions().contains(new Transaction.Compare(StoreKeys.LAYOUT, 44)));
+                            round.transaction().conditions().contains(new Transaction.Condition(StoreKeys.LAYOUT, 44)));
                 }
             }
-            ledgers.confirmed(round, 1000 + second, now);
+            ledgers.writeConfirmed(round, 1000 + second, now);
             BitSet kept = (BitSet) before.clone();
-            kept.andNot(job.recorded);
+            kept.andNot(job.recordedTasks);
             assertTrue(kept.isEmpty(), "what was recorded is kept");
         }
         assertTrue(idle >= 20, "it is written again and again: " + written);
         for (int i = 0; i < tasks; i++) {
-            ledgers.finished(job, i, 500 * Micros.SECOND);
+            ledgers.taskFinished(job, i, 500 * Micros.SECOND);
         }
-        JobLedgers.Round last = ledgers.nextRound(
+        JobLedgers.WriteBatch last = ledgers.nextWriteBatch(
                 510 * Micros.SECOND,
                 510 * Micros.SECOND,
                 ops,
@@ -189,7 +190,7 @@
                 List.of(),
                 List.of(),
                 (any, most) -> List.of());
-        assertTrue(last.transaction().writes().get(0).row() instanceof StoredRecord.JobRow row
+        assertTrue(last.transaction().writes().get(0).record() instanceof StoredRecord.JobRecord row
                 && row.state() == JobState.DONE);
         assertTrue(last.transaction().writes().size() <= ops);
     }
@@ -211,15 +212,15 @@
         int used = 0;
         for (int i = 0; i < 1000; i++) {
             Machine machine = new Machine(String.format("i-%06d", i * apart), 0);
-            if (ledgers.mayUse(job, machine, i)) {
-                ledgers.needMachine(job, machine, 0);
+            if (ledgers.mayRecordMachine(job, machine, i)) {
+                ledgers.recordMachine(job, machine, 0);
                 used++;
             }
         }
         assertEquals(most, used);
-        JobLedgers.Round round =
-                ledgers.nextRound(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertTrue(StoreCodec.size(round.transaction().writes().get(0).row()) <= bytes);
+        JobLedgers.WriteBatch round =
+                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
+        assertTrue(StoreCodec.size(round.transaction().writes().get(0).record()) <= bytes);
     }
 
     /** What the state service refuses holds up neither the other jobs nor, after a pause, its own. */
@@ -230,21 +231,23 @@
                 ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
         Job second =
                 ledgers.add(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 8, 0, 0, 0);
-        ledgers.needMachine(first, new Machine("i-1", 0), 0);
-        JobLedgers.Round round =
-                ledgers.nextRound(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        ledgers.refused(round, 0);
-        ledgers.resolved(round, 0);
-        ledgers.needMachine(second, new Machine("i-1", 0), 0);
-        JobLedgers.Round next =
-                ledgers.nextRound(100, 100, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
+        ledgers.recordMachine(first, new Machine("i-1", 0), 0);
+        JobLedgers.WriteBatch round =
+                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
+        ledgers.writeRejected(round, 0);
+        ledgers.writeResolved(round, 0);
+        ledgers.recordMachine(second, new Machine("i-1", 0), 0);
+        JobLedgers.WriteBatch next =
+                ledgers.nextWriteBatch(100, 100, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
         assertEquals(
-                List.of(second), next.parts().stream().map(JobLedgers.Part::job).toList());
+                List.of(second),
+                next.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
         assertTrue(first.ledgerFull, "what waits for that write is given back");
-        JobLedgers.Round later = ledgers.nextRound(
+        JobLedgers.WriteBatch later = ledgers.nextWriteBatch(
                 20 * Micros.SECOND, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
         assertEquals(
-                List.of(first), later.parts().stream().map(JobLedgers.Part::job).toList());
+                List.of(first),
+                later.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
     }
 
     /**
@@ -259,25 +262,27 @@
         for (int i = 1; i <= 3; i++) {
             jobs.add(ledgers.add(
                     SchedulerHarness.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0));
-            ledgers.needMachine(jobs.get(i - 1), new Machine("i-1", 0), 0);
+            ledgers.recordMachine(jobs.get(i - 1), new Machine("i-1", 0), 0);
         }
-        JobLedgers.Round round =
-                ledgers.nextRound(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertEquals(jobs, round.parts().stream().map(JobLedgers.Part::job).toList());
-        assertEquals(List.of(refused), ledgers.refusedBy(round, List.of(refused), 0));
-        JobLedgers.Round next =
-                ledgers.nextRound(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
+        JobLedgers.WriteBatch round =
+                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
+        assertEquals(
+                jobs, round.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
+        assertEquals(List.of(refused), ledgers.writeConflicted(round, List.of(refused), 0));
+        JobLedgers.WriteBatch next =
+                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
         assertEquals(
                 List.of(jobs.get(0), jobs.get(2)),
-                next.parts().stream().map(JobLedgers.Part::job).toList());
-        ledgers.confirmed(next, 1000, 0);
-        assertEquals(null, ledgers.nextRound(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of()));
-        ledgers.keyKnown(refused, 0);
-        JobLedgers.Round later =
-                ledgers.nextRound(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
+                next.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
+        ledgers.writeConfirmed(next, 1000, 0);
+        assertEquals(
+                null, ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of()));
+        ledgers.keyReadBack(refused, 0);
+        JobLedgers.WriteBatch later =
+                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
         assertEquals(
                 List.of(jobs.get(1)),
-                later.parts().stream().map(JobLedgers.Part::job).toList());
+                later.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
     }
 
     /** Finished tasks wait at their workers while the rate is short; what starts or ends a job is written all the same. */
@@ -285,7 +290,7 @@
     void finishedTasksLeaveTheRateToWhatStarts() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, 2048, 5).settings, 900);
         for (int i = 0; i < 8; i++) {
-            ledgers.finished(
+            ledgers.taskFinished(
                     ledgers.add(
                             SchedulerHarness.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0),
                     3,
@@ -293,20 +298,21 @@
         }
         Job starting =
                 ledgers.add(SchedulerHarness.job("wk-8", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
-        ledgers.needMachine(starting, new Machine("i-1", 0), 0);
+        ledgers.recordMachine(starting, new Machine("i-1", 0), 0);
         long now = 5 * Micros.SECOND;
-        JobLedgers.Round round =
-                ledgers.nextRound(now, 0, 4, 0, List.of(), List.of(), List.of(), (any, likely) -> List.of());
+        JobLedgers.WriteBatch round =
+                ledgers.nextWriteBatch(now, 0, 4, 0, List.of(), List.of(), List.of(), (any, likely) -> List.of());
         assertEquals(
                 List.of(starting),
-                round.parts().stream().map(JobLedgers.Part::job).toList());
-        ledgers.confirmed(round, 1000, now);
+                round.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
+        ledgers.writeConfirmed(round, 1000, now);
         assertEquals(
-                null, ledgers.nextRound(now, 0, 4, 0, List.of(), List.of(), List.of(), (any, likely) -> List.of()));
+                null,
+                ledgers.nextWriteBatch(now, 0, 4, 0, List.of(), List.of(), List.of(), (any, likely) -> List.of()));
         assertEquals(
                 3,
-                ledgers.nextRound(now, 0, 4, 3, List.of(), List.of(), List.of(), (any, likely) -> List.of())
-                        .parts()
+                ledgers.nextWriteBatch(now, 0, 4, 3, List.of(), List.of(), List.of(), (any, likely) -> List.of())
+                        .jobWrites()
                         .size());
     }
 
@@ -318,12 +324,12 @@
         Job job =
                 ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1000, 5), 7, 0, 0, 0);
         ledgers.load(StoreKeys.ledger("wk-1", 2), new StoredRecord.Ledger(List.of(), 0, "0-9", true), 5);
-        assertEquals("512-521", TaskRanges.format(job.finished, 0, 1000));
-        ledgers.finished(job, 600, 0);
-        JobLedgers.Round round = ledgers.nextRound(
+        assertEquals("512-521", TaskRanges.format(job.finishedTasks, 0, 1000));
+        ledgers.taskFinished(job, 600, 0);
+        JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
                 5 * Micros.SECOND, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
         assertEquals(
                 "0-9,88",
-                ((StoredRecord.Ledger) round.transaction().writes().get(1).row()).done());
+                ((StoredRecord.Ledger) round.transaction().writes().get(1).record()).finishedTasks());
     }
 }
--- a/src/test/java/io/micatide/scheduler/PlanningCostTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningCostTest.java
@@ -73,10 +73,10 @@
 
     private static long looksPerPlan(int machines, Priority gangs, boolean arraysSave) {
         SchedulerHarness world = full(machines, gangs, arraysSave);
-        long before = world.leader.machinesLookedAt();
+        long before = world.leader.machinesExamined();
         world.run(TICKS * SchedulerHarness.STEP);
         assertEquals(machines * TASKS_A_MACHINE, world.starts, "a gang found room");
-        return (world.leader.machinesLookedAt() - before) / TICKS;
+        return (world.leader.machinesExamined() - before) / TICKS;
     }
 
     /** Each waiting gang once cost a walk over all machines: 1,680,000 looks a plan at 2,800 machines. */
--- a/src/test/java/io/micatide/scheduler/PlanningPassTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningPassTest.java
@@ -62,7 +62,7 @@
             before = waiting;
         }
         assertEquals(0, before);
-        assertEquals(ticks - 1, planners.get(0).cutPlans());
+        assertEquals(ticks - 1, planners.get(0).truncatedPlans());
     }
 
     @Test
@@ -120,12 +120,12 @@
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1, 1), 1, 0, 0, 0);
         pass.begin(5_000);
         assertEquals(false, pass.isOver(9_000));
-        pass.done(job);
+        pass.markVisited(job);
         assertEquals(true, pass.isOver(9_000));
         pass.begin(9_000);
-        assertEquals(false, pass.takes(job));
+        assertEquals(false, pass.isPending(job));
         assertEquals(false, pass.isOver(12_000));
         pass.end();
-        assertEquals(true, pass.takes(job));
+        assertEquals(true, pass.isPending(job));
     }
 }
--- a/src/test/java/io/micatide/scheduler/ProvisioningRequestsTest.java
+++ b/src/test/java/io/micatide/scheduler/ProvisioningRequestsTest.java
@@ -15,14 +15,14 @@
 
 class ProvisioningRequestsTest {
     /** Writes as a round does: the rows, their conditions, the fence. Returns the transaction. */
-    private static Transaction round(ProvisioningRequests rentals, List<ProvisioningRequests.Booking> some) {
+    private static Transaction round(ProvisioningRequests rentals, List<ProvisioningRequests.Request> some) {
         List<Transaction.Write> writes = new java.util.ArrayList<>();
-        for (ProvisioningRequests.Booking booking : some) {
+        for (ProvisioningRequests.Request booking : some) {
             writes.add(new Transaction.Write(
-                    StoreKeys.booking(booking.name),
+                    StoreKeys.provisioningRequest(booking.name),
                     booking.state == ProvisioningRequests.State.DONE
                             ? null
-                            : new StoredRecord.Booking(
+                            : new StoredRecord.Provisioning(
                                     "claimed", booking.type, booking.zone, booking.spot, booking.count),
                     0));
         }
@@ -42,30 +42,31 @@
         Map<String, Long> versions = new HashMap<>();
         long[] revision = {10};
         ProvisioningRequests rentals = new ProvisioningRequests(new SchedulerHarness(1, 0).settings, 5);
-        rentals.fenced(fenced);
+        rentals.setFenced(fenced);
         assertFalse(rentals.mayWrite(), "not before the fence is known");
-        rentals.fenceKnown(0, 0);
-        ProvisioningRequests.Booking booking = rentals.claim(new ProvisioningRequests.Offer("small", "a", false), 3, 0);
-        Transaction first = round(rentals, rentals.toWrite(5, 0));
+        rentals.fenceRead(0, 0);
+        ProvisioningRequests.Request booking =
+                rentals.create(new ProvisioningRequests.Offer("small", "a", false), 3, 0);
+        Transaction first = round(rentals, rentals.requestsToWrite(5, 0));
         Transaction again = round(rentals, List.of(booking));
         booking.version = apply(again, versions, revision);
         booking.recorded = true;
-        rentals.toSubmit();
+        rentals.requestsToSubmit();
         rentals.answered(booking, 3, 0);
-        assertTrue(apply(round(rentals, rentals.toWrite(5, 0)), versions, revision) > 0);
-        assertEquals(0, versions.getOrDefault(StoreKeys.booking(booking.name), 0L));
+        assertTrue(apply(round(rentals, rentals.requestsToWrite(5, 0)), versions, revision) > 0);
+        assertEquals(0, versions.getOrDefault(StoreKeys.provisioningRequest(booking.name), 0L));
         assertEquals(fenced ? 0 : revision[0] + 1, apply(first, versions, revision));
     }
 
     private static long apply(Transaction transaction, Map<String, Long> versions, long[] revision) {
-        for (Transaction.Compare compare : transaction.conditions()) {
+        for (Transaction.Condition compare : transaction.conditions()) {
             if (versions.getOrDefault(compare.key(), 0L) != compare.version()) {
                 return 0;
             }
         }
         revision[0]++;
         for (Transaction.Write write : transaction.writes()) {
-            versions.put(write.key(), write.row() == null ? 0 : revision[0]);
+            versions.put(write.key(), write.record() == null ? 0 : revision[0]);
         }
         return revision[0];
     }
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -43,9 +43,9 @@
     private static final long PRECEDENCE_MICROS = 5 * Micros.SECOND;
 
     private static final Comparator<Machine> LEAST_ROOM = Comparator.comparing((Machine machine) -> !machine.spot)
-            .thenComparing(machine -> machine.room().cpus());
+            .thenComparing(machine -> machine.freeCapacity().cpus());
     private static final Comparator<Machine> MOST_ROOM =
-            Comparator.comparing((Machine machine) -> -machine.room().cpus());
+            Comparator.comparing((Machine machine) -> -machine.freeCapacity().cpus());
 
     private final Scheduler scheduler;
     private final Settings settings;
@@ -53,7 +53,7 @@
     private final JobLedgers ledgers;
     private final RuntimeEstimator runTimes;
     private final long guaranteePatienceMicros;
-    private List<JobQueue.Queued> order = List.of();
+    private List<JobQueue.QueuedJob> order = List.of();
     private long orderMicros = Long.MIN_VALUE / 2;
     /** The least of each resource that any job in the order asks for. */
     private Resources least = Resources.NONE;
@@ -83,9 +83,9 @@
     }
 
     /** Jobs with waiting tasks in the order in which they get room. */
-    private List<JobQueue.Queued> queue(long nowMicros) {
+    private List<JobQueue.QueuedJob> queue(long nowMicros) {
         Map<String, Resources> asked = new HashMap<>();
-        List<JobQueue.Queued> result = new ArrayList<>();
+        List<JobQueue.QueuedJob> result = new ArrayList<>();
         Map<Job, DeadlineFeasibility.Entry> entries = new HashMap<>();
         for (DeadlineFeasibility.Entry entry : decide(nowMicros)) {
             entries.put(entry.job, entry);
@@ -94,17 +94,18 @@
             if (job.cancelled) {
                 continue;
             }
-            if (job.suspect) {
+            if (job.quarantined) {
                 queueProbe(job, result);
                 continue;
             }
             Team team = settings.teams().get(job.spec.team());
-            Resources total = asked.merge(job.spec.team(), job.spec.each().times(job.unfinished()), Resources::plus);
-            boolean guaranteed = team != null && team.cpus() > 0 && team.guarantees(total);
-            int waiting = job.waiting();
+            Resources total = asked.merge(
+                    job.spec.team(), job.spec.taskResources().times(job.unfinishedCount()), Resources::plus);
+            boolean guaranteed = team != null && team.guaranteedCpus() > 0 && team.isWithinGuarantee(total);
+            int waiting = job.pendingCount();
             if (waiting > 0) {
                 DeadlineFeasibility.Entry entry = entries.get(job);
-                result.add(new JobQueue.Queued(
+                result.add(new JobQueue.QueuedJob(
                         job,
                         waiting,
                         guaranteed,
@@ -112,19 +113,19 @@
                         entry == null ? job.readyMicros : entry.latestStartMicros()));
             }
         }
-        result.sort(Comparator.comparing((JobQueue.Queued q) -> q.job().priority())
+        result.sort(Comparator.comparing((JobQueue.QueuedJob q) -> q.job().priority())
                 .thenComparing(q -> q.job().spec.kind() == JobKind.SERVICE ? 0 : 1)
                 .thenComparing(q -> !q.guaranteed())
-                .thenComparing(q -> !q.onTime())
-                .thenComparing(JobQueue.Queued::dueMicros)
+                .thenComparing(q -> !q.canMeetDeadline())
+                .thenComparing(JobQueue.QueuedJob::dueMicros)
                 .thenComparing(q -> q.job().readyMicros));
         return result;
     }
 
     /** A job that fails wherever it is tried holds no guarantee and no place among what can be on time. */
-    private static void queueProbe(Job job, List<JobQueue.Queued> queue) {
-        if (job.placeable() > 0) {
-            queue.add(new JobQueue.Queued(job, job.placeable(), false, false, Long.MAX_VALUE));
+    private static void queueProbe(Job job, List<JobQueue.QueuedJob> queue) {
+        if (job.placeableCount() > 0) {
+            queue.add(new JobQueue.QueuedJob(job, job.placeableCount(), false, false, Long.MAX_VALUE));
         }
     }
 
@@ -149,7 +150,7 @@
         List<DeadlineFeasibility.Entry> possible = new ArrayList<>();
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
-            double most = team == null || team.cpusMax() == 0 ? cpus : Math.min(cpus, team.cpusMax());
+            double most = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, team.maxCpus());
             for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, most, nowMicros)) {
                 (entry.onTime ? possible : result).add(entry);
             }
@@ -163,11 +164,13 @@
     private List<DeadlineFeasibility.Entry> arrays(long nowMicros) {
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
-            if (!job.cancelled && !job.suspect && job.spec.kind() != JobKind.SERVICE && job.unfinished() > 0) {
-                long length = runTimes.expected(job);
-                int waiting = job.waiting();
-                double work = job.spec.each().cpus() * (double) length * (waiting + 0.5 * (job.unfinished() - waiting));
-                long slowest = runTimes.slowest(job);
+            if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
+                long length = runTimes.expectedMicros(job);
+                int waiting = job.pendingCount();
+                double work = job.spec.taskResources().cpus()
+                        * (double) length
+                        * (waiting + 0.5 * (job.unfinishedCount() - waiting));
+                long slowest = runTimes.slowestMicros(job);
                 result.add(new DeadlineFeasibility.Entry(
                         job, work, slowest, due(job, slowest, nowMicros), weight(job.spec.jobClass())));
             }
@@ -188,16 +191,16 @@
     private double arrayCpus(long nowMicros) {
         double cpus = 0;
         for (Machine machine : fleet.machines()) {
-            if (machine.size() != null
-                    && !machine.deleting
-                    && !machine.draining
-                    && machine.noticeAtMicros < 0
+            if (machine.capacity() != null
+                    && !machine.deletionRequested
+                    && !machine.quarantined
+                    && machine.spotNoticeEndsMicros < 0
                     && machine.slowUntilMicros < nowMicros
-                    && machine.responsive(nowMicros, settings)) {
-                cpus += machine.size().cpus();
+                    && machine.isResponsive(nowMicros, settings)) {
+                cpus += machine.capacity().cpus();
                 for (Placement placement : machine.placements) {
                     if (placement.job.spec.kind() == JobKind.SERVICE) {
-                        cpus -= placement.job.spec.each().cpus();
+                        cpus -= placement.job.spec.taskResources().cpus();
                     }
                 }
             }
@@ -213,8 +216,8 @@
         if (spec.deadlineMicros() >= 0 && job.deadlineMicros() >= reachable) {
             due = job.deadlineMicros();
         }
-        if (job.neededByMicros >= reachable) {
-            due = Math.min(due, job.neededByMicros);
+        if (job.dependentsDueMicros >= reachable) {
+            due = Math.min(due, job.dependentsDueMicros);
         }
         for (Settings.Objective objective : settings.objectives()) {
             if (objective.withinMicros() > 0
@@ -233,8 +236,8 @@
     }
 
     @Override
-    boolean startable(Job job, long nowMicros) {
-        return !job.cancelled && job.blockedUntilMicros <= nowMicros && !job.unsettled();
+    boolean isStartable(Job job, long nowMicros) {
+        return !job.cancelled && job.backoffUntilMicros <= nowMicros && !job.hasUnreconciledMachines();
     }
 
     /** Places what waits, on all machines. The order that it finds is what {@link #refill} goes by until the next time. */
@@ -248,25 +251,25 @@
             least = Resources.NONE;
             return;
         }
-        least = order.get(0).job().spec.each();
-        for (JobQueue.Queued queued : order) {
-            least = least.least(queued.job().spec.each());
+        least = order.get(0).job().spec.taskResources();
+        for (JobQueue.QueuedJob queued : order) {
+            least = least.min(queued.job().spec.taskResources());
         }
         mostTogether = Math.max(FEWEST_TOGETHER, (int) (MOST_TOGETHER_SHARE * replicas()));
         List<Machine> usable = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
-            if (machine.usable(nowMicros, settings)) {
+            if (machine.isSchedulable(nowMicros, settings)) {
                 usable.add(machine);
             }
         }
         List<Machine> open = new ArrayList<>();
         for (Machine machine : usable) {
-            if (least.fitsIn(machine.room())) {
+            if (least.fitsIn(machine.freeCapacity())) {
                 open.add(machine);
             }
         }
-        for (JobQueue.Queued queued : order) {
-            if (startable(queued.job(), nowMicros)) {
+        for (JobQueue.QueuedJob queued : order) {
+            if (isStartable(queued.job(), nowMicros)) {
                 placeJob(queued, usable, open, nowMicros);
             }
         }
@@ -276,19 +279,19 @@
      * Work of the lowest priority yields to what would be late otherwise, not to all that waits: hundreds of a guest's tasks
      * of 150 s were once started over for jobs that had time.
      */
-    private boolean mayEvictLowest(JobQueue.Queued queued, long nowMicros) {
+    private boolean mayEvictLowest(JobQueue.QueuedJob queued, long nowMicros) {
         return lowestRuns && isUrgent(queued, nowMicros);
     }
 
     /** It can be on time, but only if it starts about now. */
-    private static boolean isUrgent(JobQueue.Queued queued, long nowMicros) {
-        return queued.onTime() && queued.dueMicros() - nowMicros < PRECEDENCE_MICROS;
+    private static boolean isUrgent(JobQueue.QueuedJob queued, long nowMicros) {
+        return queued.canMeetDeadline() && queued.dueMicros() - nowMicros < PRECEDENCE_MICROS;
     }
 
     /** Whether work of the lowest priority runs, which any other may displace. */
     private boolean lowestRuns() {
         for (Job job : ledgers.jobs()) {
-            if (job.priority() == Priority.LOW && !job.live.isEmpty()) {
+            if (job.priority() == Priority.LOW && !job.liveAttempts.isEmpty()) {
                 return true;
             }
         }
@@ -297,21 +300,21 @@
 
     /** Attempts that had to yield in this term, for the log. */
     @Override
-    String evicted() {
+    String evictionCounts() {
         return evictedByReplicas + "/" + evictedByGuarantees;
     }
 
     private int replicas() {
         int count = 0;
         for (Job job : ledgers.jobs()) {
-            count += job.spec.kind() == JobKind.SERVICE ? job.live.size() : 0;
+            count += job.spec.kind() == JobKind.SERVICE ? job.liveAttempts.size() : 0;
         }
         return count;
     }
 
     /** The jobs with waiting tasks as of the last plan. */
     @Override
-    List<JobQueue.Queued> order() {
+    List<JobQueue.QueuedJob> order() {
         return order;
     }
 
@@ -322,21 +325,21 @@
      */
     @Override
     void refill(Machine machine, long nowMicros) {
-        if (nowMicros - orderMicros > ORDER_MICROS || !machine.usable(nowMicros, settings)) {
+        if (nowMicros - orderMicros > ORDER_MICROS || !machine.isSchedulable(nowMicros, settings)) {
             return;
         }
-        if (order.isEmpty() || !least.fitsIn(machine.room())) {
+        if (order.isEmpty() || !least.fitsIn(machine.freeCapacity())) {
             return;
         }
         for (Job job = next(machine, nowMicros); job != null; job = next(machine, nowMicros)) {
-            scheduler.place(job, job.nextWaiting(), machine, nowMicros);
+            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
     /** The job in the order that gets room on this machine, or null. */
     private Job next(Machine machine, long nowMicros) {
-        JobQueue.Queued first = null;
-        for (JobQueue.Queued queued : order) {
+        JobQueue.QueuedJob first = null;
+        for (JobQueue.QueuedJob queued : order) {
             if (first != null
                     && (!first.sameRank(queued) || queued.dueMicros() - first.dueMicros() >= PRECEDENCE_MICROS)) {
                 break;
@@ -353,12 +356,12 @@
 
     private boolean mayRefill(Job job, Machine machine, long nowMicros) {
         return job.spec.kind() != JobKind.GANG
-                && job.placeable() > 0
+                && job.placeableCount() > 0
                 && ledgers.get(job.id()) == job
-                && startable(job, nowMicros)
+                && isStartable(job, nowMicros)
                 && suits(job, machine, nowMicros)
-                && scheduler.mayName(job, machine, nowMicros)
-                && job.spec.each().fitsIn(machine.room())
+                && scheduler.mayRecordMachine(job, machine, nowMicros)
+                && job.spec.taskResources().fitsIn(machine.freeCapacity())
                 && zoneAllows(job, machine)
                 && teamAllows(job);
     }
@@ -366,32 +369,32 @@
     private boolean teamAllows(Job job) {
         Team team = settings.teams().get(job.spec.team());
         return team == null
-                || team.allows(scheduler
-                        .teamUse(team.name())
+                || team.isWithinLimit(scheduler
+                        .teamUsage(team.name())
                         .plus(unknown.getOrDefault(team.name(), Resources.NONE))
-                        .plus(job.spec.each()));
+                        .plus(job.spec.taskResources()));
     }
 
     /**
      * How many of so many tasks the team's limit allows beside what it uses and {@code others}; of a gang all or none.
      */
     @Override
-    int allowedMore(Job job, int count, Resources others) {
+    int tasksWithinLimit(Job job, int count, Resources others) {
         Team team = settings.teams().get(job.spec.team());
         if (team == null) {
             return count;
         }
-        Resources each = job.spec.each();
+        Resources each = job.spec.taskResources();
         Resources there = scheduler
-                .teamUse(team.name())
+                .teamUsage(team.name())
                 .plus(unknown.getOrDefault(team.name(), Resources.NONE))
                 .plus(others);
         long most = count;
-        if (team.cpusMax() > 0 && each.cpus() > 0) {
-            most = Math.min(most, Math.max(0, team.cpusMax() - there.cpus()) / each.cpus());
+        if (team.maxCpus() > 0 && each.cpus() > 0) {
+            most = Math.min(most, Math.max(0, team.maxCpus() - there.cpus()) / each.cpus());
         }
-        if (team.cardsMax() > 0 && each.cards() > 0) {
-            most = Math.min(most, Math.max(0, team.cardsMax() - there.cards()) / each.cards());
+        if (team.maxGpus() > 0 && each.gpus() > 0) {
+            most = Math.min(most, Math.max(0, team.maxGpus() - there.gpus()) / each.gpus());
         }
         return job.spec.kind() == JobKind.GANG && most < count ? 0 : (int) most;
     }
@@ -408,18 +411,18 @@
      * out with the answer to the report that told of the room, instead of waiting for a round first.
      */
     @Override
-    List<String> likely(Job job, int most, long nowMicros) {
+    List<String> candidateMachines(Job job, int most, long nowMicros) {
         List<String> names = new ArrayList<>();
-        if (job.spec.kind() == JobKind.ARRAY && job.waiting() > 0 && !job.suspect) {
+        if (job.spec.kind() == JobKind.ARRAY && job.pendingCount() > 0 && !job.quarantined) {
             List<Machine> usable = new ArrayList<>();
             for (Machine machine : fleet.machines()) {
-                if (machine.usable(nowMicros, settings) && suits(job, machine, nowMicros)) {
+                if (machine.isSchedulable(nowMicros, settings) && suits(job, machine, nowMicros)) {
                     usable.add(machine);
                 }
             }
             if (usable.size() > most) {
                 // A small value cannot name all: those with room, then those that the ledger names already.
-                usable.sort(MOST_ROOM.thenComparing(machine -> !job.recordedMachines.contains(machine.name)));
+                usable.sort(MOST_ROOM.thenComparing(machine -> !job.ledgerMachines.contains(machine.name)));
             }
             for (Machine machine : usable.subList(0, Math.min(most, usable.size()))) {
                 names.add(machine.name);
@@ -437,34 +440,34 @@
     private Map<String, Resources> unknownUse() {
         Map<String, Resources> result = new HashMap<>();
         for (Job job : ledgers.jobs()) {
-            if (job.unsettled()) {
-                int tasks = job.cancelled ? job.spec.tasks() : job.waiting();
-                result.merge(job.spec.team(), job.spec.each().times(tasks), Resources::plus);
+            if (job.hasUnreconciledMachines()) {
+                int tasks = job.cancelled ? job.spec.taskCount() : job.pendingCount();
+                result.merge(job.spec.team(), job.spec.taskResources().times(tasks), Resources::plus);
             }
         }
         return result;
     }
 
-    private void placeJob(JobQueue.Queued queued, List<Machine> usable, List<Machine> open, long nowMicros) {
+    private void placeJob(JobQueue.QueuedJob queued, List<Machine> usable, List<Machine> open, long nowMicros) {
         Job job = queued.job();
         JobSpec spec = job.spec;
         // Room comes free all the time, and what is first in the queue gets it: stopping work of the same priority
         // is for a team that has waited for its guarantee.
         boolean waited = nowMicros - job.readyMicros > guaranteePatienceMicros;
-        boolean preempts = !job.suspect
+        boolean preempts = !job.quarantined
                 && (spec.kind() == JobKind.SERVICE
                         || ((queued.guaranteed() || mayEvictLowest(queued, nowMicros)) && waited)
                         || (spec.priority() == job.priority()
                                 ? spec.priority() != Priority.NORMAL
                                 : isUrgent(queued, nowMicros)));
         if (spec.kind() == JobKind.GANG) {
-            placeGang(job, queued.waiting(), suitable(job, usable, nowMicros), preempts, nowMicros);
+            placeGang(job, queued.pendingTasks(), suitable(job, usable, nowMicros), preempts, nowMicros);
         } else if (spec.kind() == JobKind.SERVICE) {
             placeReplicas(queued, suitable(job, usable, nowMicros), nowMicros);
         } else {
             placeArray(job, open, nowMicros);
-            if (preempts && job.waiting() > 0 && nowMicros >= job.preemptsAgainMicros && othersYield(job)) {
-                job.preemptsAgainMicros = nowMicros + PREEMPT_EVERY_MICROS;
+            if (preempts && job.pendingCount() > 0 && nowMicros >= job.nextPreemptionMicros && othersYield(job)) {
+                job.nextPreemptionMicros = nowMicros + PREEMPT_EVERY_MICROS;
                 preempt(queued, suitable(job, usable, nowMicros), nowMicros);
             }
         }
@@ -473,22 +476,22 @@
     private List<Machine> suitable(Job job, List<Machine> machines, long nowMicros) {
         List<Machine> result = new ArrayList<>();
         for (Machine machine : machines) {
-            if (suits(job, machine, nowMicros) && scheduler.mayName(job, machine, nowMicros)) {
+            if (suits(job, machine, nowMicros) && scheduler.mayRecordMachine(job, machine, nowMicros)) {
                 result.add(machine);
             }
         }
         return result;
     }
 
-    private void placeReplicas(JobQueue.Queued queued, List<Machine> candidates, long nowMicros) {
+    private void placeReplicas(JobQueue.QueuedJob queued, List<Machine> candidates, long nowMicros) {
         Job job = queued.job();
-        for (int left = queued.waiting(); left > 0 && job.placeable() > 0 && teamAllows(job); left--) {
+        for (int left = queued.pendingTasks(); left > 0 && job.placeableCount() > 0 && teamAllows(job); left--) {
             Machine machine = besideReplicas(job, candidates, nowMicros);
             machine = machine != null ? machine : choose(job, candidates, true, nowMicros);
             if (machine == null) {
                 return;
             }
-            scheduler.place(job, job.nextWaiting(), machine, nowMicros);
+            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -497,7 +500,7 @@
      * for minutes, and strewn over the fleet each of them kept a machine that would have been returned.
      */
     private Machine besideReplicas(Job job, List<Machine> candidates, long nowMicros) {
-        Resources each = job.spec.each();
+        Resources each = job.spec.taskResources();
         Machine best = null;
         long bestScore = 0;
         for (Machine machine : candidates) {
@@ -508,21 +511,21 @@
             int count = 0;
             for (Placement placement : machine.placements) {
                 if (placement.job.spec.kind() == JobKind.SERVICE) {
-                    replicas = replicas.plus(placement.job.spec.each());
+                    replicas = replicas.plus(placement.job.spec.taskResources());
                     count++;
                 }
             }
-            if (count == 0 || count >= mostTogether || !each.plus(replicas).fitsIn(machine.size())) {
+            if (count == 0 || count >= mostTogether || !each.plus(replicas).fitsIn(machine.capacity())) {
                 continue;
             }
-            boolean fits = each.fitsIn(machine.room());
+            boolean fits = each.fitsIn(machine.freeCapacity());
             long score = replicas.cpus() + (fits ? 2 * each.cpus() : 0);
             if (score > bestScore && (fits || yieldsCheaply(job, machine, nowMicros))) {
                 best = machine;
                 bestScore = score;
             }
         }
-        if (best != null && !each.fitsIn(best.room())) {
+        if (best != null && !each.fitsIn(best.freeCapacity())) {
             evict(job, victims(job, best), nowMicros);
         }
         return best;
@@ -549,17 +552,17 @@
         others.sort(MOST_ROOM);
         ready.addAll(others);
         for (Machine machine : ready) {
-            while (job.spec.each().fitsIn(machine.room())
+            while (job.spec.taskResources().fitsIn(machine.freeCapacity())
                     && zoneAllows(job, machine)
-                    && scheduler.mayName(job, machine, nowMicros)) {
-                if (job.placeable() == 0 || !teamAllows(job)) {
-                    open.removeIf(each -> !least.fitsIn(each.room()));
+                    && scheduler.mayRecordMachine(job, machine, nowMicros)) {
+                if (job.placeableCount() == 0 || !teamAllows(job)) {
+                    open.removeIf(each -> !least.fitsIn(each.freeCapacity()));
                     return;
                 }
-                scheduler.place(job, job.nextWaiting(), machine, nowMicros);
+                scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
-        open.removeIf(each -> !least.fitsIn(each.room()));
+        open.removeIf(each -> !least.fitsIn(each.freeCapacity()));
     }
 
     /** Whether there can be work that a task of this job may displace. */
@@ -568,7 +571,7 @@
             return true;
         }
         for (Team team : settings.teams().values()) {
-            if (!team.name().equals(job.spec.team()) && !team.guarantees(scheduler.teamUse(team.name()))) {
+            if (!team.name().equals(job.spec.team()) && !team.isWithinGuarantee(scheduler.teamUsage(team.name()))) {
                 return true;
             }
         }
@@ -580,9 +583,9 @@
      * room that comes free by itself serves most of a job, so a team that waits for its guarantee takes a part at a
      * time: taking all at once lost one start in ten, and some tasks were started fifteen times.
      */
-    private void preempt(JobQueue.Queued queued, List<Machine> candidates, long nowMicros) {
+    private void preempt(JobQueue.QueuedJob queued, List<Machine> candidates, long nowMicros) {
         Job job = queued.job();
-        int left = job.waiting();
+        int left = job.pendingCount();
         if (job.priority() == Priority.NORMAL) {
             long until = job.readyMicros + guaranteePatienceMicros * 3 / 2 - nowMicros;
             left = (int) Math.ceil(left * PREEMPT_EVERY_MICROS / (double) Math.max(PREEMPT_EVERY_MICROS, until));
@@ -602,12 +605,12 @@
                 Machine machine = option.machine();
                 List<Placement> victims =
                         left > 0 && zoneAllows(job, machine) ? victims(job, machine, queued.guaranteed()) : null;
-                if (job.waiting() == 0 || !teamAllows(job)) {
+                if (job.pendingCount() == 0 || !teamAllows(job)) {
                     return;
                 }
                 if (victims != null) {
                     evict(job, victims, nowMicros);
-                    scheduler.place(job, job.nextWaiting(), machine, nowMicros);
+                    scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
                     left--;
                     progress = true;
                 }
@@ -622,7 +625,7 @@
             evictedByGuarantees += victims.size();
         }
         for (Placement victim : victims) {
-            if (victim.unsent()) {
+            if (victim.isUnsent()) {
                 scheduler.remove(victim);
             } else {
                 scheduler.stop(victim, 0, nowMicros);
@@ -634,32 +637,32 @@
     private void placeGang(Job job, int missing, List<Machine> all, boolean preempts, long nowMicros) {
         JobSpec spec = job.spec;
         Team team = settings.teams().get(spec.team());
-        boolean ended = job.gangBroken || (job.gangStarted && !job.live.isEmpty());
+        boolean ended = job.gangBroken || (job.gangStarted && !job.liveAttempts.isEmpty());
         if (ended
                 || (team != null
-                        && !team.allows(scheduler
-                                .teamUse(spec.team())
+                        && !team.isWithinLimit(scheduler
+                                .teamUsage(spec.team())
                                 .plus(unknown.getOrDefault(spec.team(), Resources.NONE))
-                                .plus(spec.each().times(missing))))) {
+                                .plus(spec.taskResources().times(missing))))) {
             return;
         }
         Map<String, Long> perZone = new HashMap<>();
         for (Machine machine : all) {
-            Resources room = machine.room();
+            Resources room = machine.freeCapacity();
             if (preempts) {
                 for (Placement placement : machine.placements) {
-                    if (!placement.stopping() && yields(placement, job)) {
-                        room = room.plus(placement.job.spec.each());
+                    if (!placement.isStopping() && yields(placement, job)) {
+                        room = room.plus(placement.job.spec.taskResources());
                     }
                 }
             }
-            perZone.merge(machine.zone, spec.each().countIn(room), Long::sum);
+            perZone.merge(machine.zone, spec.taskResources().timesFittingIn(room), Long::sum);
         }
         List<Machine> candidates = all;
-        if (spec.oneZone()) {
-            String zone = job.live.isEmpty()
+        if (spec.singleZone()) {
+            String zone = job.liveAttempts.isEmpty()
                     ? null
-                    : job.live.values().iterator().next().get(0).machine.zone;
+                    : job.liveAttempts.values().iterator().next().get(0).machine.zone;
             for (Map.Entry<String, Long> entry : perZone.entrySet()) {
                 if (zone == null && entry.getValue() >= missing) {
                     zone = entry.getKey();
@@ -674,19 +677,19 @@
         } else {
             long fits = 0;
             for (long count : perZone.values()) {
-                fits += Math.min(count, spec.mostInOneZone());
+                fits += Math.min(count, spec.maxTasksPerZone());
             }
             if (fits < missing) {
                 return;
             }
         }
         for (int i = 0; i < missing; i++) {
-            int index = job.nextWaiting();
+            int index = job.nextPendingTask();
             Machine machine = index < 0 ? null : choose(job, candidates, preempts, nowMicros);
             if (machine == null) {
-                for (List<Placement> list : List.copyOf(job.live.values())) {
+                for (List<Placement> list : List.copyOf(job.liveAttempts.values())) {
                     for (Placement placement : List.copyOf(list)) {
-                        if (placement.unsent()) {
+                        if (placement.isUnsent()) {
                             scheduler.remove(placement);
                         }
                     }
@@ -702,7 +705,7 @@
         Machine with = null;
         Machine without = null;
         for (Machine machine : candidates) {
-            if (spec.each().fitsIn(machine.room()) && zoneAllows(job, machine)) {
+            if (spec.taskResources().fitsIn(machine.freeCapacity()) && zoneAllows(job, machine)) {
                 if (machine.images.containsKey(spec.image())) {
                     with = with == null || LEAST_ROOM.compare(machine, with) < 0 ? machine : with;
                 } else {
@@ -745,26 +748,27 @@
 
     /** Work that saves needs time to end; its room is taken once it is there. */
     private void askSavingWork(Job job, List<Machine> candidates, long nowMicros) {
-        if (job.roomComingMicros > nowMicros) {
+        if (job.capacityAwaitedUntilMicros > nowMicros) {
             return;
         }
         for (Machine machine : candidates) {
-            Resources room = machine.room();
+            Resources room = machine.freeCapacity();
             List<Placement> victims = new ArrayList<>();
             for (Placement placement : machine.placements) {
                 JobSpec theirs = placement.job.spec;
-                if (!job.spec.each().fitsIn(room)
+                if (!job.spec.taskResources().fitsIn(room)
                         && theirs.kind() != JobKind.SERVICE
-                        && !placement.stopping()
-                        && job.priority().above(placement.job.priority())) {
+                        && !placement.isStopping()
+                        && job.priority().isAbove(placement.job.priority())) {
                     victims.add(placement);
-                    room = room.plus(theirs.each());
+                    room = room.plus(theirs.taskResources());
                 }
             }
-            if (!victims.isEmpty() && job.spec.each().fitsIn(room)) {
+            if (!victims.isEmpty() && job.spec.taskResources().fitsIn(room)) {
                 for (Placement victim : victims) {
-                    job.roomComingMicros = Math.max(
-                            job.roomComingMicros, nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
+                    job.capacityAwaitedUntilMicros = Math.max(
+                            job.capacityAwaitedUntilMicros,
+                            nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
                     scheduler.stopToSave(victim, nowMicros);
                 }
                 return;
@@ -773,21 +777,21 @@
     }
 
     private long fetchMicros(Machine machine, JobSpec spec) {
-        MachineType type = fleet.types().get(machine.type);
+        MachineType type = fleet.machineTypes().get(machine.type);
         return type == null || type.fetchGbPerSecond() <= 0
                 ? 0
                 : Micros.ofSeconds(spec.imageGb() / type.fetchGbPerSecond());
     }
 
     private boolean zoneAllows(Job job, Machine machine) {
-        if (!job.spec.oneZone() && !job.spec.spread()) {
+        if (!job.spec.singleZone() && !job.spec.spreadOverZones()) {
             return true;
         }
         int inZone = 0;
-        for (List<Placement> list : job.live.values()) {
+        for (List<Placement> list : job.liveAttempts.values()) {
             for (Placement placement : list) {
                 if (placement.machine.zone == null || !placement.machine.zone.equals(machine.zone)) {
-                    if (job.spec.oneZone()) {
+                    if (job.spec.singleZone()) {
                         return false;
                     }
                 } else {
@@ -795,13 +799,13 @@
                 }
             }
         }
-        return inZone < job.spec.mostInOneZone();
+        return inZone < job.spec.maxTasksPerZone();
     }
 
     private static long loss(List<Placement> victims, long nowMicros) {
         long loss = 0;
         for (Placement victim : victims) {
-            if (!victim.unsent()) {
+            if (!victim.isUnsent()) {
                 loss += Micros.SECOND + nowMicros - victim.createdMicros;
             }
         }
@@ -816,37 +820,37 @@
     /** @param same whether work of the same priority beyond its team's guarantee may be among them */
     private List<Placement> victims(Job job, Machine machine, boolean same) {
         List<Placement> victims = new ArrayList<>();
-        Resources room = machine.room();
+        Resources room = machine.freeCapacity();
         List<Placement> lesser = new ArrayList<>();
         for (Placement placement : machine.placements) {
-            if (placement.stopping() && placement.stopGraceMicros == 0) {
+            if (placement.isStopping() && placement.stopGraceMicros == 0) {
                 // Stopped for others that were placed here since: without this each further task displaced more.
-                room = room.plus(placement.job.spec.each());
-            } else if (!placement.stopping() && yields(placement, job)) {
+                room = room.plus(placement.job.spec.taskResources());
+            } else if (!placement.isStopping() && yields(placement, job)) {
                 lesser.add(placement);
             }
         }
-        lesser.sort(Comparator.comparing((Placement p) -> !p.unsent()).thenComparing(p -> -p.createdMicros));
+        lesser.sort(Comparator.comparing((Placement p) -> !p.isUnsent()).thenComparing(p -> -p.createdMicros));
         Map<String, Resources> taken = new HashMap<>();
         for (Placement placement : lesser) {
-            if (job.spec.each().fitsIn(room)) {
+            if (job.spec.taskResources().fitsIn(room)) {
                 break;
             }
             if (!placement.job.priority().equals(job.priority()) || (same && overGuarantee(placement, taken))) {
                 victims.add(placement);
-                room = room.plus(placement.job.spec.each());
-                taken.merge(placement.job.spec.team(), placement.job.spec.each(), Resources::plus);
+                room = room.plus(placement.job.spec.taskResources());
+                taken.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
             }
         }
-        return job.spec.each().fitsIn(room) ? victims : null;
+        return job.spec.taskResources().fitsIn(room) ? victims : null;
     }
 
     private boolean yields(Placement placement, Job job) {
         JobSpec theirs = placement.job.spec;
-        if (theirs.kind() == JobKind.GANG || theirs.checkpointMicros() > 0) {
+        if (theirs.kind() == JobKind.GANG || theirs.checkpointIntervalMicros() > 0) {
             return false;
         }
-        return job.priority().above(placement.job.priority())
+        return job.priority().isAbove(placement.job.priority())
                 || (!theirs.team().equals(job.spec.team())
                         && theirs.kind() == JobKind.ARRAY
                         && job.priority() == placement.job.priority());
@@ -857,7 +861,7 @@
         if (team == null) {
             return true;
         }
-        Resources use = scheduler.teamUse(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
-        return !team.guarantees(use);
+        Resources use = scheduler.teamUsage(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
+        return !team.isWithinGuarantee(use);
     }
 }
--- a/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
+++ b/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
@@ -20,10 +20,10 @@
         RuntimeEstimator runTimes = new RuntimeEstimator();
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
         for (int i = 0; i < tasks; i++) {
-            runTimes.finished(job, seconds * Micros.SECOND);
+            runTimes.taskFinished(job, seconds * Micros.SECOND);
         }
-        assertEquals(expected, runTimes.expected(job) / Micros.SECOND, 1.0);
-        assertTrue(runTimes.slowest(job) > runTimes.expected(job));
+        assertEquals(expected, runTimes.expectedMicros(job) / Micros.SECOND, 1.0);
+        assertTrue(runTimes.slowestMicros(job) > runTimes.expectedMicros(job));
     }
 
     /** After a take-over a running task looks younger than it is; three take-overs a day once halved the estimates. */
@@ -36,7 +36,7 @@
         world.takeOver();
         world.run(Micros.SECOND * 30);
         assertEquals(JobState.DONE, world.state("wk-1"));
-        List<String> lines = world.leader.completions(world.now);
+        List<String> lines = world.leader.takeCompletions(world.now);
         assertTrue(lines.get(0).contains("20.0 s expected"), lines.get(0));
     }
 }
