--- a/src/test/java/io/micatide/scheduler/SchedulerHarness.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -209,13 +209,13 @@
             seenToken = answerToken;
             lastAnsweredSent = Math.max(lastAnsweredSent, sentAt);
             for (Command command : commands) {
-                String key = command.job() + "/" + command.index() + "@" + command.attempt();
+                String key = command.job() + "/" + command.taskIndex() + "@" + command.attempt();
                 Task task = tasks.get(key);
                 if (command instanceof Command.Start && task == null) {
                     start(this, command, key);
                 } else if (command instanceof Command.Stop && task != null && task.cause == null) {
                     task.cause = ExitCause.STOPPED;
-                } else if (command instanceof Command.Forget && task != null && task.cause != null) {
+                } else if (command instanceof Command.Reap && task != null && task.cause != null) {
                     tasks.remove(key);
                 }
             }
@@ -272,16 +272,16 @@
                 }
             }
         }
-        if (task.waiting && peers.size() == spec.tasks()) {
+        if (task.waiting && peers.size() == spec.taskCount()) {
             for (Task other : peers) {
                 other.waiting = false;
-                other.endsAt = now + spec.estimateMicros();
+                other.endsAt = now + spec.estimatedRuntimeMicros();
             }
-        } else if (task.waiting && now - task.placedAt > settings.gangWaitMicros()) {
+        } else if (task.waiting && now - task.placedAt > settings.gangStartTimeoutMicros()) {
             task.cause = ExitCause.ALONE;
         } else if (!task.waiting && done) {
             task.cause = ExitCause.DONE;
-        } else if (!task.waiting && peers.size() < spec.tasks()) {
+        } else if (!task.waiting && peers.size() < spec.taskCount()) {
             task.cause = ExitCause.PEERS;
         }
     }
@@ -294,26 +294,27 @@
     }
 
     private void start(Worker worker, Command command, String key) {
-        String taskName = command.job() + "/" + command.index();
+        String taskName = command.job() + "/" + command.taskIndex();
         StoredRecord row = rows.get(StoreKeys.job(command.job()));
         for (Worker other : workers.values()) {
             for (Task task : other.tasks.values()) {
-                if (task.cause == null && task.job.equals(command.job()) && task.index == command.index()) {
+                if (task.cause == null && task.job.equals(command.job()) && task.index == command.taskIndex()) {
                     broken.add("ran_twice " + taskName + " on " + worker.name + " and " + other.name);
                 }
             }
         }
-        if (cancelledAt.getOrDefault(command.job(), Long.MAX_VALUE) < now - settings.cancelMicros()) {
+        if (cancelledAt.getOrDefault(command.job(), Long.MAX_VALUE) < now - settings.cancellationLimitMicros()) {
             broken.add("ran_cancelled " + taskName);
         }
         Task task = new Task();
         task.job = command.job();
-        task.index = command.index();
+        task.index = command.taskIndex();
         task.attempt = command.attempt();
         JobSpec spec = specs.get(command.job());
         task.placedAt = now;
         task.waiting = spec.kind() == JobKind.GANG;
-        task.endsAt = task.waiting || spec.kind() == JobKind.SERVICE ? Long.MAX_VALUE : now + spec.estimateMicros();
+        task.endsAt =
+                task.waiting || spec.kind() == JobKind.SERVICE ? Long.MAX_VALUE : now + spec.estimatedRuntimeMicros();
         worker.tasks.put(key, task);
         starts++;
         startsOf.merge(command.job(), 1, Integer::sum);
@@ -321,7 +322,7 @@
         if (row == null) {
             broken.add("started without a row: " + taskName);
         }
-        for (String need : spec.needs()) {
+        for (String need : spec.dependencies()) {
             if (state(need) != JobState.DONE) {
                 broken.add("too_early " + taskName + " before " + need);
             }
@@ -330,11 +331,11 @@
         for (Worker other : workers.values()) {
             for (Task each : other.tasks.values()) {
                 if (each.cause == null && specs.get(each.job).team().equals("red")) {
-                    red += specs.get(each.job).each().cpus();
+                    red += specs.get(each.job).taskResources().cpus();
                 }
             }
         }
-        if (red > settings.teams().get("red").cpusMax()) {
+        if (red > settings.teams().get("red").maxCpus()) {
             broken.add("quota at " + taskName);
         }
     }
@@ -343,16 +344,19 @@
 
     void submit(JobSpec spec) {
         specs.put(spec.id(), spec);
-        put(StoreKeys.job(spec.id()), new StoredRecord.JobRow(JobState.OPEN, spec, now, spec.tasks()), ++revision);
+        put(
+                StoreKeys.job(spec.id()),
+                new StoredRecord.JobRecord(JobState.OPEN, spec, now, spec.taskCount()),
+                ++revision);
     }
 
     void cancel(String id) {
-        StoredRecord.JobRow row = (StoredRecord.JobRow) rows.get(StoreKeys.job(id));
+        StoredRecord.JobRecord row = (StoredRecord.JobRecord) rows.get(StoreKeys.job(id));
         if (row != null && row.state() == JobState.OPEN) {
             cancelledAt.put(id, now);
             put(
                     StoreKeys.job(id),
-                    new StoredRecord.JobRow(JobState.CANCELLED, row.spec(), row.submittedWall(), row.tasks()),
+                    new StoredRecord.JobRecord(JobState.CANCELLED, row.spec(), row.submittedWall(), row.taskCount()),
                     ++revision);
         }
     }
@@ -360,16 +364,16 @@
     /** What any controller's copy makes of the rows; a leader hears of each change. */
     final JobCache directory = new JobCache();
 
-    private void copy(String key, StoredRecord.JobRow row, long version) {
+    private void copy(String key, StoredRecord.JobRecord row, long version) {
         for (String changed : directory.apply(key.substring(StoreKeys.JOBS.length()), row, version)) {
             if (leader != null) {
-                leader.jobSeen(directory.view(changed), now, now);
+                leader.jobChanged(directory.view(changed), now, now);
             }
         }
     }
 
     JobState state(String id) {
-        return ((StoredRecord.JobRow) rows.get(StoreKeys.job(id))).state();
+        return ((StoredRecord.JobRecord) rows.get(StoreKeys.job(id))).state();
     }
 
     /** What is stored is text: a leader reads what the one before it wrote, not its objects. */
@@ -394,12 +398,12 @@
             rows.remove(key);
             versions.remove(key);
         } else {
-            if (row instanceof StoredRecord.JobRow job && job.state() == JobState.DONE) {
+            if (row instanceof StoredRecord.JobRecord job && job.state() == JobState.DONE) {
                 checkDone(key.substring(StoreKeys.JOBS.length()));
             }
             rows.put(key, row);
             versions.put(key, at);
-            if (row instanceof StoredRecord.JobRow job) {
+            if (row instanceof StoredRecord.JobRecord job) {
                 copy(key, job, at);
             }
         }
@@ -407,7 +411,7 @@
 
     private void checkDone(String id) {
         JobSpec spec = specs.get(id);
-        for (int i = 0; i < spec.tasks(); i++) {
+        for (int i = 0; i < spec.taskCount(); i++) {
             if (!everStarted.contains(id + "/" + i)) {
                 broken.add("not_done " + id + "/" + i);
             }
@@ -416,14 +420,14 @@
 
     /** The revision, or 0 if a condition failed. */
     long apply(Transaction transaction) {
-        for (Transaction.Compare compare : transaction.conditions()) {
+        for (Transaction.Condition compare : transaction.conditions()) {
             if (versions.getOrDefault(compare.key(), 0L) != compare.version()) {
                 return 0;
             }
         }
         revision++;
         for (Transaction.Write write : transaction.writes()) {
-            put(write.key(), write.row(), revision);
+            put(write.key(), write.record(), revision);
         }
         return revision;
     }
@@ -432,10 +436,10 @@
         fencingToken = ++revision;
         put(StoreKeys.LEADER, new StoredRecord.Leader("c0"), fencingToken);
         leader = new Scheduler(settings, Tuning.defaults(settings), fencingToken, now, planners);
-        leader.hinted(hints, false, now);
+        leader.hintsReceived(hints, false, now);
         takeOvers++;
-        leader.typesKnown(List.of(TYPE), now);
-        directory.openAndCancelled().forEach(view -> leader.jobSeen(view, now, now));
+        leader.machineTypesChanged(List.of(TYPE), now);
+        directory.openAndCancelled().forEach(view -> leader.jobChanged(view, now, now));
         if (marked) {
             put(
                     StoreKeys.LAYOUT,
@@ -446,17 +450,20 @@
         rows.forEach((key, row) -> {
             if (row instanceof StoredRecord.Ledger ledger) {
                 leader.ledgerLoaded(key, ledger, versions.get(key), now);
-            } else if (row instanceof StoredRecord.Returned returned) {
-                leader.returnLoaded(key, returned, versions.get(key), now);
-            } else if (row instanceof StoredRecord.Booking booking) {
-                leader.bookingLoaded(key.substring(StoreKeys.BOOKINGS.length()), booking, versions.get(key), now);
+            } else if (row instanceof StoredRecord.MachinesToDelete returned) {
+                leader.machineDeletionLoaded(key, returned, versions.get(key), now);
+            } else if (row instanceof StoredRecord.Provisioning booking) {
+                leader.provisioningRequestLoaded(
+                        key.substring(StoreKeys.PROVISIONING_REQUESTS.length()), booking, versions.get(key), now);
             }
         });
-        leader.fenceKnown(
-                versions.getOrDefault(StoreKeys.FENCE, 0L),
-                rows.get(StoreKeys.FENCE) instanceof StoredRecord.Fence fence ? fence.number() : 0);
-        leader.switches(versions.getOrDefault(StoreKeys.FEATURES, 0L), fenced, recorded);
-        leader.loaded(now);
+        leader.provisioningFenceRead(
+                versions.getOrDefault(StoreKeys.PROVISIONING_FENCE, 0L),
+                rows.get(StoreKeys.PROVISIONING_FENCE) instanceof StoredRecord.ProvisioningFence fence
+                        ? fence.number()
+                        : 0);
+        leader.featureFlagsChanged(versions.getOrDefault(StoreKeys.FEATURE_STAGES, 0L), fenced, recorded);
+        leader.allRecordsLoaded(now);
     }
 
     /** Whether the leader dies here; called between any two things that it does. */
@@ -484,7 +491,7 @@
                 }
             }
         }
-        leader.resumed(now);
+        leader.processResumed(now);
         // Its timers may fire before it has read what waits at its sockets.
         leader.tick(now);
         leader.cloudCalls(now).forEach(this::cloud);
@@ -506,8 +513,8 @@
         }
         if (zombie != null) {
             zombie.tick(now);
-            if (zombie.round(now, now) != null) {
-                zombie.roundNotExecuted(now);
+            if (zombie.nextWriteBatch(now, now) != null) {
+                zombie.writeNotExecuted(now);
             }
             zombie = now < zombieUntil ? zombie : null;
         }
@@ -526,7 +533,7 @@
         }
         if (leader != null) {
             if (!stateOutage) {
-                leader.stateFresh(now);
+                leader.storeReadAt(now);
             }
             leader.tick(now);
             writeRound();
@@ -549,7 +556,7 @@
     private static String encoded(CloudCall call) {
         if (call instanceof CloudCall.Rent rent) {
             return String.join(
-                    " ", "rent", rent.booking(), rent.type(), rent.zone(), "" + rent.spot(), "" + rent.count());
+                    " ", "rent", rent.requestName(), rent.type(), rent.zone(), "" + rent.spot(), "" + rent.count());
         }
         return call instanceof CloudCall.Delete delete
                 ? "delete " + delete.machines()
@@ -571,21 +578,21 @@
         if (zombie != null && worker.zone.equals("a")) {
             if (leader != null && random.nextInt(15) == 0) {
                 // It tried the new leader, whose answer was lost, and goes back to the former one.
-                leader.heartbeat(heartbeat, now);
+                leader.handleHeartbeat(heartbeat, now);
             } else if (heartbeat.fencingToken() <= zombieToken) {
-                worker.execute(zombieToken, zombie.heartbeat(heartbeat, now), now, incarnation);
+                worker.execute(zombieToken, zombie.handleHeartbeat(heartbeat, now), now, incarnation);
             }
             return;
         }
         if (dies() || heartbeat.fencingToken() > fencingToken) {
             return;
         }
-        List<Command> commands = leader.heartbeat(heartbeat, now);
+        List<Command> commands = leader.handleHeartbeat(heartbeat, now);
         decisions.accept(now + " " + worker.name + " " + commands);
         messages.accept(now + " " + worker.name + " " + text(WorkerCodec.answer(fencingToken, commands)));
         if (greets) {
             // The greeting's answer overtakes that of the report: it was made before the commands came.
-            leader.greeted(worker.heartbeat(), now);
+            leader.announcementAnswered(worker.heartbeat(), now);
         }
         boolean lost = random.nextDouble() < lostAnswers;
         boolean diesAfter = dies();
@@ -595,7 +602,7 @@
     }
 
     private void writeRound() {
-        Transaction round = leader.round(now, now);
+        Transaction round = leader.nextWriteBatch(now, now);
         if (round == null) {
             return;
         }
@@ -607,12 +614,12 @@
             return;
         }
         if (stateOutage) {
-            leader.roundNotExecuted(now);
+            leader.writeNotExecuted(now);
             return;
         }
         if (breaksLimits(round)) {
             refused++;
-            leader.roundRefused(now);
+            leader.writeRejected(now);
             return;
         }
         boolean lost = random.nextDouble() < lostAnswers;
@@ -622,7 +629,7 @@
             return;
         }
         List<String> failed = new ArrayList<>();
-        for (Transaction.Compare compare : round.conditions()) {
+        for (Transaction.Condition compare : round.conditions()) {
             if (versions.getOrDefault(compare.key(), 0L) != compare.version()) {
                 failed.add(compare.key());
             }
@@ -634,33 +641,33 @@
         if (lost) {
             readBack();
         } else if (applied == 0) {
-            leader.roundRefusedFor(failed, now).forEach(key -> {
+            leader.writeConflicted(failed, now).forEach(key -> {
                 read(key);
-                leader.keyKnown(key, now);
+                leader.keyReadBack(key, now);
             });
         } else {
-            leader.roundConfirmed(applied, now);
+            leader.writeConfirmed(applied, now);
         }
     }
 
     private boolean breaksLimits(Transaction round) {
         boolean breaks = round.writes().size() > opsLimit || round.conditions().size() > 4 * opsLimit;
         for (Transaction.Write write : round.writes()) {
-            breaks |= write.row() != null && StoreCodec.size(write.row()) > valueLimit;
+            breaks |= write.record() != null && StoreCodec.size(write.record()) > valueLimit;
         }
         return breaks;
     }
 
     private void readBack() {
-        leader.roundUnresolved().forEach(this::read);
-        leader.roundResolved(now);
+        leader.unresolvedWriteKeys().forEach(this::read);
+        leader.writeResolved(now);
     }
 
     private void read(String key) {
         StoredRecord row = rows.get(key);
-        if (Scheduler.isOfDuties(key)) {
-            leader.dutyReadBack(key, row, versions.getOrDefault(key, 0L));
-        } else if (row instanceof StoredRecord.JobRow job) {
+        if (Scheduler.isCloudRecord(key)) {
+            leader.cloudRecordReadBack(key, row, versions.getOrDefault(key, 0L));
+        } else if (row instanceof StoredRecord.JobRecord job) {
             leader.jobReadBack(key.substring(StoreKeys.JOBS.length()), job, versions.get(key), now);
         } else if (key.startsWith(StoreKeys.LEDGERS)) {
             leader.ledgerReadBack(key, (StoredRecord.Ledger) row, versions.getOrDefault(key, 0L));
@@ -670,7 +677,7 @@
     private void cloud(CloudCall call) {
         if (call instanceof CloudCall.Rent rent) {
             if (cloudOutage) {
-                leader.rentUnanswered(rent.booking(), now);
+                leader.provisioningUnanswered(rent.requestName(), now);
                 return;
             }
             List<String> names = new ArrayList<>();
@@ -678,11 +685,11 @@
                 names.add(boot(rent.zone(), rent.spot(), now + bootFactor * TYPE.bootMicros()).name);
             }
             if (random.nextDouble() < lostAnswers) {
-                leader.rentUnanswered(rent.booking(), now);
+                leader.provisioningUnanswered(rent.requestName(), now);
             } else if (names.isEmpty()) {
-                leader.noCapacity(rent.booking(), now);
+                leader.noCapacity(rent.requestName(), now);
             } else {
-                leader.rented(rent.booking(), names, now);
+                leader.machinesRented(rent.requestName(), names, now);
             }
         } else if (call instanceof CloudCall.Delete delete) {
             if (cloudOutage) {
@@ -703,12 +710,12 @@
                 }
             }
             if (random.nextDouble() >= lostAnswers) {
-                leader.deleted(delete.machines(), now);
+                leader.machinesDeleted(delete.machines(), now);
             }
         } else if (call instanceof CloudCall.ListTypes) {
-            leader.typesKnown(List.of(TYPE), now);
+            leader.machineTypesChanged(List.of(TYPE), now);
         } else if (cloudOutage) {
-            leader.listed(null, now, now);
+            leader.machinesListed(null, now, now);
         } else {
             List<ListedMachine> list = new ArrayList<>();
             for (Worker worker : workers.values()) {
@@ -722,7 +729,7 @@
                             0));
                 }
             }
-            leader.listed(list, now, now);
+            leader.machinesListed(list, now, now);
         }
     }
 
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -33,18 +33,18 @@
         scheduler = new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0, (s, its, fleet, ledgers, times) -> {
             PlacementPlanner planner = new PlacementPlanner(s, its, fleet, ledgers, times);
             planners.add(planner);
-            machine = fleet.obtain("i-1", 0);
+            machine = fleet.getOrAdd("i-1", 0);
             job = ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
             return planner;
         });
     }
 
     private UnschedulableClasses blocked() {
-        return planners.get(0).blocked;
+        return planners.get(0).unschedulable;
     }
 
-    private JobQueue.Queued queued() {
-        return new JobQueue.Queued(job, 1, true, true, 0);
+    private JobQueue.QueuedJob queued() {
+        return new JobQueue.QueuedJob(job, 1, true, true, 0);
     }
 
     private String remembered() {
@@ -54,7 +54,7 @@
     }
 
     private String after(BiConsumer<Scheduler, Placement> what) {
-        scheduler.place(job, job.nextWaiting(), machine, 0);
+        scheduler.place(job, job.nextPendingTask(), machine, 0);
         Placement placement = machine.placements.get(0);
         blocked().full(EquivalenceClass.of(job.spec));
         blocked().findsNothing(queued());
@@ -67,7 +67,7 @@
     void whatCouldMatterIsForgotten() {
         Map<String, BiConsumer<Scheduler, Placement>> events = Map.of(
                 "nothing", (s, placement) -> {},
-                "placed", (s, placement) -> s.place(job, job.nextWaiting(), machine, 0),
+                "placed", (s, placement) -> s.place(job, job.nextPendingTask(), machine, 0),
                 "stopped", (s, placement) -> s.stop(placement, 0, 0),
                 "removed", (s, placement) -> s.remove(placement));
         Map<String, String> expected = Map.of(
@@ -89,11 +89,11 @@
         blocked().full(EquivalenceClass.of(job.spec));
         blocked().findsNothing(queued());
         blocked().room(job, true, new HashMap<>());
-        assertEquals(false, blocked().findNothing(new JobQueue.Queued(job, 1, false, true, 0)));
+        assertEquals(false, blocked().findNothing(new JobQueue.QueuedJob(job, 1, false, true, 0)));
         assertEquals(null, blocked().room(job, false));
         Job other = new Job(SchedulerHarness.job("wk-2", JobKind.ARRAY, "red", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
         assertEquals(true, blocked().isFull(EquivalenceClass.of(other.spec)));
-        assertEquals(false, blocked().findNothing(new JobQueue.Queued(other, 1, true, true, 0)));
+        assertEquals(false, blocked().findNothing(new JobQueue.QueuedJob(other, 1, true, true, 0)));
         assertEquals(null, blocked().room(other, true));
     }
 }
--- a/src/test/java/io/micatide/simulation/RolloutScenario.java
+++ b/src/test/java/io/micatide/simulation/RolloutScenario.java
@@ -44,27 +44,28 @@
 
     /** Called after each change. */
     private void look(long revision) {
-        SimulatedStore.Value row = day.deployment.state.values().get(StoreKeys.FEATURES);
+        SimulatedStore.Value row = day.deployment.state.values().get(StoreKeys.FEATURE_STAGES);
         Map<String, Long> nowKept = new TreeMap<>();
-        values(StoreKeys.LEARNED).forEach((key, value) -> nowKept.put(key, value.stamp()));
-        values(StoreKeys.FENCE).forEach((key, value) -> nowKept.put(key, value.stamp()));
-        values(StoreKeys.RETURNS).forEach((key, value) -> nowKept.put(key, value.stamp()));
+        values(StoreKeys.LEARNED_STATE).forEach((key, value) -> nowKept.put(key, value.stamp()));
+        values(StoreKeys.PROVISIONING_FENCE).forEach((key, value) -> nowKept.put(key, value.stamp()));
+        values(StoreKeys.MACHINE_DELETIONS).forEach((key, value) -> nowKept.put(key, value.stamp()));
         nowKept.forEach((key, stamp) -> {
-            Feature feature = key.equals(StoreKeys.FENCE)
+            Feature feature = key.equals(StoreKeys.PROVISIONING_FENCE)
                     ? Feature.BOOKING_FENCE
-                    : key.startsWith(StoreKeys.RETURNS) ? Feature.RETURNS : Feature.LEARNED;
+                    : key.startsWith(StoreKeys.MACHINE_DELETIONS) ? Feature.RETURNS : Feature.LEARNED;
             if (!stamp.equals(kept.get(key)) && stage(feature) != FeatureStage.ON) {
                 wrong.add(key + " is written while " + feature.key() + " is " + stage(feature));
             }
         });
         kept = nowKept;
         if (row != null && row.stamp() != features) {
-            stepped(((StoredRecord.Features) SimulatedCluster.row(StoreKeys.FEATURES, row)).stages());
+            stepped(((StoredRecord.FeatureStages) SimulatedCluster.row(StoreKeys.FEATURE_STAGES, row)).stages());
             features = row.stamp();
         }
         Map<String, Long> acts = new TreeMap<>();
-        values(StoreKeys.HERE)
-                .forEach((key, value) -> acts.put(key, ((StoredRecord.Here) SimulatedCluster.row(key, value)).acts()));
+        values(StoreKeys.CONTROLLERS)
+                .forEach((key, value) -> acts.put(
+                        key, ((StoredRecord.RegisteredController) SimulatedCluster.row(key, value)).actingOnVersion()));
         here = acts;
         if (day.deployment.fencingToken() != leader) {
             leader = day.deployment.fencingToken();
@@ -104,8 +105,8 @@
     }
 
     /** What an operator asks for, NONE to take it back. */
-    void ask(Feature feature, StoredRecord.Wish wish) {
-        String key = StoreKeys.asked(feature.key());
+    void ask(Feature feature, StoredRecord.RequestedAction wish) {
+        String key = StoreKeys.featureRequest(feature.key());
         SimulatedStore.Value there = day.deployment.state.values().get(key);
         String body = "{\"if\":[{\"k\":\"" + key + "\",\"stamp\":" + (there == null ? 0 : there.stamp())
                 + "}],\"writes\":[{\"put\":\"" + key + "\",\"data\":{\"wish\":\"" + wish + "\"}}]}";
@@ -116,8 +117,8 @@
                     SimulatedStore.Value now = day.deployment.state.values().get(key);
                     if (!reply.ok()
                             && !(now != null
-                                    && SimulatedCluster.row(key, now) instanceof StoredRecord.Ask ask
-                                    && ask.wish() == wish)) {
+                                    && SimulatedCluster.row(key, now) instanceof StoredRecord.FeatureRequest ask
+                                    && ask.action() == wish)) {
                         day.deployment.user.later(() -> ask(feature, wish), Micros.SECOND);
                     }
                 });
--- a/src/test/java/io/micatide/simulation/RolloutTest.java
+++ b/src/test/java/io/micatide/simulation/RolloutTest.java
@@ -48,13 +48,17 @@
                 day.failBriefly();
             }
             if (second == 12 && day.random.nextInt(3) == 0) {
-                roll.ask(asked, day.random.nextBoolean() ? StoredRecord.Wish.BACK : StoredRecord.Wish.HOLD);
+                roll.ask(
+                        asked,
+                        day.random.nextBoolean()
+                                ? StoredRecord.RequestedAction.BACK
+                                : StoredRecord.RequestedAction.HOLD);
             }
             day.time.run(Micros.SECOND);
         }
         day.killAtInteraction(0);
         day.deployment.network.losses(0, 0);
-        roll.ask(asked, StoredRecord.Wish.NONE);
+        roll.ask(asked, StoredRecord.RequestedAction.NONE);
         for (int i = 0; i < controllers; i++) {
             day.replace(i, Capabilities.ALL, 500 * Micros.MILLISECOND);
             day.time.run(300 * Micros.MILLISECOND);
@@ -124,7 +128,7 @@
         day.time.run(5 * Micros.SECOND);
         assertEquals(List.of(1, 2), roll.healthy());
         // It cannot register, so nothing moves forward; back goes all the same once it is not there.
-        roll.ask(Feature.LEARNED, StoredRecord.Wish.BACK);
+        roll.ask(Feature.LEARNED, StoredRecord.RequestedAction.BACK);
         day.replace(0, Capabilities.ALL, 100 * Micros.MILLISECOND);
         day.time.run(30 * Micros.SECOND);
         assertEquals(FeatureStage.OFF, roll.stage(Feature.LEARNED));
@@ -152,14 +156,17 @@
                 body.path("writes").forEach(each -> {
                     String key = each.path("put").asText();
                     if (key.equals(StoreKeys.LEADER)
-                            || key.startsWith(StoreKeys.HERE)
-                            || key.startsWith(StoreKeys.LEARNED)
-                            || key.startsWith(StoreKeys.RETURNS)
-                            || (key.startsWith(StoreKeys.BOOKINGS) && conditions.contains(StoreKeys.FENCE))) {
+                            || key.startsWith(StoreKeys.CONTROLLERS)
+                            || key.startsWith(StoreKeys.LEARNED_STATE)
+                            || key.startsWith(StoreKeys.MACHINE_DELETIONS)
+                            || (key.startsWith(StoreKeys.PROVISIONING_REQUESTS)
+                                    && conditions.contains(StoreKeys.PROVISIONING_FENCE))) {
                         seen.merge(key.substring(0, 4), 1, Integer::sum);
-                        assertTrue(conditions.contains(StoreKeys.FEATURES), key + " on condition of " + conditions);
+                        assertTrue(
+                                conditions.contains(StoreKeys.FEATURE_STAGES), key + " on condition of " + conditions);
                     }
-                    if (key.startsWith(StoreKeys.BOOKINGS) && roll.stage(Feature.BOOKING_FENCE) == FeatureStage.ON) {
+                    if (key.startsWith(StoreKeys.PROVISIONING_REQUESTS)
+                            && roll.stage(Feature.BOOKING_FENCE) == FeatureStage.ON) {
                         assertTrue(conditions.contains(key), key + " on condition of " + conditions);
                     }
                 });
@@ -191,19 +198,19 @@
         long[] refusedMicros = {0};
         roll.day.deployment.state.beforeEachTransaction(body -> body.path("writes")
                 .forEach(each -> {
-                    registered[0] += each.path("put").asText().startsWith(StoreKeys.HERE) ? 1 : 0;
+                    registered[0] += each.path("put").asText().startsWith(StoreKeys.CONTROLLERS) ? 1 : 0;
                     refusedMicros[0] =
-                            refusedMicros[0] == 0 && each.path("put").asText().equals(StoreKeys.FEATURES)
+                            refusedMicros[0] == 0 && each.path("put").asText().equals(StoreKeys.FEATURE_STAGES)
                                     ? roll.day.time.now()
                                     : refusedMicros[0];
-                    if (each.path("put").asText().equals(StoreKeys.FEATURES)
+                    if (each.path("put").asText().equals(StoreKeys.FEATURE_STAGES)
                             && roll.day.time.now() < refusedMicros[0] + 10 * Micros.SECOND) {
                         throw new IllegalArgumentException("refused");
                     }
                 }));
         roll.day.time.run(60 * Micros.SECOND);
         assertEquals(FeatureStage.ON, roll.stage(Feature.LEARNED));
-        int reads = roll.day.asked.getOrDefault("/store/" + StoreKeys.FEATURES, 0);
+        int reads = roll.day.asked.getOrDefault("/store/" + StoreKeys.FEATURE_STAGES, 0);
         assertTrue(reads <= 4 * controllers + 30, reads + " reads of the switches");
         assertTrue(registered[0] <= 6 * controllers, registered[0] + " registrations");
     }
--- a/src/test/java/io/micatide/simulation/SmallJobsTest.java
+++ b/src/test/java/io/micatide/simulation/SmallJobsTest.java
@@ -81,7 +81,8 @@
                 .subMap(StoreKeys.JOBS, StoreKeys.JOBS + Character.MAX_VALUE)
                 .entrySet()) {
             rows += each.getKey().startsWith(StoreKeys.job("wk-"))
-                            && SimulatedCluster.row(each.getKey(), each.getValue()) instanceof StoredRecord.JobRow row
+                            && SimulatedCluster.row(each.getKey(), each.getValue())
+                                    instanceof StoredRecord.JobRecord row
                             && row.state() != JobState.OPEN
                     ? 1
                     : 0;
--- a/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
+++ b/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
@@ -48,7 +48,9 @@
                     ScaleSettings.STATE,
                     this);
             checker = new InvariantChecker(
-                    deployment.time, settings(0).cancelMicros(), settings(0).teams());
+                    deployment.time,
+                    settings(0).cancellationLimitMicros(),
+                    settings(0).teams());
             List<Http> controllers = new ArrayList<>();
             for (int i = 0; i < CONTROLLERS; i++) {
                 controllers.add(deployment.toController(i));
@@ -93,20 +95,20 @@
                     "cloud",
                     "state",
                     read.zones(),
-                    read.clockOffMicros(),
+                    read.wallClockErrorMicros(),
                     read.teams(),
                     read.objectives(),
                     read.heartbeatIntervalMicros(),
                     read.workerLeaseMicros(),
-                    read.gangWaitMicros(),
-                    read.gangPeerMicros(),
-                    read.cancelMicros(),
-                    read.stateRate(),
-                    read.writeRate(),
-                    read.valueBytes(),
-                    read.writableBytes(),
-                    read.transactionOps(),
-                    read.cloudRate(),
+                    read.gangStartTimeoutMicros(),
+                    read.gangPeerTimeoutMicros(),
+                    read.cancellationLimitMicros(),
+                    read.storeRequestsPerSecond(),
+                    read.storeWritesPerSecond(),
+                    read.maxValueBytes(),
+                    read.maxWritableValueBytes(),
+                    read.maxTransactionWrites(),
+                    read.cloudRequestsPerSecond(),
                     read.listLagMicros(),
                     read.cores(),
                     read.memoryMb(),
@@ -120,7 +122,7 @@
                     Tuning.leaseWithStandby(settings(controller)),
                     7_200 * Micros.SECOND,
                     true,
-                    defaults.historyBatch(),
+                    defaults.archiveBatchSize(),
                     true,
                     false,
                     true);
--- a/src/test/java/io/micatide/standby/HintsTest.java
+++ b/src/test/java/io/micatide/standby/HintsTest.java
@@ -17,7 +17,7 @@
         String name = "n-" + random.nextInt(400);
         return switch (random.nextInt(3)) {
             case 0 ->
-                new Hint.OfMachine(
+                new Hint.MachineHint(
                         name,
                         "a" + name,
                         3,
@@ -26,8 +26,8 @@
                         random.nextBoolean(),
                         random.nextBoolean(),
                         random.nextInt(5) == 0);
-            case 1 -> new Hint.OfJob(name, random.nextInt(1_000_000), random.nextInt(64), random.nextBoolean(), 0);
-            default -> new Hint.OfClass(name, random.nextInt(20) / 10.0, 0.5);
+            case 1 -> new Hint.JobHint(name, random.nextInt(1_000_000), random.nextInt(64), random.nextBoolean(), 0);
+            default -> new Hint.JobClassHint(name, random.nextInt(20) / 10.0, 0.5);
         };
     }
 
--- a/src/test/java/io/micatide/store/MachineNameCodecTest.java
+++ b/src/test/java/io/micatide/store/MachineNameCodecTest.java
@@ -27,14 +27,14 @@
             })
     void shortAndBack(String names, String groups) {
         List<String> list = List.of(names.split(" "));
-        assertEquals(List.of(groups.split(" ")), MachineNameCodec.shorten(list));
-        assertEquals(new HashSet<>(list), new HashSet<>(MachineNameCodec.lengthen(MachineNameCodec.shorten(list))));
+        assertEquals(List.of(groups.split(" ")), MachineNameCodec.compress(list));
+        assertEquals(new HashSet<>(list), new HashSet<>(MachineNameCodec.decompress(MachineNameCodec.compress(list))));
     }
 
     @ParameterizedTest
     @CsvSource({"i-000231", "i/x/3", "i/6/3+", "i/6/", "/"})
     void whatIsNoGroupIsSaid(String text) {
-        assertThrows(IllegalArgumentException.class, () -> MachineNameCodec.lengthen(List.of(text)));
+        assertThrows(IllegalArgumentException.class, () -> MachineNameCodec.decompress(List.of(text)));
     }
 
     /** Any set comes back; a fleet of 505 among 1,010 fits the smallest value that the operators named. */
@@ -46,12 +46,13 @@
             for (int i = 0; i < 505; i++) {
                 names.add(String.format("i-%06d", random.nextInt(round < 100 ? 1_010 : 50_000)));
             }
-            assertEquals(names, new HashSet<>(MachineNameCodec.lengthen(MachineNameCodec.shorten(names))));
+            assertEquals(names, new HashSet<>(MachineNameCodec.decompress(MachineNameCodec.compress(names))));
         }
         List<String> worst = new ArrayList<>();
         for (int i = 0; i < 505; i++) {
             worst.add(String.format("i-%06d", 2 * i));
         }
-        assertTrue(MachineNameCodec.bytes(worst) < 1_240, "bytes: " + MachineNameCodec.bytes(worst));
+        assertTrue(
+                MachineNameCodec.compressedBytes(worst) < 1_240, "bytes: " + MachineNameCodec.compressedBytes(worst));
     }
 }
--- a/src/test/java/io/micatide/store/PendingReadsTest.java
+++ b/src/test/java/io/micatide/store/PendingReadsTest.java
@@ -19,11 +19,11 @@
         for (char event : events.toCharArray()) {
             switch (event) {
                 case 'n' -> asked += readBack.next() == null ? 0 : 1;
-                case 'r' -> readBack.read();
-                default -> readBack.failed();
+                case 'r' -> readBack.keyRead();
+                default -> readBack.keyFailed();
             }
         }
         assertEquals(requests, asked);
-        assertEquals(finished, readBack.finished());
+        assertEquals(finished, readBack.isFinished());
     }
 }
