--- a/src/main/java/io/micatide/controller/PeerChannel.java
+++ b/src/main/java/io/micatide/controller/PeerChannel.java
@@ -1,5 +1,6 @@
 package io.micatide.controller;
 
+import io.micatide.model.HintBatch;
 import io.micatide.model.JobProgress;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
@@ -96,7 +97,7 @@
     /** To the heirs that do not hold the newest picture. */
     void hints(List<Integer> heirs, HintSender hints, long fencingToken) {
         for (int heir : heirs) {
-            for (HintSender.Part part : hints.parts(heir)) {
+            for (HintBatch part : hints.parts(heir)) {
                 siblings.get(heir)
                         .post(
                                 "/hints",
--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.micatide.model.Hint;
-import io.micatide.standby.HintSender.Part;
+import io.micatide.model.HintBatch;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
 
     private HintCodec() {}
 
-    public static byte[] part(Part part) {
+    public static byte[] part(HintBatch part) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("token", part.fencingToken());
@@ -75,10 +75,10 @@
         }
     }
 
-    public static Part part(byte[] body) throws MalformedException {
+    public static HintBatch part(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
-        return new Part(
+        return new HintBatch(
                 in.count("token", 1, Long.MAX_VALUE),
                 in.count("number", 1, Long.MAX_VALUE),
                 in.count("base", 0, Long.MAX_VALUE),
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -1,6 +1,7 @@
 package io.micatide.standby;
 
 import io.micatide.model.Hint;
+import io.micatide.model.HintBatch;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -15,13 +16,6 @@
     /** A number of hints that a request to a sibling has room for. */
     static final int PART = 100;
 
-    /**
-     * @param base number of the picture that it is a difference to, 0 for a whole one
-     * @param gone names that hold no more; with a whole one empty
-     */
-    public record Part(
-            long fencingToken, long number, long base, int index, int parts, List<Hint> hints, List<String> gone) {}
-
     private final long fencingToken;
     private final long[] held;
     private Map<String, Hint> picture = new HashMap<>();
@@ -57,17 +51,17 @@
     }
 
     /** What an heir is to be told now; empty if it holds this picture already. */
-    public List<Part> parts(int sibling) {
+    public List<HintBatch> parts(int sibling) {
         if (held[sibling] == number || number == 0) {
             return List.of();
         }
         boolean difference = held[sibling] == number - 1 && held[sibling] > 0;
         List<Hint> all = difference ? changed : List.copyOf(picture.values());
         List<String> away = difference ? gone : List.of();
-        List<Part> result = new ArrayList<>();
+        List<HintBatch> result = new ArrayList<>();
         int parts = Math.max(1, (all.size() + PART - 1) / PART);
         for (int index = 0; index < parts; index++) {
-            result.add(new Part(
+            result.add(new HintBatch(
                     fencingToken,
                     number,
                     difference ? number - 1 : 0,
--- a/src/main/java/io/micatide/standby/ReceivedHints.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -1,6 +1,7 @@
 package io.micatide.standby;
 
 import io.micatide.model.Hint;
+import io.micatide.model.HintBatch;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -18,7 +19,7 @@
     private long arriving;
 
     /** @return number of the picture that is held whole, 0 for none */
-    public long take(HintSender.Part part) {
+    public long take(HintBatch part) {
         if (part.fencingToken() < fencingToken) {
             return 0;
         }
--- a/src/test/java/io/micatide/standby/HintsTest.java
+++ b/src/test/java/io/micatide/standby/HintsTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.micatide.model.Hint;
+import io.micatide.model.HintBatch;
 import io.micatide.protocol.HintCodec;
 import io.micatide.protocol.MalformedException;
 import java.util.ArrayList;
@@ -39,7 +40,7 @@
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             ReceivedHints held = new ReceivedHints();
-            List<HintSender.Part> late = new ArrayList<>();
+            List<HintBatch> late = new ArrayList<>();
             for (long fencingToken = 5; fencingToken <= 7; fencingToken++) {
                 HintSender sender = new HintSender(fencingToken, 1);
                 List<Hint> picture = new ArrayList<>();
@@ -52,11 +53,11 @@
                         }
                     }
                     sender.picture(picture);
-                    for (HintSender.Part part : sender.parts(0)) {
+                    for (HintBatch part : sender.parts(0)) {
                         differences += part.base() > 0 ? 1 : 0;
                         byte[] body = HintCodec.part(part);
                         bytes = Math.max(bytes, body.length);
-                        HintSender.Part read = HintCodec.part(body);
+                        HintBatch read = HintCodec.part(body);
                         assertEquals(part, read);
                         int fate = second >= 10 ? 9 : random.nextInt(12);
                         if (fate == 0) {
