--- a/src/main/java/io/micatide/simulation/FailoverBenchmark.java
+++ b/src/main/java/io/micatide/simulation/FailoverBenchmark.java
@@ -245,9 +245,9 @@
         }
         deployment.time.run(began - deployment.time.now());
         if (orderly) {
-            deployment.stop(former, 4);
+            deployment.faults.shutDownForSeconds(former, 4);
         } else {
-            deployment.kill(former, 4);
+            deployment.faults.crashForSeconds(former, 4);
         }
         FailoverTimings times = null;
         long claimed = -1;
--- a/src/main/java/io/micatide/simulation/VirtualNetwork.java
+++ b/src/main/java/io/micatide/simulation/VirtualNetwork.java
@@ -44,6 +44,18 @@
      */
     public record Fate(long late, long again, boolean unheard) {
         public static final Fate ORDINARY = new Fate(0, 0, false);
+        /** The request is carried out, and its response is lost. */
+        public static final Fate UNHEARD = new Fate(0, 0, true);
+
+        /** The request gets no response and is carried out so much later. */
+        static Fate delayed(long micros) {
+            return new Fate(micros, 0, false);
+        }
+
+        /** A copy of the request arrives so much later. */
+        static Fate duplicated(long micros) {
+            return new Fate(0, micros, false);
+        }
     }
 
     /** Draws the fate of each request, null where it has nothing to say. */
--- a/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
+++ b/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
@@ -57,7 +57,7 @@
             day.users.fill();
             day.time.run(12 * Micros.SECOND);
             for (int controller = 0; controller < day.count; controller++) {
-                day.deployment.kill(controller, 13);
+                day.deployment.faults.crashForSeconds(controller, 13);
             }
             day.users.cancelNow(4, 0);
             day.time.run(90 * Micros.SECOND);
--- a/src/test/java/io/micatide/simulation/BriefRestartTest.java
+++ b/src/test/java/io/micatide/simulation/BriefRestartTest.java
@@ -79,9 +79,9 @@
             }
             day.time.run(8 * Micros.SECOND);
             if (how.equals("kill")) {
-                day.deployment.killFor(day.deployment.leader(), day.backSoon());
+                day.deployment.faults.crashForMicros(day.deployment.leader(), day.backSoon());
             } else {
-                day.deployment.stopFor(day.deployment.leader(), day.backSoon());
+                day.deployment.faults.shutDownForMicros(day.deployment.leader(), day.backSoon());
             }
             day.killAtInteraction(at, times, day.backSoon());
             day.users.submit("batch", 20, 3);
@@ -104,7 +104,8 @@
             int leader = day.deployment.leader();
             long fencingToken = day.deployment.fencingToken();
             long began = day.time.now();
-            day.deployment.killFor(leader, (least + day.random.nextInt(most - least)) * Micros.MILLISECOND);
+            day.deployment.faults.crashForMicros(
+                    leader, (least + day.random.nextInt(most - least)) * Micros.MILLISECOND);
             while (day.deployment.fencingToken() <= fencingToken && day.time.now() - began < 20 * Micros.SECOND) {
                 day.time.run(10 * Micros.MILLISECOND);
             }
@@ -127,7 +128,7 @@
         int starts = 0;
         for (int round = 0; round < 40; round++) {
             for (int each = 0; each < 5; each++) {
-                day.deployment.killFor(each, 100 * Micros.MILLISECOND);
+                day.deployment.faults.crashForMicros(each, 100 * Micros.MILLISECOND);
                 starts++;
             }
             day.time.run(500 * Micros.MILLISECOND);
--- a/src/test/java/io/micatide/simulation/DeafWorkersTest.java
+++ b/src/test/java/io/micatide/simulation/DeafWorkersTest.java
@@ -20,7 +20,7 @@
             day.time.run(2 * Micros.SECOND);
             day.users.submit("daemon", 12, 0);
             day.time.run(15 * Micros.SECOND);
-            day.deployment.deaf(share, seconds);
+            day.deployment.faults.dropMessagesToWorkers(share, seconds);
             day.time.run(25 * Micros.SECOND);
             int longest = 0;
             for (int second = 0; second < seconds - 30; second++) {
--- a/src/test/java/io/micatide/simulation/ElectionReadTest.java
+++ b/src/test/java/io/micatide/simulation/ElectionReadTest.java
@@ -31,7 +31,7 @@
             day.users.submit("batch", 1, 20);
             day.time.run(10 * Micros.MILLISECOND);
         }
-        day.deployment.stopFor(leader, 2 * Micros.SECOND);
+        day.deployment.faults.shutDownForMicros(leader, 2 * Micros.SECOND);
         while (day.deployment.leader() == leader
                 || day.deployment.controller(day.deployment.leader()).takeOver() == null
                 || day.deployment.controller(day.deployment.leader()).takeOver().stateLoadedMicros() < 0) {
--- a/src/test/java/io/micatide/simulation/FailoverScenario.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -226,7 +226,7 @@
                     if (--killTimes > 0) {
                         interactions = 0;
                     }
-                    deployment.killFor(controller(from), killBackMicros);
+                    deployment.faults.crashForMicros(controller(from), killBackMicros);
                 }
             }
 
@@ -321,7 +321,7 @@
     /** A controller is replaced by one of another version, after so many microseconds. */
     void replace(int number, Capabilities version, long backMicros) {
         versions[number] = version;
-        deployment.killFor(number, backMicros);
+        deployment.faults.crashForMicros(number, backMicros);
     }
 
     /** To a version before the switches their row is a job without a state, and it cannot read on. */
@@ -365,14 +365,21 @@
     void fail() {
         int number = random.nextInt(3) > 0 ? deployment.leader() : random.nextInt(count);
         switch (random.nextInt(11)) {
-            case 10 -> deployment.stateSlow((200 + random.nextInt(1_200)) * Micros.MILLISECOND, 2 + random.nextInt(8));
-            case 0, 1, 2 -> deployment.kill(number, 1 + random.nextInt(5));
-            case 3, 4 -> deployment.stop(number, 1 + random.nextInt(4));
-            case 5 -> deployment.stall(number, 500 + random.nextInt(8_000));
-            case 6 -> deployment.cut(number, true, false, random.nextBoolean(), 2 + random.nextInt(10));
-            case 7 -> deployment.cut(number, false, true, random.nextBoolean(), 2 + random.nextInt(10));
-            case 8 -> deployment.cut(number, false, false, true, 2 + random.nextInt(10));
-            default -> deployment.stateAway(1 + random.nextInt(6));
+            case 10 ->
+                deployment.faults.slowStore((200 + random.nextInt(1_200)) * Micros.MILLISECOND, 2 + random.nextInt(8));
+            case 0, 1, 2 -> deployment.faults.crashForSeconds(number, 1 + random.nextInt(5));
+            case 3, 4 -> deployment.faults.shutDownForSeconds(number, 1 + random.nextInt(4));
+            case 5 -> deployment.faults.pauseForMillis(number, 500 + random.nextInt(8_000));
+            case 6 ->
+                deployment.faults.partitionController(
+                        number, new FaultInjector.Links(true, false, random.nextBoolean()), 2 + random.nextInt(10));
+            case 7 ->
+                deployment.faults.partitionController(
+                        number, new FaultInjector.Links(false, true, random.nextBoolean()), 2 + random.nextInt(10));
+            case 8 ->
+                deployment.faults.partitionController(
+                        number, new FaultInjector.Links(false, false, true), 2 + random.nextInt(10));
+            default -> deployment.faults.storeOutage(1 + random.nextInt(6));
         }
     }
 
@@ -402,13 +409,13 @@
     void failBriefly() {
         int number = random.nextInt(3) > 0 ? deployment.leader() : random.nextInt(count);
         switch (random.nextInt(7)) {
-            case 0 -> deployment.killFor(number, backSoon());
-            case 1 -> deployment.stopFor(number, backSoon());
+            case 0 -> deployment.faults.crashForMicros(number, backSoon());
+            case 1 -> deployment.faults.shutDownForMicros(number, backSoon());
             case 2 -> {
                 for (int again = 0; again < 3; again++) {
                     at(again * (200 + random.nextInt(1_300)) * Micros.MILLISECOND, () -> {
                         for (int each = 0; each < count; each++) {
-                            deployment.killFor(each, backSoon());
+                            deployment.faults.crashForMicros(each, backSoon());
                         }
                     });
                 }
@@ -418,21 +425,23 @@
                 for (int again = 0; again < 10; again++) {
                     at(
                             again * 400 * Micros.MILLISECOND,
-                            () -> deployment.killFor(leaders ? deployment.leader() : number, backSoon()));
+                            () -> deployment.faults.crashForMicros(leaders ? deployment.leader() : number, backSoon()));
                 }
             }
             case 4 -> killAtInteraction(1 + random.nextInt(60), 1 + random.nextInt(3), backSoon());
             case 5 -> {
-                deployment.stateAway(1 + random.nextInt(4));
+                deployment.faults.storeOutage(1 + random.nextInt(4));
                 for (int each = 0; each < count; each++) {
                     int ends = each;
-                    at(random.nextInt(4_000) * Micros.MILLISECOND, () -> deployment.killFor(ends, backSoon()));
+                    at(
+                            random.nextInt(4_000) * Micros.MILLISECOND,
+                            () -> deployment.faults.crashForMicros(ends, backSoon()));
                 }
             }
             default -> {
                 for (int each = 0; each < count; each++) {
                     int ends = each;
-                    at(each * 500 * Micros.MILLISECOND, () -> deployment.stopFor(ends, backSoon()));
+                    at(each * 500 * Micros.MILLISECOND, () -> deployment.faults.shutDownForMicros(ends, backSoon()));
                 }
             }
         }
@@ -443,25 +452,32 @@
         int number = random.nextInt(4) > 0 ? deployment.leader() : random.nextInt(count);
         int seconds = 1 + random.nextInt(random.nextInt(4) == 0 ? 50 : 14);
         switch (random.nextInt(17)) {
-            case 0 -> deployment.refuse(number, seconds);
-            case 1 -> deployment.cut(number, true, false, true, seconds);
-            case 2 -> deployment.cut(number, true, random.nextBoolean(), random.nextBoolean(), seconds);
-            case 3 -> deployment.cut(number, false, true, random.nextBoolean(), seconds);
-            case 4, 5 -> deployment.stateAway(seconds);
-            case 6 -> deployment.stateSlow((200 + random.nextInt(1_500)) * Micros.MILLISECOND, seconds);
-            case 7 -> deployment.lateWrites(0.05 + random.nextDouble() * 0.4, 2, 12, seconds);
-            case 8 -> deployment.lateWrites(0.05 + random.nextDouble() * 0.3, 20, 90, seconds);
-            case 9 -> deployment.lateReports(0.1 + random.nextDouble() * 0.5, seconds);
-            case 10 -> deployment.deaf(0.1 + random.nextDouble() * 0.8, seconds);
-            case 11 -> deployment.hang(0.1 + random.nextDouble() * 0.6, 1_000 + random.nextInt(20_000));
-            case 12 -> deployment.unreachable(0.1 + random.nextDouble() * 0.6, seconds);
-            case 13 -> deployment.stall(number, 500 + random.nextInt(20_000));
-            case 14 -> deployment.killFor(number, backSoon());
-            case 15 -> deployment.stopFor(number, backSoon());
+            case 0 -> deployment.faults.refuseStoreRequests(number, seconds);
+            case 1 ->
+                deployment.faults.partitionController(number, new FaultInjector.Links(true, false, true), seconds);
+            case 2 ->
+                deployment.faults.partitionController(
+                        number, new FaultInjector.Links(true, random.nextBoolean(), random.nextBoolean()), seconds);
+            case 3 ->
+                deployment.faults.partitionController(
+                        number, new FaultInjector.Links(false, true, random.nextBoolean()), seconds);
+            case 4, 5 -> deployment.faults.storeOutage(seconds);
+            case 6 -> deployment.faults.slowStore((200 + random.nextInt(1_500)) * Micros.MILLISECOND, seconds);
+            case 7 -> deployment.faults.delayTransactions(0.05 + random.nextDouble() * 0.4, 2, 12, seconds);
+            case 8 -> deployment.faults.delayTransactions(0.05 + random.nextDouble() * 0.3, 20, 90, seconds);
+            case 9 -> deployment.faults.duplicateHeartbeats(0.1 + random.nextDouble() * 0.5, seconds);
+            case 10 -> deployment.faults.dropMessagesToWorkers(0.1 + random.nextDouble() * 0.8, seconds);
+            case 11 -> deployment.faults.hangWorkers(0.1 + random.nextDouble() * 0.6, 1_000 + random.nextInt(20_000));
+            case 12 -> deployment.faults.partitionWorkers(0.1 + random.nextDouble() * 0.6, seconds);
+            case 13 -> deployment.faults.pauseForMillis(number, 500 + random.nextInt(20_000));
+            case 14 -> deployment.faults.crashForMicros(number, backSoon());
+            case 15 -> deployment.faults.shutDownForMicros(number, backSoon());
             default -> {
                 for (int each = 0; each < count; each++) {
                     int ends = each;
-                    at(random.nextInt(3_000) * Micros.MILLISECOND, () -> deployment.killFor(ends, backSoon()));
+                    at(
+                            random.nextInt(3_000) * Micros.MILLISECOND,
+                            () -> deployment.faults.crashForMicros(ends, backSoon()));
                 }
             }
         }
@@ -476,11 +492,11 @@
     void laterTrouble() {
         int seconds = 3 + random.nextInt(25);
         switch (random.nextInt(9)) {
-            case 0 -> deployment.lostAnswers(0.2 + random.nextDouble() * 0.6, seconds, random.nextBoolean());
+            case 0 -> loseResponses(0.2 + random.nextDouble() * 0.6, seconds);
             case 1 ->
-                deployment.reportsForNext(
+                deployment.faults.replayHeartbeatsToNextLeader(
                         0.5 + random.nextDouble() * 0.5, 60, random.nextBoolean() ? 0 : random.nextInt(6_000));
-            case 2 -> deployment.mute(0.1 + random.nextDouble() * 0.8, seconds);
+            case 2 -> deployment.faults.dropHeartbeats(0.1 + random.nextDouble() * 0.8, seconds);
             case 3, 4 ->
                 users.cancelNow(1 + random.nextInt(6), random.nextInt(3) == 0 ? 0 : 1_000 + random.nextInt(20_000));
             case 5 -> users.lookClosely(seconds);
@@ -494,14 +510,22 @@
         }
     }
 
+    private void loseResponses(double share, int seconds) {
+        if (random.nextBoolean()) {
+            deployment.faults.loseStoreAndCloudResponses(share, seconds);
+        } else {
+            deployment.faults.loseTransactionResponses(share, seconds);
+        }
+    }
+
     /** The leader ends, in order or not, or loses the state service for longer than its lease. */
     void changeOfHands() {
         int leader = deployment.leader();
         switch (random.nextInt(4)) {
-            case 0 -> deployment.kill(leader, 1 + random.nextInt(10));
-            case 1 -> deployment.killFor(leader, backSoon());
-            case 2 -> deployment.stopFor(leader, backSoon());
-            default -> deployment.refuse(leader, 6 + random.nextInt(10));
+            case 0 -> deployment.faults.crashForSeconds(leader, 1 + random.nextInt(10));
+            case 1 -> deployment.faults.crashForMicros(leader, backSoon());
+            case 2 -> deployment.faults.shutDownForMicros(leader, backSoon());
+            default -> deployment.faults.refuseStoreRequests(leader, 6 + random.nextInt(10));
         }
     }
 
--- a/src/test/java/io/micatide/simulation/FailoverTest.java
+++ b/src/test/java/io/micatide/simulation/FailoverTest.java
@@ -98,7 +98,7 @@
             }
             day.time.run(8 * Micros.SECOND);
             int leader = day.deployment.leader();
-            day.deployment.stop(leader, 2);
+            day.deployment.faults.shutDownForSeconds(leader, 2);
             day.killAtInteraction(at);
             day.time.run(40 * Micros.SECOND);
             assertEquals(List.of(), day.verdict(), "at " + at + " " + day.deployment.log());
@@ -117,7 +117,7 @@
         int leader = day.deployment.leader();
         int brought = day.brought;
         long began = day.time.now();
-        day.deployment.stop(leader, 3);
+        day.deployment.faults.shutDownForSeconds(leader, 3);
         while (day.deployment.leader() == leader || day.brought < brought + 2) {
             day.time.run(10 * Micros.MILLISECOND);
             assertTrue(day.time.now() - began < 500 * Micros.MILLISECOND, "until the new leader has the rows");
@@ -136,7 +136,7 @@
         day.time.run(10 * Micros.SECOND);
         int leader = day.deployment.leader();
         int brought = day.brought;
-        day.deployment.kill(leader, back);
+        day.deployment.faults.crashForSeconds(leader, back);
         day.time.run(3_500 * Micros.MILLISECOND);
         assertFalse(day.deployment.leader() == leader, "the one that was killed leads again");
         assertEquals(brought + 2, day.brought, "both copies were as new as the claim");
@@ -151,7 +151,7 @@
         FailoverScenario day = new FailoverScenario(controllers, controllers, 0, KeyspaceReplica::new);
         day.time.run(8 * Micros.SECOND);
         for (int i = 0; i < controllers; i++) {
-            day.deployment.kill(i, 5);
+            day.deployment.faults.crashForSeconds(i, 5);
         }
         day.time.run(5_500 * Micros.MILLISECOND);
         assertFalse(day.deployment.owner().isEmpty());
--- a/src/test/java/io/micatide/simulation/FaultInteractionTest.java
+++ b/src/test/java/io/micatide/simulation/FaultInteractionTest.java
@@ -67,24 +67,24 @@
                         day.at(each * 150 * Micros.MILLISECOND, () -> day.users.cancelNow(1, 0));
                     }
                     seconds(1);
-                    all.stopFor(leader(), day.backSoon());
+                    all.faults.shutDownForMicros(leader(), day.backSoon());
                     traffic(7);
                     day.users.fill();
                 }
-                return List.of("stop");
+                return List.of("shutdown");
             }
             case "at their limits, cancelled machines hang, the leader changes" -> {
                 return cancelledOnSilentMachines("hang", time -> day.users.cancelNow(6, 9_000 + 3_000 * time));
             }
             case "at their limits, cancelled machines are cut off, the leader changes" -> {
-                return cancelledOnSilentMachines("unreachable", time -> {
-                    all.unreachable(0.5, 8 + 4 * time);
+                return cancelledOnSilentMachines("partition workers", time -> {
+                    all.faults.partitionWorkers(0.5, 8 + 4 * time);
                     day.users.cancelNow(6, 0);
                 });
             }
             case "at their limits, cancelled machines are deaf, the leader changes" -> {
-                return cancelledOnSilentMachines("deaf", time -> {
-                    all.deaf(0.5, 8 + 4 * time);
+                return cancelledOnSilentMachines("dropped messages to", time -> {
+                    all.faults.dropMessagesToWorkers(0.5, 8 + 4 * time);
                     day.users.cancelNow(6, 0);
                 });
             }
@@ -94,24 +94,24 @@
                         () -> day.random.nextInt(8_000) * Micros.MILLISECOND,
                         () -> (200 + day.random.nextInt(1_800)) * Micros.MILLISECOND);
                 for (int time = 0; time < 4; time++) {
-                    all.lateWrites(0.4, 2, 12, 5);
-                    all.stateSlow(700 * Micros.MILLISECOND, 6);
+                    all.faults.delayTransactions(0.4, 2, 12, 5);
+                    all.faults.slowStore(700 * Micros.MILLISECOND, 6);
                     day.users.fill();
                     seconds(1 + 0.4 * time);
-                    all.killFor(leader(), day.backSoon());
+                    all.faults.crashForMicros(leader(), day.backSoon());
                     traffic(9);
                     all.takeAway(machine -> day.random.nextInt(3) == 0);
                 }
-                return List.of("late writes", "kill");
+                return List.of("delayed transactions", "crash");
             }
             case "all away for longer than the lease" -> {
                 day.users.cancelNow(4, 0);
                 for (int each = 0; each < day.count; each++) {
-                    all.kill(each, 13);
+                    all.faults.crashForSeconds(each, 13);
                 }
                 seconds(14);
                 traffic(10);
-                return List.of("kill");
+                return List.of("crash");
             }
             case "the end of a last task meets a cancellation, a question and a submission" -> {
                 day.users.cancelAtEnd(0.7, 30);
@@ -126,7 +126,7 @@
             }
             case "reports are held back until the next leader has acted" -> {
                 for (int time = 0; time < 3; time++) {
-                    all.reportsForNext(0.9, 40, 2_500 * (time + 1));
+                    all.faults.replayHeartbeatsToNextLeader(0.9, 40, 2_500 * (time + 1));
                     traffic(4);
                     day.changeOfHands();
                     traffic(16);
@@ -135,7 +135,7 @@
             }
             case "old reports reach all as the next leader begins" -> {
                 for (int time = 0; time < 4; time++) {
-                    all.reportsForNext(1, 40, 0);
+                    all.faults.replayHeartbeatsToNextLeader(1, 40, 0);
                     traffic(2);
                     day.users.cancelNow(3, 0);
                     all.takeAway(machine -> day.random.nextInt(4) == 0);
@@ -143,26 +143,30 @@
                     day.changeOfHands();
                     traffic(12);
                 }
-                return List.of("arrive", "taken away");
+                return List.of("arrive", "reclaimed");
             }
             case "ten leaders in two minutes, also inside an outage" -> {
                 for (int time = 0; time < 12; time++) {
                     if (time == 5) {
-                        all.stateAway(9);
+                        all.faults.storeOutage(9);
                     }
                     if (day.random.nextBoolean()) {
-                        all.killFor(leader(), day.backSoon());
+                        all.faults.crashForMicros(leader(), day.backSoon());
                     } else {
-                        all.stopFor(leader(), day.backSoon());
+                        all.faults.shutDownForMicros(leader(), day.backSoon());
                     }
                     day.users.cancelNow(1, 0);
                     traffic(8);
                 }
                 assertTrue(leaders >= 9, leaders + " leaders");
-                return List.of("state away");
+                return List.of("store outage");
             }
             case "only answers are lost, while others read what was written", "also of leases and of the cloud" -> {
-                all.lostAnswers(0.6, 30, meeting.startsWith("also"));
+                if (meeting.startsWith("also")) {
+                    all.faults.loseStoreAndCloudResponses(0.6, 30);
+                } else {
+                    all.faults.loseTransactionResponses(0.6, 30);
+                }
                 day.users.lookClosely(40);
                 traffic(8);
                 day.users.cancelNow(4, 0);
@@ -171,7 +175,7 @@
                 day.users.cancelNow(4, 0);
                 day.changeOfHands();
                 traffic(12);
-                return List.of("lost answers");
+                return List.of("lost responses");
             }
             case "close looks" -> {
                 day.users.lookClosely(40);
@@ -189,7 +193,7 @@
                 return List.of();
             }
             case "more work than room, slow links" -> {
-                all.slowLinks(900 * Micros.MILLISECOND, 25);
+                all.faults.slowLinks(900 * Micros.MILLISECOND, 25);
                 day.users.fill();
                 day.users.fill();
                 traffic(10);
@@ -199,14 +203,14 @@
             }
             case "mute machines" -> {
                 for (int time = 0; time < 3; time++) {
-                    all.mute(0.4 + 0.3 * time, 6 + 8 * time);
+                    all.faults.dropHeartbeats(0.4 + 0.3 * time, 6 + 8 * time);
                     day.users.cancelNow(4, 0);
                     seconds(time);
                     day.changeOfHands();
                     traffic(14 + 6 * time);
                     day.users.fill();
                 }
-                return List.of("mute");
+                return List.of("dropped heartbeats of");
             }
             default -> throw new IllegalArgumentException(meeting);
         }
--- a/src/test/java/io/micatide/simulation/LeaderWithoutStoreTest.java
+++ b/src/test/java/io/micatide/simulation/LeaderWithoutStoreTest.java
@@ -44,7 +44,7 @@
             FailoverScenario day = begun(seed, controllers);
             int leader = day.deployment.leader();
             long fencingToken = day.deployment.fencingToken();
-            day.deployment.refuse(leader, 150);
+            day.deployment.faults.refuseStoreRequests(leader, 150);
             day.time.run(refused * Micros.MILLISECOND);
             for (int other = 1; other < controllers; other++) {
                 int at = (leader + other) % controllers;
@@ -55,7 +55,7 @@
                 day.time.run(Micros.MILLISECOND / 5);
                 assertTrue(day.time.now() - began < 20 * Micros.SECOND, "nobody claims " + day.deployment.log());
             }
-            day.deployment.stateAway(90);
+            day.deployment.faults.storeOutage(90);
             day.time.run(FailoverScenario.CANCEL + 10 * Micros.SECOND);
             assertEquals(
                     0,
@@ -78,7 +78,7 @@
         day.users.submit("daemon", 8, 0);
         day.time.run(12 * Micros.SECOND);
         int starts = day.checker.starts();
-        day.deployment.stateAway(60);
+        day.deployment.faults.storeOutage(60);
         day.time.run(59 * Micros.SECOND);
         assertEquals(24, day.checker.running());
         assertEquals(starts, day.checker.starts());
@@ -117,21 +117,22 @@
             FailoverScenario day = begun(seed, controllers);
             int leader = day.deployment.leader();
             int other = (leader + 1) % controllers;
-            day.deployment.refuse(leader, 150);
+            day.deployment.faults.refuseStoreRequests(leader, 150);
             day.time.run(refused * Micros.MILLISECOND);
             day.users.cancel("wk-1", () -> day.deployment.toController(other));
             day.users.cancel("wk-3", () -> day.deployment.toController(other));
             day.time.run(40 * Micros.MILLISECOND);
             switch (confirming) {
-                case "ended" -> day.deployment.kill(other, 200);
-                case "back" -> day.deployment.killFor(other, 50 * Micros.MILLISECOND);
-                case "backInOutage" -> day.deployment.killFor(other, 100 * Micros.MILLISECOND);
-                case "cut" -> day.deployment.cut(other, false, false, true, 150);
-                case "frozen" -> day.deployment.stall(other, 100_000);
+                case "ended" -> day.deployment.faults.crashForSeconds(other, 200);
+                case "back" -> day.deployment.faults.crashForMicros(other, 50 * Micros.MILLISECOND);
+                case "backInOutage" -> day.deployment.faults.crashForMicros(other, 100 * Micros.MILLISECOND);
+                case "cut" ->
+                    day.deployment.faults.partitionController(other, new FaultInjector.Links(false, false, true), 150);
+                case "frozen" -> day.deployment.faults.pauseForMillis(other, 100_000);
                 default -> {}
             }
             day.time.run((outage - 40) * Micros.MILLISECOND);
-            day.deployment.stateAway(90);
+            day.deployment.faults.storeOutage(90);
             day.time.run(FailoverScenario.CANCEL + 10 * Micros.SECOND);
             assertEquals(
                     0,
--- a/src/test/java/io/micatide/simulation/RolloutTest.java
+++ b/src/test/java/io/micatide/simulation/RolloutTest.java
@@ -177,7 +177,7 @@
                     roll.day.users.submit("daemon", 36, 0);
                 }
                 if (second % 9 == 8) {
-                    roll.day.deployment.killFor(roll.day.deployment.leader(), roll.day.backSoon());
+                    roll.day.deployment.faults.crashForMicros(roll.day.deployment.leader(), roll.day.backSoon());
                 }
                 roll.day.time.run(Micros.SECOND);
             }
--- a/src/test/java/io/micatide/simulation/SimulatedUsers.java
+++ b/src/test/java/io/micatide/simulation/SimulatedUsers.java
@@ -269,7 +269,7 @@
             at(random.nextInt(200) * Micros.MILLISECOND, () -> cancel(id));
         }
         if (hangMillis > 0) {
-            deployment.hang(hung.stream().limit(8).collect(Collectors.toSet()), hangMillis);
+            deployment.faults.hangWorkers(hung.stream().limit(8).collect(Collectors.toSet()), hangMillis);
         }
     }
 
--- a/src/test/java/io/micatide/simulation/SmallJobsTest.java
+++ b/src/test/java/io/micatide/simulation/SmallJobsTest.java
@@ -47,7 +47,7 @@
                 }
             }
             if (killed && tenth % 300 == 200) {
-                day.deployment.killFor(day.deployment.leader(), 800 * Micros.MILLISECOND);
+                day.deployment.faults.crashForMicros(day.deployment.leader(), 800 * Micros.MILLISECOND);
             }
             day.time.run(100 * Micros.MILLISECOND);
             submitted
--- a/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
+++ b/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
@@ -142,10 +142,10 @@
             heartbeats = 0;
             run(SECONDS / 2);
             switch (plan.fault()) {
-                case LEADER -> deployment.killFor(deployment.leader(), 300 * Micros.MILLISECOND);
+                case LEADER -> deployment.faults.crashForMicros(deployment.leader(), 300 * Micros.MILLISECOND);
                 case ALL -> {
                     for (int i = 0; i < CONTROLLERS; i++) {
-                        deployment.killFor(i, 300 * Micros.MILLISECOND);
+                        deployment.faults.crashForMicros(i, 300 * Micros.MILLISECOND);
                     }
                 }
                 case ZONE, NONE -> {}
