--- a/src/main/java/io/micatide/simulation/DelayedHeartbeats.java
+++ b/src/main/java/io/micatide/simulation/DelayedHeartbeats.java
@@ -46,7 +46,7 @@
     }
 
     /** From now on a copy of that share of the reports is kept, until another leader has led for so long, or until then at most. */
-    void untilNext(double each, long until, long afterMicros) {
+    void keepUntilNextLeader(double each, long until, long afterMicros) {
         share = each;
         await(fencingToken.getAsLong(), until, afterMicros);
     }
@@ -81,7 +81,7 @@
     }
 
     /** What a machine reports by. */
-    Http through(Http http, String machine) {
+    Http recordingLink(Http http, String machine) {
         return new Http() {
             @Override
             public void get(String path, long timeoutMicros, Consumer<Reply> then) {
--- a/src/main/java/io/micatide/simulation/FailoverBenchmark.java
+++ b/src/main/java/io/micatide/simulation/FailoverBenchmark.java
@@ -24,7 +24,7 @@
  * a load balancer takes for healthy. Not a test: run it as {@code java -cp target/micatide.jar io.micatide.simulation.FailoverBenchmark
  * on|off TAKEOVERS MACHINES...}, with {@code off} for controllers without a standby.
  */
-public final class FailoverBenchmark implements SimulatedCluster.Plan {
+public final class FailoverBenchmark implements SimulatedCluster.ClusterConfiguration {
     private static final int CONTROLLERS = 5;
     private static final int CPUS = 8;
     private static final int TASKS = 100;
@@ -64,12 +64,12 @@
                 new SimulatedStore.Limits(300, 120, 16 * 1024, 16),
                 new SimulatedWorker.Witness() {
                     @Override
-                    public void started(String task, long attempt, String machine) {
+                    public void taskStarted(String task, long attempt, String machine) {
                         tasks[0]++;
                     }
 
                     @Override
-                    public void over(String task, long attempt, String machine, ExitCause cause) {
+                    public void taskEnded(String task, long attempt, String machine, ExitCause cause) {
                         tasks[0]--;
                     }
                 });
@@ -210,7 +210,7 @@
     private void steady() {
         deployment.time.run(SETTLE_S * Micros.SECOND);
         long[] before = busy();
-        long requests = deployment.state.requestCount();
+        long requests = deployment.store.requestCount();
         deployment.time.run(STEADY_S * Micros.SECOND);
         long[] after = busy();
         StringBuilder line = new StringBuilder();
@@ -225,7 +225,7 @@
                 "%d | steady: of a core%s; %.1f requests a second of the state service%n",
                 machines,
                 line,
-                (deployment.state.requestCount() - requests) / (double) STEADY_S);
+                (deployment.store.requestCount() - requests) / (double) STEADY_S);
     }
 
     private long[] busy() {
@@ -275,8 +275,8 @@
     }
 
     private long stamp() {
-        SimulatedStore.Value row = deployment.state.values().get(StoreKeys.LEADER);
-        return row == null ? 0 : row.stamp();
+        SimulatedStore.Value row = deployment.store.values().get(StoreKeys.LEADER);
+        return row == null ? 0 : row.version();
     }
 
     /** What users do in a second: spread evenly, each at a controller that is healthy by then. */
--- a/src/main/java/io/micatide/simulation/FaultInjector.java
+++ b/src/main/java/io/micatide/simulation/FaultInjector.java
@@ -43,7 +43,7 @@
     private final VirtualTime time;
     private final Random random;
     private final DelayedHeartbeats delayedHeartbeats;
-    private final List<VirtualNetwork.Cut> partitions = new ArrayList<>();
+    private final List<VirtualNetwork.Partition> partitions = new ArrayList<>();
     /** How many refusals of store requests are in force for each controller. */
     private final Map<Integer, Integer> storeRefusals = new HashMap<>();
 
@@ -58,7 +58,7 @@
                 number -> cluster.network.from(cluster.world(), SimulatedCluster.controllerEndpoint(number)),
                 cluster.controllers(),
                 cluster::note);
-        cluster.network.cut((from, endpoint) -> partitions.stream().anyMatch(each -> each.between(from, endpoint)));
+        cluster.network.setPartition((from, endpoint) -> partitions.stream().anyMatch(each -> each.separates(from, endpoint)));
     }
 
     private void endAfter(int seconds, Runnable end) {
@@ -74,7 +74,7 @@
 
     /** Crashes a controller, which is started again after so many microseconds. */
     public void crashForMicros(int controller, long micros) {
-        if (!cluster.process(controller).ended()) {
+        if (!cluster.process(controller).hasEnded()) {
             cluster.note("crash c" + controller + " for " + micros / Micros.MILLISECOND + " ms");
             endProcess(cluster.process(controller), controller, micros);
         }
@@ -88,7 +88,7 @@
     /** Shuts a controller down in order, as SIGTERM does; it is started again after so many microseconds. */
     public void shutDownForMicros(int controller, long micros) {
         VirtualTime.Process process = cluster.process(controller);
-        if (!process.ended()) {
+        if (!process.hasEnded()) {
             cluster.note("shutdown c" + controller);
             process.execute(() -> cluster.controller(controller).end(() -> endProcess(process, controller, micros)));
             time.at(time.now() + SHUTDOWN_MICROS, () -> endProcess(process, controller, micros));
@@ -96,9 +96,9 @@
     }
 
     private void endProcess(VirtualTime.Process process, int controller, long backMicros) {
-        if (!process.ended()) {
+        if (!process.hasEnded()) {
             process.end();
-            cluster.network.ended(process);
+            cluster.network.processEnded(process);
             time.at(time.now() + backMicros, () -> cluster.boot(controller));
         }
     }
@@ -106,7 +106,7 @@
     /** Pauses a controller's process for so many milliseconds, while its clocks run on. */
     public void pauseForMillis(int controller, int millis) {
         cluster.note("pause c" + controller + " " + millis);
-        cluster.process(controller).stall(millis * Micros.MILLISECOND);
+        cluster.process(controller).pause(millis * Micros.MILLISECOND);
     }
 
     // ---- partitions
@@ -131,7 +131,7 @@
     }
 
     /** Adds a partition for so many seconds, beside the others that are in force. */
-    public void partition(VirtualNetwork.Cut cut, int seconds) {
+    public void partition(VirtualNetwork.Partition cut, int seconds) {
         partitions.add(cut);
         endAfter(seconds, () -> partitions.remove(cut));
     }
@@ -167,15 +167,15 @@
     /** Takes the state service away from everyone. */
     public void storeOutage(int seconds) {
         cluster.note("store outage " + seconds);
-        cluster.state.away(true);
-        endAfter(seconds, () -> cluster.state.away(false));
+        cluster.store.setOutage(true);
+        endAfter(seconds, () -> cluster.store.setOutage(false));
     }
 
     /** Delays each response of the state service by up to so many microseconds. */
     public void slowStore(long maxDelayMicros, int seconds) {
         cluster.note("slow store " + maxDelayMicros / Micros.MILLISECOND + " ms " + seconds);
-        cluster.network.slow(SimulatedCluster.STORE, maxDelayMicros);
-        endAfter(seconds, () -> cluster.network.slow(SimulatedCluster.STORE, 0));
+        cluster.network.setResponseDelay(SimulatedCluster.STORE, maxDelayMicros);
+        endAfter(seconds, () -> cluster.network.setResponseDelay(SimulatedCluster.STORE, 0));
     }
 
     /** Delays a share of the controllers' transactions, which get no answer and are applied after newer ones. */
@@ -184,7 +184,7 @@
                 + seconds);
         affectMessages(
                 (from, endpoint, path) -> path.equals("/txn") && random.nextDouble() < share
-                        ? VirtualNetwork.Fate.delayed(drawMicros(minDelaySeconds, maxDelaySeconds))
+                        ? VirtualNetwork.MessageFault.delayed(drawMicros(minDelaySeconds, maxDelaySeconds))
                         : null,
                 seconds);
     }
@@ -213,7 +213,7 @@
     private void loseResponses(double share, int seconds, Requests requests) {
         affectMessages(
                 (from, endpoint, path) -> requests.include(endpoint, path) && random.nextDouble() < share
-                        ? VirtualNetwork.Fate.UNHEARD
+                        ? VirtualNetwork.MessageFault.RESPONSE_LOST
                         : null,
                 seconds);
     }
@@ -226,8 +226,8 @@
             endpoints.add(SimulatedCluster.controllerEndpoint(i));
             endpoints.add(SimulatedCluster.peerEndpoint(i));
         }
-        endpoints.forEach(endpoint -> cluster.network.slow(endpoint, maxDelayMicros));
-        endAfter(seconds, () -> endpoints.forEach(endpoint -> cluster.network.slow(endpoint, 0)));
+        endpoints.forEach(endpoint -> cluster.network.setResponseDelay(endpoint, maxDelayMicros));
+        endAfter(seconds, () -> endpoints.forEach(endpoint -> cluster.network.setResponseDelay(endpoint, 0)));
     }
 
     // ---- heartbeats and workers
@@ -240,12 +240,12 @@
      */
     public void replayHeartbeatsToNextLeader(double share, int seconds, int afterMillis) {
         cluster.note("replay heartbeats to the next leader " + share + " " + seconds + " after " + afterMillis + " ms");
-        delayedHeartbeats.untilNext(share, time.now() + seconds * Micros.SECOND, afterMillis * Micros.MILLISECOND);
+        delayedHeartbeats.keepUntilNextLeader(share, time.now() + seconds * Micros.SECOND, afterMillis * Micros.MILLISECOND);
     }
 
     /** The link of a worker to a controller, on which {@link #replayHeartbeatsToNextLeader} acts. */
     Http heartbeatLink(Http http, String worker) {
-        return delayedHeartbeats.through(http, worker);
+        return delayedHeartbeats.recordingLink(http, worker);
     }
 
     /** Duplicates a share of the heartbeats: a copy arrives 2 s to two leases later at the controller that had it. */
@@ -254,7 +254,7 @@
         int maxDelaySeconds = (int) (2 * cluster.settings().workerLeaseMicros() / Micros.SECOND);
         affectMessages(
                 (from, endpoint, path) -> path.equals("/v1/report") && random.nextDouble() < share
-                        ? VirtualNetwork.Fate.duplicated(drawMicros(2, maxDelaySeconds))
+                        ? VirtualNetwork.MessageFault.duplicated(drawMicros(2, maxDelaySeconds))
                         : null,
                 seconds);
     }
@@ -264,7 +264,7 @@
         Set<String> names = drawWorkers(share);
         cluster.note("dropped messages to " + names + " " + seconds);
         affectMessages(
-                (from, endpoint, path) -> names.contains(cluster.workerOf(from)) ? VirtualNetwork.Fate.UNHEARD : null,
+                (from, endpoint, path) -> names.contains(cluster.workerOf(from)) ? VirtualNetwork.MessageFault.RESPONSE_LOST : null,
                 seconds);
         partition((from, endpoint) -> isWorker(names, endpoint), seconds);
     }
@@ -289,7 +289,7 @@
         cluster.note("hang " + names + " " + millis);
         cluster.forEachWorkerProcess((process, name) -> {
             if (names.contains(name)) {
-                process.stall(millis * Micros.MILLISECOND);
+                process.pause(millis * Micros.MILLISECOND);
             }
         });
         for (int at = HANG_CHECK_MILLIS; at < millis; at += HANG_CHECK_MILLIS) {
@@ -298,7 +298,7 @@
                     () -> names.stream()
                             .map(cluster::worker)
                             .filter(Objects::nonNull)
-                            .forEach(worker -> worker.endLease(time.now())));
+                            .forEach(worker -> worker.expireLease(time.now())));
         }
     }
 
@@ -315,8 +315,8 @@
         return minSeconds * Micros.SECOND + (long) (random.nextDouble() * (maxSeconds - minSeconds) * Micros.SECOND);
     }
 
-    private void affectMessages(VirtualNetwork.Fates fates, int seconds) {
-        cluster.network.fates(fates);
-        endAfter(seconds, () -> cluster.network.ordinary(fates));
+    private void affectMessages(VirtualNetwork.MessageFaults fates, int seconds) {
+        cluster.network.addFaults(fates);
+        endAfter(seconds, () -> cluster.network.removeFaults(fates));
     }
 }
--- a/src/main/java/io/micatide/simulation/GangRendezvous.java
+++ b/src/main/java/io/micatide/simulation/GangRendezvous.java
@@ -16,7 +16,7 @@
     private final Settings settings;
     private final Map<String, Map<SimulatedWorker.Task, SimulatedWorker>> present = new HashMap<>();
     /** Attempts that lost a task or were stopped: they make no more progress, and never complete. */
-    private final Set<String> broken = new HashSet<>();
+    private final Set<String> isBroken = new HashSet<>();
 
     public GangRendezvous(ActorExecutor loop, Settings settings) {
         this.loop = loop;
@@ -27,11 +27,11 @@
         return task.job + "@" + task.attempt;
     }
 
-    boolean broken(SimulatedWorker.Task task) {
-        return broken.contains(attempt(task));
+    boolean isBroken(SimulatedWorker.Task task) {
+        return isBroken.contains(attempt(task));
     }
 
-    void arrived(SimulatedWorker worker, SimulatedWorker.Task task) {
+    void taskArrived(SimulatedWorker worker, SimulatedWorker.Task task) {
         Map<SimulatedWorker.Task, SimulatedWorker> peers =
                 present.computeIfAbsent(attempt(task), k -> new LinkedHashMap<>());
         peers.put(task, worker);
@@ -49,7 +49,7 @@
     }
 
     /** All complete together; the others of a running gang that lost a task end soon after. */
-    void left(SimulatedWorker.Task task, ExitCause cause) {
+    void taskLeft(SimulatedWorker.Task task, ExitCause cause) {
         // Nobody of an attempt has arrived if its first task is stopped while it fetches.
         Map<SimulatedWorker.Task, SimulatedWorker> peers = present.get(attempt(task));
         boolean ran = task.state == io.micatide.model.TaskState.RUNNING;
@@ -60,7 +60,7 @@
         if (cause == ExitCause.DONE) {
             others.forEach(each -> each.getValue().exit(each.getKey(), ExitCause.DONE));
         } else {
-            broken.add(attempt(task));
+            isBroken.add(attempt(task));
             loop.later(
                     () -> others.forEach(each -> each.getValue().exit(each.getKey(), ExitCause.PEERS)),
                     settings.gangPeerTimeoutMicros());
--- a/src/main/java/io/micatide/simulation/InvariantChecker.java
+++ b/src/main/java/io/micatide/simulation/InvariantChecker.java
@@ -73,7 +73,7 @@
     private record Run(String machine, long attempt) {}
 
     /** What holds a part of a machine: fetching, waiting, running, stopping; hung and cut off as well. */
-    private record Held(JobSpec spec, SimulatedCloud.Rented machine) {}
+    private record Held(JobSpec spec, SimulatedCloud.RentedMachine machine) {}
 
     private final LongSupplier clock;
     private final long cancelMicros;
@@ -83,7 +83,7 @@
     /** The tasks that are running, by job: a start is checked against its own job's others only. */
     private final Map<String, Set<String>> runningOf = new HashMap<>();
 
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private int starts;
     private int startsAfterCancellation;
     private final Map<String, Team> teams;
@@ -95,7 +95,7 @@
 
     private final Map<String, Resources> taken = new HashMap<>();
     private final Map<String, Resources> used = new HashMap<>();
-    private Supplier<Collection<SimulatedCloud.Rented>> machines = List::of;
+    private Supplier<Collection<SimulatedCloud.RentedMachine>> machines = List::of;
 
     /** @param cancelMicros how long tasks of a cancelled job may be on machines */
     public InvariantChecker(VirtualTime time, long cancelMicros) {
@@ -118,7 +118,7 @@
     }
 
     /** Which machines are up: who waits beside room on one of them once all troubles are over? */
-    public void machines(Supplier<Collection<SimulatedCloud.Rented>> up) {
+    public void machines(Supplier<Collection<SimulatedCloud.RentedMachine>> up) {
         machines = up;
     }
 
@@ -128,8 +128,8 @@
     }
 
     /** Rules broken so far, each with what broke it. */
-    public List<String> broken() {
-        return List.copyOf(broken);
+    public List<String> violations() {
+        return List.copyOf(violations);
     }
 
     public int starts() {
@@ -155,7 +155,7 @@
     }
 
     private void broke(String rule, String what) {
-        broken.add(String.format("%s %s at %.3f s", rule, what, clock.getAsLong() / 1e6));
+        violations.add(String.format("%s %s at %.3f s", rule, what, clock.getAsLong() / 1e6));
     }
 
     // ---- machines
@@ -169,7 +169,7 @@
     }
 
     @Override
-    public void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {
+    public void startAccepted(JobSpec spec, String task, long attempt, SimulatedCloud.RentedMachine machine) {
         if (held.put(key(task, attempt, machine.name()), new Held(spec, machine)) != null) {
             return;
         }
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void released(String task, long attempt, SimulatedCloud.Rented machine) {
+    public void resourcesReleased(String task, long attempt, SimulatedCloud.RentedMachine machine) {
         Held gone = held.remove(key(task, attempt, machine.name()));
         if (gone != null) {
             Resources freed = Resources.NONE.minus(gone.spec().taskResources());
@@ -200,7 +200,7 @@
             return;
         }
         JobSpec spec = mine.spec();
-        SimulatedCloud.Rented there = mine.machine();
+        SimulatedCloud.RentedMachine there = mine.machine();
         if (!spec.allowsMachine(there.type().name(), there.zone(), there.spot())) {
             broke(
                     "wrong_place",
@@ -224,7 +224,7 @@
     }
 
     @Override
-    public void started(String task, long attempt, String machine) {
+    public void taskStarted(String task, long attempt, String machine) {
         starts++;
         Run other = running.put(task, new Run(machine, attempt));
         runningOf.computeIfAbsent(jobOf(task), k -> new HashSet<>()).add(task);
@@ -244,7 +244,7 @@
     }
 
     @Override
-    public void over(String task, long attempt, String machine, ExitCause cause) {
+    public void taskEnded(String task, long attempt, String machine, ExitCause cause) {
         if (running.getOrDefault(task, new Run("", 0)).equals(new Run(machine, attempt))) {
             running.remove(task);
             runningOf.get(jobOf(task)).remove(task);
@@ -255,12 +255,12 @@
     }
 
     /** All troubles are over: from now on every job that was accepted has to be answered about. */
-    public void calm() {
+    public void faultsEnded() {
         calmMicros = clock.getAsLong();
     }
 
     /** To be called often: what should be gone by now, and who has waited for too long for an answer? */
-    public void look() {
+    public void check() {
         jobs.forEach((id, job) -> {
             if (job.told != Told.NOTHING
                     && !job.forgotten
@@ -321,7 +321,7 @@
     // ---- users
 
     /** The user's own description, for what depends on it. */
-    public void describes(JobSpec spec) {
+    public void jobDescribed(JobSpec spec) {
         jobs.get(spec.id()).spec = spec;
     }
 
@@ -331,7 +331,7 @@
     }
 
     /** A user is about to submit it. */
-    public void submits(String id, int tasks, boolean service) {
+    public void jobSubmitted(String id, int tasks, boolean service) {
         jobs.putIfAbsent(id, new Job(tasks, service));
     }
 
@@ -352,7 +352,7 @@
      * @param askedMicros when the user asked
      * @param standing the service's word, null without one
      */
-    public void heard(String id, long askedMicros, int status, String standing) {
+    public void responseReceived(String id, long askedMicros, int status, String standing) {
         Job job = jobs.get(id);
         boolean known = job != null && job.told != Told.NOTHING && askedMicros > job.toldMicros;
         if (known && (status == 404 || status == 400 || status == 422)) {
--- a/src/main/java/io/micatide/simulation/LocalDeployment.java
+++ b/src/main/java/io/micatide/simulation/LocalDeployment.java
@@ -110,12 +110,12 @@
             throws IOException, InterruptedException {
         return new LocalDeployment(controllers, port, description, new SimulatedWorker.Witness() {
             @Override
-            public void started(String task, long attempt, String machine) {
+            public void taskStarted(String task, long attempt, String machine) {
                 // Nobody counts.
             }
 
             @Override
-            public void over(String task, long attempt, String machine, ExitCause cause) {
+            public void taskEnded(String task, long attempt, String machine, ExitCause cause) {
                 // Nobody counts.
             }
         });
@@ -167,11 +167,11 @@
                 30 * Micros.SECOND,
                 5 * Micros.SECOND,
                 30 * Micros.SECOND,
-                LIMITS.requests(),
-                LIMITS.changes(),
-                LIMITS.valueBytes(),
-                LIMITS.valueBytes(),
-                LIMITS.transactionChanges(),
+                LIMITS.requestsPerSecond(),
+                LIMITS.writesPerSecond(),
+                LIMITS.maxValueBytes(),
+                LIMITS.maxValueBytes(),
+                LIMITS.maxTransactionWrites(),
                 20,
                 Micros.SECOND,
                 1,
@@ -192,7 +192,7 @@
         nodes.get(number).start();
     }
 
-    private void up(SimulatedCloud.Rented machine) {
+    private void up(SimulatedCloud.RentedMachine machine) {
         Map<String, Http> controllers = new LinkedHashMap<>();
         settings.forEach(
                 each -> controllers.put(each.label(), new HttpClient(loop, each.bind(), CONNECTIONS_A_WORKER)));
--- a/src/main/java/io/micatide/simulation/SimulatedCloud.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCloud.java
@@ -23,16 +23,16 @@
 /** The cloud: rents machines that boot in their type's time, as many as there are. Used from its loop only. */
 public final class SimulatedCloud {
     /** A rented machine. */
-    public record Rented(String name, MachineType type, String zone, boolean spot, long sinceMicros) {}
+    public record RentedMachine(String name, MachineType type, String zone, boolean spot, long sinceMicros) {}
 
     private static final long MEMORY_MICROS = 60 * Micros.SECOND;
 
     private final ActorExecutor loop;
     private final List<MachineType> types;
     private int most;
-    private final Consumer<Rented> up;
+    private final Consumer<RentedMachine> up;
     private final Consumer<String> gone;
-    private final Map<String, Rented> machines = new LinkedHashMap<>();
+    private final Map<String, RentedMachine> machines = new LinkedHashMap<>();
     private final Map<String, Boolean> booted = new HashMap<>();
     private final Map<String, List<String>> bookings = new HashMap<>();
     private int lastMachine;
@@ -48,7 +48,7 @@
      * @param gone called when a machine is deleted, with its name
      */
     public SimulatedCloud(
-            ActorExecutor loop, List<MachineType> types, int most, Consumer<Rented> up, Consumer<String> gone) {
+            ActorExecutor loop, List<MachineType> types, int most, Consumer<RentedMachine> up, Consumer<String> gone) {
         this.loop = loop;
         this.types = types;
         this.most = most;
@@ -62,14 +62,14 @@
     }
 
     /** Lists are so old from now on, and machines take so long to boot, drawn anew for each; microseconds. */
-    public void lags(LongSupplier listLag, LongSupplier boot) {
+    public void setDelays(LongSupplier listLag, LongSupplier boot) {
         listMicros = listLag;
         bootMicros = boot;
         remember();
     }
 
     /** How many machines there are from now on. */
-    public void capacity(int machines) {
+    public void setCapacity(int machines) {
         most = machines;
     }
 
@@ -130,21 +130,21 @@
      *
      * @param spot whether the cloud may take it back
      */
-    public void standing(MachineType type, String zone, boolean spot) {
-        Rented machine = add(type, zone, spot);
+    public void addUnrentedMachine(MachineType type, String zone, boolean spot) {
+        RentedMachine machine = add(type, zone, spot);
         booted.put(machine.name(), true);
         up.accept(machine);
     }
 
-    private Rented add(MachineType type, String zone, boolean spot) {
+    private RentedMachine add(MachineType type, String zone, boolean spot) {
         String name = String.format("i-%06d", ++lastMachine);
-        Rented machine = new Rented(name, type, zone, spot, loop.now());
+        RentedMachine machine = new RentedMachine(name, type, zone, spot, loop.now());
         machines.put(name, machine);
         return machine;
     }
 
     private String start(MachineType type, String zone, boolean spot) {
-        Rented machine = add(type, zone, spot);
+        RentedMachine machine = add(type, zone, spot);
         String name = machine.name();
         loop.later(
                 () -> {
@@ -180,7 +180,7 @@
 
     private List<ListedMachine> listed() {
         List<ListedMachine> result = new ArrayList<>();
-        for (Rented machine : machines.values()) {
+        for (RentedMachine machine : machines.values()) {
             result.add(new ListedMachine(
                     machine.name(),
                     machine.type().name(),
--- a/src/main/java/io/micatide/simulation/SimulatedCluster.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCluster.java
@@ -40,78 +40,78 @@
     static final String PEER_PREFIX = "p";
 
     /** How a controller is made: what differs from one rehearsal to another. */
-    public interface Plan {
+    public interface ClusterConfiguration {
         Settings settings(int controller);
 
         Tuning tuning(int controller);
 
         /** The copy that its standby keeps of a prefix. */
-        default KeyspaceReplica copy(String prefix, long mostBytes) {
+        default KeyspaceReplica keyspaceReplica(String prefix, long mostBytes) {
             return new KeyspaceReplica(prefix, mostBytes);
         }
 
         /** What its version can do. */
-        default Capabilities abilities(int controller) {
+        default Capabilities capabilities(int controller) {
             return Capabilities.ALL;
         }
 
         /** How long a task runs. */
-        default long runs(String job, int index, long estimateMicros) {
+        default long runtimeMicros(String job, int index, long estimateMicros) {
             return estimateMicros;
         }
 
         /** What a controller reaches an endpoint by. */
-        default Http reaches(int controller, String endpoint, Http http) {
+        default Http link(int controller, String endpoint, Http http) {
             return http;
         }
 
         /** A controller was started, at the beginning or again. */
-        default void started(int number, Controller controller) {}
+        default void controllerStarted(int number, Controller controller) {}
     }
 
     public final VirtualTime time = new VirtualTime();
     public final VirtualNetwork network;
-    public final SimulatedStore state;
+    public final SimulatedStore store;
     public final VirtualTime.Process user = time.new Process();
     public final FaultInjector faults;
     private final VirtualTime.Process world = time.new Process();
-    private final Plan plan;
+    private final ClusterConfiguration configuration;
     private final int count;
     private final SimulatedWorker.Witness witness;
     private final List<VirtualTime.Process> processes = new ArrayList<>();
     private final List<Controller> controllers = new ArrayList<>();
     private final Map<String, SimulatedWorker> workers = new HashMap<>();
-    private final Map<String, byte[]> described = new HashMap<>();
-    private final List<String> log = new ArrayList<>();
-    private final GangRendezvous gangs;
+    private final Map<String, byte[]> jobSpec = new HashMap<>();
+    private final List<String> eventLog = new ArrayList<>();
+    private final GangRendezvous gangRendezvous;
     private final Map<VirtualTime.Process, String> machineOf = new HashMap<>();
     private final SimulatedCloud cloud;
     /** Machines that are up. */
-    private final Map<String, SimulatedCloud.Rented> up = new LinkedHashMap<>();
+    private final Map<String, SimulatedCloud.RentedMachine> runningMachines = new LinkedHashMap<>();
 
     /** @param machines how many the cloud has */
     public SimulatedCluster(
             Random random,
             int controllers,
-            Plan plan,
+            ClusterConfiguration plan,
             List<MachineType> types,
             int machines,
             SimulatedStore.Limits limits,
             SimulatedWorker.Witness witness) {
-        this.plan = plan;
+        this.configuration = plan;
         this.count = controllers;
         this.network = new VirtualNetwork(time, random);
-        this.state = new SimulatedStore(world, limits);
+        this.store = new SimulatedStore(world, limits);
         this.faults = new FaultInjector(this, random);
-        this.gangs = new GangRendezvous(world, plan.settings(0));
+        this.gangRendezvous = new GangRendezvous(world, plan.settings(0));
         this.witness = witness;
-        this.cloud = new SimulatedCloud(world, types, machines, this::up, name -> {
+        this.cloud = new SimulatedCloud(world, types, machines, this::runningMachines, name -> {
             if (workers.containsKey(name)) {
-                up.remove(name);
+                runningMachines.remove(name);
                 workers.remove(name).delete();
             }
         });
-        network.listen(STORE, world, state::handle);
+        network.listen(STORE, world, store::handle);
         network.listen(CLOUD, world, cloud::handle);
         for (int i = 0; i < controllers; i++) {
             processes.add(null);
@@ -140,25 +140,25 @@
         VirtualTime.Process process = time.new Process();
         processes.set(number, process);
         Controller controller = new Controller(
-                plan.settings(number),
-                plan.tuning(number),
+                configuration.settings(number),
+                configuration.tuning(number),
                 process,
-                (endpoint, most) -> plan.reaches(number, endpoint, faults.link(number, endpoint, process)),
+                (endpoint, most) -> configuration.link(number, endpoint, faults.link(number, endpoint, process)),
                 Archiver::new,
-                plan::copy,
-                plan.abilities(number));
+                configuration::keyspaceReplica,
+                configuration.capabilities(number));
         controllers.set(number, controller);
         network.listen(controllerEndpoint(number), process, controller::handle);
         network.listen(peerEndpoint(number), process, controller::handlePeer);
-        plan.started(number, controller);
+        configuration.controllerStarted(number, controller);
         process.execute(controller::start);
     }
 
     // ---- what is known of it
 
     /** What happened to it so far, with the millisecond at which it did. */
-    public List<String> log() {
-        return log;
+    public List<String> eventLog() {
+        return eventLog;
     }
 
     public int controllers() {
@@ -178,57 +178,57 @@
     }
 
     /** Machines that are up. */
-    public Collection<SimulatedCloud.Rented> up() {
-        return up.values();
+    public Collection<SimulatedCloud.RentedMachine> runningMachines() {
+        return runningMachines.values();
     }
 
     /** Machines are gone from one moment to the next, with all that is on them. */
-    public void takeAway(Predicate<SimulatedCloud.Rented> which) {
-        List<String> names = up.values().stream()
+    public void reclaimMachines(Predicate<SimulatedCloud.RentedMachine> which) {
+        List<String> names = runningMachines.values().stream()
                 .filter(which)
-                .map(SimulatedCloud.Rented::name)
+                .map(SimulatedCloud.RentedMachine::name)
                 .toList();
         note("reclaimed " + names);
         names.forEach(cloud::delete);
     }
 
     /** A machine that is up already and that nobody rented. */
-    public void standing(MachineType type, String zone) {
-        cloud.standing(type, zone, false);
+    public void addUnrentedMachine(MachineType type, String zone) {
+        cloud.addUnrentedMachine(type, zone, false);
     }
 
     /** How many machines the cloud has from now on; those that are rented stay. */
-    public void capacity(int machines) {
-        cloud.capacity(machines);
+    public void setCloudCapacity(int machines) {
+        cloud.setCapacity(machines);
     }
 
     /** The cloud's lists are so old from now on, and machines take so long to boot, drawn anew for each; microseconds. */
-    public void cloudLags(LongSupplier listMicros, LongSupplier bootMicros) {
-        cloud.lags(listMicros, bootMicros);
+    public void setCloudDelays(LongSupplier listMicros, LongSupplier bootMicros) {
+        cloud.setDelays(listMicros, bootMicros);
     }
 
     /** Label of the controller that holds the leader row, or "". */
-    public String owner() {
-        SimulatedStore.Value row = state.values().get(StoreKeys.LEADER);
-        return row == null ? "" : ((StoredRecord.Leader) row(StoreKeys.LEADER, row)).owner();
+    public String leaderLabel() {
+        SimulatedStore.Value row = store.values().get(StoreKeys.LEADER);
+        return row == null ? "" : ((StoredRecord.Leader) recordOf(StoreKeys.LEADER, row)).owner();
     }
 
     /** Token of that row, 0 if there is none. */
     public long fencingToken() {
-        SimulatedStore.Value row = state.values().get(StoreKeys.LEADER);
-        return row == null ? 0 : row.stamp();
+        SimulatedStore.Value row = store.values().get(StoreKeys.LEADER);
+        return row == null ? 0 : row.version();
     }
 
     /** Number of that controller, 0 if there is none. */
     public int leader() {
-        String owner = owner();
+        String owner = leaderLabel();
         return owner.isEmpty() ? 0 : Integer.parseInt(owner.substring(1));
     }
 
     /** A stored value as the service reads it. */
-    public static StoredRecord row(String key, SimulatedStore.Value value) {
+    public static StoredRecord recordOf(String key, SimulatedStore.Value value) {
         try {
-            return StoreCodec.item(("{\"k\":\"" + key + "\",\"stamp\":" + value.stamp() + ",\"data\":"
+            return StoreCodec.item(("{\"k\":\"" + key + "\",\"stamp\":" + value.version() + ",\"data\":"
                                     + new String(value.json(), StandardCharsets.UTF_8) + "}")
                             .getBytes(StandardCharsets.UTF_8))
                     .row();
@@ -240,7 +240,7 @@
     // ---- for the fault injector
 
     void note(String event) {
-        log.add(time.now() / Micros.MILLISECOND + " " + event);
+        eventLog.add(time.now() / Micros.MILLISECOND + " " + event);
     }
 
     /** The process in which everything beside controllers, workers and users runs. */
@@ -253,7 +253,7 @@
     }
 
     Settings settings() {
-        return plan.settings(0);
+        return configuration.settings(0);
     }
 
     /** Name of the worker that runs in a process, or "". */
@@ -276,7 +276,7 @@
 
     // ---- workers
 
-    private void up(SimulatedCloud.Rented machine) {
+    private void runningMachines(SimulatedCloud.RentedMachine machine) {
         VirtualTime.Process process = time.new Process();
         Map<String, Http> known = new LinkedHashMap<>();
         for (int i = 0; i < count; i++) {
@@ -286,16 +286,16 @@
         }
         machineOf.put(process, machine.name());
         SimulatedWorker worker =
-                new SimulatedWorker(process, plan.settings(0), machine, known, this::spec, gangs, witness);
+                new SimulatedWorker(process, configuration.settings(0), machine, known, this::spec, gangRendezvous, witness);
         network.listen(machine.name() + ":9000", process, worker::handle);
         workers.put(machine.name(), worker);
-        up.put(machine.name(), machine);
-        worker.runs(plan::runs);
+        runningMachines.put(machine.name(), machine);
+        worker.setRunTime(configuration::runtimeMicros);
         worker.start();
     }
 
     private JobSpec spec(String id) {
-        byte[] body = described.get(id);
+        byte[] body = jobSpec.get(id);
         try {
             return body == null
                     ? null
@@ -319,18 +319,18 @@
      * @param form the wire's word
      */
     public byte[] describe(String id, String form, int tasks, double cpus, double seconds, JobConstraints constraints) {
-        byte[] body = constraints.body(id, form, tasks, cpus, seconds);
-        described.put(id, body);
+        byte[] body = constraints.toJson(id, form, tasks, cpus, seconds);
+        jobSpec.put(id, body);
         return body;
     }
 
     /** A user's description of a job on the wire, as workers obtain it. */
-    public void uploaded(String id, byte[] body) {
-        described.put(id, body);
+    public void uploadDescription(String id, byte[] body) {
+        jobSpec.put(id, body);
     }
 
     /** The job as workers know it. */
-    public JobSpec described(String id) {
+    public JobSpec jobSpec(String id) {
         return spec(id);
     }
 
--- a/src/main/java/io/micatide/simulation/SimulatedStore.java
+++ b/src/main/java/io/micatide/simulation/SimulatedStore.java
@@ -8,11 +8,8 @@
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.SortedMap;
@@ -20,16 +17,16 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 
-/** The state service: a consistent store with leases, conditions, watches and its limits. Used from its loop only. */
+/**
+ * The state service: a consistent key-value store with leases, conditional transactions, watches and rate limits, as the protocol
+ * describes it. Confined to its executor.
+ */
 public final class SimulatedStore {
     /** What the service allows; rates a second. */
-    public record Limits(double requests, double changes, int valueBytes, int transactionChanges) {}
+    public record Limits(double requestsPerSecond, double writesPerSecond, int maxValueBytes, int maxTransactionWrites) {}
 
-    /** A stored value; {@code hold} 0 without a lease. */
-    public record Value(byte[] json, long stamp, long hold) {}
-
-    /** A change; {@code json} null of a deletion. */
-    private record Event(String key, byte[] json, long stamp) {}
+    /** A stored value; {@code leaseId} 0 without a lease. */
+    public record Value(byte[] json, long version, long leaseId) {}
 
     private static final class Lease {
         final long ttlMicros;
@@ -43,48 +40,46 @@
 
     private record Watch(Request request, String prefix, long from) {}
 
-    private static final int KEPT_EVENTS = 10_000;
-    private static final int MOST_ITEMS = 1_000;
-    private static final int MOST_ITEM_BYTES = 512 * 1024;
-    private static final int MOST_TRANSACTION_BYTES = 64 * 1024;
-    private static final int CONDITIONS_A_CHANGE = 4;
-    private static final int MOST_KEY = 200;
+    private static final int MAX_ITEMS = 1_000;
+    private static final int MAX_ITEM_BYTES = 512 * 1024;
+    private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
+    private static final int MAX_CONDITIONS_PER_WRITE = 4;
+    private static final int MAX_KEY_BYTES = 200;
 
-    private final ActorExecutor loop;
+    private final ActorExecutor executor;
     private final TreeMap<String, Value> values = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
-    private final Deque<Event> events = new ArrayDeque<>();
+    private final ChangeLog changeLog = new ChangeLog();
     private final List<Watch> watches = new ArrayList<>();
-    private Limits limits;
-    private RateLimiter requests;
-    private RateLimiter changes;
+    private Limits setLimits;
+    private RateLimiter requestLimiter;
+    private RateLimiter writeLimiter;
     private long revision = 1;
-    private long forgottenTo = 1;
     private long lastLease;
     private long requestCount;
     private long changeCount;
-    private boolean away;
-    private LongConsumer witness = revision -> {};
-    private Consumer<JsonNode> transactions = body -> {};
+    private boolean outage;
+    private LongConsumer changeListener = revision -> {};
+    private Consumer<JsonNode> transactionListener = body -> {};
 
-    public SimulatedStore(ActorExecutor loop, Limits limits) {
-        this.loop = loop;
-        limits(limits);
+    public SimulatedStore(ActorExecutor executor, Limits limits) {
+        this.executor = executor;
+        setLimits(limits);
     }
 
     /** The limits from now on. */
-    public final void limits(Limits now) {
-        limits = now;
-        requests = new RateLimiter(now.requests(), now.requests(), loop.now());
-        changes = new RateLimiter(now.changes(), now.changes(), loop.now());
+    public final void setLimits(Limits now) {
+        setLimits = now;
+        requestLimiter = new RateLimiter(now.requestsPerSecond(), now.requestsPerSecond(), executor.now());
+        writeLimiter = new RateLimiter(now.writesPerSecond(), now.writesPerSecond(), executor.now());
     }
 
     /** An outage begins or ends; all leases have their full time again after it. */
-    public void away(boolean now) {
-        if (away && !now) {
+    public void setOutage(boolean now) {
+        if (outage && !now) {
             leases.forEach((id, lease) -> renew(id, lease));
         }
-        away = now;
+        outage = now;
     }
 
     public SortedMap<String, Value> values() {
@@ -106,29 +101,29 @@
     }
 
     /** Is told each revision as soon as what changed with it is stored. */
-    public void afterEachChange(LongConsumer each) {
-        witness = each;
+    public void onEachChange(LongConsumer each) {
+        changeListener = each;
     }
 
     /** Is told each transaction as it comes in, before anything is decided about it. */
-    public void beforeEachTransaction(Consumer<JsonNode> each) {
-        transactions = each;
+    public void onEachTransaction(Consumer<JsonNode> each) {
+        transactionListener = each;
     }
 
     /** Stores a value beside the protocol, for what a rehearsal begins with. */
     public void preset(String key, byte[] json) {
         values.put(key, new Value(json, ++revision, 0));
-        forgottenTo = revision;
+        changeLog.compactTo(revision);
     }
 
     /** Answers at once, or later where a watch waits. */
     public void handle(Request request) {
         requestCount++;
-        if (away) {
+        if (outage) {
             request.answer(503, text("{\"error\":\"away\"}"));
             return;
         }
-        if (!requests.take(loop.now())) {
+        if (!requestLimiter.take(executor.now())) {
             request.answer(429, text("{\"error\":\"rate\"}"));
             return;
         }
@@ -185,19 +180,19 @@
         if (value == null) {
             request.answer(404, text("{\"ledger\":" + revision + "}"));
         } else {
-            ok(request, "{" + item(key, value) + (value.hold() > 0 ? ",\"hold\":" + value.hold() : "") + "}");
+            ok(request, "{" + item(key, value) + (value.leaseId() > 0 ? ",\"hold\":" + value.leaseId() : "") + "}");
         }
     }
 
     private static String item(String key, Value value) {
         return "\"k\":\"" + key + "\",\"data\":" + new String(value.json(), StandardCharsets.UTF_8) + ",\"stamp\":"
-                + value.stamp();
+                + value.version();
     }
 
     private void list(Request request, Map<String, String> query) {
         String prefix = query.getOrDefault("starts", "");
         String from = query.get("from");
-        int most = Math.min(MOST_ITEMS, Integer.parseInt(query.getOrDefault("most", "1000")));
+        int most = Math.min(MAX_ITEMS, Integer.parseInt(query.getOrDefault("most", "1000")));
         StringBuilder out = new StringBuilder("{\"items\":[");
         SortedMap<String, Value> rest =
                 from == null || from.compareTo(prefix) < 0 ? values.tailMap(prefix) : values.tailMap(from, false);
@@ -207,7 +202,7 @@
             if (!each.getKey().startsWith(prefix)) {
                 break;
             }
-            if (count == most || out.length() + each.getValue().json().length > MOST_ITEM_BYTES) {
+            if (count == most || out.length() + each.getValue().json().length > MAX_ITEM_BYTES) {
                 more = true;
                 break;
             }
@@ -229,17 +224,17 @@
         String prefix = query.getOrDefault("starts", "");
         long from = Long.parseLong(query.get("from"));
         long wait = Long.parseLong(query.getOrDefault("waitMs", "0"));
-        if (from < forgottenTo) {
+        if (!changeLog.reachesBackTo(from)) {
             request.answer(410, text("{\"ledger\":" + revision + "}"));
             return;
         }
-        if (wait == 0 || !since(prefix, from).isEmpty()) {
+        if (wait == 0 || !changeLog.since(prefix, from).isEmpty()) {
             tell(request, prefix, from);
             return;
         }
         Watch watch = new Watch(request, prefix, from);
         watches.add(watch);
-        loop.later(
+        executor.later(
                 () -> {
                     if (watches.remove(watch)) {
                         tell(request, prefix, from);
@@ -248,38 +243,8 @@
                 wait * Micros.MILLISECOND);
     }
 
-    /** The newest first. */
-    private List<Event> since(String prefix, long from) {
-        List<Event> result = new ArrayList<>();
-        for (Iterator<Event> newest = events.descendingIterator(); newest.hasNext(); ) {
-            Event event = newest.next();
-            if (event.stamp() <= from) {
-                break;
-            }
-            if (event.key().startsWith(prefix)) {
-                result.add(event);
-            }
-        }
-        return result;
-    }
-
     private void tell(Request request, String prefix, long from) {
-        StringBuilder out = new StringBuilder("{\"ledger\":").append(revision).append(",\"events\":[");
-        String comma = "";
-        for (Event event : since(prefix, from)) {
-            out.append(comma)
-                    .append("{\"")
-                    .append(event.json() == null ? "delete" : "put")
-                    .append("\":\"")
-                    .append(event.key())
-                    .append('"');
-            if (event.json() != null) {
-                out.append(",\"data\":").append(new String(event.json(), StandardCharsets.UTF_8));
-            }
-            out.append(",\"stamp\":").append(event.stamp()).append('}');
-            comma = ",";
-        }
-        ok(request, out.append("]}").toString());
+        ok(request, changeLog.sinceAsJson(prefix, from, revision));
     }
 
     // ---- writing
@@ -287,28 +252,22 @@
     private void transaction(Request request, JsonNode body) throws MalformedException {
         JsonNode writes = body.path("writes");
         JsonNode conditions = body.path("if");
-        transactions.accept(body);
-        if (writes.size() > limits.transactionChanges()
-                || conditions.size() > CONDITIONS_A_CHANGE * limits.transactionChanges()
-                || request.body().length > MOST_TRANSACTION_BYTES) {
+        transactionListener.accept(body);
+        if (writes.size() > setLimits.maxTransactionWrites()
+                || conditions.size() > MAX_CONDITIONS_PER_WRITE * setLimits.maxTransactionWrites()
+                || request.body().length > MAX_TRANSACTION_BYTES) {
             throw new MalformedException("writes", "is larger than the limits");
         }
         for (JsonNode write : writes) {
             check(write);
         }
         for (int i = 0; i < writes.size(); i++) {
-            if (!changes.take(loop.now())) {
+            if (!writeLimiter.take(executor.now())) {
                 request.answer(429, text("{\"error\":\"rate\"}"));
                 return;
             }
         }
-        List<String> failed = new ArrayList<>();
-        for (JsonNode condition : conditions) {
-            Value value = values.get(condition.path("k").asText());
-            if ((value == null ? 0 : value.stamp()) != condition.path("stamp").asLong()) {
-                failed.add('"' + condition.path("k").asText() + '"');
-            }
-        }
+        List<String> failed = failedConditions(conditions);
         if (!failed.isEmpty()) {
             request.answer(409, text("{\"failed\":[" + String.join(",", failed) + "],\"ledger\":" + revision + "}"));
             return;
@@ -316,18 +275,29 @@
         if (!writes.isEmpty()) {
             revision++;
             writes.forEach(this::apply);
-            witness.accept(revision);
+            changeListener.accept(revision);
             notifyWatches();
         }
         ok(request, "{\"ledger\":" + revision + "}");
     }
 
+    private List<String> failedConditions(JsonNode conditions) {
+        List<String> failed = new ArrayList<>();
+        for (JsonNode condition : conditions) {
+            Value value = values.get(condition.path("k").asText());
+            if ((value == null ? 0 : value.version()) != condition.path("stamp").asLong()) {
+                failed.add('"' + condition.path("k").asText() + '"');
+            }
+        }
+        return failed;
+    }
+
     private void check(JsonNode write) throws MalformedException {
         String key = write.path(write.has("put") ? "put" : "delete").asText();
-        if (key.isEmpty() || key.length() > MOST_KEY) {
+        if (key.isEmpty() || key.length() > MAX_KEY_BYTES) {
             throw new MalformedException("writes", "has a key of a wrong length");
         }
-        if (write.has("put") && write.path("data").toString().length() > limits.valueBytes()) {
+        if (write.has("put") && write.path("data").toString().length() > setLimits.maxValueBytes()) {
             throw new MalformedException(key, "is larger than a value may be");
         }
         if (write.has("hold") && !leases.containsKey(write.path("hold").asLong())) {
@@ -340,24 +310,17 @@
             String key = write.path("put").asText();
             byte[] json = text(write.path("data").toString());
             values.put(key, new Value(json, revision, write.path("hold").asLong()));
-            note(new Event(key, json, revision));
+            changeLog.add(new ChangeLog.Change(key, json, revision));
         } else if (values.remove(write.path("delete").asText()) != null) {
-            note(new Event(write.path("delete").asText(), null, revision));
+            changeLog.add(new ChangeLog.Change(write.path("delete").asText(), null, revision));
         }
         changeCount++;
     }
 
-    private void note(Event event) {
-        events.addLast(event);
-        while (events.size() > KEPT_EVENTS) {
-            forgottenTo = events.pollFirst().stamp();
-        }
-    }
-
     private void notifyWatches() {
         for (Watch watch : List.copyOf(watches)) {
             boolean any =
-                    !since(watch.prefix(), Math.max(watch.from(), revision - 1)).isEmpty();
+                    !changeLog.since(watch.prefix(), Math.max(watch.from(), revision - 1)).isEmpty();
             if (any && watches.remove(watch)) {
                 tell(watch.request(), watch.prefix(), watch.from());
             }
@@ -392,12 +355,12 @@
     }
 
     private void renew(long id, Lease lease) {
-        lease.endsMicros = loop.now() + lease.ttlMicros;
-        loop.later(() -> expire(id, lease), lease.ttlMicros);
+        lease.endsMicros = executor.now() + lease.ttlMicros;
+        executor.later(() -> expire(id, lease), lease.ttlMicros);
     }
 
     private void expire(long id, Lease lease) {
-        if (leases.get(id) == lease && loop.now() >= lease.endsMicros && !away) {
+        if (leases.get(id) == lease && executor.now() >= lease.endsMicros && !outage) {
             end(id);
         }
     }
@@ -406,7 +369,7 @@
         leases.remove(id);
         List<String> held = new ArrayList<>();
         values.forEach((key, value) -> {
-            if (value.hold() == id) {
+            if (value.leaseId() == id) {
                 held.add(key);
             }
         });
@@ -414,9 +377,9 @@
             revision++;
             held.forEach(key -> {
                 values.remove(key);
-                note(new Event(key, null, revision));
+                changeLog.add(new ChangeLog.Change(key, null, revision));
             });
-            witness.accept(revision);
+            changeListener.accept(revision);
             notifyWatches();
         }
     }
--- a/src/main/java/io/micatide/simulation/SimulatedWorker.java
+++ b/src/main/java/io/micatide/simulation/SimulatedWorker.java
@@ -27,19 +27,19 @@
     /** What happens to tasks, for whoever counts. */
     public interface Witness {
         /** A task is on its machine from now on. */
-        void started(String task, long attempt, String machine);
+        void taskStarted(String task, long attempt, String machine);
 
         /** It is not any more. */
-        void over(String task, long attempt, String machine, ExitCause cause);
+        void taskEnded(String task, long attempt, String machine, ExitCause cause);
 
         /** A start was taken: from now on the task holds its part of the machine, also while its image is fetched. */
-        default void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {}
+        default void startAccepted(JobSpec spec, String task, long attempt, SimulatedCloud.RentedMachine machine) {}
 
         /** It holds nothing any more, whether it ever was on its machine or not. */
-        default void released(String task, long attempt, SimulatedCloud.Rented machine) {}
+        default void resourcesReleased(String task, long attempt, SimulatedCloud.RentedMachine machine) {}
 
         /** Nobody answered a machine's reports for its lease: all that was on it is killed. */
-        default void leaseEnded(SimulatedCloud.Rented machine) {}
+        default void leaseExpired(SimulatedCloud.RentedMachine machine) {}
     }
 
     /** How long a task runs. */
@@ -52,24 +52,24 @@
     private static final long MINIMUM_GAP_MICROS = 500 * Micros.MILLISECOND;
     private static final long ELSEWHERE_MICROS = Micros.SECOND;
 
-    private final ActorExecutor loop;
+    private final ActorExecutor executor;
     private final Settings settings;
-    private final SimulatedCloud.Rented machine;
+    private final SimulatedCloud.RentedMachine machine;
     private final Map<String, Http> controllers;
-    private final List<String> labels;
-    private final Function<String, JobSpec> described;
+    private final List<String> controllerLabels;
+    private final Function<String, JobSpec> jobDescriptions;
     private final GangRendezvous gangs;
-    private final Witness witness;
+    private final Witness observer;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private long incarnation = 1;
     private long sequence;
     private long highestToken;
-    private long answeredSent;
-    private long sentMicros;
+    private long lastAnsweredSentMicros;
+    private long lastSentMicros;
     private String address;
-    private int at;
-    private boolean reporting;
-    private boolean due;
+    private int controllerIndex;
+    private boolean heartbeatInFlight;
+    private boolean heartbeatScheduled;
     private boolean deleted;
     private RunTime runTime = (job, index, estimateMicros) -> estimateMicros;
 
@@ -83,7 +83,7 @@
         ExitCause cause;
         boolean saved;
         /** Its start was not refused. */
-        boolean holds;
+        boolean holdsResources;
 
         Task(String job, int index, long attempt, JobSpec spec) {
             this.job = job;
@@ -92,7 +92,7 @@
             this.spec = spec;
         }
 
-        boolean over() {
+        boolean isOver() {
             return cause != null;
         }
 
@@ -108,29 +108,29 @@
     public SimulatedWorker(
             ActorExecutor loop,
             Settings settings,
-            SimulatedCloud.Rented machine,
+            SimulatedCloud.RentedMachine machine,
             Map<String, Http> controllers,
             Function<String, JobSpec> described,
             GangRendezvous gangs,
             Witness witness) {
-        this.loop = loop;
+        this.executor = loop;
         this.settings = settings;
         this.machine = machine;
         this.controllers = controllers;
-        this.labels = List.copyOf(controllers.keySet());
-        this.described = described;
+        this.controllerLabels = List.copyOf(controllers.keySet());
+        this.jobDescriptions = described;
         this.gangs = gangs;
-        this.witness = witness;
+        this.observer = witness;
         this.address = machine.name() + ":9000";
-        this.at = Math.floorMod(machine.name().hashCode(), labels.size());
+        this.controllerIndex = Math.floorMod(machine.name().hashCode(), controllerLabels.size());
     }
 
     /** The machine is up. */
     public void start() {
-        answeredSent = loop.now();
+        lastAnsweredSentMicros = executor.now();
         watchLease();
-        report();
-        tick();
+        sendHeartbeat();
+        scheduleRegularHeartbeats();
     }
 
     /** The machine is gone, with all that is on it. */
@@ -141,7 +141,7 @@
 
     private void kill() {
         for (Task task : tasks.values()) {
-            if (!task.over()) {
+            if (!task.isOver()) {
                 over(task, ExitCause.STOPPED);
             }
         }
@@ -149,74 +149,74 @@
     }
 
     private void watchLease() {
-        loop.later(
+        executor.later(
                 () -> {
                     if (deleted) {
                         return;
                     }
-                    endLease(loop.now());
+                    expireLease(executor.now());
                     watchLease();
                 },
                 100 * Micros.MILLISECOND);
     }
 
     /** If it is over: a machine that hangs finds that before it does anything else, so others may call this while it does. */
-    public void endLease(long now) {
-        if (!deleted && now - answeredSent > settings.workerLeaseMicros()) {
-            witness.leaseEnded(machine);
+    public void expireLease(long now) {
+        if (!deleted && now - lastAnsweredSentMicros > settings.workerLeaseMicros()) {
+            observer.leaseExpired(machine);
             kill();
             incarnation++;
-            answeredSent = now;
-            changed();
+            lastAnsweredSentMicros = now;
+            scheduleHeartbeat();
         }
     }
 
     /** How long tasks run, by their job, their number and what the owner estimates. */
-    public void runs(RunTime time) {
+    public void setRunTime(RunTime time) {
         runTime = time;
     }
 
     /** Where it takes commands directly, as host and port; by default a name that only virtual time knows. */
-    public void reachedAt(String endpoint) {
+    public void setAddress(String endpoint) {
         address = endpoint;
     }
 
     // ---- reports
 
-    private void tick() {
-        loop.later(
+    private void scheduleRegularHeartbeats() {
+        executor.later(
                 () -> {
                     if (!deleted) {
-                        report();
-                        tick();
+                        sendHeartbeat();
+                        scheduleRegularHeartbeats();
                     }
                 },
                 settings.heartbeatIntervalMicros());
     }
 
-    private void changed() {
-        if (due || deleted) {
+    private void scheduleHeartbeat() {
+        if (heartbeatScheduled || deleted) {
             return;
         }
-        due = true;
-        loop.later(
+        heartbeatScheduled = true;
+        executor.later(
                 () -> {
-                    due = false;
-                    report();
+                    heartbeatScheduled = false;
+                    sendHeartbeat();
                 },
-                Math.max(0, sentMicros + MINIMUM_GAP_MICROS - loop.now()));
+                Math.max(0, lastSentMicros + MINIMUM_GAP_MICROS - executor.now()));
     }
 
-    private void report() {
-        if (deleted || reporting) {
+    private void sendHeartbeat() {
+        if (deleted || heartbeatInFlight) {
             return;
         }
-        reporting = true;
-        long sent = loop.now();
+        heartbeatInFlight = true;
+        long sent = executor.now();
         long ofIncarnation = incarnation;
-        sentMicros = sent;
+        lastSentMicros = sent;
         controllers
-                .get(labels.get(at))
+                .get(controllerLabels.get(controllerIndex))
                 .post(
                         "/v1/report",
                         WorkerSideCodec.heartbeat(newHeartbeat()),
@@ -231,7 +231,7 @@
                     task.job,
                     task.index,
                     task.attempt,
-                    task.over() ? TaskState.EXITED : task.state,
+                    task.isOver() ? TaskState.EXITED : task.state,
                     task.cause,
                     task.saved));
         }
@@ -249,7 +249,7 @@
     }
 
     private void answered(Reply reply, long sent, long ofIncarnation) {
-        reporting = false;
+        heartbeatInFlight = false;
         if (deleted) {
             return;
         }
@@ -258,14 +258,14 @@
             return;
         }
         String other = reply.status() == 421 ? WorkerSideCodec.steward(reply.body()) : null;
-        int next = other == null ? -1 : labels.indexOf(other);
-        boolean named = next >= 0 && next != at;
-        Http left = controllers.get(labels.get(at));
-        at = named ? next : (at + 1) % labels.size();
-        loop.later(
+        int next = other == null ? -1 : controllerLabels.indexOf(other);
+        boolean named = next >= 0 && next != controllerIndex;
+        Http left = controllers.get(controllerLabels.get(controllerIndex));
+        controllerIndex = named ? next : (controllerIndex + 1) % controllerLabels.size();
+        executor.later(
                 () -> {
                     left.close();
-                    report();
+                    sendHeartbeat();
                 },
                 named ? 100 * Micros.MILLISECOND : ELSEWHERE_MICROS);
     }
@@ -276,12 +276,12 @@
             if (ofIncarnation != incarnation || answer.fencingToken() < highestToken) {
                 return;
             }
-            answeredSent = Math.max(answeredSent, sent);
+            lastAnsweredSentMicros = Math.max(lastAnsweredSentMicros, sent);
             boolean higher = answer.fencingToken() > highestToken;
             highestToken = answer.fencingToken();
             answer.commands().forEach(this::execute);
             if (higher) {
-                changed();
+                scheduleHeartbeat();
             }
         } catch (MalformedException e) {
             throw new IllegalStateException(e.getMessage(), e);
@@ -301,7 +301,7 @@
             if (executed) {
                 if (direct.fencingToken() > highestToken) {
                     highestToken = direct.fencingToken();
-                    changed();
+                    scheduleHeartbeat();
                 }
                 direct.commands().forEach(this::execute);
             }
@@ -318,40 +318,40 @@
         Task task = tasks.get(key);
         if (command instanceof Command.Start && task == null) {
             start(command, key);
-        } else if (command instanceof Command.Stop stop && task != null && !task.over()) {
+        } else if (command instanceof Command.Stop stop && task != null && !task.isOver()) {
             stop(task, stop.graceMicros());
-        } else if (command instanceof Command.Reap && task != null && task.over()) {
+        } else if (command instanceof Command.Reap && task != null && task.isOver()) {
             tasks.remove(key);
         }
     }
 
     private void start(Command command, String key) {
-        JobSpec spec = described.apply(command.job());
+        JobSpec spec = jobDescriptions.apply(command.job());
         Task task = new Task(command.job(), command.taskIndex(), command.attempt(), spec);
         tasks.put(key, task);
-        changed();
+        scheduleHeartbeat();
         if (spec == null || command.taskIndex() >= spec.taskCount()) {
             task.cause = ExitCause.UNKNOWN;
-        } else if (!hasRoom()) {
+        } else if (!fitsMachine()) {
             task.cause = ExitCause.NO_ROOM;
         } else if (tasks.values().stream()
-                .anyMatch(each -> each != task && !each.over() && each.name().equals(task.name()))) {
+                .anyMatch(each -> each != task && !each.isOver() && each.name().equals(task.name()))) {
             task.cause = ExitCause.BUSY;
         } else {
-            witness.taken(spec, task.name(), task.attempt, machine);
-            task.holds = true;
+            observer.startAccepted(spec, task.name(), task.attempt, machine);
+            task.holdsResources = true;
             long fetch = machine.type().fetchGbPerSecond() > 0
                     ? Micros.ofSeconds(
                             Math.min(spec.imageGb(), 100) / machine.type().fetchGbPerSecond())
                     : 0;
-            loop.later(() -> fetched(task), fetch);
+            executor.later(() -> imageFetched(task), fetch);
         }
     }
 
-    private boolean hasRoom() {
+    private boolean fitsMachine() {
         Resources used = Resources.NONE;
         for (Task each : tasks.values()) {
-            if (!each.over()) {
+            if (!each.isOver()) {
                 used = used.plus(each.spec.taskResources());
             }
         }
@@ -359,33 +359,33 @@
         return used.cpus() <= size.cpus() && used.gpus() <= size.gpus() && used.memory() <= size.memory();
     }
 
-    private void fetched(Task task) {
-        if (task.over() || deleted) {
+    private void imageFetched(Task task) {
+        if (task.isOver() || deleted) {
             return;
         }
-        witness.started(task.name(), task.attempt, machine.name());
+        observer.taskStarted(task.name(), task.attempt, machine.name());
         if (task.spec.kind() == JobKind.GANG) {
             task.state = TaskState.WAITING;
-            gangs.arrived(this, task);
+            gangs.taskArrived(this, task);
         } else {
             run(task, runTime.micros(task.job, task.index, task.spec.estimatedRuntimeMicros()));
         }
-        changed();
+        scheduleHeartbeat();
     }
 
     /** Runs for so long, a service until it is stopped. */
     void run(Task task, long micros) {
         task.state = TaskState.RUNNING;
         if (task.spec.kind() != JobKind.SERVICE) {
-            loop.later(
+            executor.later(
                     () -> {
-                        if (task.spec.kind() != JobKind.GANG || !gangs.broken(task)) {
+                        if (task.spec.kind() != JobKind.GANG || !gangs.isBroken(task)) {
                             exit(task, ExitCause.DONE);
                         }
                     },
                     micros);
         }
-        changed();
+        scheduleHeartbeat();
     }
 
     private void stop(Task task, long graceMicros) {
@@ -393,22 +393,22 @@
                 && task.spec.checkpointIntervalMicros() > 0
                 && graceMicros >= task.spec.saveMicros()) {
             task.state = TaskState.SAVING;
-            loop.later(
+            executor.later(
                     () -> {
-                        task.saved = !task.over();
+                        task.saved = !task.isOver();
                         exit(task, ExitCause.STOPPED);
                     },
                     task.spec.saveMicros());
-            changed();
+            scheduleHeartbeat();
         } else {
             exit(task, ExitCause.STOPPED);
         }
     }
 
     void exit(Task task, ExitCause cause) {
-        if (!task.over() && !deleted && tasks.containsValue(task)) {
+        if (!task.isOver() && !deleted && tasks.containsValue(task)) {
             over(task, cause);
-            changed();
+            scheduleHeartbeat();
         }
     }
 
@@ -416,13 +416,13 @@
         boolean was = task.state != TaskState.FETCHING;
         task.cause = cause;
         if (was) {
-            witness.over(task.name(), task.attempt, machine.name(), cause);
+            observer.taskEnded(task.name(), task.attempt, machine.name(), cause);
         }
-        if (task.holds) {
-            witness.released(task.name(), task.attempt, machine);
+        if (task.holdsResources) {
+            observer.resourcesReleased(task.name(), task.attempt, machine);
         }
         if (task.spec.kind() == JobKind.GANG) {
-            gangs.left(task, cause);
+            gangs.taskLeft(task, cause);
         }
     }
 }
--- a/src/main/java/io/micatide/simulation/StartupBenchmark.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -163,11 +163,11 @@
         StoredRecord.ArchiveManifest manifest = Archiver.first(17, 4711);
         long version = 1;
         long changes = 0;
-        Archiver archivist = new Archiver(1, LIMITS.valueBytes(), LIMITS.transactionChanges(), 256, manifest, version);
+        Archiver archivist = new Archiver(1, LIMITS.maxValueBytes(), LIMITS.maxTransactionWrites(), 256, manifest, version);
         int next = 0;
-        for (Archiver.Step step = archivist.next(LIMITS.transactionChanges());
+        for (Archiver.Step step = archivist.next(LIMITS.maxTransactionWrites());
                 step != null || next < jobs;
-                step = archivist.next(LIMITS.transactionChanges())) {
+                step = archivist.next(LIMITS.maxTransactionWrites())) {
             if (step == null) {
                 List<Archiver.Ended> some = new ArrayList<>();
                 for (int end = Math.min(jobs, next + 256); next < end; next++) {
@@ -265,8 +265,8 @@
                         ports[3 + 2 * (1 - number)],
                         ports[1],
                         ports[0],
-                        LIMITS.requests(),
-                        LIMITS.changes());
+                        LIMITS.requestsPerSecond(),
+                        LIMITS.writesPerSecond());
         Path file = Files.createTempFile("micatide", ".toml");
         Files.writeString(file, settings);
         file.toFile().deleteOnExit();
--- a/src/main/java/io/micatide/simulation/VirtualNetwork.java
+++ b/src/main/java/io/micatide/simulation/VirtualNetwork.java
@@ -17,9 +17,9 @@
 public final class VirtualNetwork {
     /** Sees every request of a process just before it leaves and just before its answer does. */
     public interface Observer {
-        void leaves(VirtualTime.Process from, String endpoint, String path);
+        void requestSent(VirtualTime.Process from, String endpoint, String path);
 
-        void answers(VirtualTime.Process from, String endpoint, String path);
+        void responseSent(VirtualTime.Process from, String endpoint, String path);
     }
 
     /** Receives every request when it is sent and every response when it is made, in that order, with the virtual time. */
@@ -31,37 +31,37 @@
 
     /** Who does not reach whom. */
     @FunctionalInterface
-    public interface Cut {
-        boolean between(VirtualTime.Process from, String endpoint);
+    public interface Partition {
+        boolean separates(VirtualTime.Process from, String endpoint);
     }
 
     /**
      * What becomes of one request beside the ordinary delay; microseconds, 0 for never.
      *
-     * @param late it gets no answer in its sender's time and is carried out so much later, after newer ones of the same sender
-     * @param again a copy of it arrives so much later, whose answer nobody hears
-     * @param unheard it is carried out, and its answer is lost
+     * @param delayMicros it gets no answer in its sender's time and is carried out so much later, after newer ones of the same sender
+     * @param duplicateAfterMicros a copy of it arrives so much later, whose answer nobody hears
+     * @param responseLost it is carried out, and its answer is lost
      */
-    public record Fate(long late, long again, boolean unheard) {
-        public static final Fate ORDINARY = new Fate(0, 0, false);
+    public record MessageFault(long delayMicros, long duplicateAfterMicros, boolean responseLost) {
+        public static final MessageFault NONE = new MessageFault(0, 0, false);
         /** The request is carried out, and its response is lost. */
-        public static final Fate UNHEARD = new Fate(0, 0, true);
+        public static final MessageFault RESPONSE_LOST = new MessageFault(0, 0, true);
 
         /** The request gets no response and is carried out so much later. */
-        static Fate delayed(long micros) {
-            return new Fate(micros, 0, false);
+        static MessageFault delayed(long micros) {
+            return new MessageFault(micros, 0, false);
         }
 
         /** A copy of the request arrives so much later. */
-        static Fate duplicated(long micros) {
-            return new Fate(0, micros, false);
+        static MessageFault duplicated(long micros) {
+            return new MessageFault(0, micros, false);
         }
     }
 
     /** Draws the fate of each request, null where it has nothing to say. */
     @FunctionalInterface
-    public interface Fates {
-        Fate of(VirtualTime.Process from, String endpoint, String path);
+    public interface MessageFaults {
+        MessageFault faultOf(VirtualTime.Process from, String endpoint, String path);
     }
 
     /** What listens at an endpoint. */
@@ -74,16 +74,16 @@
     private final VirtualTime time;
     private final Random random;
     private final Map<String, Host> hosts = new HashMap<>();
-    private final Set<Call> calls = new LinkedHashSet<>();
+    private final Set<InFlightRequest> calls = new LinkedHashSet<>();
     private double lost;
     private double late;
-    private final Map<String, Long> slow = new HashMap<>();
+    private final Map<String, Long> setResponseDelay = new HashMap<>();
     private Observer observer;
     /** Null unless the messages are recorded. */
     private Recorder recorder;
 
-    private Cut cut = (from, endpoint) -> false;
-    private final List<Fates> fates = new ArrayList<>();
+    private Partition setPartition = (from, endpoint) -> false;
+    private final List<MessageFaults> addFaults = new ArrayList<>();
 
     public VirtualNetwork(VirtualTime time, Random random) {
         this.time = time;
@@ -94,38 +94,38 @@
      * @param lostAnswers share of the requests that are carried out and whose answers are lost
      * @param lateRequests share that arrives only after its sender has given up, up to 40 s later
      */
-    public void losses(double lostAnswers, double lateRequests) {
+    public void setLossRates(double lostAnswers, double lateRequests) {
         lost = lostAnswers;
         late = lateRequests;
     }
 
     /** Answers of what listens there take longer from now on, each by up to so many microseconds; 0 for no longer. */
-    public void slow(String endpoint, long mostMicros) {
-        slow.put(endpoint, mostMicros);
+    public void setResponseDelay(String endpoint, long mostMicros) {
+        setResponseDelay.put(endpoint, mostMicros);
     }
 
     /** From now on what crosses it is lost, requests and answers alike. */
-    public void cut(Cut now) {
-        cut = now;
+    public void setPartition(Partition now) {
+        setPartition = now;
     }
 
-    /** From now on, until {@link #ordinary}; the first that has something to say decides. */
-    public void fates(Fates each) {
-        fates.add(each);
+    /** From now on, until {@link #removeFaults}; the first that has something to say decides. */
+    public void addFaults(MessageFaults each) {
+        addFaults.add(each);
     }
 
-    public void ordinary(Fates each) {
-        fates.remove(each);
+    public void removeFaults(MessageFaults each) {
+        addFaults.remove(each);
     }
 
-    private Fate fate(VirtualTime.Process from, String endpoint, String path) {
-        for (Fates each : fates) {
-            Fate fate = each.of(from, endpoint, path);
+    private MessageFault fate(VirtualTime.Process from, String endpoint, String path) {
+        for (MessageFaults each : addFaults) {
+            MessageFault fate = each.faultOf(from, endpoint, path);
             if (fate != null) {
                 return fate;
             }
         }
-        return Fate.ORDINARY;
+        return MessageFault.NONE;
     }
 
     public void observe(Observer each) {
@@ -141,8 +141,8 @@
     }
 
     /** What a process has sent may still arrive; what it was asked is answered by nobody. */
-    public void ended(VirtualTime.Process process) {
-        for (Call call : List.copyOf(calls)) {
+    public void processEnded(VirtualTime.Process process) {
+        for (InFlightRequest call : List.copyOf(calls)) {
             if (call.at == process) {
                 call.reply(Reply.UNANSWERED);
             }
@@ -153,17 +153,17 @@
         return new Http() {
             @Override
             public void get(String path, long timeoutMicros, Consumer<Reply> then) {
-                new Call(process, endpoint, "GET", path, new byte[0], then).send(timeoutMicros);
+                new InFlightRequest(process, endpoint, "GET", path, new byte[0], then).send(timeoutMicros);
             }
 
             @Override
             public void post(String path, byte[] body, long timeoutMicros, Consumer<Reply> then) {
-                new Call(process, endpoint, "POST", path, body, then).send(timeoutMicros);
+                new InFlightRequest(process, endpoint, "POST", path, body, then).send(timeoutMicros);
             }
 
             @Override
             public void delete(String path, long timeoutMicros, Consumer<Reply> then) {
-                new Call(process, endpoint, "DELETE", path, new byte[0], then).send(timeoutMicros);
+                new InFlightRequest(process, endpoint, "DELETE", path, new byte[0], then).send(timeoutMicros);
             }
         };
     }
@@ -172,7 +172,7 @@
         return LEAST_DELAY_MICROS + random.nextInt(DELAY_MICROS);
     }
 
-    private final class Call implements Request {
+    private final class InFlightRequest implements Request {
         private final VirtualTime.Process from;
         private final String endpoint;
         private final String method;
@@ -183,7 +183,7 @@
         private boolean over;
         private boolean unheard;
 
-        Call(VirtualTime.Process from, String endpoint, String method, String path, byte[] body, Consumer<Reply> then) {
+        InFlightRequest(VirtualTime.Process from, String endpoint, String method, String path, byte[] body, Consumer<Reply> then) {
             this.from = from;
             this.endpoint = endpoint;
             this.method = method;
@@ -198,20 +198,20 @@
                 recorder.request(time.now(), method, endpoint, path, body);
             }
             if (observer != null) {
-                observer.leaves(from, endpoint, path);
+                observer.requestSent(from, endpoint, path);
             }
             boolean arrivesLate = random.nextDouble() < late;
-            Fate fate = fate(from, endpoint, path);
-            unheard = fate.unheard();
-            if (fate.again() > 0) {
-                Call copy = new Call(from, endpoint, method, path, body, reply -> {});
+            MessageFault fate = fate(from, endpoint, path);
+            unheard = fate.responseLost();
+            if (fate.duplicateAfterMicros() > 0) {
+                InFlightRequest copy = new InFlightRequest(from, endpoint, method, path, body, reply -> {});
                 copy.over = true;
-                time.at(time.now() + fate.again(), copy::arrive);
+                time.at(time.now() + fate.duplicateAfterMicros(), copy::arrive);
             }
             time.at(
                     time.now()
-                            + (fate.late() > 0
-                                    ? Math.max(timeoutMicros, fate.late())
+                            + (fate.delayMicros() > 0
+                                    ? Math.max(timeoutMicros, fate.delayMicros())
                                     : arrivesLate
                                             ? timeoutMicros + random.nextInt(LATE_SECONDS) * Micros.SECOND
                                             : delay()),
@@ -220,11 +220,11 @@
         }
 
         private void arrive() {
-            if (cut.between(from, endpoint)) {
+            if (setPartition.separates(from, endpoint)) {
                 return;
             }
             Host host = hosts.get(endpoint);
-            if (host == null || host.process().ended()) {
+            if (host == null || host.process().hasEnded()) {
                 time.at(time.now() + delay(), () -> reply(Reply.NOT_SENT));
                 return;
             }
@@ -261,10 +261,10 @@
                 recorder.response(time.now(), endpoint, path, status, json);
             }
             if (observer != null) {
-                observer.answers(from, endpoint, path);
+                observer.responseSent(from, endpoint, path);
             }
-            if (random.nextDouble() >= lost && !unheard && !cut.between(from, endpoint)) {
-                long longer = slow.getOrDefault(endpoint, 0L);
+            if (random.nextDouble() >= lost && !unheard && !setPartition.separates(from, endpoint)) {
+                long longer = setResponseDelay.getOrDefault(endpoint, 0L);
                 long extra = longer == 0 ? 0 : (long) (random.nextDouble() * longer);
                 time.at(time.now() + delay() + extra, () -> reply(new Reply(status, json, true)));
             }
--- a/src/main/java/io/micatide/simulation/VirtualTime.java
+++ b/src/main/java/io/micatide/simulation/VirtualTime.java
@@ -41,7 +41,7 @@
 
     /** A process: what it still had to do is dropped when it ends. */
     public final class Process implements ActorExecutor {
-        private boolean ended;
+        private boolean hasEnded;
         private long standsUntil;
         private long busyNanos;
         private long longestNanos;
@@ -59,16 +59,16 @@
         }
 
         /** Stands still for so long while its clocks run on; what would have happened to it meanwhile happens after it. */
-        public void stall(long micros) {
+        public void pause(long micros) {
             standsUntil = Math.max(standsUntil, now + micros);
         }
 
         public void end() {
-            ended = true;
+            hasEnded = true;
         }
 
-        public boolean ended() {
-            return ended;
+        public boolean hasEnded() {
+            return hasEnded;
         }
 
         @Override
@@ -82,7 +82,7 @@
         }
 
         private void run(Runnable what) {
-            if (ended) {
+            if (hasEnded) {
                 return;
             }
             if (now < standsUntil) {
--- a/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
+++ b/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
@@ -67,7 +67,7 @@
     }
 
     /** The machine is up; its worker begins to report within a report interval, so that not all do so at once. */
-    void up(SimulatedCloud.Rented machine) {
+    void up(SimulatedCloud.RentedMachine machine) {
         Map<String, Http> known = new LinkedHashMap<>();
         for (int i = 0; i < controllers.size(); i++) {
             HttpClient client = new HttpClient(eventLoop, controllers.get(i).bind(), 1);
@@ -82,14 +82,14 @@
                             () -> machine.zone().equals(silentZone)));
         }
         SimulatedWorker worker = new SimulatedWorker(loop, settings, machine, known, described, gangs, witness);
-        worker.reachedAt(listen(machine, worker));
-        worker.runs(HollowWorkers::runTime);
+        worker.setAddress(listen(machine, worker));
+        worker.setRunTime(HollowWorkers::runTime);
         workers.put(machine.name(), worker);
         long wait = (long) (new Random(machine.name().hashCode()).nextDouble() * settings.heartbeatIntervalMicros());
         loop.later(worker::start, wait);
     }
 
-    private String listen(SimulatedCloud.Rented machine, SimulatedWorker worker) {
+    private String listen(SimulatedCloud.RentedMachine machine, SimulatedWorker worker) {
         int number = lastAddress++;
         String endpoint =
                 "127.1." + number / ADDRESSES_PER_BLOCK + "." + (1 + number % ADDRESSES_PER_BLOCK) + ":" + commandPort;
@@ -99,7 +99,7 @@
         return endpoint;
     }
 
-    private void command(SimulatedCloud.Rented machine, SimulatedWorker worker, Request request) {
+    private void command(SimulatedCloud.RentedMachine machine, SimulatedWorker worker, Request request) {
         if (!machine.zone().equals(silentZone)) {
             // Which controller asked is not known here; the first one's sums hold all direct commands.
             worker.handle(new CountedRequest(request, traffic.get(0), Traffic.Kind.DIRECT_COMMAND));
--- a/src/main/java/io/micatide/simulation/scale/ScaleRun.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleRun.java
@@ -65,31 +65,31 @@
     /** What the hollow workers do, told to the checker and to the users that wait for it. */
     private final class Witness implements SimulatedWorker.Witness {
         @Override
-        public void started(String task, long attempt, String machine) {
-            checker.started(task, attempt, machine);
+        public void taskStarted(String task, long attempt, String machine) {
+            checker.taskStarted(task, attempt, machine);
             users.started(task);
         }
 
         @Override
-        public void over(String task, long attempt, String machine, ExitCause cause) {
-            checker.over(task, attempt, machine, cause);
+        public void taskEnded(String task, long attempt, String machine, ExitCause cause) {
+            checker.taskEnded(task, attempt, machine, cause);
             if (cause == ExitCause.DONE) {
                 users.done(task);
             }
         }
 
         @Override
-        public void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {
-            checker.taken(spec, task, attempt, machine);
+        public void startAccepted(JobSpec spec, String task, long attempt, SimulatedCloud.RentedMachine machine) {
+            checker.startAccepted(spec, task, attempt, machine);
         }
 
         @Override
-        public void released(String task, long attempt, SimulatedCloud.Rented machine) {
-            checker.released(task, attempt, machine);
+        public void resourcesReleased(String task, long attempt, SimulatedCloud.RentedMachine machine) {
+            checker.resourcesReleased(task, attempt, machine);
         }
 
         @Override
-        public void leaseEnded(SimulatedCloud.Rented machine) {
+        public void leaseExpired(SimulatedCloud.RentedMachine machine) {
             leasesEnded++;
         }
     }
@@ -184,7 +184,7 @@
         onLoop(() -> {
             List<String> zones = ScaleSettings.zones();
             for (int i = 0; i < plan.workers(); i++) {
-                cloud.standing(ScaleSettings.machineType(), zones.get(i % zones.size()), false);
+                cloud.addUnrentedMachine(ScaleSettings.machineType(), zones.get(i % zones.size()), false);
             }
             return null;
         });
@@ -210,7 +210,7 @@
         return onLoop(() -> {
             users.measure(false);
             users.end();
-            checker.look();
+            checker.check();
             return result(before, after);
         });
     }
@@ -234,7 +234,7 @@
     private void look() {
         loop.later(
                 () -> {
-                    checker.look();
+                    checker.check();
                     look();
                 },
                 LOOK_SECONDS * Micros.SECOND);
@@ -337,7 +337,7 @@
                 users.open(),
                 users.refused(),
                 leasesEnded,
-                checker.broken(),
+                checker.violations(),
                 latencies);
     }
 
--- a/src/main/java/io/micatide/simulation/scale/ScaleSettings.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleSettings.java
@@ -122,10 +122,10 @@
         line(out, "gang_peer_s = 5.0");
         line(out, "cancel_s = %.1f", CANCEL_SECONDS);
         line(out, "[deployment.state]");
-        line(out, "rps = %.1f", STATE.requests());
-        line(out, "write_rps = %.1f", STATE.changes());
-        line(out, "value_kb = %.1f", STATE.valueBytes() / 1024.0);
-        line(out, "txn_ops = %d", STATE.transactionChanges());
+        line(out, "rps = %.1f", STATE.requestsPerSecond());
+        line(out, "write_rps = %.1f", STATE.writesPerSecond());
+        line(out, "value_kb = %.1f", STATE.maxValueBytes() / 1024.0);
+        line(out, "txn_ops = %d", STATE.maxTransactionWrites());
         line(out, "[deployment.cloud]");
         line(out, "rps = %.1f", CLOUD_RATE);
         line(out, "list_lag_s = %.1f", LIST_LAG_SECONDS);
--- a/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
@@ -238,8 +238,8 @@
         UserJob job = new UserJob(spec, urgent);
         jobs.put(spec.id(), job);
         uploads.accept(spec.id(), job.body);
-        checker.submits(spec.id(), spec.taskCount(), false);
-        checker.describes(spec);
+        checker.jobSubmitted(spec.id(), spec.taskCount(), false);
+        checker.jobDescribed(spec);
         job.submittedMicros = loop.now();
         send(job);
     }
@@ -302,7 +302,7 @@
 
     private String heard(UserJob job, long asked, Reply reply) {
         String standing = reply.status() == 200 || reply.status() == 201 ? UserSideCodec.standing(reply.body()) : null;
-        checker.heard(job.spec.id(), asked, reply.status(), standing);
+        checker.responseReceived(job.spec.id(), asked, reply.status(), standing);
         return standing;
     }
 
--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -31,7 +31,7 @@
             Archiver.Maker maker) {
         try {
             ArchiveScenario day = new ArchiveScenario(seed, valueBytes, changes, maker);
-            day.network.losses(losses, losses);
+            day.network.setLossRates(losses, losses);
             day.killAfterwards = afterwards;
             day.killAt = interaction;
             day.busy(30);
@@ -175,7 +175,7 @@
                 .flatMap(seed -> {
                     ArchiveScenario day = new ArchiveScenario(seed, 4096, 8, Archiver::new);
                     Random random = new Random(seed);
-                    day.network.losses(0.01, 0.005);
+                    day.network.setLossRates(0.01, 0.005);
                     for (int round = 0; round < 8; round++) {
                         day.busy(6);
                         for (int i = 0; i < 3; i++) {
@@ -203,7 +203,7 @@
         List<Integer> first = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ArchiveScenario day = new ArchiveScenario(7, 2048, 5, Archiver::new);
-            day.network.losses(0.02, 0.02);
+            day.network.setLossRates(0.02, 0.02);
             day.killAt = 400;
             day.busy(30);
             first.add(day.interactions);
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -149,14 +149,14 @@
         network.listen("cloud", world, cloud::handle);
         network.observe(new VirtualNetwork.Observer() {
             @Override
-            public void leaves(VirtualTime.Process from, String endpoint, String path) {
+            public void requestSent(VirtualTime.Process from, String endpoint, String path) {
                 if (endpoint.equals("state") && !killAfterwards) {
                     interaction(from);
                 }
             }
 
             @Override
-            public void answers(VirtualTime.Process from, String endpoint, String path) {
+            public void responseSent(VirtualTime.Process from, String endpoint, String path) {
                 if (endpoint.equals("state") && killAfterwards) {
                     interaction(from);
                 }
@@ -232,18 +232,18 @@
 
     void kill(int number, int seconds) {
         VirtualTime.Process process = processes.get(number);
-        if (process.ended()) {
+        if (process.hasEnded()) {
             return;
         }
         kills++;
         process.end();
-        network.ended(process);
+        network.processEnded(process);
         time.at(time.now() + seconds * Micros.SECOND, () -> boot(number));
     }
 
     // ---- workers
 
-    private void up(SimulatedCloud.Rented machine) {
+    private void up(SimulatedCloud.RentedMachine machine) {
         Map<String, Http> controllers = new LinkedHashMap<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             controllers.put("c" + i, network.from(world, "c" + i));
@@ -257,7 +257,7 @@
                 new GangRendezvous(world, settings(0)),
                 new SimulatedWorker.Witness() {
                     @Override
-                    public void started(String task, long attempt, String name) {
+                    public void taskStarted(String task, long attempt, String name) {
                         String other = running.putIfAbsent(task, name);
                         if (other != null) {
                             broken.add("ran_twice " + task + " on " + other + " and " + name);
@@ -276,7 +276,7 @@
                     }
 
                     @Override
-                    public void over(String task, long attempt, String name, ExitCause cause) {
+                    public void taskEnded(String task, long attempt, String name, ExitCause cause) {
                         running.remove(task, name);
                         if (cause == ExitCause.DONE) {
                             finished.add(task);
@@ -513,7 +513,7 @@
 
     /** Until every job is over and told, then once more by every controller. */
     void settle() {
-        network.losses(0, 0);
+        network.setLossRates(0, 0);
         killAt = 0;
         for (int i = 0; i < 60 && jobs.values().stream().anyMatch(job -> job.end == null); i++) {
             jobs.values().stream().filter(job -> job.end == null).forEach(this::poll);
@@ -595,7 +595,7 @@
     private StoredRecord row(String key) throws MalformedException {
         SimulatedStore.Value value = state.values().get(key);
         return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + new String(value.json(), StandardCharsets.UTF_8)
-                                + ",\"stamp\":" + value.stamp() + "}")
+                                + ",\"stamp\":" + value.version() + "}")
                         .getBytes(StandardCharsets.UTF_8))
                 .row();
     }
--- a/src/test/java/io/micatide/archive/SnapshotTest.java
+++ b/src/test/java/io/micatide/archive/SnapshotTest.java
@@ -102,8 +102,8 @@
         ArchiveScenario day = new ArchiveScenario(seed, 2048, 5, Archiver::new);
         day.busy(20);
         Map<Long, Map<String, String>> then = new TreeMap<>();
-        day.state.afterEachChange(revision -> then.put(revision, stored(day.state)));
-        day.network.losses(losses, 0);
+        day.state.onEachChange(revision -> then.put(revision, stored(day.state)));
+        day.network.setLossRates(losses, 0);
         day.later(40);
         Calls calls = new Calls(day);
         calls.page = 2;
--- a/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
+++ b/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
@@ -34,32 +34,32 @@
                 case BRIEF_RESTARTS -> BriefRestartTest.play(recorded(BriefRestartTest.begin(seed), digester));
                 case FAULT_PAIRS -> FaultPairTest.play(recorded(FaultPairTest.begin(seed), digester));
                 case FAULT_PAIRS_AT_QUOTA ->
-                    FaultPairTest.playTight(recorded(FaultPairTest.beginTight(seed), digester));
+                    FaultPairTest.playAtQuota(recorded(FaultPairTest.beginAtQuota(seed), digester));
                 case ROLLOUT -> {
                     RolloutScenario roll = RolloutTest.begin(seed);
-                    recorded(roll.day, digester);
+                    recorded(roll.scenario, digester);
                     RolloutTest.play(roll);
                 }
                 case ARCHIVE -> ArchiveScenario.play(seed, digester);
-                case COLD_START -> coldStart(recorded(FailoverScenario.tight(seed, 3, 0), digester));
-                case SMALL_JOBS -> smallJobs(recorded(FailoverScenario.paced(seed, 3, 80, 30), digester));
+                case COLD_START -> coldStart(recorded(FailoverScenario.atQuota(seed, 3, 0), digester));
+                case SMALL_JOBS -> smallJobs(recorded(FailoverScenario.withStoreLimits(seed, 3, 80, 30), digester));
             }
             return digester.summary();
         }
 
         private static FailoverScenario recorded(FailoverScenario day, VirtualNetwork.Recorder recorder) {
-            day.deployment.network.record(recorder);
+            day.cluster.network.record(recorder);
             return day;
         }
 
         private static void coldStart(FailoverScenario day) {
             day.time.run(3 * Micros.SECOND);
-            day.users.fill();
+            day.users.fillQuotas();
             day.time.run(12 * Micros.SECOND);
-            for (int controller = 0; controller < day.count; controller++) {
-                day.deployment.faults.crashForSeconds(controller, 13);
+            for (int controller = 0; controller < day.controllers; controller++) {
+                day.cluster.faults.crashForSeconds(controller, 13);
             }
-            day.users.cancelNow(4, 0);
+            day.users.cancelRunningJobs(4, 0);
             day.time.run(90 * Micros.SECOND);
         }
 
@@ -70,7 +70,7 @@
                 day.users.submit("group", 2, 2);
                 day.users.submit("daemon", 1, 0);
                 if (second % 5 == 4) {
-                    day.users.cancelNow(3, 0);
+                    day.users.cancelRunningJobs(3, 0);
                 }
                 day.time.run(Micros.SECOND);
             }
--- a/src/test/java/io/micatide/simulation/BriefRestartTest.java
+++ b/src/test/java/io/micatide/simulation/BriefRestartTest.java
@@ -24,21 +24,21 @@
     }
 
     static FailoverScenario play(FailoverScenario day) {
-        day.deployment.network.losses(0.01, 0.005);
+        day.cluster.network.setLossRates(0.01, 0.005);
         for (int second = 0; second < 24; second++) {
             if (second > 1) {
-                day.users.traffic();
+                day.users.submitDrawnJob();
             }
             if (second > 3 && second % 4 == 0) {
-                day.failBriefly();
+                day.injectBriefRestarts();
             }
             if (second > 5 && second % 9 == 0) {
-                day.fail();
+                day.injectFailure();
             }
             day.time.run(Micros.SECOND);
         }
-        day.killAtInteraction(0);
-        day.deployment.network.losses(0, 0);
+        day.crashAtRequest(0);
+        day.cluster.network.setLossRates(0, 0);
         day.time.run(70 * Micros.SECOND);
         return day;
     }
@@ -47,7 +47,7 @@
     void drawnEndsBreakNoRule() {
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
             FailoverScenario day = play(begin(seed));
-            assertEquals(List.of(), day.verdict(), "seed " + seed + " " + day.deployment.log());
+            assertEquals(List.of(), day.violations(), "seed " + seed + " " + day.cluster.eventLog());
         }
     }
 
@@ -57,13 +57,13 @@
     void aStartThatIsCutShortAnywhere(int controllers, int times) {
         for (int at = 1; at <= 150; at++) {
             FailoverScenario day = new FailoverScenario(at, controllers, 0, KeyspaceReplica::new);
-            day.killAtInteraction(at, times, day.backSoon());
+            day.crashAtRequest(at, times, day.drawRestartDelay());
             day.time.run(Micros.SECOND);
             for (int job = 0; job < 6; job++) {
                 day.users.submit(job % 3 == 0 ? "daemon" : job % 3 == 1 ? "batch" : "group", 3, 4);
             }
             day.time.run(50 * Micros.SECOND);
-            assertEquals(List.of(), day.verdict(), "at " + at + " " + day.deployment.log());
+            assertEquals(List.of(), day.violations(), "at " + at + " " + day.cluster.eventLog());
         }
     }
 
@@ -79,14 +79,14 @@
             }
             day.time.run(8 * Micros.SECOND);
             if (how.equals("kill")) {
-                day.deployment.faults.crashForMicros(day.deployment.leader(), day.backSoon());
+                day.cluster.faults.crashForMicros(day.cluster.leader(), day.drawRestartDelay());
             } else {
-                day.deployment.faults.shutDownForMicros(day.deployment.leader(), day.backSoon());
+                day.cluster.faults.shutDownForMicros(day.cluster.leader(), day.drawRestartDelay());
             }
-            day.killAtInteraction(at, times, day.backSoon());
+            day.crashAtRequest(at, times, day.drawRestartDelay());
             day.users.submit("batch", 20, 3);
             day.time.run(45 * Micros.SECOND);
-            assertEquals(List.of(), day.verdict(), "at " + at + " " + day.deployment.log());
+            assertEquals(List.of(), day.violations(), "at " + at + " " + day.cluster.eventLog());
         }
     }
 
@@ -101,12 +101,12 @@
             day.time.run(2 * Micros.SECOND);
             day.users.submit("batch", 12, 30);
             day.time.run((8_000 + day.random.nextInt(3_000)) * Micros.MILLISECOND);
-            int leader = day.deployment.leader();
-            long fencingToken = day.deployment.fencingToken();
+            int leader = day.cluster.leader();
+            long fencingToken = day.cluster.fencingToken();
             long began = day.time.now();
-            day.deployment.faults.crashForMicros(
+            day.cluster.faults.crashForMicros(
                     leader, (least + day.random.nextInt(most - least)) * Micros.MILLISECOND);
-            while (day.deployment.fencingToken() <= fencingToken && day.time.now() - began < 20 * Micros.SECOND) {
+            while (day.cluster.fencingToken() <= fencingToken && day.time.now() - began < 20 * Micros.SECOND) {
                 day.time.run(10 * Micros.MILLISECOND);
             }
             gaps.add(day.time.now() - began);
@@ -124,18 +124,18 @@
             day.users.submit("batch", 3, 60);
         }
         day.time.run(20 * Micros.SECOND);
-        long before = day.deployment.state.requestCount();
+        long before = day.cluster.store.requestCount();
         int starts = 0;
         for (int round = 0; round < 40; round++) {
             for (int each = 0; each < 5; each++) {
-                day.deployment.faults.crashForMicros(each, 100 * Micros.MILLISECOND);
+                day.cluster.faults.crashForMicros(each, 100 * Micros.MILLISECOND);
                 starts++;
             }
             day.time.run(500 * Micros.MILLISECOND);
         }
-        long each = (day.deployment.state.requestCount() - before) / starts;
+        long each = (day.cluster.store.requestCount() - before) / starts;
         assertTrue(each <= 20, each + " requests for each start");
         day.time.run(90 * Micros.SECOND);
-        assertEquals(List.of(), day.verdict());
+        assertEquals(List.of(), day.violations());
     }
 }
--- a/src/test/java/io/micatide/simulation/ConstrainedJobsTest.java
+++ b/src/test/java/io/micatide/simulation/ConstrainedJobsTest.java
@@ -26,7 +26,7 @@
     })
     void startsBesideOthers(String form, String type, String zone, boolean spot, boolean lost, int within) {
         for (long seed = 1; seed <= 2; seed++) {
-            FailoverScenario day = FailoverScenario.tight(seed, 3, 0);
+            FailoverScenario day = FailoverScenario.atQuota(seed, 3, 0);
             JobConstraints others = new JobConstraints("blue", null, null, false, false, true);
             JobConstraints constraints = new JobConstraints(
                     "red", type.isEmpty() ? null : type, zone.isEmpty() ? null : zone, false, false, spot);
@@ -43,7 +43,7 @@
                     bound = day.users.lastJob();
                 }
                 if (second == 80 && lost) {
-                    day.deployment.takeAway(machine ->
+                    day.cluster.reclaimMachines(machine ->
                             (constraints.zone() == null || machine.zone().equals(constraints.zone()))
                                     && (constraints.type() == null
                                             || machine.type().name().equals(constraints.type()))
@@ -54,7 +54,7 @@
                 longest = Math.max(longest, waited);
             }
             assertTrue(longest <= within, "seed " + seed + ": waited for " + longest + " s");
-            assertEquals(List.of(), day.checker.broken());
+            assertEquals(List.of(), day.checker.violations());
         }
     }
 
@@ -62,19 +62,19 @@
     @ParameterizedTest
     @CsvSource({"batch", "group", "daemon"})
     void idleMachinesOfNoUseMakeRoom(String form) {
-        FailoverScenario day = FailoverScenario.tight(1, 3, 0);
+        FailoverScenario day = FailoverScenario.atQuota(1, 3, 0);
         day.time.run(3 * Micros.SECOND);
         for (String team : List.of("blue", "red", "green")) {
             day.users.submit("batch", 20, 8, new JobConstraints(team, null, null, false, false, true));
         }
         day.time.run(12 * Micros.SECOND);
-        day.deployment.capacity(day.deployment.machines());
+        day.cluster.setCloudCapacity(day.cluster.machines());
         day.users.submit(form, 2, 30, new JobConstraints("red", null, null, false, false, false));
         String bound = day.users.lastJob();
         int waited = 0;
         while (day.checker.running(bound) == 0 && waited++ < 200) {
             day.time.run(Micros.SECOND);
         }
-        assertTrue(waited < 110, "waited for " + waited + " s with " + day.deployment.machines() + " machines");
+        assertTrue(waited < 110, "waited for " + waited + " s with " + day.cluster.machines() + " machines");
     }
 }
--- a/src/test/java/io/micatide/simulation/DeafWorkersTest.java
+++ b/src/test/java/io/micatide/simulation/DeafWorkersTest.java
@@ -20,7 +20,7 @@
             day.time.run(2 * Micros.SECOND);
             day.users.submit("daemon", 12, 0);
             day.time.run(15 * Micros.SECOND);
-            day.deployment.faults.dropMessagesToWorkers(share, seconds);
+            day.cluster.faults.dropMessagesToWorkers(share, seconds);
             day.time.run(25 * Micros.SECOND);
             int longest = 0;
             for (int second = 0; second < seconds - 30; second++) {
@@ -36,7 +36,7 @@
             }
             assertTrue(longest <= within * 10, "seed " + seed + ": a job waited for " + longest + " tenths");
             day.time.run(90 * Micros.SECOND);
-            assertEquals(List.of(), day.verdict(), day.deployment.log().toString());
+            assertEquals(List.of(), day.violations(), day.cluster.eventLog().toString());
         }
     }
 }
--- a/src/test/java/io/micatide/simulation/ElectionReadTest.java
+++ b/src/test/java/io/micatide/simulation/ElectionReadTest.java
@@ -24,25 +24,25 @@
         day.time.run(8 * Micros.SECOND);
         day.users.submit("daemon", 3, 0);
         day.time.run(2 * Micros.SECOND);
-        int leader = day.deployment.leader();
+        int leader = day.cluster.leader();
         Arrays.fill(day.lateRowsMicros, LATE);
         day.lateRowsMicros[leader] = 0;
         for (int each = 0; each < 60; each++) {
             day.users.submit("batch", 1, 20);
             day.time.run(10 * Micros.MILLISECOND);
         }
-        day.deployment.faults.shutDownForMicros(leader, 2 * Micros.SECOND);
-        while (day.deployment.leader() == leader
-                || day.deployment.controller(day.deployment.leader()).takeOver() == null
-                || day.deployment.controller(day.deployment.leader()).takeOver().stateLoadedMicros() < 0) {
+        day.cluster.faults.shutDownForMicros(leader, 2 * Micros.SECOND);
+        while (day.cluster.leader() == leader
+                || day.cluster.controller(day.cluster.leader()).takeOver() == null
+                || day.cluster.controller(day.cluster.leader()).takeOver().stateLoadedMicros() < 0) {
             day.time.run(5 * Micros.MILLISECOND);
             assertTrue(day.time.now() < 20 * Micros.SECOND, "nobody took over");
         }
         long rebuilt =
-                day.deployment.controller(day.deployment.leader()).takeOver().stateLoadedMicros();
+                day.cluster.controller(day.cluster.leader()).takeOver().stateLoadedMicros();
         assertTrue(rebuilt >= LATE, "no read that began with the claim can be heard after " + rebuilt + " us");
         Arrays.fill(day.lateRowsMicros, 0);
         day.time.run(70 * Micros.SECOND);
-        assertEquals(List.of(), day.verdict());
+        assertEquals(List.of(), day.violations());
     }
 }
--- a/src/test/java/io/micatide/simulation/FailoverScenario.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -24,7 +24,7 @@
  * drawn from a seed. The rules are held against what workers and users saw, and each picture that a standby brings to a take-over
  * against the store.
  */
-final class FailoverScenario implements SimulatedCluster.Plan {
+final class FailoverScenario implements SimulatedCluster.ClusterConfiguration {
     /** Of a worker. */
     private final long heartbeatIntervalMicros;
 
@@ -43,25 +43,25 @@
 
     private final int changes;
     final Random random;
-    final int count;
-    final SimulatedCluster deployment;
+    final int controllers;
+    final SimulatedCluster cluster;
     final VirtualTime time;
     final InvariantChecker checker;
-    final List<String> wrong = new ArrayList<>();
+    final List<String> otherViolations = new ArrayList<>();
     final SimulatedUsers users;
-    int brought;
+    int replicasUsed;
     private final KeyspaceReplica.Maker copies;
     /** Controllers that run without a standby, as those of a former version do. */
-    private final int former;
+    private final int formerVersionControllers;
     /** What the version of each controller can do, from its next start on. */
     private final Capabilities[] versions;
     /** How often the state service was asked for each path. */
-    final Map<String, Integer> asked = new TreeMap<>();
+    final Map<String, Integer> storeRequests = new TreeMap<>();
 
     private int interactions;
-    private int killAt;
-    private int killTimes;
-    private long killBackMicros;
+    private int crashAtRequestNumber;
+    private int remainingCrashes;
+    private long restartDelayMicros;
 
     FailoverScenario(long seed, int controllers, int former, KeyspaceReplica.Maker copies) {
         this(seed, controllers, former, copies, 800 * Micros.MILLISECOND, 10 * Micros.SECOND);
@@ -102,7 +102,7 @@
     }
 
     /** With a state service that takes so many requests and changes a second. */
-    static FailoverScenario paced(long seed, int controllers, int requests, int changes) {
+    static FailoverScenario withStoreLimits(long seed, int controllers, int requests, int changes) {
         return new FailoverScenario(
                 seed,
                 controllers,
@@ -121,7 +121,7 @@
      * Three teams with guarantees and tight limits, two types of machines that boot within 0.2 to 2 s or the ordinary time, and a cloud
      * whose lists are up to 8 s old; jobs ask for types, zones, one zone or several.
      */
-    static FailoverScenario tight(long seed, int controllers, int former) {
+    static FailoverScenario atQuota(long seed, int controllers, int former) {
         FailoverScenario day = new FailoverScenario(
                 seed,
                 controllers,
@@ -146,7 +146,7 @@
 
     /** Lists of the cloud are up to so old from now on; machines boot within 0.2 to 2 s or the ordinary time. */
     private void listLags(long most) {
-        deployment.cloudLags(
+        cluster.setCloudDelays(
                 () -> (long) (random.nextDouble() * most),
                 () -> random.nextInt(3) == 0 ? 5 * Micros.SECOND : (200 + random.nextInt(1_800)) * Micros.MILLISECOND);
     }
@@ -176,11 +176,11 @@
         this.heartbeatIntervalMicros = heartbeatIntervalMicros;
         this.workerLeaseMicros = workerLeaseMicros;
         this.random = new Random(seed);
-        this.count = controllers;
-        this.former = former;
+        this.controllers = controllers;
+        this.formerVersionControllers = former;
         this.copies = copies;
         InvariantChecker[] rules = new InvariantChecker[1];
-        this.deployment = new SimulatedCluster(
+        this.cluster = new SimulatedCluster(
                 random,
                 controllers,
                 this,
@@ -189,76 +189,76 @@
                 new SimulatedStore.Limits(requests, changes, 16 * 1024, 16),
                 new SimulatedWorker.Witness() {
                     @Override
-                    public void started(String task, long attempt, String machine) {
-                        rules[0].started(task, attempt, machine);
+                    public void taskStarted(String task, long attempt, String machine) {
+                        rules[0].taskStarted(task, attempt, machine);
                     }
 
                     @Override
-                    public void over(String task, long attempt, String machine, io.micatide.model.ExitCause cause) {
-                        rules[0].over(task, attempt, machine, cause);
+                    public void taskEnded(String task, long attempt, String machine, io.micatide.model.ExitCause cause) {
+                        rules[0].taskEnded(task, attempt, machine, cause);
                         if (cause == io.micatide.model.ExitCause.DONE) {
                             users.ended(task.substring(0, task.indexOf('/')));
                         }
                     }
 
                     @Override
-                    public void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {
-                        rules[0].taken(spec, task, attempt, machine);
+                    public void startAccepted(JobSpec spec, String task, long attempt, SimulatedCloud.RentedMachine machine) {
+                        rules[0].startAccepted(spec, task, attempt, machine);
                     }
 
                     @Override
-                    public void released(String task, long attempt, SimulatedCloud.Rented machine) {
-                        rules[0].released(task, attempt, machine);
+                    public void resourcesReleased(String task, long attempt, SimulatedCloud.RentedMachine machine) {
+                        rules[0].resourcesReleased(task, attempt, machine);
                     }
                 });
-        this.time = deployment.time;
+        this.time = cluster.time;
         this.checker = new InvariantChecker(time, CANCEL + Micros.SECOND, teams);
-        checker.machines(deployment::up);
+        checker.machines(cluster::runningMachines);
         rules[0] = checker;
-        this.users = new SimulatedUsers(deployment, checker, random, controllers, teams.size() > 1, wrong);
-        deployment.network.observe(new VirtualNetwork.Observer() {
+        this.users = new SimulatedUsers(cluster, checker, random, controllers, teams.size() > 1, otherViolations);
+        cluster.network.observe(new VirtualNetwork.Observer() {
             @Override
-            public void leaves(VirtualTime.Process from, String endpoint, String path) {
+            public void requestSent(VirtualTime.Process from, String endpoint, String path) {
                 if (endpoint.equals("state")) {
-                    asked.merge(path, 1, Integer::sum);
+                    storeRequests.merge(path, 1, Integer::sum);
                 }
-                if (killAt > 0 && controller(from) >= 0 && ++interactions == killAt) {
-                    if (--killTimes > 0) {
+                if (crashAtRequestNumber > 0 && controller(from) >= 0 && ++interactions == crashAtRequestNumber) {
+                    if (--remainingCrashes > 0) {
                         interactions = 0;
                     }
-                    deployment.faults.crashForMicros(controller(from), killBackMicros);
+                    cluster.faults.crashForMicros(controller(from), restartDelayMicros);
                 }
             }
 
             @Override
-            public void answers(VirtualTime.Process from, String endpoint, String path) {
+            public void responseSent(VirtualTime.Process from, String endpoint, String path) {
                 // What is answered was asked before.
             }
         });
-        deployment.start();
-        looks();
+        cluster.start();
+        scheduleChecks();
     }
 
     private int controller(VirtualTime.Process process) {
-        for (int i = 0; i < count; i++) {
-            if (deployment.process(i) == process) {
+        for (int i = 0; i < controllers; i++) {
+            if (cluster.process(i) == process) {
                 return i;
             }
         }
         return -1;
     }
 
-    private void looks() {
+    private void scheduleChecks() {
         time.at(time.now() + Micros.SECOND, () -> {
-            checker.look();
-            looks();
+            checker.check();
+            scheduleChecks();
         });
     }
 
     @Override
     public Settings settings(int number) {
         List<Settings.Sibling> siblings = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
+        for (int i = 0; i < controllers; i++) {
             if (i != number) {
                 siblings.add(new Settings.Sibling("c" + i, i % 2 == 0 ? "a" : "b", "p" + i));
             }
@@ -294,7 +294,7 @@
 
     @Override
     public Tuning tuning(int number) {
-        boolean standby = number >= former;
+        boolean standby = number >= formerVersionControllers;
         Settings settings = settings(number);
         return new Tuning(
                 standby
@@ -309,27 +309,27 @@
     }
 
     @Override
-    public KeyspaceReplica copy(String prefix, long mostBytes) {
+    public KeyspaceReplica keyspaceReplica(String prefix, long mostBytes) {
         return copies.make(prefix, mostBytes);
     }
 
     @Override
-    public Capabilities abilities(int number) {
+    public Capabilities capabilities(int number) {
         return versions[number];
     }
 
     /** A controller is replaced by one of another version, after so many microseconds. */
     void replace(int number, Capabilities version, long backMicros) {
         versions[number] = version;
-        deployment.faults.crashForMicros(number, backMicros);
+        cluster.faults.crashForMicros(number, backMicros);
     }
 
     /** To a version before the switches their row is a job without a state, and it cannot read on. */
     @Override
-    public Http reaches(int number, String endpoint, Http http) {
+    public Http link(int number, String endpoint, Http http) {
         Http to = versions[number].registers() || !endpoint.equals("state") ? http : new FormerVersionReader(http);
         return endpoint.equals("state")
-                ? new DelayedChanges(to, () -> lateRowsMicros[number], () -> deployment.process(number))
+                ? new DelayedChanges(to, () -> lateRowsMicros[number], () -> cluster.process(number))
                 : to;
     }
 
@@ -337,67 +337,67 @@
     final long[] lateRowsMicros;
 
     @Override
-    public void started(int number, Controller controller) {
-        if (number >= former) {
-            controller.witness((prefix, rows) -> compare(number, prefix, rows));
+    public void controllerStarted(int number, Controller controller) {
+        if (number >= formerVersionControllers) {
+            controller.witness((prefix, rows) -> compareReplica(number, prefix, rows));
         }
     }
 
     /** Rows that only leaders write stand still between a claim and the new leader's first round. */
-    private void compare(int number, String prefix, List<StoreCodec.Item> rows) {
-        brought++;
+    private void compareReplica(int number, String prefix, List<StoreCodec.Item> rows) {
+        replicasUsed++;
         Map<String, String> stored = new TreeMap<>();
-        deployment
-                .state
+        cluster
+                .store
                 .values()
                 .subMap(prefix, prefix + Character.MAX_VALUE)
-                .forEach((key, value) -> stored.put(key, value.stamp() + " " + SimulatedCluster.row(key, value)));
+                .forEach((key, value) -> stored.put(key, value.version() + " " + SimulatedCluster.recordOf(key, value)));
         Map<String, String> copied = new TreeMap<>();
         rows.forEach(row -> copied.put(row.key(), row.version() + " " + row.row()));
-        if (!stored.equals(copied) && deployment.owner().equals("c" + number)) {
-            wrong.add("the copy of " + prefix + " on c" + number + " is " + copied + " and the store has " + stored);
+        if (!stored.equals(copied) && cluster.leaderLabel().equals("c" + number)) {
+            otherViolations.add("the copy of " + prefix + " on c" + number + " is " + copied + " and the store has " + stored);
         }
     }
 
     // ---- failures
 
     /** One of the failures that the operators have met, of a controller that leads more often than not. */
-    void fail() {
-        int number = random.nextInt(3) > 0 ? deployment.leader() : random.nextInt(count);
+    void injectFailure() {
+        int number = random.nextInt(3) > 0 ? cluster.leader() : random.nextInt(controllers);
         switch (random.nextInt(11)) {
             case 10 ->
-                deployment.faults.slowStore((200 + random.nextInt(1_200)) * Micros.MILLISECOND, 2 + random.nextInt(8));
-            case 0, 1, 2 -> deployment.faults.crashForSeconds(number, 1 + random.nextInt(5));
-            case 3, 4 -> deployment.faults.shutDownForSeconds(number, 1 + random.nextInt(4));
-            case 5 -> deployment.faults.pauseForMillis(number, 500 + random.nextInt(8_000));
+                cluster.faults.slowStore((200 + random.nextInt(1_200)) * Micros.MILLISECOND, 2 + random.nextInt(8));
+            case 0, 1, 2 -> cluster.faults.crashForSeconds(number, 1 + random.nextInt(5));
+            case 3, 4 -> cluster.faults.shutDownForSeconds(number, 1 + random.nextInt(4));
+            case 5 -> cluster.faults.pauseForMillis(number, 500 + random.nextInt(8_000));
             case 6 ->
-                deployment.faults.partitionController(
+                cluster.faults.partitionController(
                         number, new FaultInjector.Links(true, false, random.nextBoolean()), 2 + random.nextInt(10));
             case 7 ->
-                deployment.faults.partitionController(
+                cluster.faults.partitionController(
                         number, new FaultInjector.Links(false, true, random.nextBoolean()), 2 + random.nextInt(10));
             case 8 ->
-                deployment.faults.partitionController(
+                cluster.faults.partitionController(
                         number, new FaultInjector.Links(false, false, true), 2 + random.nextInt(10));
-            default -> deployment.faults.storeOutage(1 + random.nextInt(6));
+            default -> cluster.faults.storeOutage(1 + random.nextInt(6));
         }
     }
 
     /** The controller that makes the so-manieth request from now on is killed with it on its way. */
-    void killAtInteraction(int number) {
-        killAtInteraction(number, 1, 3 * Micros.SECOND);
+    void crashAtRequest(int number) {
+        crashAtRequest(number, 1, 3 * Micros.SECOND);
     }
 
     /** The same so many times, counted anew after each, with processes that are back after so many microseconds. */
-    void killAtInteraction(int number, int times, long backMicros) {
+    void crashAtRequest(int number, int times, long backMicros) {
         interactions = 0;
-        killAt = number;
-        killTimes = times;
-        killBackMicros = backMicros;
+        crashAtRequestNumber = number;
+        remainingCrashes = times;
+        restartDelayMicros = backMicros;
     }
 
     /** A fraction of a second, the shorter ones as likely as the longer: 1 ms to 1 s. */
-    long backSoon() {
+    long drawRestartDelay() {
         return (long) (Micros.MILLISECOND * Math.pow(1_000, random.nextDouble()));
     }
 
@@ -406,16 +406,16 @@
     }
 
     /** Processes that end and are back within a second, as the operators' are: one, all, again and again, in order or not. */
-    void failBriefly() {
-        int number = random.nextInt(3) > 0 ? deployment.leader() : random.nextInt(count);
+    void injectBriefRestarts() {
+        int number = random.nextInt(3) > 0 ? cluster.leader() : random.nextInt(controllers);
         switch (random.nextInt(7)) {
-            case 0 -> deployment.faults.crashForMicros(number, backSoon());
-            case 1 -> deployment.faults.shutDownForMicros(number, backSoon());
+            case 0 -> cluster.faults.crashForMicros(number, drawRestartDelay());
+            case 1 -> cluster.faults.shutDownForMicros(number, drawRestartDelay());
             case 2 -> {
                 for (int again = 0; again < 3; again++) {
                     at(again * (200 + random.nextInt(1_300)) * Micros.MILLISECOND, () -> {
-                        for (int each = 0; each < count; each++) {
-                            deployment.faults.crashForMicros(each, backSoon());
+                        for (int each = 0; each < controllers; each++) {
+                            cluster.faults.crashForMicros(each, drawRestartDelay());
                         }
                     });
                 }
@@ -425,115 +425,115 @@
                 for (int again = 0; again < 10; again++) {
                     at(
                             again * 400 * Micros.MILLISECOND,
-                            () -> deployment.faults.crashForMicros(leaders ? deployment.leader() : number, backSoon()));
+                            () -> cluster.faults.crashForMicros(leaders ? cluster.leader() : number, drawRestartDelay()));
                 }
             }
-            case 4 -> killAtInteraction(1 + random.nextInt(60), 1 + random.nextInt(3), backSoon());
+            case 4 -> crashAtRequest(1 + random.nextInt(60), 1 + random.nextInt(3), drawRestartDelay());
             case 5 -> {
-                deployment.faults.storeOutage(1 + random.nextInt(4));
-                for (int each = 0; each < count; each++) {
+                cluster.faults.storeOutage(1 + random.nextInt(4));
+                for (int each = 0; each < controllers; each++) {
                     int ends = each;
                     at(
                             random.nextInt(4_000) * Micros.MILLISECOND,
-                            () -> deployment.faults.crashForMicros(ends, backSoon()));
+                            () -> cluster.faults.crashForMicros(ends, drawRestartDelay()));
                 }
             }
             default -> {
-                for (int each = 0; each < count; each++) {
+                for (int each = 0; each < controllers; each++) {
                     int ends = each;
-                    at(each * 500 * Micros.MILLISECOND, () -> deployment.faults.shutDownForMicros(ends, backSoon()));
+                    at(each * 500 * Micros.MILLISECOND, () -> cluster.faults.shutDownForMicros(ends, drawRestartDelay()));
                 }
             }
         }
     }
 
     /** One of the troubles that the operators want to see in pairs, most often of the controller that leads. */
-    void trouble() {
-        int number = random.nextInt(4) > 0 ? deployment.leader() : random.nextInt(count);
+    void injectFault() {
+        int number = random.nextInt(4) > 0 ? cluster.leader() : random.nextInt(controllers);
         int seconds = 1 + random.nextInt(random.nextInt(4) == 0 ? 50 : 14);
         switch (random.nextInt(17)) {
-            case 0 -> deployment.faults.refuseStoreRequests(number, seconds);
+            case 0 -> cluster.faults.refuseStoreRequests(number, seconds);
             case 1 ->
-                deployment.faults.partitionController(number, new FaultInjector.Links(true, false, true), seconds);
+                cluster.faults.partitionController(number, new FaultInjector.Links(true, false, true), seconds);
             case 2 ->
-                deployment.faults.partitionController(
+                cluster.faults.partitionController(
                         number, new FaultInjector.Links(true, random.nextBoolean(), random.nextBoolean()), seconds);
             case 3 ->
-                deployment.faults.partitionController(
+                cluster.faults.partitionController(
                         number, new FaultInjector.Links(false, true, random.nextBoolean()), seconds);
-            case 4, 5 -> deployment.faults.storeOutage(seconds);
-            case 6 -> deployment.faults.slowStore((200 + random.nextInt(1_500)) * Micros.MILLISECOND, seconds);
-            case 7 -> deployment.faults.delayTransactions(0.05 + random.nextDouble() * 0.4, 2, 12, seconds);
-            case 8 -> deployment.faults.delayTransactions(0.05 + random.nextDouble() * 0.3, 20, 90, seconds);
-            case 9 -> deployment.faults.duplicateHeartbeats(0.1 + random.nextDouble() * 0.5, seconds);
-            case 10 -> deployment.faults.dropMessagesToWorkers(0.1 + random.nextDouble() * 0.8, seconds);
-            case 11 -> deployment.faults.hangWorkers(0.1 + random.nextDouble() * 0.6, 1_000 + random.nextInt(20_000));
-            case 12 -> deployment.faults.partitionWorkers(0.1 + random.nextDouble() * 0.6, seconds);
-            case 13 -> deployment.faults.pauseForMillis(number, 500 + random.nextInt(20_000));
-            case 14 -> deployment.faults.crashForMicros(number, backSoon());
-            case 15 -> deployment.faults.shutDownForMicros(number, backSoon());
+            case 4, 5 -> cluster.faults.storeOutage(seconds);
+            case 6 -> cluster.faults.slowStore((200 + random.nextInt(1_500)) * Micros.MILLISECOND, seconds);
+            case 7 -> cluster.faults.delayTransactions(0.05 + random.nextDouble() * 0.4, 2, 12, seconds);
+            case 8 -> cluster.faults.delayTransactions(0.05 + random.nextDouble() * 0.3, 20, 90, seconds);
+            case 9 -> cluster.faults.duplicateHeartbeats(0.1 + random.nextDouble() * 0.5, seconds);
+            case 10 -> cluster.faults.dropMessagesToWorkers(0.1 + random.nextDouble() * 0.8, seconds);
+            case 11 -> cluster.faults.hangWorkers(0.1 + random.nextDouble() * 0.6, 1_000 + random.nextInt(20_000));
+            case 12 -> cluster.faults.partitionWorkers(0.1 + random.nextDouble() * 0.6, seconds);
+            case 13 -> cluster.faults.pauseForMillis(number, 500 + random.nextInt(20_000));
+            case 14 -> cluster.faults.crashForMicros(number, drawRestartDelay());
+            case 15 -> cluster.faults.shutDownForMicros(number, drawRestartDelay());
             default -> {
-                for (int each = 0; each < count; each++) {
+                for (int each = 0; each < controllers; each++) {
                     int ends = each;
                     at(
                             random.nextInt(3_000) * Micros.MILLISECOND,
-                            () -> deployment.faults.crashForMicros(ends, backSoon()));
+                            () -> cluster.faults.crashForMicros(ends, drawRestartDelay()));
                 }
             }
         }
     }
 
     @Override
-    public long runs(String job, int index, long estimateMicros) {
-        return users.apart.contains(job) ? estimateMicros * (1 + 4L * index) : estimateMicros;
+    public long runtimeMicros(String job, int index, long estimateMicros) {
+        return users.skewedJobs.contains(job) ? estimateMicros * (1 + 4L * index) : estimateMicros;
     }
 
     /** One of the troubles that have come since, most often with a change of hands close by. */
-    void laterTrouble() {
+    void injectInteractingFault() {
         int seconds = 3 + random.nextInt(25);
         switch (random.nextInt(9)) {
             case 0 -> loseResponses(0.2 + random.nextDouble() * 0.6, seconds);
             case 1 ->
-                deployment.faults.replayHeartbeatsToNextLeader(
+                cluster.faults.replayHeartbeatsToNextLeader(
                         0.5 + random.nextDouble() * 0.5, 60, random.nextBoolean() ? 0 : random.nextInt(6_000));
-            case 2 -> deployment.faults.dropHeartbeats(0.1 + random.nextDouble() * 0.8, seconds);
+            case 2 -> cluster.faults.dropHeartbeats(0.1 + random.nextDouble() * 0.8, seconds);
             case 3, 4 ->
-                users.cancelNow(1 + random.nextInt(6), random.nextInt(3) == 0 ? 0 : 1_000 + random.nextInt(20_000));
-            case 5 -> users.lookClosely(seconds);
-            case 6 -> users.cancelAtEnd(0.2 + random.nextDouble() * 0.8, seconds);
+                users.cancelRunningJobs(1 + random.nextInt(6), random.nextInt(3) == 0 ? 0 : 1_000 + random.nextInt(20_000));
+            case 5 -> users.pollClosely(seconds);
+            case 6 -> users.cancelAsTasksEnd(0.2 + random.nextDouble() * 0.8, seconds);
             case 7 -> {
                 for (int each = 0; each < seconds; each++) {
-                    at(each * 300 * Micros.MILLISECOND, users::oddRequests);
+                    at(each * 300 * Micros.MILLISECOND, users::sendUnusualRequests);
                 }
             }
-            default -> changeOfHands();
+            default -> forceFailover();
         }
     }
 
     private void loseResponses(double share, int seconds) {
         if (random.nextBoolean()) {
-            deployment.faults.loseStoreAndCloudResponses(share, seconds);
+            cluster.faults.loseStoreAndCloudResponses(share, seconds);
         } else {
-            deployment.faults.loseTransactionResponses(share, seconds);
+            cluster.faults.loseTransactionResponses(share, seconds);
         }
     }
 
     /** The leader ends, in order or not, or loses the state service for longer than its lease. */
-    void changeOfHands() {
-        int leader = deployment.leader();
+    void forceFailover() {
+        int leader = cluster.leader();
         switch (random.nextInt(4)) {
-            case 0 -> deployment.faults.crashForSeconds(leader, 1 + random.nextInt(10));
-            case 1 -> deployment.faults.crashForMicros(leader, backSoon());
-            case 2 -> deployment.faults.shutDownForMicros(leader, backSoon());
-            default -> deployment.faults.refuseStoreRequests(leader, 6 + random.nextInt(10));
+            case 0 -> cluster.faults.crashForSeconds(leader, 1 + random.nextInt(10));
+            case 1 -> cluster.faults.crashForMicros(leader, drawRestartDelay());
+            case 2 -> cluster.faults.shutDownForMicros(leader, drawRestartDelay());
+            default -> cluster.faults.refuseStoreRequests(leader, 6 + random.nextInt(10));
         }
     }
 
     /** Everything is well again and has had its time: what is left undone? */
-    List<String> verdict() {
-        List<String> all = new ArrayList<>(checker.broken());
-        all.addAll(wrong);
-        all.addAll(users.undone());
+    List<String> violations() {
+        List<String> all = new ArrayList<>(checker.violations());
+        all.addAll(otherViolations);
+        all.addAll(users.unfinishedJobs());
         return all;
     }
 }
--- a/src/test/java/io/micatide/simulation/FailoverTest.java
+++ b/src/test/java/io/micatide/simulation/FailoverTest.java
@@ -23,17 +23,17 @@
     }
 
     static FailoverScenario play(FailoverScenario day) {
-        day.deployment.network.losses(0.01, 0.005);
+        day.cluster.network.setLossRates(0.01, 0.005);
         for (int second = 0; second < 24; second++) {
             if (second > 1) {
-                day.users.traffic();
+                day.users.submitDrawnJob();
             }
             if (second > 5 && second % 5 == 0) {
-                day.fail();
+                day.injectFailure();
             }
             day.time.run(Micros.SECOND);
         }
-        day.deployment.network.losses(0, 0);
+        day.cluster.network.setLossRates(0, 0);
         day.time.run(70 * Micros.SECOND);
         return day;
     }
@@ -43,8 +43,8 @@
         int brought = 0;
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
             FailoverScenario day = play(begin(seed));
-            assertEquals(List.of(), day.verdict(), "seed " + seed + " " + day.deployment.log());
-            brought += day.brought;
+            assertEquals(List.of(), day.violations(), "seed " + seed + " " + day.cluster.eventLog());
+            brought += day.replicasUsed;
         }
         assertTrue(brought > DAYS, "take-overs by a warm standby are what this is about: " + brought);
     }
@@ -57,7 +57,7 @@
     @CsvSource({"17245", "33680", "51766", "69078", "84555"})
     void daysThatOnceBrokeSomething(long seed) {
         FailoverScenario day = play(begin(seed));
-        assertEquals(List.of(), day.verdict(), day.deployment.log().toString());
+        assertEquals(List.of(), day.violations(), day.cluster.eventLog().toString());
     }
 
     /** A copy that is used although it is older than the claim lacks machines: the check is what stands between. */
@@ -80,7 +80,7 @@
                             return whole();
                         }
                     }))
-                    .verdict()
+                    .violations()
                     .isEmpty();
         }
         assertTrue(found);
@@ -97,11 +97,11 @@
                 day.users.submit(job % 3 == 0 ? "daemon" : job % 3 == 1 ? "batch" : "group", 3, 4);
             }
             day.time.run(8 * Micros.SECOND);
-            int leader = day.deployment.leader();
-            day.deployment.faults.shutDownForSeconds(leader, 2);
-            day.killAtInteraction(at);
+            int leader = day.cluster.leader();
+            day.cluster.faults.shutDownForSeconds(leader, 2);
+            day.crashAtRequest(at);
             day.time.run(40 * Micros.SECOND);
-            assertEquals(List.of(), day.verdict(), "at " + at + " " + day.deployment.log());
+            assertEquals(List.of(), day.violations(), "at " + at + " " + day.cluster.eventLog());
         }
     }
 
@@ -114,16 +114,16 @@
         day.users.submit("batch", 12, 30);
         day.users.submit("daemon", 4, 0);
         day.time.run(10 * Micros.SECOND);
-        int leader = day.deployment.leader();
-        int brought = day.brought;
+        int leader = day.cluster.leader();
+        int brought = day.replicasUsed;
         long began = day.time.now();
-        day.deployment.faults.shutDownForSeconds(leader, 3);
-        while (day.deployment.leader() == leader || day.brought < brought + 2) {
+        day.cluster.faults.shutDownForSeconds(leader, 3);
+        while (day.cluster.leader() == leader || day.replicasUsed < brought + 2) {
             day.time.run(10 * Micros.MILLISECOND);
             assertTrue(day.time.now() - began < 500 * Micros.MILLISECOND, "until the new leader has the rows");
         }
         day.time.run(60 * Micros.SECOND);
-        assertEquals(List.of(), day.verdict());
+        assertEquals(List.of(), day.violations());
     }
 
     /** A leader that is killed is followed by one that was warm, though the killed one is back before its lease ends. */
@@ -134,14 +134,14 @@
         day.time.run(2 * Micros.SECOND);
         day.users.submit("batch", 12, 30);
         day.time.run(10 * Micros.SECOND);
-        int leader = day.deployment.leader();
-        int brought = day.brought;
-        day.deployment.faults.crashForSeconds(leader, back);
+        int leader = day.cluster.leader();
+        int brought = day.replicasUsed;
+        day.cluster.faults.crashForSeconds(leader, back);
         day.time.run(3_500 * Micros.MILLISECOND);
-        assertFalse(day.deployment.leader() == leader, "the one that was killed leads again");
-        assertEquals(brought + 2, day.brought, "both copies were as new as the claim");
+        assertFalse(day.cluster.leader() == leader, "the one that was killed leads again");
+        assertEquals(brought + 2, day.replicasUsed, "both copies were as new as the claim");
         day.time.run(60 * Micros.SECOND);
-        assertEquals(List.of(), day.verdict());
+        assertEquals(List.of(), day.violations());
     }
 
     /** All are killed: nobody is warm, and nobody waits for one that is. */
@@ -151,9 +151,9 @@
         FailoverScenario day = new FailoverScenario(controllers, controllers, 0, KeyspaceReplica::new);
         day.time.run(8 * Micros.SECOND);
         for (int i = 0; i < controllers; i++) {
-            day.deployment.faults.crashForSeconds(i, 5);
+            day.cluster.faults.crashForSeconds(i, 5);
         }
         day.time.run(5_500 * Micros.MILLISECOND);
-        assertFalse(day.deployment.owner().isEmpty());
+        assertFalse(day.cluster.leaderLabel().isEmpty());
     }
 }
--- a/src/test/java/io/micatide/simulation/FaultInteractionTest.java
+++ b/src/test/java/io/micatide/simulation/FaultInteractionTest.java
@@ -27,20 +27,20 @@
     private void seconds(double seconds) {
         for (long end = day.time.now() + (long) (seconds * Micros.SECOND); day.time.now() < end; ) {
             day.time.run(Math.min(100 * Micros.MILLISECOND, end - day.time.now()));
-            leaders += day.deployment.fencingToken() > fencingToken ? 1 : 0;
-            fencingToken = Math.max(fencingToken, day.deployment.fencingToken());
+            leaders += day.cluster.fencingToken() > fencingToken ? 1 : 0;
+            fencingToken = Math.max(fencingToken, day.cluster.fencingToken());
         }
     }
 
     private void traffic(int seconds) {
         for (int second = 0; second < seconds; second++) {
-            day.users.troubledTraffic();
+            day.users.actDuringFaults();
             seconds(1);
         }
     }
 
     private int leader() {
-        return day.deployment.leader();
+        return day.cluster.leader();
     }
 
     /** Three times: jobs are cancelled whose machines say nothing, the leader changes within seconds, and more are cancelled under the next one. */
@@ -48,65 +48,65 @@
         for (int time = 0; time < 3; time++) {
             cancelled.accept(time);
             seconds(0.3 + time);
-            day.changeOfHands();
+            day.forceFailover();
             seconds(2);
-            day.users.cancelNow(3, 0);
+            day.users.cancelRunningJobs(3, 0);
             traffic(14);
-            day.users.fill();
+            day.users.fillQuotas();
         }
         return List.of(mark);
     }
 
     /** @return what the log has to say of each of these if the meeting took place */
     private List<String> bringAbout(String meeting) {
-        SimulatedCluster all = day.deployment;
+        SimulatedCluster all = day.cluster;
         switch (meeting) {
             case "cancelled while the work changes hands" -> {
                 for (int time = 0; time < 3; time++) {
                     for (int each = 0; each < 25; each++) {
-                        day.at(each * 150 * Micros.MILLISECOND, () -> day.users.cancelNow(1, 0));
+                        day.at(each * 150 * Micros.MILLISECOND, () -> day.users.cancelRunningJobs(1, 0));
                     }
                     seconds(1);
-                    all.faults.shutDownForMicros(leader(), day.backSoon());
+                    all.faults.shutDownForMicros(leader(), day.drawRestartDelay());
                     traffic(7);
-                    day.users.fill();
+                    day.users.fillQuotas();
                 }
                 return List.of("shutdown");
             }
             case "at their limits, cancelled machines hang, the leader changes" -> {
-                return cancelledOnSilentMachines("hang", time -> day.users.cancelNow(6, 9_000 + 3_000 * time));
+                return cancelledOnSilentMachines("hang", time -> day.users.cancelRunningJobs(6, 9_000 + 3_000 * time));
             }
             case "at their limits, cancelled machines are cut off, the leader changes" -> {
                 return cancelledOnSilentMachines("partition workers", time -> {
                     all.faults.partitionWorkers(0.5, 8 + 4 * time);
-                    day.users.cancelNow(6, 0);
+                    day.users.cancelRunningJobs(6, 0);
                 });
             }
             case "at their limits, cancelled machines are deaf, the leader changes" -> {
                 return cancelledOnSilentMachines("dropped messages to", time -> {
                     all.faults.dropMessagesToWorkers(0.5, 8 + 4 * time);
-                    day.users.cancelNow(6, 0);
+                    day.users.cancelRunningJobs(6, 0);
                 });
             }
             case "new machines in two seconds, writes lag, the leader ends" -> {
-                all.takeAway(machine -> true);
-                all.cloudLags(
+                all.reclaimMachines(machine -> true);
+                all.setCloudDelays(
                         () -> day.random.nextInt(8_000) * Micros.MILLISECOND,
                         () -> (200 + day.random.nextInt(1_800)) * Micros.MILLISECOND);
                 for (int time = 0; time < 4; time++) {
                     all.faults.delayTransactions(0.4, 2, 12, 5);
                     all.faults.slowStore(700 * Micros.MILLISECOND, 6);
-                    day.users.fill();
+                    day.users.fillQuotas();
                     seconds(1 + 0.4 * time);
-                    all.faults.crashForMicros(leader(), day.backSoon());
+                    all.faults.crashForMicros(leader(), day.drawRestartDelay());
                     traffic(9);
-                    all.takeAway(machine -> day.random.nextInt(3) == 0);
+                    all.reclaimMachines(machine -> day.random.nextInt(3) == 0);
                 }
                 return List.of("delayed transactions", "crash");
             }
             case "all away for longer than the lease" -> {
-                day.users.cancelNow(4, 0);
-                for (int each = 0; each < day.count; each++) {
+                day.users.cancelRunningJobs(4, 0);
+                for (int each = 0; each < day.controllers; each++) {
                     all.faults.crashForSeconds(each, 13);
                 }
                 seconds(14);
@@ -114,21 +114,21 @@
                 return List.of("crash");
             }
             case "the end of a last task meets a cancellation, a question and a submission" -> {
-                day.users.cancelAtEnd(0.7, 30);
-                day.users.lookClosely(30);
+                day.users.cancelAsTasksEnd(0.7, 30);
+                day.users.pollClosely(30);
                 for (int second = 0; second < 30; second++) {
                     day.users.submit("batch", 1 + day.random.nextInt(2), 1);
-                    day.users.oddRequests();
+                    day.users.sendUnusualRequests();
                     seconds(1);
                 }
-                assertTrue(day.users.looks() > 20, day.users.looks() + " close looks");
+                assertTrue(day.users.closePolls() > 20, day.users.closePolls() + " close looks");
                 return List.of();
             }
             case "reports are held back until the next leader has acted" -> {
                 for (int time = 0; time < 3; time++) {
                     all.faults.replayHeartbeatsToNextLeader(0.9, 40, 2_500 * (time + 1));
                     traffic(4);
-                    day.changeOfHands();
+                    day.forceFailover();
                     traffic(16);
                 }
                 return List.of("arrive");
@@ -137,10 +137,10 @@
                 for (int time = 0; time < 4; time++) {
                     all.faults.replayHeartbeatsToNextLeader(1, 40, 0);
                     traffic(2);
-                    day.users.cancelNow(3, 0);
-                    all.takeAway(machine -> day.random.nextInt(4) == 0);
+                    day.users.cancelRunningJobs(3, 0);
+                    all.reclaimMachines(machine -> day.random.nextInt(4) == 0);
                     traffic(2);
-                    day.changeOfHands();
+                    day.forceFailover();
                     traffic(12);
                 }
                 return List.of("arrive", "reclaimed");
@@ -151,11 +151,11 @@
                         all.faults.storeOutage(9);
                     }
                     if (day.random.nextBoolean()) {
-                        all.faults.crashForMicros(leader(), day.backSoon());
+                        all.faults.crashForMicros(leader(), day.drawRestartDelay());
                     } else {
-                        all.faults.shutDownForMicros(leader(), day.backSoon());
+                        all.faults.shutDownForMicros(leader(), day.drawRestartDelay());
                     }
-                    day.users.cancelNow(1, 0);
+                    day.users.cancelRunningJobs(1, 0);
                     traffic(8);
                 }
                 assertTrue(leaders >= 9, leaders + " leaders");
@@ -167,48 +167,48 @@
                 } else {
                     all.faults.loseTransactionResponses(0.6, 30);
                 }
-                day.users.lookClosely(40);
+                day.users.pollClosely(40);
                 traffic(8);
-                day.users.cancelNow(4, 0);
-                day.changeOfHands();
+                day.users.cancelRunningJobs(4, 0);
+                day.forceFailover();
                 traffic(12);
-                day.users.cancelNow(4, 0);
-                day.changeOfHands();
+                day.users.cancelRunningJobs(4, 0);
+                day.forceFailover();
                 traffic(12);
                 return List.of("lost responses");
             }
             case "close looks" -> {
-                day.users.lookClosely(40);
+                day.users.pollClosely(40);
                 for (int time = 0; time < 3; time++) {
                     traffic(4);
-                    day.users.cancelNow(4, 0);
-                    day.changeOfHands();
+                    day.users.cancelRunningJobs(4, 0);
+                    day.forceFailover();
                     for (int each = 0; each < 20; each++) {
                         day.users.submit("batch", 1, 1);
-                        day.users.cancelNow(1, 0);
+                        day.users.cancelRunningJobs(1, 0);
                         seconds(0.4);
                     }
                 }
-                assertTrue(day.users.looks() > 20, day.users.looks() + " close looks");
+                assertTrue(day.users.closePolls() > 20, day.users.closePolls() + " close looks");
                 return List.of();
             }
             case "more work than room, slow links" -> {
                 all.faults.slowLinks(900 * Micros.MILLISECOND, 25);
-                day.users.fill();
-                day.users.fill();
+                day.users.fillQuotas();
+                day.users.fillQuotas();
                 traffic(10);
-                day.changeOfHands();
+                day.forceFailover();
                 traffic(15);
                 return List.of("slow links");
             }
             case "mute machines" -> {
                 for (int time = 0; time < 3; time++) {
                     all.faults.dropHeartbeats(0.4 + 0.3 * time, 6 + 8 * time);
-                    day.users.cancelNow(4, 0);
+                    day.users.cancelRunningJobs(4, 0);
                     seconds(time);
-                    day.changeOfHands();
+                    day.forceFailover();
                     traffic(14 + 6 * time);
-                    day.users.fill();
+                    day.users.fillQuotas();
                 }
                 return List.of("dropped heartbeats of");
             }
@@ -253,21 +253,21 @@
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
             leaders = 0;
             fencingToken = 0;
-            day = FailoverScenario.tight(seed, controllers, former);
+            day = FailoverScenario.atQuota(seed, controllers, former);
             seconds(3);
-            day.users.fill();
+            day.users.fillQuotas();
             traffic(9);
-            int cancelled = day.users.cancelled();
+            int cancelled = day.users.cancelledCount();
             List<String> marks = bringAbout(meeting);
-            assertTrue(day.users.cancelled() > cancelled, "nothing was cancelled");
+            assertTrue(day.users.cancelledCount() > cancelled, "nothing was cancelled");
             seconds(35);
-            day.users.calm();
-            boolean drained = day.users.drain(2_500);
-            List<String> verdict = day.verdict();
+            day.users.pollAllAfterFaults();
+            boolean drained = day.users.cancelServicesAndWait(2_500);
+            List<String> verdict = day.violations();
             if (!drained || !verdict.isEmpty()) {
-                failed.add("seed " + seed + " " + verdict + " " + day.deployment.log());
+                failed.add("seed " + seed + " " + verdict + " " + day.cluster.eventLog());
             }
-            String log = day.deployment.log().toString();
+            String log = day.cluster.eventLog().toString();
             assertTrue(marks.stream().allMatch(log::contains), "it did not take place: " + log);
         }
         assertEquals(List.of(), failed);
--- a/src/test/java/io/micatide/simulation/FaultPairTest.java
+++ b/src/test/java/io/micatide/simulation/FaultPairTest.java
@@ -23,50 +23,50 @@
     static FailoverScenario play(FailoverScenario day) {
         for (int second = 0; second < 60; second++) {
             if (second > 1 && second < 50) {
-                day.users.troubledTraffic();
+                day.users.actDuringFaults();
             }
             if (second == 10 || second == 32) {
-                day.trouble();
+                day.injectFault();
                 day.time.run((long) (day.random.nextDouble() * 3 * Micros.SECOND));
-                day.trouble();
+                day.injectFault();
             }
             day.time.run(Micros.SECOND);
         }
         day.time.run(35 * Micros.SECOND);
-        day.users.calm();
+        day.users.pollAllAfterFaults();
         day.time.run(150 * Micros.SECOND);
         return day;
     }
 
-    static FailoverScenario beginTight(long seed) {
-        return FailoverScenario.tight(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0);
+    static FailoverScenario beginAtQuota(long seed) {
+        return FailoverScenario.atQuota(seed, seed % 2 == 0 ? 3 : 5, seed % 11 == 0 ? 1 : 0);
     }
 
     /** Teams at their limits, and two of the troubles that were named since, one of them as often as not a change of hands. */
-    static FailoverScenario playTight(FailoverScenario day) {
+    static FailoverScenario playAtQuota(FailoverScenario day) {
         for (int second = 0; second < 70; second++) {
             if (second == 3) {
-                day.users.fill();
+                day.users.fillQuotas();
             }
             if (second > 3 && second < 60) {
-                day.users.troubledTraffic();
+                day.users.actDuringFaults();
             }
             if (second == 14 || second == 38) {
-                day.laterTrouble();
+                day.injectInteractingFault();
                 day.time.run((long) (day.random.nextDouble() * 3 * Micros.SECOND));
                 if (day.random.nextInt(3) > 0) {
-                    day.changeOfHands();
+                    day.forceFailover();
                 } else {
-                    day.trouble();
+                    day.injectFault();
                 }
                 day.time.run((long) (day.random.nextDouble() * 2 * Micros.SECOND));
-                day.laterTrouble();
+                day.injectInteractingFault();
             }
             day.time.run(Micros.SECOND);
         }
         day.time.run(35 * Micros.SECOND);
-        day.users.calm();
-        day.users.drain(900);
+        day.users.pollAllAfterFaults();
+        day.users.cancelServicesAndWait(900);
         return day;
     }
 
@@ -74,9 +74,9 @@
     void teamsAtTheirLimitsBreakNoRule() {
         List<String> failed = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + TIGHT_DAYS; seed++) {
-            FailoverScenario day = playTight(beginTight(seed));
-            if (!day.verdict().isEmpty()) {
-                failed.add("seed " + seed + " " + day.verdict() + " " + day.deployment.log());
+            FailoverScenario day = playAtQuota(beginAtQuota(seed));
+            if (!day.violations().isEmpty()) {
+                failed.add("seed " + seed + " " + day.violations() + " " + day.cluster.eventLog());
             }
         }
         assertEquals(List.of(), failed);
@@ -87,8 +87,8 @@
         List<String> failed = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
             FailoverScenario day = play(begin(seed));
-            if (!day.verdict().isEmpty()) {
-                failed.add("seed " + seed + " " + day.verdict() + " " + day.deployment.log());
+            if (!day.violations().isEmpty()) {
+                failed.add("seed " + seed + " " + day.violations() + " " + day.cluster.eventLog());
             }
         }
         assertEquals(List.of(), failed);
--- a/src/test/java/io/micatide/simulation/InvariantCheckerTest.java
+++ b/src/test/java/io/micatide/simulation/InvariantCheckerTest.java
@@ -53,17 +53,17 @@
         VirtualTime time = new VirtualTime();
         InvariantChecker checker = new InvariantChecker(time, 30 * Micros.SECOND);
         time.run(Micros.SECOND);
-        checker.submits("wk-1", 2, false);
+        checker.jobSubmitted("wk-1", 2, false);
         for (String step : steps.split(" ")) {
             switch (step.charAt(0)) {
-                case 's' -> checker.started("wk-1/" + step.charAt(1), 1, step.substring(2));
-                case 'd' -> checker.over("wk-1/" + step.charAt(1), 1, step.substring(2), ExitCause.DONE);
-                case 'x' -> checker.over("wk-1/" + step.charAt(1), 1, step.substring(2), ExitCause.STOPPED);
+                case 's' -> checker.taskStarted("wk-1/" + step.charAt(1), 1, step.substring(2));
+                case 'd' -> checker.taskEnded("wk-1/" + step.charAt(1), 1, step.substring(2), ExitCause.DONE);
+                case 'x' -> checker.taskEnded("wk-1/" + step.charAt(1), 1, step.substring(2), ExitCause.STOPPED);
                 case 'c' -> checker.cancels("wk-1");
-                case 'k' -> checker.calm();
+                case 'k' -> checker.faultsEnded();
                 case 'q' -> checker.asks("wk-1");
                 case 'h' ->
-                    checker.heard(
+                    checker.responseReceived(
                             "wk-1",
                             time.now(),
                             Integer.parseInt(step.substring(1, 4)),
@@ -71,32 +71,32 @@
                 default -> {
                     for (int second = 0; second < Integer.parseInt(step.substring(2)); second++) {
                         time.run(Micros.SECOND);
-                        checker.look();
+                        checker.check();
                     }
                 }
             }
         }
         assertEquals(
                 rule,
-                checker.broken().isEmpty() ? "" : checker.broken().get(0).split(" ")[0],
-                checker.broken().toString());
+                checker.violations().isEmpty() ? "" : checker.violations().get(0).split(" ")[0],
+                checker.violations().toString());
     }
 
     private static final MachineType SMALL =
             new MachineType("small", Resources.of(8, 0, 64), 25, 0.5, 0.5, 0.2, 0, List.of("x", "y"));
     private static final MachineType LARGE =
             new MachineType("large", Resources.of(16, 0, 64), 25, 0.5, 0.5, 0.2, 0, List.of("x", "y"));
-    private static final Map<Character, SimulatedCloud.Rented> MACHINES = Map.of(
+    private static final Map<Character, SimulatedCloud.RentedMachine> MACHINES = Map.of(
             'a',
-            new SimulatedCloud.Rented("a", SMALL, "x", false, 0),
+            new SimulatedCloud.RentedMachine("a", SMALL, "x", false, 0),
             'b',
-            new SimulatedCloud.Rented("b", SMALL, "x", false, 0),
+            new SimulatedCloud.RentedMachine("b", SMALL, "x", false, 0),
             'y',
-            new SimulatedCloud.Rented("y", SMALL, "y", false, 0),
+            new SimulatedCloud.RentedMachine("y", SMALL, "y", false, 0),
             'l',
-            new SimulatedCloud.Rented("l", LARGE, "x", false, 0),
+            new SimulatedCloud.RentedMachine("l", LARGE, "x", false, 0),
             's',
-            new SimulatedCloud.Rented("s", SMALL, "x", true, 0));
+            new SimulatedCloud.RentedMachine("s", SMALL, "x", true, 0));
 
     /**
      * Places and limits, on a job of four tasks of two processors whose team may use {@code limit}: {@code f0a} task 0 is taken by machine a and
@@ -153,24 +153,24 @@
                 new VirtualTime(),
                 30 * Micros.SECOND,
                 Map.of("blue", new Team("blue", 0, 0, (long) (limit * 1000), 0)));
-        checker.submits("wk-1", 4, false);
+        checker.jobSubmitted("wk-1", 4, false);
         for (String step : steps.split(" ")) {
             String task = "wk-1/" + step.charAt(1);
-            SimulatedCloud.Rented machine = MACHINES.get(step.charAt(2));
+            SimulatedCloud.RentedMachine machine = MACHINES.get(step.charAt(2));
             switch (step.charAt(0)) {
-                case 'f' -> checker.taken(spec, task, 1, machine);
-                case 's' -> checker.started(task, 1, machine.name());
-                case 'g' -> checker.released(task, 1, machine);
+                case 'f' -> checker.startAccepted(spec, task, 1, machine);
+                case 's' -> checker.taskStarted(task, 1, machine.name());
+                case 'g' -> checker.resourcesReleased(task, 1, machine);
                 default -> {
-                    checker.over(task, 1, machine.name(), ExitCause.STOPPED);
-                    checker.released(task, 1, machine);
+                    checker.taskEnded(task, 1, machine.name(), ExitCause.STOPPED);
+                    checker.resourcesReleased(task, 1, machine);
                 }
             }
         }
         assertEquals(
                 rule,
-                checker.broken().isEmpty() ? "" : checker.broken().get(0).split(" ")[0],
-                checker.broken().toString());
+                checker.violations().isEmpty() ? "" : checker.violations().get(0).split(" ")[0],
+                checker.violations().toString());
     }
 
     /**
@@ -211,22 +211,22 @@
                 0,
                 0,
                 -1);
-        checker.submits("wk-1", 2, false);
-        checker.describes(spec);
+        checker.jobSubmitted("wk-1", 2, false);
+        checker.jobDescribed(spec);
         checker.machines(
                 () -> up.chars().mapToObj(each -> MACHINES.get((char) each)).toList());
-        checker.heard("wk-1", 0, 201, "queued");
-        checker.taken(spec, "wk-1/0", 1, MACHINES.get('l'));
-        checker.calm();
+        checker.responseReceived("wk-1", 0, 201, "queued");
+        checker.startAccepted(spec, "wk-1/0", 1, MACHINES.get('l'));
+        checker.faultsEnded();
         for (int second = 0; second < seconds; second++) {
             time.run(Micros.SECOND);
-            checker.heard("wk-1", time.now(), 200, "queued");
-            checker.look();
+            checker.responseReceived("wk-1", time.now(), 200, "queued");
+            checker.check();
         }
         assertEquals(
                 rule,
-                checker.broken().isEmpty() ? "" : checker.broken().get(0).split(" ")[0],
-                checker.broken().toString());
+                checker.violations().isEmpty() ? "" : checker.violations().get(0).split(" ")[0],
+                checker.violations().toString());
     }
 
     /** What cannot run or lacks a field must not be accepted; a start after the confirmation of a cancellation is counted. */
@@ -235,18 +235,18 @@
         VirtualTime time = new VirtualTime();
         InvariantChecker checker = new InvariantChecker(time, 30 * Micros.SECOND);
         checker.submitsInvalid("wk-2");
-        checker.heard("wk-2", time.now(), 422, null);
-        assertEquals(List.of(), checker.broken());
-        checker.heard("wk-2", time.now(), 201, "queued");
-        assertEquals("accepted_invalid", checker.broken().get(0).split(" ")[0]);
-        checker.submits("wk-1", 2, false);
-        checker.heard("wk-1", time.now(), 201, "queued");
-        checker.started("wk-1/0", 1, "a");
+        checker.responseReceived("wk-2", time.now(), 422, null);
+        assertEquals(List.of(), checker.violations());
+        checker.responseReceived("wk-2", time.now(), 201, "queued");
+        assertEquals("accepted_invalid", checker.violations().get(0).split(" ")[0]);
+        checker.jobSubmitted("wk-1", 2, false);
+        checker.responseReceived("wk-1", time.now(), 201, "queued");
+        checker.taskStarted("wk-1/0", 1, "a");
         checker.cancels("wk-1");
-        checker.heard("wk-1", time.now(), 200, "withdrawn");
+        checker.responseReceived("wk-1", time.now(), 200, "withdrawn");
         time.run(Micros.SECOND);
         assertEquals(0, checker.startsAfterCancellation());
-        checker.started("wk-1/1", 1, "a");
+        checker.taskStarted("wk-1/1", 1, "a");
         assertEquals(1, checker.startsAfterCancellation());
     }
 }
--- a/src/test/java/io/micatide/simulation/LeaderWithoutStoreTest.java
+++ b/src/test/java/io/micatide/simulation/LeaderWithoutStoreTest.java
@@ -15,12 +15,12 @@
  */
 class LeaderWithoutStoreTest {
     private static final int LONG = 600;
-    private static final VirtualNetwork.Fate NEVER = new VirtualNetwork.Fate(10_000 * Micros.SECOND, 0, false);
+    private static final VirtualNetwork.MessageFault NEVER = new VirtualNetwork.MessageFault(10_000 * Micros.SECOND, 0, false);
 
     private FailoverScenario begun(long seed, int controllers) {
         FailoverScenario day = new FailoverScenario(seed, controllers, 0, KeyspaceReplica::new);
         // What a controller tells the leader unasked never arrives: nothing may rest on it.
-        day.deployment.network.fates((from, endpoint, path) -> path.equals("/withdrawn") ? NEVER : null);
+        day.cluster.network.addFaults((from, endpoint, path) -> path.equals("/withdrawn") ? NEVER : null);
         day.time.run(2 * Micros.SECOND);
         day.users.submit("batch", 16, LONG);
         day.users.submit("batch", 16, LONG);
@@ -42,29 +42,29 @@
     void aLeaderThatCouldReadNothingSinceItsClaimStopsWhatWasCancelled(int controllers, int refused) {
         for (long seed = 1; seed <= 3; seed++) {
             FailoverScenario day = begun(seed, controllers);
-            int leader = day.deployment.leader();
-            long fencingToken = day.deployment.fencingToken();
-            day.deployment.faults.refuseStoreRequests(leader, 150);
+            int leader = day.cluster.leader();
+            long fencingToken = day.cluster.fencingToken();
+            day.cluster.faults.refuseStoreRequests(leader, 150);
             day.time.run(refused * Micros.MILLISECOND);
             for (int other = 1; other < controllers; other++) {
                 int at = (leader + other) % controllers;
-                day.users.cancel(other == 1 ? "wk-1" : "wk-3", () -> day.deployment.toController(at));
+                day.users.cancel(other == 1 ? "wk-1" : "wk-3", () -> day.cluster.toController(at));
             }
             long began = day.time.now();
-            while (day.deployment.fencingToken() == fencingToken || day.deployment.fencingToken() == 0) {
+            while (day.cluster.fencingToken() == fencingToken || day.cluster.fencingToken() == 0) {
                 day.time.run(Micros.MILLISECOND / 5);
-                assertTrue(day.time.now() - began < 20 * Micros.SECOND, "nobody claims " + day.deployment.log());
+                assertTrue(day.time.now() - began < 20 * Micros.SECOND, "nobody claims " + day.cluster.eventLog());
             }
-            day.deployment.faults.storeOutage(90);
+            day.cluster.faults.storeOutage(90);
             day.time.run(FailoverScenario.CANCEL + 10 * Micros.SECOND);
             assertEquals(
                     0,
                     day.checker.running("wk-1") + day.checker.running("wk-3"),
-                    "seed " + seed + " " + day.deployment.log());
+                    "seed " + seed + " " + day.cluster.eventLog());
             assertEquals(
                     24, day.checker.running("wk-2") + day.checker.running("wk-4"), "what nobody cancelled runs on");
             day.time.run(150 * Micros.SECOND);
-            assertEquals(List.of(), day.checker.broken(), "seed " + seed + " " + day.deployment.log());
+            assertEquals(List.of(), day.checker.violations(), "seed " + seed + " " + day.cluster.eventLog());
         }
     }
 
@@ -78,7 +78,7 @@
         day.users.submit("daemon", 8, 0);
         day.time.run(12 * Micros.SECOND);
         int starts = day.checker.starts();
-        day.deployment.faults.storeOutage(60);
+        day.cluster.faults.storeOutage(60);
         day.time.run(59 * Micros.SECOND);
         assertEquals(24, day.checker.running());
         assertEquals(starts, day.checker.starts());
@@ -115,31 +115,31 @@
     void whatWasCancelledIsGoneInTime(int controllers, String confirming, int refused, int outage) {
         for (long seed = 1; seed <= 2; seed++) {
             FailoverScenario day = begun(seed, controllers);
-            int leader = day.deployment.leader();
+            int leader = day.cluster.leader();
             int other = (leader + 1) % controllers;
-            day.deployment.faults.refuseStoreRequests(leader, 150);
+            day.cluster.faults.refuseStoreRequests(leader, 150);
             day.time.run(refused * Micros.MILLISECOND);
-            day.users.cancel("wk-1", () -> day.deployment.toController(other));
-            day.users.cancel("wk-3", () -> day.deployment.toController(other));
+            day.users.cancel("wk-1", () -> day.cluster.toController(other));
+            day.users.cancel("wk-3", () -> day.cluster.toController(other));
             day.time.run(40 * Micros.MILLISECOND);
             switch (confirming) {
-                case "ended" -> day.deployment.faults.crashForSeconds(other, 200);
-                case "back" -> day.deployment.faults.crashForMicros(other, 50 * Micros.MILLISECOND);
-                case "backInOutage" -> day.deployment.faults.crashForMicros(other, 100 * Micros.MILLISECOND);
+                case "ended" -> day.cluster.faults.crashForSeconds(other, 200);
+                case "back" -> day.cluster.faults.crashForMicros(other, 50 * Micros.MILLISECOND);
+                case "backInOutage" -> day.cluster.faults.crashForMicros(other, 100 * Micros.MILLISECOND);
                 case "cut" ->
-                    day.deployment.faults.partitionController(other, new FaultInjector.Links(false, false, true), 150);
-                case "frozen" -> day.deployment.faults.pauseForMillis(other, 100_000);
+                    day.cluster.faults.partitionController(other, new FaultInjector.Links(false, false, true), 150);
+                case "frozen" -> day.cluster.faults.pauseForMillis(other, 100_000);
                 default -> {}
             }
             day.time.run((outage - 40) * Micros.MILLISECOND);
-            day.deployment.faults.storeOutage(90);
+            day.cluster.faults.storeOutage(90);
             day.time.run(FailoverScenario.CANCEL + 10 * Micros.SECOND);
             assertEquals(
                     0,
                     day.checker.running("wk-1") + day.checker.running("wk-3"),
-                    "seed " + seed + " " + day.deployment.log());
+                    "seed " + seed + " " + day.cluster.eventLog());
             day.time.run(200 * Micros.SECOND);
-            assertEquals(List.of(), day.checker.broken(), "seed " + seed + " " + day.deployment.log());
+            assertEquals(List.of(), day.checker.violations(), "seed " + seed + " " + day.cluster.eventLog());
         }
     }
 }
--- a/src/test/java/io/micatide/simulation/RolloutScenario.java
+++ b/src/test/java/io/micatide/simulation/RolloutScenario.java
@@ -18,8 +18,8 @@
  * roll-out promises: one stage at a time, by controllers that all knew the one before, and nothing of a new form before its stage.
  */
 final class RolloutScenario {
-    final FailoverScenario day;
-    final List<String> wrong = new ArrayList<>();
+    final FailoverScenario scenario;
+    final List<String> otherViolations = new ArrayList<>();
     private final int controllers;
     private Map<String, String> stages = Map.of();
     private long features;
@@ -29,9 +29,9 @@
 
     RolloutScenario(long seed, int controllers, Capabilities version) {
         this.controllers = controllers;
-        this.day = new FailoverScenario(
+        this.scenario = new FailoverScenario(
                 seed, controllers, 0, KeyspaceReplica::new, 800 * Micros.MILLISECOND, 10 * Micros.SECOND, version);
-        day.deployment.state.afterEachChange(this::look);
+        scenario.cluster.store.onEachChange(this::checkChange);
     }
 
     FeatureStage stage(Feature feature) {
@@ -39,36 +39,36 @@
     }
 
     private Map<String, SimulatedStore.Value> values(String prefix) {
-        return day.deployment.state.values().subMap(prefix, prefix + Character.MAX_VALUE);
+        return scenario.cluster.store.values().subMap(prefix, prefix + Character.MAX_VALUE);
     }
 
     /** Called after each change. */
-    private void look(long revision) {
-        SimulatedStore.Value row = day.deployment.state.values().get(StoreKeys.FEATURE_STAGES);
+    private void checkChange(long revision) {
+        SimulatedStore.Value row = scenario.cluster.store.values().get(StoreKeys.FEATURE_STAGES);
         Map<String, Long> nowKept = new TreeMap<>();
-        values(StoreKeys.LEARNED_STATE).forEach((key, value) -> nowKept.put(key, value.stamp()));
-        values(StoreKeys.PROVISIONING_FENCE).forEach((key, value) -> nowKept.put(key, value.stamp()));
-        values(StoreKeys.MACHINE_DELETIONS).forEach((key, value) -> nowKept.put(key, value.stamp()));
+        values(StoreKeys.LEARNED_STATE).forEach((key, value) -> nowKept.put(key, value.version()));
+        values(StoreKeys.PROVISIONING_FENCE).forEach((key, value) -> nowKept.put(key, value.version()));
+        values(StoreKeys.MACHINE_DELETIONS).forEach((key, value) -> nowKept.put(key, value.version()));
         nowKept.forEach((key, stamp) -> {
             Feature feature = key.equals(StoreKeys.PROVISIONING_FENCE)
                     ? Feature.BOOKING_FENCE
                     : key.startsWith(StoreKeys.MACHINE_DELETIONS) ? Feature.RETURNS : Feature.LEARNED;
             if (!stamp.equals(kept.get(key)) && stage(feature) != FeatureStage.ON) {
-                wrong.add(key + " is written while " + feature.key() + " is " + stage(feature));
+                otherViolations.add(key + " is written while " + feature.key() + " is " + stage(feature));
             }
         });
         kept = nowKept;
-        if (row != null && row.stamp() != features) {
-            stepped(((StoredRecord.FeatureStages) SimulatedCluster.row(StoreKeys.FEATURE_STAGES, row)).stages());
-            features = row.stamp();
+        if (row != null && row.version() != features) {
+            stepped(((StoredRecord.FeatureStages) SimulatedCluster.recordOf(StoreKeys.FEATURE_STAGES, row)).stages());
+            features = row.version();
         }
         Map<String, Long> acts = new TreeMap<>();
         values(StoreKeys.CONTROLLERS)
                 .forEach((key, value) -> acts.put(
-                        key, ((StoredRecord.RegisteredController) SimulatedCluster.row(key, value)).actingOnVersion()));
+                        key, ((StoredRecord.RegisteredController) SimulatedCluster.recordOf(key, value)).actingOnVersion()));
         here = acts;
-        if (day.deployment.fencingToken() != leader) {
-            leader = day.deployment.fencingToken();
+        if (scenario.cluster.fencingToken() != leader) {
+            leader = scenario.cluster.fencingToken();
             claimed();
         }
     }
@@ -76,14 +76,14 @@
     private void stepped(Map<String, String> next) {
         here.forEach((key, acts) -> {
             if (acts != features) {
-                wrong.add(key + " acts by " + acts + " while the switches step on from " + features);
+                otherViolations.add(key + " acts by " + acts + " while the switches step on from " + features);
             }
         });
         for (Feature feature : Feature.values()) {
             FeatureStage before = stage(feature);
             FeatureStage after = FeatureStage.valueOf(next.getOrDefault(feature.key(), FeatureStage.OFF.name()));
             if (Math.abs(feature.path().indexOf(after) - feature.path().indexOf(before)) > 1) {
-                wrong.add(feature.key() + " goes from " + before + " to " + after);
+                otherViolations.add(feature.key() + " goes from " + before + " to " + after);
             }
         }
         stages = next;
@@ -91,35 +91,35 @@
 
     /** A version that registers leads only where it knows all that is in use. */
     private void claimed() {
-        if (day.deployment.owner().isEmpty()) {
+        if (scenario.cluster.leaderLabel().isEmpty()) {
             return;
         }
-        Capabilities abilities = day.abilities(day.deployment.leader());
+        Capabilities abilities = scenario.capabilities(scenario.cluster.leader());
         for (Feature feature : Feature.values()) {
             if (abilities.registers()
                     && stage(feature) != FeatureStage.OFF
                     && !abilities.knows().contains(feature)) {
-                wrong.add(day.deployment.owner() + " leads and does not know " + feature.key());
+                otherViolations.add(scenario.cluster.leaderLabel() + " leads and does not know " + feature.key());
             }
         }
     }
 
     /** What an operator asks for, NONE to take it back. */
-    void ask(Feature feature, StoredRecord.RequestedAction wish) {
+    void requestAction(Feature feature, StoredRecord.RequestedAction wish) {
         String key = StoreKeys.featureRequest(feature.key());
-        SimulatedStore.Value there = day.deployment.state.values().get(key);
-        String body = "{\"if\":[{\"k\":\"" + key + "\",\"stamp\":" + (there == null ? 0 : there.stamp())
+        SimulatedStore.Value there = scenario.cluster.store.values().get(key);
+        String body = "{\"if\":[{\"k\":\"" + key + "\",\"stamp\":" + (there == null ? 0 : there.version())
                 + "}],\"writes\":[{\"put\":\"" + key + "\",\"data\":{\"wish\":\"" + wish + "\"}}]}";
-        day.deployment
+        scenario.cluster
                 .network
-                .from(day.deployment.user, "state")
+                .from(scenario.cluster.user, "state")
                 .post("/txn", body.getBytes(StandardCharsets.UTF_8), Micros.SECOND, reply -> {
-                    SimulatedStore.Value now = day.deployment.state.values().get(key);
+                    SimulatedStore.Value now = scenario.cluster.store.values().get(key);
                     if (!reply.ok()
                             && !(now != null
-                                    && SimulatedCluster.row(key, now) instanceof StoredRecord.FeatureRequest ask
+                                    && SimulatedCluster.recordOf(key, now) instanceof StoredRecord.FeatureRequest ask
                                     && ask.action() == wish)) {
-                        day.deployment.user.later(() -> ask(feature, wish), Micros.SECOND);
+                        scenario.cluster.user.later(() -> requestAction(feature, wish), Micros.SECOND);
                     }
                 });
     }
@@ -129,20 +129,20 @@
         List<Integer> result = new ArrayList<>();
         for (int i = 0; i < controllers; i++) {
             int number = i;
-            day.deployment.toController(i).get("/healthz", Micros.SECOND, reply -> {
+            scenario.cluster.toController(i).get("/healthz", Micros.SECOND, reply -> {
                 if (reply.ok()) {
                     result.add(number);
                 }
             });
         }
-        day.time.run(2 * Micros.SECOND);
+        scenario.time.run(2 * Micros.SECOND);
         result.sort(null);
         return result;
     }
 
-    List<String> verdict() {
-        List<String> all = new ArrayList<>(day.verdict());
-        all.addAll(wrong);
+    List<String> violations() {
+        List<String> all = new ArrayList<>(scenario.violations());
+        all.addAll(otherViolations);
         return all;
     }
 }
--- a/src/test/java/io/micatide/simulation/RolloutTest.java
+++ b/src/test/java/io/micatide/simulation/RolloutTest.java
@@ -31,13 +31,13 @@
     }
 
     static RolloutScenario play(RolloutScenario roll) {
-        FailoverScenario day = roll.day;
-        int controllers = day.count;
-        day.deployment.network.losses(0.01, 0.005);
+        FailoverScenario day = roll.scenario;
+        int controllers = day.controllers;
+        day.cluster.network.setLossRates(0.01, 0.005);
         Feature asked = day.random.nextBoolean() ? Feature.LEARNED : Feature.BOOKING_FENCE;
         for (int second = 0; second < 26; second++) {
             if (second > 1) {
-                day.users.traffic();
+                day.users.submitDrawnJob();
             }
             if (second > 3 && day.random.nextInt(3) == 0) {
                 Capabilities version = VERSIONS.get(second < 16 ? day.random.nextInt(3) : 2);
@@ -45,10 +45,10 @@
                         day.random.nextInt(controllers), version, (1 + day.random.nextInt(500)) * Micros.MILLISECOND);
             }
             if (second > 5 && second % 7 == 0) {
-                day.failBriefly();
+                day.injectBriefRestarts();
             }
             if (second == 12 && day.random.nextInt(3) == 0) {
-                roll.ask(
+                roll.requestAction(
                         asked,
                         day.random.nextBoolean()
                                 ? StoredRecord.RequestedAction.BACK
@@ -56,9 +56,9 @@
             }
             day.time.run(Micros.SECOND);
         }
-        day.killAtInteraction(0);
-        day.deployment.network.losses(0, 0);
-        roll.ask(asked, StoredRecord.RequestedAction.NONE);
+        day.crashAtRequest(0);
+        day.cluster.network.setLossRates(0, 0);
+        roll.requestAction(asked, StoredRecord.RequestedAction.NONE);
         for (int i = 0; i < controllers; i++) {
             day.replace(i, Capabilities.ALL, 500 * Micros.MILLISECOND);
             day.time.run(300 * Micros.MILLISECOND);
@@ -71,7 +71,7 @@
     void drawnRollsBreakNoRule() {
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
             RolloutScenario roll = play(begin(seed));
-            assertEquals(List.of(), roll.verdict(), "seed " + seed + " " + roll.day.deployment.log());
+            assertEquals(List.of(), roll.violations(), "seed " + seed + " " + roll.scenario.cluster.eventLog());
             for (Feature feature : List.of(Feature.LEARNED, Feature.BOOKING_FENCE, Feature.RETURNS)) {
                 assertEquals(FeatureStage.ON, roll.stage(feature), "seed " + seed + ": in the end all have it");
             }
@@ -83,7 +83,7 @@
     @CsvSource({"3", "5"})
     void theLastOneSwitchesItOn(int controllers) {
         RolloutScenario roll = new RolloutScenario(7, controllers, Capabilities.FORMER);
-        FailoverScenario day = roll.day;
+        FailoverScenario day = roll.scenario;
         for (int i = 0; i < controllers - 1; i++) {
             day.time.run(2 * Micros.SECOND);
             day.replace(i, Capabilities.ALL, 300 * Micros.MILLISECOND);
@@ -96,7 +96,7 @@
             day.time.run(100 * Micros.MILLISECOND);
             assertTrue(day.time.now() - began < 10 * Micros.SECOND, "until on");
         }
-        assertEquals(List.of(), roll.verdict());
+        assertEquals(List.of(), roll.violations());
     }
 
     /** A version that does not know what is on serves nobody and never leads, with switches or from before them; the others go on. */
@@ -104,31 +104,31 @@
     @CsvSource({"1", "0"})
     void aFormerVersionIsShutOut(int version) {
         RolloutScenario roll = new RolloutScenario(5, 3, Capabilities.ALL);
-        FailoverScenario day = roll.day;
+        FailoverScenario day = roll.scenario;
         day.users.submit("batch", 6, 2);
         day.time.run(15 * Micros.SECOND);
         assertEquals(FeatureStage.ON, roll.stage(Feature.LEARNED));
-        int replaced = (day.deployment.leader() + 1) % 3;
+        int replaced = (day.cluster.leader() + 1) % 3;
         day.replace(replaced, VERSIONS.get(version), 100 * Micros.MILLISECOND);
         day.time.run(10 * Micros.SECOND);
         assertEquals(2, roll.healthy().size());
         assertTrue(!roll.healthy().contains(replaced));
         day.users.submit("batch", 6, 2);
         day.time.run(40 * Micros.SECOND);
-        assertEquals(List.of(), roll.verdict());
+        assertEquals(List.of(), roll.violations());
     }
 
     /** Taken back by an operator, a feature is off in the end, and a version that does not know it serves again. */
     @Test
     void takenBackAFormerVersionServes() {
         RolloutScenario roll = new RolloutScenario(6, 3, Capabilities.ALL);
-        FailoverScenario day = roll.day;
+        FailoverScenario day = roll.scenario;
         day.time.run(12 * Micros.SECOND);
         day.replace(0, Capabilities.without(Feature.LEARNED), 100 * Micros.MILLISECOND);
         day.time.run(5 * Micros.SECOND);
         assertEquals(List.of(1, 2), roll.healthy());
         // It cannot register, so nothing moves forward; back goes all the same once it is not there.
-        roll.ask(Feature.LEARNED, StoredRecord.RequestedAction.BACK);
+        roll.requestAction(Feature.LEARNED, StoredRecord.RequestedAction.BACK);
         day.replace(0, Capabilities.ALL, 100 * Micros.MILLISECOND);
         day.time.run(30 * Micros.SECOND);
         assertEquals(FeatureStage.OFF, roll.stage(Feature.LEARNED));
@@ -138,7 +138,7 @@
         assertEquals(FeatureStage.ON, roll.stage(Feature.BOOKING_FENCE));
         day.users.submit("batch", 6, 2);
         day.time.run(30 * Micros.SECOND);
-        assertEquals(List.of(), roll.verdict());
+        assertEquals(List.of(), roll.violations());
     }
 
     /**
@@ -150,7 +150,7 @@
         Map<String, Integer> seen = new TreeMap<>();
         for (int seed = 0; seed < 12; seed++) {
             RolloutScenario roll = new RolloutScenario(seed, 3, Capabilities.ALL);
-            roll.day.deployment.state.beforeEachTransaction(body -> {
+            roll.scenario.cluster.store.onEachTransaction(body -> {
                 List<String> conditions = new ArrayList<>();
                 body.path("if").forEach(each -> conditions.add(each.path("k").asText()));
                 body.path("writes").forEach(each -> {
@@ -172,14 +172,14 @@
                 });
             });
             for (int second = 0; second < 25; second++) {
-                roll.day.users.traffic();
+                roll.scenario.users.submitDrawnJob();
                 if (second == 12) {
-                    roll.day.users.submit("daemon", 36, 0);
+                    roll.scenario.users.submit("daemon", 36, 0);
                 }
                 if (second % 9 == 8) {
-                    roll.day.deployment.faults.crashForMicros(roll.day.deployment.leader(), roll.day.backSoon());
+                    roll.scenario.cluster.faults.crashForMicros(roll.scenario.cluster.leader(), roll.scenario.drawRestartDelay());
                 }
-                roll.day.time.run(Micros.SECOND);
+                roll.scenario.time.run(Micros.SECOND);
             }
         }
         assertEquals(List.of("book", "lead", "lear", "roll"), List.copyOf(seen.keySet()));
@@ -196,21 +196,21 @@
         RolloutScenario roll = new RolloutScenario(9, controllers, Capabilities.ALL);
         int[] registered = {0};
         long[] refusedMicros = {0};
-        roll.day.deployment.state.beforeEachTransaction(body -> body.path("writes")
+        roll.scenario.cluster.store.onEachTransaction(body -> body.path("writes")
                 .forEach(each -> {
                     registered[0] += each.path("put").asText().startsWith(StoreKeys.CONTROLLERS) ? 1 : 0;
                     refusedMicros[0] =
                             refusedMicros[0] == 0 && each.path("put").asText().equals(StoreKeys.FEATURE_STAGES)
-                                    ? roll.day.time.now()
+                                    ? roll.scenario.time.now()
                                     : refusedMicros[0];
                     if (each.path("put").asText().equals(StoreKeys.FEATURE_STAGES)
-                            && roll.day.time.now() < refusedMicros[0] + 10 * Micros.SECOND) {
+                            && roll.scenario.time.now() < refusedMicros[0] + 10 * Micros.SECOND) {
                         throw new IllegalArgumentException("refused");
                     }
                 }));
-        roll.day.time.run(60 * Micros.SECOND);
+        roll.scenario.time.run(60 * Micros.SECOND);
         assertEquals(FeatureStage.ON, roll.stage(Feature.LEARNED));
-        int reads = roll.day.asked.getOrDefault("/store/" + StoreKeys.FEATURE_STAGES, 0);
+        int reads = roll.scenario.storeRequests.getOrDefault("/store/" + StoreKeys.FEATURE_STAGES, 0);
         assertTrue(reads <= 4 * controllers + 30, reads + " reads of the switches");
         assertTrue(registered[0] <= 6 * controllers, registered[0] + " registrations");
     }
@@ -221,8 +221,8 @@
     void aStepThatIsCutShortAnywhere(int controllers, int back) {
         for (int at = 1; at <= 100; at++) {
             RolloutScenario roll = new RolloutScenario(at, controllers, Capabilities.ALL);
-            FailoverScenario day = roll.day;
-            day.killAtInteraction(at, 1, day.backSoon());
+            FailoverScenario day = roll.scenario;
+            day.crashAtRequest(at, 1, day.drawRestartDelay());
             day.time.run((500 + at * 30) * Micros.MILLISECOND);
             day.replace(at % controllers, VERSIONS.get(back), (1 + at * 5) * Micros.MILLISECOND);
             day.users.submit("batch", 6, 2);
@@ -230,8 +230,8 @@
             day.time.run(10 * Micros.SECOND);
             day.replace(at % controllers, Capabilities.ALL, 200 * Micros.MILLISECOND);
             day.time.run(50 * Micros.SECOND);
-            assertEquals(List.of(), roll.verdict(), "at " + at + " " + day.deployment.log());
-            assertEquals(FeatureStage.ON, roll.stage(Feature.LEARNED), "at " + at + " " + day.deployment.log());
+            assertEquals(List.of(), roll.violations(), "at " + at + " " + day.cluster.eventLog());
+            assertEquals(FeatureStage.ON, roll.stage(Feature.LEARNED), "at " + at + " " + day.cluster.eventLog());
         }
     }
 }
