--- a/src/test/java/io/micatide/simulation/SimulatedUsers.java
+++ b/src/test/java/io/micatide/simulation/SimulatedUsers.java
@@ -35,11 +35,11 @@
     private final Map<String, String> standing = new LinkedHashMap<>();
     private final Map<String, Integer> replicas = new LinkedHashMap<>();
     /** Tasks of these end far apart. */
-    final Set<String> apart = new HashSet<>();
+    final Set<String> skewedJobs = new HashSet<>();
 
     private final Map<String, String> toldLast = new HashMap<>();
     private boolean closeLooks;
-    private int looks;
+    private int closePolls;
     private double cancelAtEndShare;
     private int odd;
 
@@ -69,7 +69,7 @@
     }
 
     /** What should be over or run and is not. */
-    List<String> undone() {
+    List<String> unfinishedJobs() {
         List<String> all = new ArrayList<>();
         standing.forEach((id, word) -> {
             if (!replicas.containsKey(id) && !word.equals("done") && !word.equals("withdrawn")) {
@@ -85,8 +85,8 @@
     }
 
     /** All troubles are over, and every user asks once more for each job. */
-    void calm() {
-        checker.calm();
+    void pollAllAfterFaults() {
+        checker.faultsEnded();
         for (int number = 0; number < count; number++) {
             int each = number;
             submitted.keySet().forEach(id -> askOnce(id, deployment.toController(each)));
@@ -94,7 +94,7 @@
     }
 
     /** What never ends by itself is called off, so that everything else gets its room; true once all is over, within so many seconds. */
-    boolean drain(int seconds) {
+    boolean cancelServicesAndWait(int seconds) {
         replicas.keySet().stream().toList().forEach(this::cancel);
         for (int second = 0; second < seconds; second++) {
             if (standing.keySet().containsAll(submitted.keySet())
@@ -145,8 +145,8 @@
     void submit(String form, int tasks, double seconds, JobConstraints constraints) {
         String id = "wk-" + (1 + submitted.size());
         submitted.put(id, deployment.describe(id, form, tasks, 2.0, seconds, constraints));
-        checker.submits(id, tasks, form.equals("daemon"));
-        checker.describes(deployment.described(id));
+        checker.jobSubmitted(id, tasks, form.equals("daemon"));
+        checker.jobDescribed(deployment.jobSpec(id));
         if (form.equals("daemon")) {
             replicas.put(id, tasks);
         }
@@ -154,7 +154,7 @@
     }
 
     /** How many jobs users have been told are cancelled. */
-    int cancelled() {
+    int cancelledCount() {
         return (int) standing.values().stream().filter("withdrawn"::equals).count();
     }
 
@@ -217,17 +217,17 @@
             standing.put(id, word);
         }
         boolean news = word != null && !word.equals(toldLast.put(id, word));
-        checker.heard(id, asked, reply.status(), word);
+        checker.responseReceived(id, asked, reply.status(), word);
         if (news) {
-            lookClosely(id);
+            pollClosely(id);
         }
     }
 
     /** The same with small jobs whose tasks end far apart, long tasks, and more that is cancelled. */
-    void troubledTraffic() {
+    void actDuringFaults() {
         switch (random.nextInt(5)) {
             case 0 -> {
-                apart.add("wk-" + (1 + submitted.size()));
+                skewedJobs.add("wk-" + (1 + submitted.size()));
                 submit("batch", 2 + random.nextInt(2), 1 + random.nextInt(6));
             }
             case 1 -> submit("batch", 1 + random.nextInt(6), 30 + random.nextInt(60));
@@ -236,12 +236,12 @@
                     cancel(List.copyOf(submitted.keySet()).get(random.nextInt(submitted.size())));
                 }
             }
-            default -> traffic();
+            default -> submitDrawnJob();
         }
     }
 
     /** Work for far more than the limits of all teams, long and short, replicas and gangs among it. */
-    void fill() {
+    void fillQuotas() {
         for (String team : TEAMS) {
             JobConstraints constraints = new JobConstraints(team, null, null, false, false, true);
             submit("batch", 12, 200, constraints);
@@ -249,7 +249,7 @@
             submit("daemon", 3, 0, constraints);
             submit("batch", 8, 3, constraints);
             // One of its tasks has always just ended: what is cancelled is at the same time to be written for that.
-            apart.add("wk-" + (1 + submitted.size()));
+            skewedJobs.add("wk-" + (1 + submitted.size()));
             submit("batch", 10, 1, constraints);
         }
     }
@@ -259,7 +259,7 @@
      *
      * @param hangMillis 0 for not at all
      */
-    void cancelNow(int count, int hangMillis) {
+    void cancelRunningJobs(int count, int hangMillis) {
         List<String> jobs = new ArrayList<>(submitted.keySet());
         jobs.removeIf(id -> checker.running(id) == 0 || !standing.containsKey(id));
         Collections.shuffle(jobs, random);
@@ -281,28 +281,28 @@
     }
 
     /** Whatever ends is called off at that moment, of that share of the jobs. */
-    void cancelAtEnd(double share, int seconds) {
+    void cancelAsTasksEnd(double share, int seconds) {
         cancelAtEndShare = share;
         at(seconds * Micros.SECOND, () -> cancelAtEndShare = 0);
     }
 
     /** For so many seconds. */
-    void lookClosely(int seconds) {
+    void pollClosely(int seconds) {
         closeLooks = true;
         at(seconds * Micros.SECOND, () -> closeLooks = false);
     }
 
     /** How often users looked closely. */
-    int looks() {
-        return looks;
+    int closePolls() {
+        return closePolls;
     }
 
     /** Users ask all controllers again and again, and repeat the submission there with the same and with other bodies. */
-    private void lookClosely(String id) {
+    private void pollClosely(String id) {
         if (!closeLooks) {
             return;
         }
-        looks++;
+        closePolls++;
         for (int number = 0; number < count; number++) {
             Http to = deployment.toController(number);
             for (int millis : new int[] {0, 3, 12, 40}) {
@@ -329,7 +329,7 @@
     }
 
     /** Jobs that lack a field, have one of the wrong type, or fit no machine, zone or limit. */
-    void oddRequests() {
+    void sendUnusualRequests() {
         String id = "wk-9" + String.format("%05d", ++odd);
         String text = new String(deployment.describe(id, "batch", 2, 2.0, 5), StandardCharsets.UTF_8);
         String sent = switch (random.nextInt(9)) {
@@ -364,7 +364,7 @@
     }
 
     /** Jobs of all forms, and some cancellations. */
-    void traffic() {
+    void submitDrawnJob() {
         switch (random.nextInt(6)) {
             case 0 -> submit("daemon", 1 + random.nextInt(4), 0);
             case 1 -> submit("group", 2 + random.nextInt(3), 2 + random.nextInt(4));
--- a/src/test/java/io/micatide/simulation/SkewedTasksTest.java
+++ b/src/test/java/io/micatide/simulation/SkewedTasksTest.java
@@ -12,13 +12,13 @@
     @ParameterizedTest
     @CsvSource({"10, 1, 12, 420", "10, 1, 0, 150", "3, 1, 12, 420"})
     void endsAllTheSame(int tasks, int estimate, int others, int seconds) {
-        FailoverScenario day = FailoverScenario.tight(83, 3, 0);
+        FailoverScenario day = FailoverScenario.atQuota(83, 3, 0);
         day.time.run(3 * Micros.SECOND);
         JobConstraints constraints = new JobConstraints("green", null, null, false, false, true);
         if (others > 0) {
             day.users.submit("batch", others, 200, constraints);
         }
-        day.users.apart.add("wk-" + (others > 0 ? 2 : 1));
+        day.users.skewedJobs.add("wk-" + (others > 0 ? 2 : 1));
         day.users.submit("batch", tasks, estimate, constraints);
         day.time.run(seconds * Micros.SECOND);
         assertEquals(0, day.checker.running(), day.checker.starts() + " starts of " + (tasks + others) + " tasks");
--- a/src/test/java/io/micatide/simulation/SmallJobsTest.java
+++ b/src/test/java/io/micatide/simulation/SmallJobsTest.java
@@ -28,13 +28,13 @@
     @ParameterizedTest
     @CsvSource({"80, 30, false, 15, 60", "300, 120, false, 15, 60", "80, 30, true, 15, 80"})
     void startsDoNotWaitBehindEnds(int requests, int changes, boolean killed, int median, int most) {
-        FailoverScenario day = FailoverScenario.paced(1, 3, requests, changes);
+        FailoverScenario day = FailoverScenario.withStoreLimits(1, 3, requests, changes);
         day.time.run(3 * Micros.SECOND);
         day.users.submit("batch", 40, 15);
         day.time.run(20 * Micros.SECOND);
         Map<String, Long> submitted = new HashMap<>();
         List<Long> waits = new ArrayList<>();
-        long before = day.deployment.state.changeCount();
+        long before = day.cluster.store.changeCount();
         int rowsMost = 0;
         for (int tenth = 0; tenth < SECONDS * 10; tenth++) {
             if (tenth % 5 == 0 || tenth % 5 == 2) {
@@ -47,7 +47,7 @@
                 }
             }
             if (killed && tenth % 300 == 200) {
-                day.deployment.faults.crashForMicros(day.deployment.leader(), 800 * Micros.MILLISECOND);
+                day.cluster.faults.crashForMicros(day.cluster.leader(), 800 * Micros.MILLISECOND);
             }
             day.time.run(100 * Micros.MILLISECOND);
             submitted
@@ -56,7 +56,7 @@
                             day.checker.running(each.getKey()) > 0 && waits.add(day.time.now() - each.getValue()));
             rowsMost = Math.max(rowsMost, over(day));
         }
-        long perJob = (day.deployment.state.changeCount() - before) * 100 / (4L * SECONDS);
+        long perJob = (day.cluster.store.changeCount() - before) * 100 / (4L * SECONDS);
         Collections.sort(waits);
         long half = waits.get(waits.size() / 2) / (100 * Micros.MILLISECOND);
         long late = waits.get(waits.size() * 19 / 20) / (100 * Micros.MILLISECOND);
@@ -67,21 +67,21 @@
         assertTrue(half <= median && late <= most, measured);
         assertTrue(submitted.size() < 40, measured);
         day.time.run(60 * Micros.SECOND);
-        assertEquals(List.of(), day.verdict());
+        assertEquals(List.of(), day.violations());
         assertTrue(over(day) < 300, over(day) + " rows of jobs that are over are left");
         assertEquals(
-                0, day.deployment.state.values().subMap("ledger/", "ledger0").size(), "ledgers of jobs that are over");
+                0, day.cluster.store.values().subMap("ledger/", "ledger0").size(), "ledgers of jobs that are over");
     }
 
     private static int over(FailoverScenario day) {
         int rows = 0;
-        for (Map.Entry<String, SimulatedStore.Value> each : day.deployment
-                .state
+        for (Map.Entry<String, SimulatedStore.Value> each : day.cluster
+                .store
                 .values()
                 .subMap(StoreKeys.JOBS, StoreKeys.JOBS + Character.MAX_VALUE)
                 .entrySet()) {
             rows += each.getKey().startsWith(StoreKeys.job("wk-"))
-                            && SimulatedCluster.row(each.getKey(), each.getValue())
+                            && SimulatedCluster.recordOf(each.getKey(), each.getValue())
                                     instanceof StoredRecord.JobRecord row
                             && row.state() != JobState.OPEN
                     ? 1
--- a/src/test/java/io/micatide/simulation/ZonePartitionTest.java
+++ b/src/test/java/io/micatide/simulation/ZonePartitionTest.java
@@ -107,7 +107,7 @@
         time.run(5 * Micros.SECOND);
     }
 
-    private void up(SimulatedCloud.Rented machine) {
+    private void up(SimulatedCloud.RentedMachine machine) {
         VirtualTime.Process process = time.new Process();
         zones.put(process, machine.zone());
         Map<String, Http> known = new LinkedHashMap<>();
@@ -117,12 +117,12 @@
         new SimulatedWorker(
                         process, settings(0), machine, known, this::described, gangs, new SimulatedWorker.Witness() {
                             @Override
-                            public void started(String task, long attempt, String name) {
+                            public void taskStarted(String task, long attempt, String name) {
                                 running.put(task, machine.zone());
                             }
 
                             @Override
-                            public void over(String task, long attempt, String name, ExitCause cause) {
+                            public void taskEnded(String task, long attempt, String name, ExitCause cause) {
                                 running.remove(task);
                             }
                         })
@@ -171,13 +171,13 @@
         time.run(20 * Micros.SECOND);
         assertTrue(running.containsValue("a") && running.containsValue("b"), running.toString());
         long began = time.now();
-        network.cut((from, endpoint) -> crosses(zones, from, endpoint));
+        network.setPartition((from, endpoint) -> crosses(zones, from, endpoint));
         time.run(cancelAfter * Micros.SECOND);
         assertTrue(ask("c1", "/v1/jobs/wk-1/abort", new byte[0]), "users outside are served");
         time.run(CANCEL);
         assertTrue(running.keySet().stream().noneMatch(task -> task.startsWith("wk-1/")), "after its time: " + running);
         time.run(Math.max(0, began + cutFor * Micros.SECOND - time.now()));
-        network.cut((from, endpoint) -> false);
+        network.setPartition((from, endpoint) -> false);
         time.run(40 * Micros.SECOND);
         assertEquals(
                 8,
@@ -202,10 +202,10 @@
         time.run(15 * Micros.SECOND);
         Map<String, String> before = new TreeMap<>(running);
         assertEquals(6, before.size());
-        state.away(true);
+        state.setOutage(true);
         time.run(seconds * Micros.SECOND);
         assertEquals(before, running);
-        state.away(false);
+        state.setOutage(false);
         time.run(20 * Micros.SECOND);
         assertEquals(before, running);
     }
--- a/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
+++ b/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
@@ -29,7 +29,7 @@
     private static final int SECONDS = 30;
 
     /** A deployment of the scale run's settings under the names that virtual time knows. */
-    private static final class Shape implements SimulatedCluster.Plan, SimulatedWorker.Witness {
+    private static final class Shape implements SimulatedCluster.ClusterConfiguration, SimulatedWorker.Witness {
         private final ScalePlan plan;
         private final SimulatedCluster deployment;
         private final InvariantChecker checker;
@@ -55,15 +55,15 @@
             for (int i = 0; i < CONTROLLERS; i++) {
                 controllers.add(deployment.toController(i));
             }
-            users = new ScaleUsers(deployment.user, plan, controllers, checker, deployment::uploaded);
+            users = new ScaleUsers(deployment.user, plan, controllers, checker, deployment::uploadDescription);
             deployment.network.observe(new VirtualNetwork.Observer() {
                 @Override
-                public void leaves(VirtualTime.Process from, String endpoint, String path) {
+                public void requestSent(VirtualTime.Process from, String endpoint, String path) {
                     heartbeats += path.equals("/v1/report") ? 1 : 0;
                 }
 
                 @Override
-                public void answers(VirtualTime.Process from, String endpoint, String path) {
+                public void responseSent(VirtualTime.Process from, String endpoint, String path) {
                     // Counted where it leaves.
                 }
             });
@@ -133,7 +133,7 @@
             deployment.start();
             deployment.time.run(5 * Micros.SECOND);
             for (int i = 0; i < plan.workers(); i++) {
-                deployment.standing(
+                deployment.addUnrentedMachine(
                         ScaleSettings.machineType(), ScaleSettings.zones().get(i % ScaleSettings.ZONES));
             }
             deployment.time.run(ScaleSettings.SETTLE_SECONDS * Micros.SECOND);
@@ -156,7 +156,7 @@
         private void run(int seconds) {
             for (int i = 0; i < seconds; i++) {
                 deployment.time.run(Micros.SECOND);
-                checker.look();
+                checker.check();
             }
         }
 
@@ -165,31 +165,31 @@
         }
 
         @Override
-        public void started(String task, long attempt, String machine) {
-            checker.started(task, attempt, machine);
+        public void taskStarted(String task, long attempt, String machine) {
+            checker.taskStarted(task, attempt, machine);
             users.started(task);
         }
 
         @Override
-        public void over(String task, long attempt, String machine, ExitCause cause) {
-            checker.over(task, attempt, machine, cause);
+        public void taskEnded(String task, long attempt, String machine, ExitCause cause) {
+            checker.taskEnded(task, attempt, machine, cause);
             if (cause == ExitCause.DONE) {
                 users.done(task);
             }
         }
 
         @Override
-        public void taken(JobSpec spec, String task, long attempt, SimulatedCloud.Rented machine) {
-            checker.taken(spec, task, attempt, machine);
+        public void startAccepted(JobSpec spec, String task, long attempt, SimulatedCloud.RentedMachine machine) {
+            checker.startAccepted(spec, task, attempt, machine);
         }
 
         @Override
-        public void released(String task, long attempt, SimulatedCloud.Rented machine) {
-            checker.released(task, attempt, machine);
+        public void resourcesReleased(String task, long attempt, SimulatedCloud.RentedMachine machine) {
+            checker.resourcesReleased(task, attempt, machine);
         }
 
         @Override
-        public void leaseEnded(SimulatedCloud.Rented machine) {
+        public void leaseExpired(SimulatedCloud.RentedMachine machine) {
             leasesEnded++;
         }
     }
@@ -200,7 +200,7 @@
         Shape large = new Shape(300, ScalePlan.Fault.NONE);
         small.play();
         large.play();
-        assertEquals(List.of(), large.checker.broken());
+        assertEquals(List.of(), large.checker.violations());
         assertEquals(0, large.leasesEnded);
         assertTrue(large.checker.starts() > 3 * small.checker.starts(), "starts " + large.checker.starts());
         assertTrue(
@@ -215,7 +215,7 @@
     void noLeaseRunsOutWhileControllersAreReplaced(ScalePlan.Fault fault) {
         Shape shape = new Shape(200, fault);
         shape.play();
-        assertEquals(List.of(), shape.checker.broken());
+        assertEquals(List.of(), shape.checker.violations());
         assertEquals(0, shape.leasesEnded);
         assertTrue(shape.checker.starts() > 200 * 0.1 * SECONDS / 2, "starts " + shape.checker.starts());
     }
