--- a/src/main/java/io/micatide/cli/ServeCommand.java
+++ b/src/main/java/io/micatide/cli/ServeCommand.java
@@ -30,7 +30,7 @@
             if (loaded.tuning().standbyEnabled()) {
                 Runtime.getRuntime().addShutdownHook(new Thread(() -> end(node), "end"));
             }
-            node.join();
+            node.awaitTermination();
             return 0;
         } catch (IllegalStateException e) {
             System.err.println(config + ": " + e.getMessage());
@@ -40,7 +40,7 @@
 
     private static void end(ControllerServer node) {
         try {
-            node.end(END_MICROS);
+            node.shutDown(END_MICROS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/io/micatide/controller/Actor.java
+++ b/src/main/java/io/micatide/controller/Actor.java
@@ -9,24 +9,24 @@
 /** Owns its state; everything that happens to it is a message, taken one at a time from the event loop. */
 abstract class Actor<M> {
     protected final Logger log = LoggerFactory.getLogger(getClass());
-    private final ActorExecutor loop;
+    private final ActorExecutor executor;
 
     Actor(ActorExecutor loop) {
-        this.loop = loop;
+        this.executor = loop;
     }
 
     /** The loop's steady clock. */
     final long now() {
-        return loop.now();
+        return executor.now();
     }
 
     /** The loop's time of day. */
     final long wall() {
-        return loop.wall();
+        return executor.wall();
     }
 
     final void tell(M message) {
-        loop.execute(() -> {
+        executor.execute(() -> {
             try {
                 receive(message);
             } catch (RuntimeException e) {
@@ -36,7 +36,7 @@
     }
 
     final void tellLater(M message, long delayMicros) {
-        loop.later(() -> tell(message), delayMicros);
+        executor.executeLater(() -> tell(message), delayMicros);
     }
 
     /** Turns an answer from outside into a message to this actor. */
--- a/src/main/java/io/micatide/controller/ActorExecutor.java
+++ b/src/main/java/io/micatide/controller/ActorExecutor.java
@@ -5,7 +5,7 @@
     /** Runs it after what was given before. May be called from any thread. */
     void execute(Runnable what);
 
-    void later(Runnable what, long delayMicros);
+    void executeLater(Runnable what, long delayMicros);
 
     /** A steady clock; never 0. */
     long now();
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -97,7 +97,7 @@
         }
         Archiver.Step step = archivist.next(writes);
         if (step instanceof Archiver.Write write) {
-            leader.tell(new TermMessage.Spent(
+            leader.tell(new TermMessage.ArchiveWritesUsed(
                     fencingToken, write.transaction().writes().size()));
             state.transaction(write.transaction(), then(step));
         } else if (step instanceof Archiver.ReadSegment read) {
--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -21,56 +21,57 @@
 
     private final Settings settings;
     private final UsersActor users;
-    private final CancellationHorizon proof;
-    private long revision;
-    private boolean stopped;
+    private final CancellationHorizon horizon;
+    private long readRevision;
+    private boolean isHorizonTooOld;
 
     CancellationExchange(Settings settings, UsersActor users) {
         this.settings = settings;
         this.users = users;
-        this.proof = new CancellationHorizon(settings);
+        this.horizon = new CancellationHorizon(settings);
     }
 
     /** Up to which the state service has been read: siblings name what came later. */
-    long revision() {
-        return revision;
+    long readRevision() {
+        return readRevision;
     }
 
-    void fresh(LeaderActor.StateFresh message) {
-        revision = Math.max(revision, message.revision());
-        proof.storeRead(message.askedMicros());
+    void storeRead(LeaderActor.StoreRead message) {
+        readRevision = Math.max(readRevision, message.revision());
+        horizon.hasReadStore(message.askedMicros());
     }
 
     // ---- a leader
 
     /** A sibling's answer to news that left at {@code askedMicros}. */
-    void heard(int sibling, CancellationDigest word, long askedMicros, long now) {
+    void digestReceived(int sibling, CancellationDigest word, long askedMicros, long now) {
         if (word != null) {
-            users.tell(
-                    new UsersActor.TakeIn(word.cancelled(), new LeaderActor.TakenIn(sibling, word, askedMicros, now)));
+            users.tell(new UsersActor.TakeIn(
+                    word.cancelled(), new LeaderActor.DigestRecorded(sibling, word, askedMicros, now)));
         }
     }
 
     /** What a sibling named is in the copy, and the term has been told. */
-    void takenIn(LeaderActor.TakenIn message) {
-        if (!proof.digestReceived(message.sibling(), message.word(), message.askedMicros(), message.heardMicros())) {
+    void digestRecorded(LeaderActor.DigestRecorded message) {
+        if (!horizon.digestReceived(
+                message.peer(), message.digest(), message.askedMicros(), message.receivedMicros())) {
             LOG.debug(
                     "{} leaves a gap: lived {} us, whole {}",
-                    message.word().controller(),
-                    message.word().uptimeMicros(),
-                    message.word().complete());
+                    message.digest().controller(),
+                    message.digest().uptimeMicros(),
+                    message.digest().complete());
         }
     }
 
     /** Whether workers may be answered; logs each change. */
-    boolean mayAnswer(long now) {
-        boolean may = proof.mayAnswerWorkers(now);
-        if (may == stopped) {
-            stopped = !may;
-            if (stopped) {
+    boolean mayAnswerWorkers(long now) {
+        boolean may = horizon.mayAnswerWorkers(now);
+        if (may == isHorizonTooOld) {
+            isHorizonTooOld = !may;
+            if (isHorizonTooOld) {
                 LOG.warn(
                         "has read no cancellations for too long, and lacks the word of {}: workers are not answered any more",
-                        proof.laggingControllers(now));
+                        horizon.laggingPeers(now));
             } else {
                 LOG.info("knows of all cancellations again: workers are answered");
             }
@@ -81,7 +82,7 @@
     // ---- a sibling
 
     /** Answers a leader's news with what this controller knows beyond the leader's last read. */
-    void answer(Request request, PeerCodec.Answer answer, PeerCodec.News news) {
+    void answerPeerStatus(Request request, PeerCodec.Answer answer, PeerCodec.News news) {
         if (news.revision() < 0) {
             request.answer(200, PeerCodec.answer(answer));
         } else {
@@ -91,7 +92,7 @@
     }
 
     /** A sibling confirmed a cancellation; nothing rests on it, it only comes sooner than what is asked for. */
-    void takeWithdrawn(Request request) {
+    void peerCancellationsReceived(Request request) {
         try {
             users.tell(new UsersActor.TakeIn(PeerCodec.withdrawn(request.body()).jobs(), null));
             request.answer(200, Json.bytes(out -> {
@@ -104,9 +105,9 @@
     }
 
     /** Tells whoever leads what was confirmed here. */
-    void confirmed(CancellationDigest.Cancelled job, String leader, PeerChannel siblings) {
+    void cancellationConfirmed(CancellationDigest.Cancelled job, String leader, PeerClients siblings) {
         if (leader != null && !leader.equals(settings.label())) {
-            siblings.withdrawn(leader, new PeerCodec.Withdrawn(List.of(job)));
+            siblings.sendCancellations(leader, new PeerCodec.Withdrawn(List.of(job)));
         }
     }
 }
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -40,18 +40,19 @@
         long fencingToken = scheduler.fencingToken();
         if (call instanceof CloudCall.Rent rent) {
             LOG.info("rents {} {} {} {}", rent.count(), rent.type(), rent.zone(), rent.spot() ? "spot" : "ordinary");
-            cloud.rent(rent, owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
+            cloud.rent(rent, owner.answer(r -> new TermMessage.CloudCallAnswered(r, fencingToken, call)));
         } else if (call instanceof CloudCall.Delete delete) {
             LOG.info("returns {}", delete.machines());
-            cloud.delete(delete.machines(), owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
+            cloud.delete(
+                    delete.machines(), owner.answer(r -> new TermMessage.CloudCallAnswered(r, fencingToken, call)));
         } else if (call instanceof CloudCall.ListTypes) {
-            cloud.types(owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
+            cloud.types(owner.answer(r -> new TermMessage.CloudCallAnswered(r, fencingToken, call)));
         } else {
-            cloud.list(null, owner.answer(r -> new TermMessage.ListRead(r, fencingToken, now, List.of())));
+            cloud.list(null, owner.answer(r -> new TermMessage.MachinesListed(r, fencingToken, now, List.of())));
         }
     }
 
-    void answered(TermMessage.CloudAnswered message) {
+    void answered(TermMessage.CloudCallAnswered message) {
         long now = owner.now();
         Reply reply = message.reply();
         try {
@@ -94,7 +95,7 @@
                             List.of(new Transaction.Condition(StoreKeys.LEADER, fencingToken)),
                             List.of(new Transaction.Write(
                                     StoreKeys.MACHINE_TYPES, new StoredRecord.MachineTypes(types), 0))),
-                    owner.answer(r -> new TermMessage.TypesStored(r, fencingToken)));
+                    owner.answer(r -> new TermMessage.MachineTypesWritten(r, fencingToken)));
         }
     }
 
@@ -104,9 +105,9 @@
         }
     }
 
-    void listRead(TermMessage.ListRead message) {
+    void listRead(TermMessage.MachinesListed message) {
         long now = owner.now();
-        List<ListedMachine> machines = new ArrayList<>(message.before());
+        List<ListedMachine> machines = new ArrayList<>(message.earlierPages());
         if (message.reply().ok()) {
             try {
                 CloudCodec.Page page = CloudCodec.page(message.reply().body());
@@ -114,7 +115,7 @@
                 if (page.more() && !page.machines().isEmpty()) {
                     cloud.list(
                             machines.get(machines.size() - 1).name(),
-                            owner.answer(r -> new TermMessage.ListRead(
+                            owner.answer(r -> new TermMessage.MachinesListed(
                                     r, message.fencingToken(), message.askedMicros(), machines)));
                 } else {
                     scheduler.machinesListed(machines, message.askedMicros(), now);
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -51,33 +51,33 @@
     }
 
     /** How this controller's term began, null if it does not lead. For rehearsals; on the loop. */
-    public FailoverTimings takeOver() {
-        return leader.takeOver();
+    public FailoverTimings failoverTimings() {
+        return leader.failoverTimings();
     }
 
     /** Whether it is appointed to take over. For rehearsals; on the loop. */
-    public boolean follows() {
-        return leader.follows();
+    public boolean isDesignatedStandby() {
+        return leader.isDesignatedStandby();
     }
 
     /** Sees what a standby's copies bring to each take-over on this controller. */
-    public void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
-        leader.witness(each);
+    public void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> each) {
+        leader.observeReplicaRecords(each);
     }
 
     /** Must be called on the loop. */
     public void start() {
         users.tell(new UsersActor.BelongsTo(leader));
         users.tell(new UsersActor.Load());
-        leader.tell(new LeaderActor.LeaseTick());
-        leader.tell(new LeaderActor.Tick());
+        leader.tell(new LeaderActor.LeaseTickDue());
+        leader.tell(new LeaderActor.TickDue());
     }
 
     /** A request of a user, of the load balancer or of a worker. */
-    public void handle(Request request) {
+    public void handleRequest(Request request) {
         if (request.path().equals("/v1/report")) {
             if (request.method().equals("POST")) {
-                leader.tell(new LeaderActor.Report(request));
+                leader.tell(new LeaderActor.HeartbeatReceived(request));
             } else {
                 request.answer(405, WRONG_METHOD);
             }
@@ -87,22 +87,22 @@
     }
 
     /** Ends in order: hands the lead over if it has it; {@code done} on the loop once others can go on. */
-    public void end(Runnable done) {
-        leader.tell(new LeaderActor.End(done));
+    public void shutDown(Runnable done) {
+        leader.tell(new LeaderActor.ShutdownRequested(done));
     }
 
     /** A request of a sibling. */
-    public void handlePeer(Request request) {
+    public void handlePeerRequest(Request request) {
         if (request.path().equals("/news") && request.method().equals("POST")) {
-            leader.tell(new LeaderActor.PeerNews(request));
+            leader.tell(new LeaderActor.PeerStatusReceived(request));
         } else if (request.path().equals("/withdrawn") && request.method().equals("POST")) {
-            leader.tell(new LeaderActor.TakeWithdrawn(request));
+            leader.tell(new LeaderActor.PeerCancellationsReceived(request));
         } else if (request.path().equals("/hints") && request.method().equals("POST")) {
-            leader.tell(new StandbyMessage.TakeHints(request));
+            leader.tell(new StandbyMessage.HintsReceived(request));
         } else if (request.path().equals("/standby")) {
-            leader.tell(new LeaderActor.AskReadiness(request));
+            leader.tell(new LeaderActor.ReadinessRequested(request));
         } else if (request.path().equals("/handover") && request.method().equals("POST")) {
-            leader.tell(new StandbyMessage.TakeHandOver(request));
+            leader.tell(new StandbyMessage.HandoverRequested(request));
         } else {
             request.answer(404, NO_SUCH_PATH);
         }
--- a/src/main/java/io/micatide/controller/ControllerServer.java
+++ b/src/main/java/io/micatide/controller/ControllerServer.java
@@ -18,19 +18,19 @@
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
 
     private final Settings settings;
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Controller controller;
-    private final EventLoop loop;
-    private volatile String failure;
+    private final EventLoop eventLoop;
+    private volatile String bindFailure;
 
     public ControllerServer(Settings settings, Tuning tuning) {
         this.settings = settings;
-        this.loop = group.next();
+        this.eventLoop = eventLoopGroup.next();
         this.controller = new Controller(
                 settings,
                 tuning,
-                new NettyActorExecutor(loop),
-                (endpoint, most) -> new HttpClient(loop, endpoint, most));
+                new NettyActorExecutor(eventLoop),
+                (endpoint, most) -> new HttpClient(eventLoop, endpoint, most));
     }
 
     /**
@@ -40,11 +40,11 @@
      */
     public void start() throws InterruptedException {
         CountDownLatch bound = new CountDownLatch(2);
-        loop.execute(() -> {
+        eventLoop.execute(() -> {
             int most = Math.max(10, settings.maxConnections() * 8 / 10);
             controller.start();
-            bind(new HttpServer(controller::handle, most), settings.bind(), bound);
-            bind(new HttpServer(controller::handlePeer, most), settings.peerBind(), bound);
+            bind(new HttpServer(controller::handleRequest, most), settings.bind(), bound);
+            bind(new HttpServer(controller::handlePeerRequest, most), settings.peerBind(), bound);
             LOG.info(
                     "{} in {} serves on {}, siblings on {}, reads layout {}",
                     settings.label(),
@@ -54,15 +54,15 @@
                     Settings.LAYOUT);
         });
         bound.await();
-        if (failure != null) {
-            throw new IllegalStateException(failure);
+        if (bindFailure != null) {
+            throw new IllegalStateException(bindFailure);
         }
     }
 
     private void bind(HttpServer server, String address, CountDownLatch bound) {
-        server.bind(loop, address).addListener(done -> {
+        server.bind(eventLoop, address).addListener(done -> {
             if (!done.isSuccess()) {
-                failure = "cannot bind " + address + ": " + done.cause().getMessage();
+                bindFailure = "cannot bind " + address + ": " + done.cause().getMessage();
             }
             bound.countDown();
         });
@@ -72,21 +72,21 @@
      * Ends in order, as an operator's stop asks for: the lead is handed over and nothing new is answered. Returns once others can go
      * on, or after {@code mostMicros}.
      */
-    public void end(long mostMicros) throws InterruptedException {
+    public void shutDown(long mostMicros) throws InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> controller.end(done::countDown));
+        eventLoop.execute(() -> controller.shutDown(done::countDown));
         if (!done.await(mostMicros, TimeUnit.MICROSECONDS)) {
             LOG.warn("ends without an answer of the state service: the lease runs out by itself");
         }
     }
 
     /** Waits until the node is closed. */
-    public void join() throws InterruptedException {
-        group.terminationFuture().await();
+    public void awaitTermination() throws InterruptedException {
+        eventLoopGroup.terminationFuture().await();
     }
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 }
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -19,32 +19,32 @@
     sealed interface Message {}
 
     /** The term has begun. */
-    record Begin() implements Message {}
+    record LoadRequested() implements Message {}
 
     /** The leader has the jobs by a read that began after the claim. */
-    record JobsKnown() implements Message {}
+    record JobsLoaded() implements Message {}
 
     /** What the standby's copy of a prefix holds as of the claim or later; null if there is no such copy. */
-    record Brought(String prefix, List<StoreCodec.Item> rows) implements Message {}
+    record ReplicaLoaded(String prefix, List<StoreCodec.Item> records) implements Message {}
 
-    record Read(String prefix, String after) implements Message {}
+    record ReadDue(String prefix, String after) implements Message {}
 
-    record Answered(Reply reply, Read asked) implements Message {}
+    record ReadAnswered(Reply reply, ReadDue request) implements Message {}
 
     private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
 
-    private final StoreClient state;
+    private final StoreClient store;
     private final LeaderActor leader;
     /** Null where there is no standby to ask. */
     private final StandbyActor standby;
 
     private final long fencingToken;
-    private boolean jobsKnown;
-    private Brought ledgers;
+    private boolean areJobsLoaded;
+    private ReplicaLoaded pendingLedgers;
 
     FailoverLoader(ActorExecutor loop, StoreClient state, LeaderActor leader, StandbyActor standby, long fencingToken) {
         super(loop);
-        this.state = state;
+        this.store = state;
         this.leader = leader;
         this.standby = standby;
         this.fencingToken = fencingToken;
@@ -52,104 +52,104 @@
 
     @Override
     protected void receive(Message message) {
-        if (message instanceof Begin) {
-            tell(new Read(StoreKeys.MACHINE_TYPES, null));
-            tell(new Read(StoreKeys.PROVISIONING_FENCE, null));
-            tell(new Read(StoreKeys.LEARNED_STATE, null));
-            tell(new Read(StoreKeys.MACHINE_DELETIONS, null));
+        if (message instanceof LoadRequested) {
+            tell(new ReadDue(StoreKeys.MACHINE_TYPES, null));
+            tell(new ReadDue(StoreKeys.PROVISIONING_FENCE, null));
+            tell(new ReadDue(StoreKeys.LEARNED_STATE, null));
+            tell(new ReadDue(StoreKeys.MACHINE_DELETIONS, null));
             if (standby != null) {
                 standby.tell(new StandbyActor.Bring(fencingToken, this));
             } else {
-                tell(new Brought(StoreKeys.PROVISIONING_REQUESTS, null));
-                tell(new Brought(StoreKeys.LEDGERS, null));
+                tell(new ReplicaLoaded(StoreKeys.PROVISIONING_REQUESTS, null));
+                tell(new ReplicaLoaded(StoreKeys.LEDGERS, null));
             }
-        } else if (message instanceof JobsKnown) {
-            jobsKnown = true;
-            giveLedgers();
-        } else if (message instanceof Brought m) {
+        } else if (message instanceof JobsLoaded) {
+            areJobsLoaded = true;
+            deliverLedgersAfterJobs();
+        } else if (message instanceof ReplicaLoaded m) {
             if (m.prefix().equals(StoreKeys.LEDGERS)) {
-                ledgers = m;
-                giveLedgers();
+                pendingLedgers = m;
+                deliverLedgersAfterJobs();
             } else {
-                give(m);
+                deliverOrRead(m);
             }
-        } else if (message instanceof Read m) {
+        } else if (message instanceof ReadDue m) {
             if (m.prefix().equals(StoreKeys.MACHINE_TYPES) || m.prefix().equals(StoreKeys.PROVISIONING_FENCE)) {
-                state.read(m.prefix(), answer(r -> new Answered(r, m)));
+                store.read(m.prefix(), answer(r -> new ReadAnswered(r, m)));
             } else {
-                state.list(m.prefix(), m.after(), answer(r -> new Answered(r, m)));
+                store.list(m.prefix(), m.after(), answer(r -> new ReadAnswered(r, m)));
             }
-        } else if (message instanceof Answered m) {
-            answered(m);
+        } else if (message instanceof ReadAnswered m) {
+            readAnswered(m);
         }
     }
 
     /** A ledger says something only beside its job: the jobs come first. */
-    private void giveLedgers() {
-        if (jobsKnown && ledgers != null) {
-            give(ledgers);
-            ledgers = null;
+    private void deliverLedgersAfterJobs() {
+        if (areJobsLoaded && pendingLedgers != null) {
+            deliverOrRead(pendingLedgers);
+            pendingLedgers = null;
         }
     }
 
-    private void give(Brought brought) {
-        if (brought.rows() == null) {
-            tell(new Read(brought.prefix(), null));
+    private void deliverOrRead(ReplicaLoaded brought) {
+        if (brought.records() == null) {
+            tell(new ReadDue(brought.prefix(), null));
         } else {
-            leader.tell(new TermMessage.RowsLoaded(fencingToken, brought.rows()));
-            leader.tell(new TermMessage.PartLoaded(fencingToken));
+            leader.tell(new TermMessage.RecordsLoaded(fencingToken, brought.records()));
+            leader.tell(new TermMessage.LoadStepCompleted(fencingToken));
         }
     }
 
-    private void answered(Answered message) {
+    private void readAnswered(ReadAnswered message) {
         try {
-            if (message.asked().prefix().equals(StoreKeys.MACHINE_TYPES)) {
-                types(message.asked(), message.reply());
-            } else if (message.asked().prefix().equals(StoreKeys.PROVISIONING_FENCE)) {
-                fence(message.asked(), message.reply());
+            if (message.request().prefix().equals(StoreKeys.MACHINE_TYPES)) {
+                machineTypesRead(message.request(), message.reply());
+            } else if (message.request().prefix().equals(StoreKeys.PROVISIONING_FENCE)) {
+                provisioningFenceRead(message.request(), message.reply());
             } else {
-                page(message.asked(), message.reply());
+                pageRead(message.request(), message.reply());
             }
         } catch (MalformedException e) {
             log.error("stored rows: {}", e.getMessage());
-            tellLater(message.asked(), RETRY_MICROS);
+            tellLater(message.request(), RETRY_MICROS);
         }
     }
 
-    private void types(Read asked, Reply reply) throws MalformedException {
+    private void machineTypesRead(ReadDue asked, Reply reply) throws MalformedException {
         if (reply.ok()) {
             List<MachineType> types =
                     ((StoredRecord.MachineTypes) StoreCodec.item(reply.body()).row()).types();
-            leader.tell(new TermMessage.TypesLoaded(fencingToken, types));
+            leader.tell(new TermMessage.MachineTypesLoaded(fencingToken, types));
         } else if (reply.status() != 404) {
             tellLater(asked, RETRY_MICROS);
             return;
         }
-        leader.tell(new TermMessage.PartLoaded(fencingToken));
+        leader.tell(new TermMessage.LoadStepCompleted(fencingToken));
     }
 
     /** Not a part that the term waits for: only bookings do. */
-    private void fence(Read asked, Reply reply) {
+    private void provisioningFenceRead(ReadDue asked, Reply reply) {
         if (reply.ok() || reply.status() == 404) {
-            leader.tell(new TermMessage.FenceRead(reply, fencingToken));
+            leader.tell(new TermMessage.ProvisioningFenceRead(reply, fencingToken));
         } else {
             tellLater(asked, RETRY_MICROS);
         }
     }
 
-    private void page(Read asked, Reply reply) throws MalformedException {
+    private void pageRead(ReadDue asked, Reply reply) throws MalformedException {
         if (!reply.ok()) {
             tellLater(asked, RETRY_MICROS);
             return;
         }
         StoreCodec.Items page = StoreCodec.page(reply.body());
-        leader.tell(new TermMessage.RowsLoaded(fencingToken, page.items()));
+        leader.tell(new TermMessage.RecordsLoaded(fencingToken, page.items()));
         if (page.more() && !page.items().isEmpty()) {
-            tell(new Read(
+            tell(new ReadDue(
                     asked.prefix(), page.items().get(page.items().size() - 1).key()));
         } else if (!asked.prefix().equals(StoreKeys.LEARNED_STATE)) {
             // What was learned is waited for by nobody.
-            leader.tell(new TermMessage.PartLoaded(fencingToken));
+            leader.tell(new TermMessage.LoadStepCompleted(fencingToken));
         }
     }
 }
--- a/src/main/java/io/micatide/controller/GracefulHandover.java
+++ b/src/main/java/io/micatide/controller/GracefulHandover.java
@@ -7,66 +7,67 @@
  * has its time, so that a state service or an heir that does not answer costs no more than it. Part of the leader's actor.
  */
 final class GracefulHandover {
-    private static final long ROUND_MICROS = 300 * Micros.MILLISECOND;
-    private static final long HEIR_MICROS = 350 * Micros.MILLISECOND;
+    private static final long WRITE_TIMEOUT_MICROS = 300 * Micros.MILLISECOND;
+    private static final long SUCCESSOR_TIMEOUT_MICROS = 350 * Micros.MILLISECOND;
 
     private enum Step {
-        ROUND,
-        HEIR,
-        OVER
+        FINISH_WRITE,
+        NOTIFY_SUCCESSOR,
+        COMPLETED
     }
 
     /** Null of a controller that does not lead. */
     private final LeaderTerm term;
 
-    private final String heir;
-    private final Runnable tellHeir;
-    private final Runnable giveBack;
-    private Step step = Step.ROUND;
-    private long sinceMicros;
+    private final String successor;
+    private final Runnable notifySuccessor;
+    private final Runnable releaseLease;
+    private Step step = Step.FINISH_WRITE;
+    private long stepStartedMicros;
 
     /** @param heir label of the one that is warm, or null */
     GracefulHandover(LeaderTerm term, String heir, long nowMicros, Runnable tellHeir, Runnable giveBack) {
         this.term = term;
-        this.heir = heir;
-        this.tellHeir = tellHeir;
-        this.giveBack = giveBack;
-        this.sinceMicros = nowMicros;
+        this.successor = heir;
+        this.notifySuccessor = tellHeir;
+        this.releaseLease = giveBack;
+        this.stepStartedMicros = nowMicros;
     }
 
     /** Where workers should go from now on, or null. */
-    String heir() {
-        return heir;
+    String successor() {
+        return successor;
     }
 
     /** The lease has been given back: nothing is answered in the name of the term. */
-    boolean over() {
-        return step == Step.OVER;
+    boolean isCompleted() {
+        return step == Step.COMPLETED;
     }
 
     void advance(long nowMicros) {
-        if (step == Step.ROUND && (term == null || !term.writing() || nowMicros - sinceMicros >= ROUND_MICROS)) {
-            step = Step.HEIR;
-            sinceMicros = nowMicros;
-            if (heir == null) {
+        if (step == Step.FINISH_WRITE
+                && (term == null || !term.isWritePending() || nowMicros - stepStartedMicros >= WRITE_TIMEOUT_MICROS)) {
+            step = Step.NOTIFY_SUCCESSOR;
+            stepStartedMicros = nowMicros;
+            if (successor == null) {
                 finish();
             } else {
-                tellHeir.run();
+                notifySuccessor.run();
             }
-        } else if (step == Step.HEIR && nowMicros - sinceMicros >= HEIR_MICROS) {
+        } else if (step == Step.NOTIFY_SUCCESSOR && nowMicros - stepStartedMicros >= SUCCESSOR_TIMEOUT_MICROS) {
             finish();
         }
     }
 
     /** An heir that could not catch up reads all: that is no reason to keep the lead. */
-    void heirAnswered(boolean caughtUp) {
-        if (step == Step.HEIR) {
+    void successorAnswered(boolean caughtUp) {
+        if (step == Step.NOTIFY_SUCCESSOR) {
             finish();
         }
     }
 
     private void finish() {
-        step = Step.OVER;
-        giveBack.run();
+        step = Step.COMPLETED;
+        releaseLease.run();
     }
 }
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -88,7 +88,7 @@
                 .filter(job -> job.state() == JobState.CANCELLED)
                 .map(JobCache.View::id)
                 .toList();
-        leader.tell(new LeaderActor.CancelledKnown(cancelled));
+        leader.tell(new LeaderActor.CancellationsObserved(cancelled));
         refresh();
     }
 
@@ -161,7 +161,7 @@
         } else if (item.row() instanceof StoredRecord.ArchiveManifest manifest) {
             historyKnown(item.version(), manifest);
         } else if (item.row() instanceof StoredRecord.FeatureStages features) {
-            own.tell(new LeaderActor.SwitchesSeen(item.version(), features));
+            own.tell(new LeaderActor.FeatureStagesObserved(item.version(), features));
         } else if (item.row() instanceof StoredRecord.JobRecord row) {
             apply(name, row, item.version());
         } else if (item.row() instanceof StoredRecord.FurtherDependencies needs) {
@@ -179,14 +179,14 @@
         directory.archiveManifestRead(version, manifest);
         history.tell(new ArchiveReader.Manifest(manifest));
         if (leader != null) {
-            leader.tell(new LeaderActor.HistorySeen(version, manifest));
+            leader.tell(new LeaderActor.ArchiveManifestObserved(version, manifest));
         }
     }
 
     void layoutKnown(long version, StoredRecord.Layout layout) {
         directory.layoutMarked(version, layout);
         if (leader != null) {
-            leader.tell(new LeaderActor.LayoutSeen(version, layout));
+            leader.tell(new LeaderActor.LayoutObserved(version, layout));
         }
     }
 
@@ -200,9 +200,9 @@
                 owner.over(changed);
             }
             if (leader != null && !followPending) {
-                leader.tell(new LeaderActor.JobSeen(directory.view(changed)));
+                leader.tell(new LeaderActor.JobObserved(directory.view(changed)));
             } else if (leader != null && directory.state(changed) == JobState.CANCELLED) {
-                leader.tell(new LeaderActor.CancelledKnown(List.of(changed)));
+                leader.tell(new LeaderActor.CancellationsObserved(List.of(changed)));
             }
         }
     }
@@ -262,16 +262,16 @@
                 if (followPending && message.askedMicros() >= followMicros) {
                     followPending = false;
                     if (directory.layoutVersion() > 0) {
-                        leader.tell(new LeaderActor.LayoutSeen(directory.layoutVersion(), directory.layout()));
+                        leader.tell(new LeaderActor.LayoutObserved(directory.layoutVersion(), directory.layout()));
                     }
                     if (directory.archiveManifest() != null) {
-                        leader.tell(
-                                new LeaderActor.HistorySeen(directory.archiveVersion(), directory.archiveManifest()));
+                        leader.tell(new LeaderActor.ArchiveManifestObserved(
+                                directory.archiveVersion(), directory.archiveManifest()));
                     }
-                    leader.tell(new LeaderActor.JobsSeen(directory.openAndCancelled()));
+                    leader.tell(new LeaderActor.JobsObserved(directory.openAndCancelled()));
                 }
             }
-            own.tell(new LeaderActor.StateFresh(message.askedMicros(), directory.revision()));
+            own.tell(new LeaderActor.StoreRead(message.askedMicros(), directory.revision()));
             asked.forEach(question -> question.fresh().run());
         } else {
             asked.forEach(question -> owner.unavailable(question.request()));
@@ -328,6 +328,6 @@
             }
         }
         directory.staleRecords().forEach((id, version) -> result.add(new Archiver.Ended(id, version, null, 0)));
-        leader.tell(new TermMessage.EndedFound(fencingToken, result, directory.archiveVersion()));
+        leader.tell(new TermMessage.ArchivableJobsFound(fencingToken, result, directory.archiveVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -34,125 +34,126 @@
  */
 final class LeaderActor extends Actor<LeaderActor.Message> {
     sealed interface Message
-            permits Tick,
-                    LeaseTick,
-                    Report,
-                    PeerNews,
-                    JobSeen,
-                    JobsSeen,
-                    LayoutSeen,
-                    HistorySeen,
-                    StateFresh,
-                    RowRead,
-                    Granted,
-                    Claimed,
-                    Touched,
-                    Watched,
-                    WatchDue,
-                    SwitchesSeen,
-                    SwitchesRead,
-                    OwnRowRead,
-                    Registered,
-                    PeerAnswered,
-                    AskReadiness,
-                    HandedOver,
-                    End,
-                    CancelledKnown,
-                    TakenIn,
-                    Confirmed,
-                    TakeWithdrawn,
+            permits TickDue,
+                    LeaseTickDue,
+                    HeartbeatReceived,
+                    PeerStatusReceived,
+                    JobObserved,
+                    JobsObserved,
+                    LayoutObserved,
+                    ArchiveManifestObserved,
+                    StoreRead,
+                    LeaderRecordRead,
+                    LeaseGranted,
+                    LeadershipClaimed,
+                    LeaseRenewed,
+                    LeaderRecordObserved,
+                    LeaderWatchDue,
+                    FeatureStagesObserved,
+                    FeatureStagesRead,
+                    RegistrationRead,
+                    RegistrationWritten,
+                    PeerStatusAnswered,
+                    ReadinessRequested,
+                    HandoverAnswered,
+                    ShutdownRequested,
+                    CancellationsObserved,
+                    DigestRecorded,
+                    CancellationConfirmed,
+                    PeerCancellationsReceived,
                     StandbyMessage,
                     TermMessage {}
 
-    record Tick() implements Message {}
+    record TickDue() implements Message {}
 
-    record LeaseTick() implements Message {}
+    record LeaseTickDue() implements Message {}
 
-    record Report(Request request) implements Message {}
+    record HeartbeatReceived(Request request) implements Message {}
 
-    record PeerNews(Request request) implements Message {}
+    record PeerStatusReceived(Request request) implements Message {}
 
-    record JobSeen(JobCache.View view) implements Message {}
+    record JobObserved(JobCache.View view) implements Message {}
 
-    record JobsSeen(List<JobCache.View> jobs) implements Message {}
+    record JobsObserved(List<JobCache.View> jobs) implements Message {}
 
     /** The mark that every controller reads the present layout is in the state service. */
-    record LayoutSeen(long version, StoredRecord.Layout layout) implements Message {}
+    record LayoutObserved(long version, StoredRecord.Layout layout) implements Message {}
 
     /** The archive's manifest, as the copy of the rows has it. */
-    record HistorySeen(long version, StoredRecord.ArchiveManifest manifest) implements Message {}
+    record ArchiveManifestObserved(long version, StoredRecord.ArchiveManifest manifest) implements Message {}
 
     /** The switches, as the copy of the rows has them. */
-    record SwitchesSeen(long version, StoredRecord.FeatureStages row) implements Message {}
+    record FeatureStagesObserved(long version, StoredRecord.FeatureStages stages) implements Message {}
 
-    record SwitchesRead(Reply reply) implements Message {}
+    record FeatureStagesRead(Reply reply) implements Message {}
 
-    record OwnRowRead(Reply reply) implements Message {}
+    record RegistrationRead(Reply reply) implements Message {}
 
-    record Registered(Reply reply) implements Message {}
+    record RegistrationWritten(Reply reply) implements Message {}
 
     /** The changes were asked for then and are taken in, up to this revision. */
-    record StateFresh(long askedMicros, long revision) implements Message {}
+    record StoreRead(long askedMicros, long revision) implements Message {}
 
     /** Jobs that the copy has as cancelled, before the leader has it whole. */
-    record CancelledKnown(List<String> jobs) implements Message {}
+    record CancellationsObserved(List<String> jobs) implements Message {}
 
     /** What a sibling said of cancellations is in the copy. */
-    record TakenIn(int sibling, CancellationDigest word, long askedMicros, long heardMicros) implements Message {}
+    record DigestRecorded(int peer, CancellationDigest digest, long askedMicros, long receivedMicros)
+            implements Message {}
 
     /** A user of this controller was told that a job is cancelled. */
-    record Confirmed(CancellationDigest.Cancelled job) implements Message {}
+    record CancellationConfirmed(CancellationDigest.Cancelled job) implements Message {}
 
     /** The same from a sibling. */
-    record TakeWithdrawn(Request request) implements Message {}
+    record PeerCancellationsReceived(Request request) implements Message {}
 
-    record RowRead(Reply reply) implements Message {}
+    record LeaderRecordRead(Reply reply) implements Message {}
 
-    record Granted(Reply reply, long askedMicros) implements Message {}
+    record LeaseGranted(Reply reply, long askedMicros) implements Message {}
 
-    record Claimed(Reply reply) implements Message {}
+    record LeadershipClaimed(Reply reply) implements Message {}
 
-    record Touched(Reply reply, long askedMicros) implements Message {}
+    record LeaseRenewed(Reply reply, long askedMicros) implements Message {}
 
-    record Watched(Reply reply) implements Message {}
+    record LeaderRecordObserved(Reply reply) implements Message {}
 
-    record WatchDue() implements Message {}
+    record LeaderWatchDue() implements Message {}
 
-    record PeerAnswered(Reply reply, long fencingToken, int sibling, long askedMicros) implements Message {}
+    record PeerStatusAnswered(Reply reply, long fencingToken, int peer, long askedMicros) implements Message {}
 
     /** A cold sibling wants to know who would lead better. */
-    record AskReadiness(Request request) implements Message {}
+    record ReadinessRequested(Request request) implements Message {}
 
-    record HandedOver(Reply reply) implements Message {}
+    record HandoverAnswered(Reply reply) implements Message {}
 
-    /** This process is to end in order; {@code done} once others can go on without it. */
-    record End(Runnable done) implements Message {}
+    /** This process is to end in order; {@code onCompleted} once others can go on without it. */
+    record ShutdownRequested(Runnable onCompleted) implements Message {}
 
     private static final long TICK_MICROS = 100 * Micros.MILLISECOND;
     private static final long LEASE_TICK_MICROS = 50 * Micros.MILLISECOND;
-    private static final byte[] TOO_LONG = Json.error(null, "cut off");
+    private static final byte[] STORE_UNREAD_TOO_LONG = Json.error(null, "cut off");
     /** No message for so long, with a timer every 50 ms, means that the process stood still. */
-    private static final long STALL_MICROS = Micros.SECOND;
+    private static final long PAUSE_MICROS = Micros.SECOND;
 
-    private final ActorExecutor loop;
+    private final ActorExecutor executor;
     private final Settings settings;
     private final Tuning tuning;
-    private final StoreClient state;
+    private final StoreClient store;
     private final CloudClient cloud;
     private final UsersActor users;
-    private final ArchiverActor archivist;
+    private final ArchiverActor archiver;
     private final Http.Connector connector;
-    private final PeerChannel siblings;
-    private final LeaderElection leadership;
-    private final LeaderLease claims;
+    private final PeerClients peers;
+    private final LeaderElection election;
+    private final LeaderLease lease;
     private final RolloutParticipant rollout;
-    private final WorkerConnectivity reach;
-    private final CancellationExchange testimonies;
-    private final StandbyCoordinator following;
+    private final WorkerConnectivity workerConnectivity;
+    private final CancellationExchange cancellations;
+    private final StandbyCoordinator standby;
     /** Null until this process is told to end. */
-    private GracefulHandover handOver;
+    private GracefulHandover handover;
 
-    private long activeMicros;
+    private long lastMessageMicros;
     /** Null while another controller leads, or nobody. */
     private LeaderTerm term;
 
@@ -168,103 +169,103 @@
             KeyspaceReplica.Maker copies,
             Capabilities abilities) {
         super(loop);
-        this.loop = loop;
+        this.executor = loop;
         this.settings = settings;
         this.tuning = tuning;
-        this.state = state;
+        this.store = state;
         this.cloud = cloud;
         this.users = users;
         this.connector = connector;
-        this.siblings = new PeerChannel(this, settings, connector);
-        this.activeMicros = now();
-        this.archivist = new ArchiverActor(loop, settings, tuning.archiveBatchSize(), maker, state, this);
-        this.reach = new WorkerConnectivity(settings, now());
-        this.testimonies = new CancellationExchange(settings, users);
-        this.leadership = new LeaderElection(settings.label(), tuning.leaderLeaseMicros());
+        this.peers = new PeerClients(this, settings, connector);
+        this.lastMessageMicros = now();
+        this.archiver = new ArchiverActor(loop, settings, tuning.archiveBatchSize(), maker, state, this);
+        this.workerConnectivity = new WorkerConnectivity(settings, now());
+        this.cancellations = new CancellationExchange(settings, users);
+        this.election = new LeaderElection(settings.label(), tuning.leaderLeaseMicros());
         this.rollout = new RolloutParticipant(this, settings, abilities, state, users);
-        this.claims = new LeaderLease(this, settings.label(), state, leadership, rollout);
+        this.lease = new LeaderLease(this, settings.label(), state, election, rollout);
         StandbyActor standby =
                 tuning.standbyEnabled() ? new StandbyActor(loop, settings, state, users, this, copies) : null;
-        this.following = new StandbyCoordinator(this, settings, siblings, claims, standby, now());
+        this.standby = new StandbyCoordinator(this, settings, peers, lease, standby, now());
     }
 
     /** How this controller's term began, null if it does not lead. */
-    FailoverTimings takeOver() {
+    FailoverTimings failoverTimings() {
         return term == null ? null : term.takeOver();
     }
 
     /** Whether it is appointed to take over. */
-    boolean follows() {
-        return following.appointed();
+    boolean isDesignatedStandby() {
+        return standby.isDesignated();
     }
 
     /** Sees what is brought to each take-over on this controller. */
-    void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
-        following.standby().witness(each);
+    void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> each) {
+        standby.standby().witness(each);
     }
 
     @Override
     protected void receive(Message message) {
-        noticeStall();
-        if (message instanceof Report m) {
+        detectPause();
+        if (message instanceof HeartbeatReceived m) {
             heartbeat(m.request());
         } else if (message instanceof TermMessage m) {
             if (term != null && term.fencingToken() == m.fencingToken()) {
                 term.receive(m);
             }
-        } else if (message instanceof Tick) {
+        } else if (message instanceof TickDue) {
             tick();
-            tellLater(new Tick(), TICK_MICROS);
-        } else if (message instanceof LeaseTick) {
+            tellLater(new TickDue(), TICK_MICROS);
+        } else if (message instanceof LeaseTickDue) {
             advance();
-            tellLater(new LeaseTick(), LEASE_TICK_MICROS);
-        } else if (message instanceof PeerNews m) {
-            peerNews(m.request());
-        } else if (message instanceof PeerAnswered m) {
-            peerAnswered(m);
-        } else if (message instanceof WatchDue) {
-            claims.watchDue();
-        } else if (message instanceof SwitchesSeen m) {
-            rollout.seen(m.version(), m.row());
-        } else if (message instanceof SwitchesRead m) {
+            tellLater(new LeaseTickDue(), LEASE_TICK_MICROS);
+        } else if (message instanceof PeerStatusReceived m) {
+            peerStatusReceived(m.request());
+        } else if (message instanceof PeerStatusAnswered m) {
+            peerStatusAnswered(m);
+        } else if (message instanceof LeaderWatchDue) {
+            lease.watchDue();
+        } else if (message instanceof FeatureStagesObserved m) {
+            rollout.seen(m.version(), m.stages());
+        } else if (message instanceof FeatureStagesRead m) {
             rollout.switchesRead(m.reply());
             advance();
-        } else if (message instanceof OwnRowRead m) {
+        } else if (message instanceof RegistrationRead m) {
             rollout.ownRowRead(m.reply());
             advance();
-        } else if (message instanceof Registered m) {
+        } else if (message instanceof RegistrationWritten m) {
             rollout.registered(m.reply());
-        } else if (message instanceof StateFresh m) {
-            testimonies.fresh(m);
+        } else if (message instanceof StoreRead m) {
+            cancellations.storeRead(m);
             if (term != null) {
-                term.stateFresh(m.askedMicros());
+                term.storeRead(m.askedMicros());
             }
-        } else if (message instanceof TakenIn m) {
-            testimonies.takenIn(m);
-        } else if (message instanceof Confirmed m) {
-            testimonies.confirmed(m.job(), leadership.leader(), siblings);
-        } else if (message instanceof TakeWithdrawn m) {
-            testimonies.takeWithdrawn(m.request());
-        } else if (message instanceof JobSeen
-                || message instanceof JobsSeen
-                || message instanceof CancelledKnown
-                || message instanceof LayoutSeen
-                || message instanceof HistorySeen) {
+        } else if (message instanceof DigestRecorded m) {
+            cancellations.digestRecorded(m);
+        } else if (message instanceof CancellationConfirmed m) {
+            cancellations.cancellationConfirmed(m.job(), election.leader(), peers);
+        } else if (message instanceof PeerCancellationsReceived m) {
+            cancellations.peerCancellationsReceived(m.request());
+        } else if (message instanceof JobObserved
+                || message instanceof JobsObserved
+                || message instanceof CancellationsObserved
+                || message instanceof LayoutObserved
+                || message instanceof ArchiveManifestObserved) {
             if (term != null) {
-                rowsSeen(message);
+                recordsObserved(message);
             }
         } else if (message instanceof StandbyMessage m) {
-            following.receive(m, term == null ? 0 : term.fencingToken());
+            standby.receive(m, term == null ? 0 : term.fencingToken());
             advance();
-        } else if (message instanceof AskReadiness m) {
-            m.request().answer(200, PeerCodec.answer(ownAnswer(now())));
-        } else if (message instanceof HandedOver m) {
-            handOver.heirAnswered(m.reply().ok());
-        } else if (message instanceof End m) {
-            end(m.done());
+        } else if (message instanceof ReadinessRequested m) {
+            m.request().answer(200, PeerCodec.answer(statusAnswer(now())));
+        } else if (message instanceof HandoverAnswered m) {
+            handover.successorAnswered(m.reply().ok());
+        } else if (message instanceof ShutdownRequested m) {
+            shutDown(m.onCompleted());
         } else {
-            claims.answered(message);
-            checkDeposed();
+            lease.answered(message);
+            endTermIfFenced();
             advance();
         }
     }
@@ -272,101 +273,101 @@
     /** What is due about the lead: asking, renewing, claiming; or ending it. */
     private void advance() {
         long now = now();
-        if (handOver != null) {
-            handOver.advance(now);
+        if (handover != null) {
+            handover.advance(now);
             return;
         }
-        rollout.advance(leadership.leaseId(), now);
-        claims.advance(now, following.waits(reach.isConnected(now), now));
+        rollout.advance(election.leaseId(), now);
+        lease.advance(now, standby.claimDelayMicros(workerConnectivity.isConnected(now), now));
     }
 
     /** The switches are not as they were. */
-    void switchesChanged() {
+    void featureStagesChanged() {
         if (term != null) {
-            term.switchesChanged();
+            term.featureStagesChanged();
         }
     }
 
     /** What the copy of the job rows tells a leader. */
-    private void rowsSeen(Message message) {
-        if (message instanceof JobSeen m) {
-            term.jobSeen(m.view());
-        } else if (message instanceof JobsSeen m) {
-            term.jobsSeen(m.jobs());
-        } else if (message instanceof LayoutSeen m) {
-            term.layoutSeen(m.version(), m.layout());
-        } else if (message instanceof HistorySeen m) {
-            term.historySeen(m.version(), m.manifest());
-        } else if (message instanceof CancelledKnown m) {
-            term.cancelledKnown(m.jobs());
+    private void recordsObserved(Message message) {
+        if (message instanceof JobObserved m) {
+            term.jobObserved(m.view());
+        } else if (message instanceof JobsObserved m) {
+            term.jobsObserved(m.jobs());
+        } else if (message instanceof LayoutObserved m) {
+            term.layoutObserved(m.version(), m.layout());
+        } else if (message instanceof ArchiveManifestObserved m) {
+            term.archiveManifestObserved(m.version(), m.manifest());
+        } else if (message instanceof CancellationsObserved m) {
+            term.cancellationsObserved(m.jobs());
         }
     }
 
     /** Before anything that waited meanwhile is taken in. */
-    private void noticeStall() {
+    private void detectPause() {
         long now = now();
-        if (now - activeMicros > STALL_MICROS) {
-            log.warn("process paused for {} ms", (now - activeMicros) / Micros.MILLISECOND);
-            reach.processPaused(now);
+        if (now - lastMessageMicros > PAUSE_MICROS) {
+            log.warn("process paused for {} ms", (now - lastMessageMicros) / Micros.MILLISECOND);
+            workerConnectivity.processPaused(now);
             if (term != null) {
-                term.resumed(now);
+                term.processResumed(now);
             }
         }
-        activeMicros = now;
+        lastMessageMicros = now;
     }
 
     // ---- terms
 
     /** Whether this process was told to end: nothing new is begun. */
-    boolean ending() {
-        return handOver != null;
+    boolean isShuttingDown() {
+        return handover != null;
     }
 
     /** The lease was renewed. */
     void leaseRenewed() {
         if (term != null) {
-            term.holdsUntil(leadership.leaseHeldUntilMicros());
+            term.leaseHeldUntil(election.leaseHeldUntilMicros());
         }
     }
 
     /** A write was refused on condition of the token. */
-    void fenced() {
-        leadership.stepDown();
-        leadership.forgetRow();
-        checkDeposed();
+    void writeFenced() {
+        election.stepDown();
+        election.forgetRecord();
+        endTermIfFenced();
     }
 
     /** The highest token that a worker has seen: a higher one than ours means that another controller leads. */
-    void tokenSeen(long fencingToken) {
-        if (fencingToken > 0 && leadership.observeToken(fencingToken, null)) {
-            checkDeposed();
+    void observeFencingToken(long fencingToken) {
+        if (fencingToken > 0 && election.observeToken(fencingToken, null)) {
+            endTermIfFenced();
         }
     }
 
     /** The claim with this token was answered. */
-    void begin(long fencingToken, long now) {
+    void startTerm(long fencingToken, long now) {
         log.info("became leader with fencing token {}", fencingToken);
         Scheduler scheduler = new Scheduler(settings, tuning, fencingToken, now);
-        scheduler.leaseHeldUntil(leadership.leaseHeldUntilMicros());
-        siblings.begin();
-        following.begin(fencingToken, now);
-        reach.termStarted(now);
+        scheduler.leaseHeldUntil(election.leaseHeldUntilMicros());
+        peers.termStarted();
+        standby.termStarted(fencingToken, now);
+        workerConnectivity.termStarted(now);
         term = new LeaderTerm(
                 this,
                 users,
                 scheduler,
-                new FailoverLoader(loop, state, this, following.standby(), fencingToken),
-                new LedgerCommitter(this, scheduler, state, users),
-                new CloudCalls(this, scheduler, cloud, state, users),
-                new RolloutDriver(this, settings, tuning, scheduler, state, users, rollout),
-                new TermArchiving(this, tuning, scheduler, users, archivist),
-                new LearnedStateWriter(this, settings, scheduler, state, rollout),
-                new TermAnnouncer(this, settings, scheduler, connector, following.handedOver(now)));
-        term.begin();
+                new FailoverLoader(executor, store, this, standby.standby(), fencingToken),
+                new LedgerCommitter(this, scheduler, store, users),
+                new CloudCalls(this, scheduler, cloud, store, users),
+                new RolloutDriver(this, settings, tuning, scheduler, store, users, rollout),
+                new TermArchiving(this, tuning, scheduler, users, archiver),
+                new LearnedStateWriter(this, settings, scheduler, store, rollout),
+                new TermAnnouncer(this, settings, scheduler, connector, standby.wasHandedOver(now)));
+        term.start();
     }
 
-    private void checkDeposed() {
-        if (term != null && leadership.fencingToken() != term.fencingToken()) {
+    private void endTermIfFenced() {
+        if (term != null && election.fencingToken() != term.fencingToken()) {
             log.warn("fenced: term {} is over", term.fencingToken());
             term.end();
             term = null;
@@ -378,37 +379,37 @@
         if (term == null) {
             return;
         }
-        if (term.loaded()) {
-            if (reach.shouldAskPeers(now)) {
-                siblings.askAfterWorkers(newsOf(now), now);
+        if (term.isLoaded()) {
+            if (workerConnectivity.shouldAskPeers(now)) {
+                peers.sendUrgentStatus(currentStatus(now), now);
             }
-            if (handOver == null) {
+            if (handover == null) {
                 term.tick(now);
             }
         }
-        if (siblings.newsDue(now)) {
+        if (peers.isStatusDue(now)) {
             List<JobProgress> jobs = term.progress();
-            if (term.loaded()) {
+            if (term.isLoaded()) {
                 users.tell(new UsersActor.Progress(true, jobs));
             }
-            siblings.news(newsOf(now), jobs, now);
-            if (term.loaded()) {
-                following.tellHints(term, now);
+            peers.sendStatus(currentStatus(now), jobs, now);
+            if (term.isLoaded()) {
+                standby.sendHints(term, now);
             }
         }
-        if (term.loaded()) {
-            term.summary(now);
+        if (term.isLoaded()) {
+            term.logSummaryIfDue(now);
         }
     }
 
-    private PeerChannel.Now newsOf(long now) {
-        return new PeerChannel.Now(
+    private PeerClients.LeaderStatus currentStatus(long now) {
+        return new PeerClients.LeaderStatus(
                 term.fencingToken(),
-                state.reach().isConnected(now),
-                reach.silentMicros(now),
-                following.appoint(now),
+                store.reach().isConnected(now),
+                workerConnectivity.silentMicros(now),
+                standby.selectStandbys(now),
                 rollout.switches().version(),
-                testimonies.revision());
+                cancellations.readRevision());
     }
 
     // ---- workers
@@ -421,25 +422,25 @@
             request.answer(400, Json.error(e.field(), e.getMessage()));
             return;
         }
-        tokenSeen(heartbeat.fencingToken());
-        if (handOver != null && handOver.over()) {
-            request.answer(421, WorkerCodec.elsewhere(handOver.heir()));
+        observeFencingToken(heartbeat.fencingToken());
+        if (handover != null && handover.isCompleted()) {
+            request.answer(421, WorkerCodec.elsewhere(handover.successor()));
             return;
         }
         if (term == null) {
-            String leader = leadership.leader();
+            String leader = election.leader();
             long now = now();
-            reach.heartbeatRedirected(heartbeat, leadership.highestFencingToken(), now);
-            boolean nobody = settings.label().equals(leader) || reach.isLeaderUnreachable(now);
+            workerConnectivity.heartbeatRedirected(heartbeat, election.highestFencingToken(), now);
+            boolean nobody = settings.label().equals(leader) || workerConnectivity.isLeaderUnreachable(now);
             request.answer(421, WorkerCodec.elsewhere(nobody ? null : leader));
             return;
         }
-        reach.heartbeatReceived(now());
-        if (!testimonies.mayAnswer(now())) {
-            request.answer(503, TOO_LONG);
+        workerConnectivity.heartbeatReceived(now());
+        if (!cancellations.mayAnswerWorkers(now())) {
+            request.answer(503, STORE_UNREAD_TOO_LONG);
             return;
         }
-        request.answer(200, WorkerCodec.answer(term.fencingToken(), term.heartbeat(heartbeat)));
+        request.answer(200, WorkerCodec.answer(term.fencingToken(), term.handleHeartbeat(heartbeat)));
     }
 
     // ---- siblings
@@ -448,58 +449,58 @@
      * Leaves the lead to a sibling that the workers reach. Ending the lease removes the row at once; should that request be
      * lost, the lease ends by itself.
      */
-    private void resignIfUnreached(long now) {
-        if (term != null && reach.shouldResign(state.reach().isConnected(now), now)) {
+    private void resignIfWorkersAreElsewhere(long now) {
+        if (term != null && workerConnectivity.shouldResign(store.reach().isConnected(now), now)) {
             log.warn(
                     "gives up term {}: no worker has come for {} ms, and they come to a sibling",
                     term.fencingToken(),
-                    reach.silentMicros(now) / Micros.MILLISECOND);
-            long lease = leadership.resign(now, settings.workerLeaseMicros());
-            state.endLease(lease, reply -> log.info("lease of the former term ended: {}", reply.status()));
-            checkDeposed();
+                    workerConnectivity.silentMicros(now) / Micros.MILLISECOND);
+            long lease = election.resign(now, settings.workerLeaseMicros());
+            store.endLease(lease, reply -> log.info("lease of the former term ended: {}", reply.status()));
+            endTermIfFenced();
         }
     }
 
-    private void peerNews(Request request) {
+    private void peerStatusReceived(Request request) {
         try {
             PeerCodec.News news = PeerCodec.news(request.body());
-            if (leadership.observeToken(news.fencingToken(), news.leader())) {
-                checkDeposed();
+            if (election.observeToken(news.fencingToken(), news.leader())) {
+                endTermIfFenced();
             }
             long now = now();
-            if (news.fencingToken() == leadership.highestFencingToken()) {
-                reach.leaderReportedSilence(news.silentMicros(), now);
+            if (news.fencingToken() == election.highestFencingToken()) {
+                workerConnectivity.leaderReportedSilence(news.silentMicros(), now);
             }
             rollout.newerThere(news.switches());
             if (news.stateServed()) {
-                state.reach().peerServed(now);
+                store.reach().peerServed(now);
             }
-            if (term == null && news.fencingToken() == leadership.highestFencingToken()) {
+            if (term == null && news.fencingToken() == election.highestFencingToken()) {
                 users.tell(new UsersActor.Progress(news.first(), news.jobs()));
-                following.told(news, now);
+                standby.leaderStatusReceived(news, now);
             }
-            testimonies.answer(request, ownAnswer(now), news);
+            cancellations.answerPeerStatus(request, statusAnswer(now), news);
         } catch (MalformedException e) {
             request.answer(400, Json.error(e.field(), e.getMessage()));
         }
     }
 
-    private PeerCodec.Answer ownAnswer(long now) {
+    private PeerCodec.Answer statusAnswer(long now) {
         return new PeerCodec.Answer(
-                leadership.highestFencingToken(),
-                reach.lastStrayAgoMicros(now),
+                election.highestFencingToken(),
+                workerConnectivity.workerLostLeaderAgoMicros(now),
                 Settings.LAYOUT,
-                state.reach().isConnected(now),
-                handOver != null ? null : following.readiness(now));
+                store.reach().isConnected(now),
+                handover != null ? null : standby.readiness(now));
     }
 
     /** Told to end: what is under way is finished or left, an heir is told, and the lease goes back. */
-    private void end(Runnable done) {
-        if (handOver != null) {
+    private void shutDown(Runnable done) {
+        if (handover != null) {
             return;
         }
         long now = now();
-        int heir = term == null ? -1 : following.firstHeir(now);
+        int heir = term == null ? -1 : standby.firstWarmStandby(now);
         log.info(
                 "told to end{}",
                 term == null
@@ -509,44 +510,44 @@
                                         ? ", to nobody in particular"
                                         : " to " + settings.siblings().get(heir).label()));
         users.tell(new UsersActor.Closing());
-        handOver = new GracefulHandover(
+        handover = new GracefulHandover(
                 term,
                 heir < 0 ? null : settings.siblings().get(heir).label(),
                 now,
-                () -> siblings.handOver(heir, term.fencingToken(), term.lastRevision()),
-                () -> giveBack(done));
-        handOver.advance(now);
+                () -> peers.requestHandover(heir, term.fencingToken(), term.lastWrittenRevision()),
+                () -> releaseLease(done));
+        handover.advance(now);
     }
 
-    private void giveBack(Runnable done) {
-        long lease = leadership.resign(now(), Long.MAX_VALUE / 4);
-        checkDeposed();
+    private void releaseLease(Runnable done) {
+        long lease = election.resign(now(), Long.MAX_VALUE / 4);
+        endTermIfFenced();
         if (lease == 0) {
             done.run();
         } else {
-            state.endLease(lease, reply -> {
+            store.endLease(lease, reply -> {
                 log.info("lease given back: {}", reply.status());
                 done.run();
             });
         }
     }
 
-    private void peerAnswered(PeerAnswered message) {
+    private void peerStatusAnswered(PeerStatusAnswered message) {
         Reply reply = message.reply();
         if (!reply.ok()) {
             return;
         }
         try {
             PeerCodec.Answer answer = PeerCodec.answer(reply.body());
-            if (leadership.observeToken(answer.fencingToken(), null)) {
-                checkDeposed();
+            if (election.observeToken(answer.fencingToken(), null)) {
+                endTermIfFenced();
             }
             long now = now();
-            reach.peerReportedStray(answer.strayedAgoMicros(), now);
-            resignIfUnreached(now);
+            workerConnectivity.peerReportedWorkerLostLeader(answer.strayedAgoMicros(), now);
+            resignIfWorkersAreElsewhere(now);
             if (term != null && term.fencingToken() == message.fencingToken()) {
-                testimonies.heard(message.sibling(), answer.testimony(), message.askedMicros(), now);
-                following.heard(message.sibling(), answer, now);
+                cancellations.digestReceived(message.peer(), answer.testimony(), message.askedMicros(), now);
+                standby.peerStatusAnswered(message.peer(), answer, now);
             }
         } catch (MalformedException e) {
             log.error("sibling: {}", e.getMessage());
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -17,76 +17,76 @@
 /** What {@link LeaderElection} constraints of the state service, and what becomes of it. Part of the leader's actor. */
 final class LeaderLease {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
-    private static final long PAUSE_MICROS = 200 * Micros.MILLISECOND;
-    private static final long WATCH_MICROS = 20 * Micros.SECOND;
+    private static final long WATCH_RETRY_MICROS = 300 * Micros.MILLISECOND;
+    private static final long RETRY_MICROS = 200 * Micros.MILLISECOND;
+    private static final long WATCH_TIMEOUT_MICROS = 20 * Micros.SECOND;
 
     private final LeaderActor owner;
     private final String label;
-    private final StoreClient state;
-    private final LeaderElection leadership;
+    private final StoreClient store;
+    private final LeaderElection election;
     private final RolloutParticipant rollout;
-    private boolean watching;
-    private long watchFrom;
+    private boolean isWatching;
+    private long watchRevision;
     /** The lease that the row of this controller's former life is attached to, 0 once it is known to be none of that. */
-    private long formerLease;
+    private long formerLeaseId;
 
     LeaderLease(
             LeaderActor owner, String label, StoreClient state, LeaderElection leadership, RolloutParticipant rollout) {
         this.owner = owner;
         this.label = label;
-        this.state = state;
-        this.leadership = leadership;
+        this.store = state;
+        this.election = leadership;
         this.rollout = rollout;
     }
 
     /** The watch may be opened again. */
     void watchDue() {
-        watching = false;
+        isWatching = false;
     }
 
     /** For how long the row has been there to be claimed, or -1 if it is not. */
-    long claimableFor(long now) {
-        return leadership.claimableForMicros(now);
+    long claimableForMicros(long now) {
+        return election.claimableForMicros(now);
     }
 
     /**
      * Ends the lease of this controller's former life, so that its row goes and others who are warm see it at once. Its process is
      * gone, as for the claim of its own row; and what it had sent is fenced by the next claim either way.
      */
-    void leaveFormerRow() {
-        if (formerLease != 0 && formerLease != leadership.leaseId()) {
+    void endFormerLease() {
+        if (formerLeaseId != 0 && formerLeaseId != election.leaseId()) {
             LOG.info("ends the lease of its former life for others to lead");
-            state.endLease(formerLease, reply -> LOG.debug("lease of the former life: {}", reply.status()));
+            store.endLease(formerLeaseId, reply -> LOG.debug("lease of the former life: {}", reply.status()));
         }
-        formerLease = 0;
+        formerLeaseId = 0;
     }
 
     /** @param waitsMicros for how long a free row is left to others */
     void advance(long now, long waitsMicros) {
-        if (!watching && leadership.leader() != null) {
-            watching = true;
-            state.watch(
+        if (!isWatching && election.leader() != null) {
+            isWatching = true;
+            store.watch(
                     StoreKeys.LEADER,
-                    Math.max(leadership.rowVersion(), watchFrom),
-                    WATCH_MICROS,
-                    owner.answer(LeaderActor.Watched::new));
+                    Math.max(election.recordVersion(), watchRevision),
+                    WATCH_TIMEOUT_MICROS,
+                    owner.answer(LeaderActor.LeaderRecordObserved::new));
         }
         // Whoever does not know what is stored leads nobody, and while that is not read nobody knows.
-        switch (leadership.nextAction(now, rollout.mayLead() ? waitsMicros : Long.MAX_VALUE)) {
-            case READ_ROW -> state.read(StoreKeys.LEADER, owner.answer(LeaderActor.RowRead::new));
+        switch (election.nextAction(now, rollout.mayLead() ? waitsMicros : Long.MAX_VALUE)) {
+            case READ_RECORD -> store.read(StoreKeys.LEADER, owner.answer(LeaderActor.LeaderRecordRead::new));
             case GRANT_LEASE ->
-                state.grant(leadership.leaseMicros(), owner.answer(r -> new LeaderActor.Granted(r, now)));
-            case RENEW_LEASE -> state.touch(leadership.leaseId(), owner.answer(r -> new LeaderActor.Touched(r, now)));
+                store.grant(election.leaseMicros(), owner.answer(r -> new LeaderActor.LeaseGranted(r, now)));
+            case RENEW_LEASE ->
+                store.touch(election.leaseId(), owner.answer(r -> new LeaderActor.LeaseRenewed(r, now)));
             case CLAIM -> {
                 StoredRecord row = new StoredRecord.Leader(label);
                 List<Transaction.Condition> conditions = new ArrayList<>(rollout.claimConditions());
-                conditions.add(new Transaction.Condition(StoreKeys.LEADER, leadership.rowVersion()));
-                state.transaction(
+                conditions.add(new Transaction.Condition(StoreKeys.LEADER, election.recordVersion()));
+                store.transaction(
                         new Transaction(
-                                conditions,
-                                List.of(new Transaction.Write(StoreKeys.LEADER, row, leadership.leaseId()))),
-                        owner.answer(LeaderActor.Claimed::new));
+                                conditions, List.of(new Transaction.Write(StoreKeys.LEADER, row, election.leaseId()))),
+                        owner.answer(LeaderActor.LeadershipClaimed::new));
             }
             case NOTHING -> {}
         }
@@ -96,91 +96,91 @@
     void answered(LeaderActor.Message message) {
         long now = owner.now();
         try {
-            if (message instanceof LeaderActor.RowRead m) {
-                rowRead(m.reply(), now);
-            } else if (message instanceof LeaderActor.Granted m) {
+            if (message instanceof LeaderActor.LeaderRecordRead m) {
+                recordRead(m.reply(), now);
+            } else if (message instanceof LeaderActor.LeaseGranted m) {
                 if (m.reply().ok()) {
-                    leadership.leaseGranted(StoreCodec.granted(m.reply().body()), m.askedMicros());
+                    election.leaseGranted(StoreCodec.granted(m.reply().body()), m.askedMicros());
                 } else {
-                    leadership.requestFailed(now, PAUSE_MICROS);
+                    election.requestFailed(now, RETRY_MICROS);
                 }
-            } else if (message instanceof LeaderActor.Touched m) {
-                touched(m.reply(), m.askedMicros(), now);
-            } else if (message instanceof LeaderActor.Claimed m) {
-                claimed(m.reply(), now);
-            } else if (message instanceof LeaderActor.Watched m) {
-                watched(m.reply());
+            } else if (message instanceof LeaderActor.LeaseRenewed m) {
+                leaseRenewed(m.reply(), m.askedMicros(), now);
+            } else if (message instanceof LeaderActor.LeadershipClaimed m) {
+                leadershipClaimed(m.reply(), now);
+            } else if (message instanceof LeaderActor.LeaderRecordObserved m) {
+                recordObserved(m.reply());
             }
         } catch (MalformedException e) {
             LOG.error("leader row: {}", e.getMessage());
-            leadership.requestFailed(now, Micros.SECOND);
+            election.requestFailed(now, Micros.SECOND);
         }
     }
 
-    private void rowRead(Reply reply, long now) throws MalformedException {
+    private void recordRead(Reply reply, long now) throws MalformedException {
         if (reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
-            watchFrom = Math.max(watchFrom, item.version());
+            watchRevision = Math.max(watchRevision, item.version());
             String rowOwner = ((StoredRecord.Leader) item.row()).owner();
-            formerLease = label.equals(rowOwner) && !leadership.isLeader() ? StoreCodec.hold(reply.body()) : 0;
-            leadership.rowRead(rowOwner, item.version());
+            formerLeaseId = label.equals(rowOwner) && !election.isLeader() ? StoreCodec.hold(reply.body()) : 0;
+            election.recordRead(rowOwner, item.version());
         } else if (reply.status() == 404) {
-            leadership.rowRead(null, 0);
+            election.recordRead(null, 0);
         } else {
-            leadership.requestFailed(now, PAUSE_MICROS);
+            election.requestFailed(now, RETRY_MICROS);
         }
     }
 
-    private void touched(Reply reply, long askedMicros, long now) {
+    private void leaseRenewed(Reply reply, long askedMicros, long now) {
         if (reply.ok()) {
-            leadership.leaseRenewed(askedMicros);
+            election.leaseRenewed(askedMicros);
             owner.leaseRenewed();
         } else if (reply.status() == 404) {
-            leadership.leaseExpired();
+            election.leaseExpired();
         } else {
-            leadership.requestFailed(now, PAUSE_MICROS);
+            election.requestFailed(now, RETRY_MICROS);
         }
     }
 
-    private void claimed(Reply reply, long now) throws MalformedException {
+    private void leadershipClaimed(Reply reply, long now) throws MalformedException {
         if (reply.ok()) {
             long fencingToken = StoreCodec.revision(reply.body());
-            watchFrom = Math.max(watchFrom, fencingToken);
-            leadership.leadershipAcquired(fencingToken);
-            owner.begin(fencingToken, now);
+            watchRevision = Math.max(watchRevision, fencingToken);
+            election.leadershipAcquired(fencingToken);
+            owner.startTerm(fencingToken, now);
         } else if (reply.status() == 409) {
             if (StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
                 rollout.newerThere(rollout.switches().version() + 1);
             }
-            leadership.claimRejected();
+            election.claimRejected();
         } else if (reply.status() == 400) {
-            leadership.leaseExpired();
+            election.leaseExpired();
         } else if (reply.notExecuted()) {
-            leadership.requestFailed(now, 100 * Micros.MILLISECOND);
+            election.requestFailed(now, 100 * Micros.MILLISECOND);
         } else {
-            leadership.claimOutcomeUnknown(now);
+            election.claimOutcomeUnknown(now);
         }
     }
 
-    private void watched(Reply reply) throws MalformedException {
-        watching = false;
+    private void recordObserved(Reply reply) throws MalformedException {
+        isWatching = false;
         if (reply.ok()) {
             StoreCodec.Items changes = StoreCodec.changes(reply.body());
             for (StoreCodec.Item item : changes.items()) {
-                if (item.version() >= leadership.rowVersion()) {
-                    leadership.rowObserved(
+                if (item.version() >= election.recordVersion()) {
+                    election.recordObserved(
                             item.row() instanceof StoredRecord.Leader row ? row.owner() : null,
                             item.row() == null ? 0 : item.version());
                 }
             }
-            watchFrom = Math.max(watchFrom, changes.revision());
+            watchRevision = Math.max(watchRevision, changes.revision());
         } else {
-            watching = true;
+            isWatching = true;
             if (reply.status() == 410) {
-                watchFrom = 0;
+                watchRevision = 0;
             }
-            leadership.forgetRow();
-            owner.tellLater(new LeaderActor.WatchDue(), RETRY_MICROS);
+            election.forgetRecord();
+            owner.tellLater(new LeaderActor.LeaderWatchDue(), WATCH_RETRY_MICROS);
         }
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -27,26 +27,26 @@
 /** What a controller does from its claim until it is fenced: reads, confirms, decides, writes. Part of the leader's actor. */
 final class LeaderTerm {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    private static final long SUMMARY_MICROS = 5 * Micros.SECOND;
+    private static final long SUMMARY_INTERVAL_MICROS = 5 * Micros.SECOND;
     /** Jobs, ledgers, bookings, types, machines that are given back. */
-    private static final int PARTS = 5;
+    private static final int LOAD_STEPS = 5;
 
     private final LeaderActor owner;
     private final UsersActor users;
     private final Scheduler scheduler;
     private final FailoverLoader takeOver;
-    private final LedgerCommitter rounds;
+    private final LedgerCommitter committer;
     private final CloudCalls cloud;
-    private final RolloutDriver steps;
+    private final RolloutDriver rollout;
     private final TermArchiving archiving;
-    private final LearnedStateWriter learning;
-    private final TermAnnouncer greeter;
+    private final LearnedStateWriter learnedState;
+    private final TermAnnouncer announcer;
     /** What still has to be read before the scheduler may act. */
-    private int loading = PARTS;
+    private int remainingLoadSteps = LOAD_STEPS;
 
-    private long summaryMicros;
+    private long lastSummaryMicros;
     /** Jobs known as cancelled until all is read; from then on the scheduler has them. */
-    private final Set<String> cancelled = new HashSet<>();
+    private final Set<String> cancelledJobs = new HashSet<>();
 
     LeaderTerm(
             LeaderActor owner,
@@ -63,27 +63,27 @@
         this.users = users;
         this.scheduler = scheduler;
         this.takeOver = takeOver;
-        this.rounds = rounds;
+        this.committer = rounds;
         this.cloud = cloud;
-        this.steps = steps;
+        this.rollout = steps;
         this.archiving = archiving;
-        this.learning = learning;
-        this.greeter = greeter;
+        this.learnedState = learning;
+        this.announcer = greeter;
     }
 
-    void begin() {
+    void start() {
         users.tell(new UsersActor.Follow(owner));
-        takeOver.tell(new FailoverLoader.Begin());
+        takeOver.tell(new FailoverLoader.LoadRequested());
     }
 
     /** Whether the outcome of a write is still to come. */
-    boolean writing() {
-        return rounds.writing();
+    boolean isWritePending() {
+        return committer.writing();
     }
 
     /** The latest revision that this term is known to have written, its claim included. */
-    long lastRevision() {
-        return Math.max(fencingToken(), rounds.lastRevision());
+    long lastWrittenRevision() {
+        return Math.max(fencingToken(), committer.lastRevision());
     }
 
     void end() {
@@ -95,33 +95,33 @@
         return scheduler.fencingToken();
     }
 
-    boolean loaded() {
-        return loading == 0;
+    boolean isLoaded() {
+        return remainingLoadSteps == 0;
     }
 
-    void holdsUntil(long untilMicros) {
+    void leaseHeldUntil(long untilMicros) {
         scheduler.leaseHeldUntil(untilMicros);
     }
 
-    void resumed(long now) {
+    void processResumed(long now) {
         scheduler.processResumed(now);
     }
 
-    void stateFresh(long askedMicros) {
+    void storeRead(long askedMicros) {
         scheduler.storeReadAt(askedMicros);
     }
 
-    void layoutSeen(long version, StoredRecord.Layout layout) {
-        steps.layoutSeen(version, layout);
+    void layoutObserved(long version, StoredRecord.Layout layout) {
+        rollout.layoutSeen(version, layout);
     }
 
-    void historySeen(long version, StoredRecord.ArchiveManifest manifest) {
-        steps.historySeen();
+    void archiveManifestObserved(long version, StoredRecord.ArchiveManifest manifest) {
+        rollout.historySeen();
         archiving.historySeen(version, manifest);
     }
 
-    void switchesChanged() {
-        steps.switchesChanged();
+    void featureStagesChanged() {
+        rollout.switchesChanged();
     }
 
     FailoverTimings takeOver() {
@@ -134,20 +134,20 @@
 
     /** What siblings show to users; empty until all is read. */
     List<JobProgress> progress() {
-        return loaded() ? scheduler.progress() : List.of();
+        return isLoaded() ? scheduler.progress() : List.of();
     }
 
     /**
      * While something is still to be read a report renews the worker's lease and is told only what to stop of jobs that are known as
      * cancelled: what an answer prolongs must not be one of them. The rest of what it says is taken from the next one.
      */
-    List<Command> heartbeat(Heartbeat heartbeat) {
-        if (loaded()) {
+    List<Command> handleHeartbeat(Heartbeat heartbeat) {
+        if (isLoaded()) {
             return scheduler.handleHeartbeat(heartbeat, owner.now());
         }
         List<Command> stops = new ArrayList<>();
         for (TaskStatus line : heartbeat.tasks()) {
-            if (line.state() != TaskState.EXITED && cancelled.contains(line.job())) {
+            if (line.state() != TaskState.EXITED && cancelledJobs.contains(line.job())) {
                 stops.add(new Command.Stop(line.job(), line.taskIndex(), line.attempt(), 0));
             }
         }
@@ -155,77 +155,77 @@
     }
 
     void receive(TermMessage message) {
-        if (message instanceof TermMessage.RoundAnswered m) {
-            rounds.answered(m);
-        } else if (message instanceof TermMessage.KeyRead m) {
-            rounds.keyRead(m);
+        if (message instanceof TermMessage.WriteBatchAnswered m) {
+            committer.answered(m);
+        } else if (message instanceof TermMessage.UnresolvedKeyRead m) {
+            committer.keyRead(m);
         } else if (message instanceof TermMessage.ReadBackDue) {
-            rounds.readBack();
-        } else if (message instanceof TermMessage.RefusedRead m) {
-            rounds.refusedRead(m);
-        } else if (message instanceof TermMessage.RefusedDue m) {
-            rounds.readRefused(m.key());
-        } else if (message instanceof TermMessage.CloudAnswered m) {
+            committer.readBack();
+        } else if (message instanceof TermMessage.ConflictingKeyRead m) {
+            committer.refusedRead(m);
+        } else if (message instanceof TermMessage.ConflictingKeyReadDue m) {
+            committer.readRefused(m.key());
+        } else if (message instanceof TermMessage.CloudCallAnswered m) {
             cloud.answered(m);
-        } else if (message instanceof TermMessage.ListRead m) {
+        } else if (message instanceof TermMessage.MachinesListed m) {
             cloud.listRead(m);
-        } else if (message instanceof TermMessage.Greeted m) {
-            greeter.answered(m);
-        } else if (message instanceof TermMessage.TypesStored m) {
+        } else if (message instanceof TermMessage.AnnouncementAnswered m) {
+            announcer.answered(m);
+        } else if (message instanceof TermMessage.MachineTypesWritten m) {
             cloud.typesStored(m.reply());
-        } else if (message instanceof TermMessage.TypesLoaded m) {
+        } else if (message instanceof TermMessage.MachineTypesLoaded m) {
             cloud.typesLoaded(m.types(), owner.now());
-        } else if (message instanceof TermMessage.RowsLoaded m) {
-            rowsLoaded(m.rows());
-        } else if (message instanceof TermMessage.HintsKept m) {
+        } else if (message instanceof TermMessage.RecordsLoaded m) {
+            recordsLoaded(m.records());
+        } else if (message instanceof TermMessage.ReceivedHintsLoaded m) {
             scheduler.hintsReceived(m.hints(), false, owner.now());
-        } else if (message instanceof TermMessage.PartLoaded) {
-            loadedOne();
-        } else if (message instanceof TermMessage.EndedFound m) {
+        } else if (message instanceof TermMessage.LoadStepCompleted) {
+            loadStepCompleted();
+        } else if (message instanceof TermMessage.ArchivableJobsFound m) {
             archiving.endedFound(m);
-        } else if (message instanceof TermMessage.Spent m) {
+        } else if (message instanceof TermMessage.ArchiveWritesUsed m) {
             scheduler.writesSpent(m.writes());
-        } else if (message instanceof TermMessage.HistoryBegun m) {
-            steps.historyBegun(m);
-        } else if (message instanceof TermMessage.LayoutMarked m) {
-            steps.layoutMarked(m);
-        } else if (message instanceof TermMessage.RosterRead m) {
-            steps.rosterRead(m.reply());
-        } else if (message instanceof TermMessage.Stepped m) {
-            steps.featuresStepped(m);
-        } else if (message instanceof TermMessage.FenceRead m) {
-            fenceRead(m.reply());
-        } else if (message instanceof TermMessage.LearnedStored m) {
-            learning.stored(m);
+        } else if (message instanceof TermMessage.ArchiveManifestCreated m) {
+            rollout.historyBegun(m);
+        } else if (message instanceof TermMessage.LayoutWritten m) {
+            rollout.layoutMarked(m);
+        } else if (message instanceof TermMessage.RolloutRecordsRead m) {
+            rollout.rosterRead(m.reply());
+        } else if (message instanceof TermMessage.FeatureStagesWritten m) {
+            rollout.featuresStepped(m);
+        } else if (message instanceof TermMessage.ProvisioningFenceRead m) {
+            provisioningFenceRead(m.reply());
+        } else if (message instanceof TermMessage.LearnedStateWritten m) {
+            learnedState.stored(m);
         }
     }
 
     // ---- what is read first
 
     /** Before the rest is known of them. */
-    void cancelledKnown(List<String> jobs) {
-        if (!loaded()) {
-            cancelled.addAll(jobs);
+    void cancellationsObserved(List<String> jobs) {
+        if (!isLoaded()) {
+            cancelledJobs.addAll(jobs);
         }
     }
 
-    void jobSeen(JobCache.View view) {
-        if (!loaded() && view.state() == JobState.CANCELLED) {
-            cancelled.add(view.id());
+    void jobObserved(JobCache.View view) {
+        if (!isLoaded() && view.state() == JobState.CANCELLED) {
+            cancelledJobs.add(view.id());
         }
         scheduler.jobChanged(view, owner.wall(), owner.now());
     }
 
     /** The open and the cancelled jobs by a read that began after our claim: every start of an earlier leader belongs to one of them. */
-    void jobsSeen(List<JobCache.View> jobs) {
-        if (loading > 0) {
-            jobs.forEach(this::jobSeen);
-            takeOver.tell(new FailoverLoader.JobsKnown());
-            loadedOne();
+    void jobsObserved(List<JobCache.View> jobs) {
+        if (remainingLoadSteps > 0) {
+            jobs.forEach(this::jobObserved);
+            takeOver.tell(new FailoverLoader.JobsLoaded());
+            loadStepCompleted();
         }
     }
 
-    private void rowsLoaded(List<StoreCodec.Item> rows) {
+    private void recordsLoaded(List<StoreCodec.Item> rows) {
         long now = owner.now();
         for (StoreCodec.Item item : rows) {
             if (item.row() instanceof StoredRecord.Ledger ledger) {
@@ -236,14 +236,14 @@
             } else if (item.row() instanceof StoredRecord.MachinesToDelete returned) {
                 scheduler.machineDeletionLoaded(item.key(), returned, item.version(), now);
             } else if (item.row() instanceof StoredRecord.LearnedState learned) {
-                learning.found(item.key(), learned);
+                learnedState.found(item.key(), learned);
                 scheduler.hintsReceived(learned.hints(), true, now);
             }
         }
     }
 
     /** Bookings are written once their fence is known; nothing else waits for it. */
-    private void fenceRead(Reply reply) {
+    private void provisioningFenceRead(Reply reply) {
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
@@ -256,13 +256,13 @@
         }
     }
 
-    private void loadedOne() {
-        if (--loading == 0) {
+    private void loadStepCompleted() {
+        if (--remainingLoadSteps == 0) {
             long now = owner.now();
             scheduler.allRecordsLoaded(now);
-            cancelled.clear();
+            cancelledJobs.clear();
             LOG.info("term {} rebuilt: {}", fencingToken(), scheduler.summary(now));
-            steps.loaded();
+            rollout.loaded();
             archiving.loaded();
         }
     }
@@ -271,12 +271,12 @@
 
     /** Called every so often once all is read. */
     void tick(long now) {
-        greeter.next(now);
+        announcer.sendDue(now);
         scheduler.tick(now);
-        rounds.next(now);
-        steps.tick(now);
+        committer.next(now);
+        rollout.tick(now);
         archiving.tick(now);
-        learning.tick(now);
+        learnedState.tick(now);
         for (CloudCall call : scheduler.cloudCalls(now)) {
             cloud.call(call, now);
         }
@@ -284,9 +284,9 @@
         scheduler.takeCompletions(now).forEach(LOG::debug);
     }
 
-    void summary(long now) {
-        if (now - summaryMicros >= SUMMARY_MICROS) {
-            summaryMicros = now;
+    void logSummaryIfDue(long now) {
+        if (now - lastSummaryMicros >= SUMMARY_INTERVAL_MICROS) {
+            lastSummaryMicros = now;
             LOG.info("{}", scheduler.summary(now));
         }
     }
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -102,14 +102,14 @@
                                         StoreKeys.FEATURE_STAGES,
                                         rollout.switches().version())),
                         List.of(new Transaction.Write(key, row, 0))),
-                owner.answer(r -> new TermMessage.LearnedStored(r, fencingToken, key, row)));
+                owner.answer(r -> new TermMessage.LearnedStateWritten(r, fencingToken, key, row)));
     }
 
     /** Without an answer it is written again: it is the latest that counts, and only this leader writes. */
-    void stored(TermMessage.LearnedStored message) {
+    void stored(TermMessage.LearnedStateWritten message) {
         writing = false;
         if (message.reply().ok()) {
-            found(message.key(), message.row());
+            found(message.key(), message.state());
         }
     }
 }
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -51,11 +51,11 @@
         if (round != null) {
             long fencingToken = scheduler.fencingToken();
             writing = true;
-            state.transaction(round, owner.answer(r -> new TermMessage.RoundAnswered(r, fencingToken, round)));
+            state.transaction(round, owner.answer(r -> new TermMessage.WriteBatchAnswered(r, fencingToken, round)));
         }
     }
 
-    void answered(TermMessage.RoundAnswered message) {
+    void answered(TermMessage.WriteBatchAnswered message) {
         long now = owner.now();
         Reply reply = message.reply();
         writing = false;
@@ -64,7 +64,7 @@
                 lastRevision = StoreCodec.revision(reply.body());
                 scheduler.writeConfirmed(lastRevision, now);
                 tellEnded();
-                if (!owner.ending()) {
+                if (!owner.isShuttingDown()) {
                     next(now);
                 }
                 return;
@@ -78,7 +78,7 @@
                 return;
             }
             if (reply.status() == 400) {
-                logRefused(reply, message.round());
+                logRefused(reply, message.transaction());
                 scheduler.writeRejected(now);
                 return;
             }
@@ -98,27 +98,27 @@
     private void refused(List<String> failed, long now) {
         if (failed.contains(StoreKeys.LEADER)) {
             LOG.info("a write was refused: fenced");
-            owner.fenced();
+            owner.writeFenced();
             return;
         }
         LOG.debug("round refused for {}", failed);
         scheduler.writeConflicted(failed, now).forEach(this::readRefused);
-        if (!owner.ending()) {
+        if (!owner.isShuttingDown()) {
             next(now);
         }
     }
 
     void readRefused(String key) {
         long fencingToken = scheduler.fencingToken();
-        state.read(key, owner.answer(r -> new TermMessage.RefusedRead(r, fencingToken, key)));
+        state.read(key, owner.answer(r -> new TermMessage.ConflictingKeyRead(r, fencingToken, key)));
     }
 
-    void refusedRead(TermMessage.RefusedRead message) {
+    void refusedRead(TermMessage.ConflictingKeyRead message) {
         if (takeIn(message.key(), message.reply())) {
             scheduler.keyReadBack(message.key(), owner.now());
             tellEnded();
         } else {
-            owner.tellLater(new TermMessage.RefusedDue(message.fencingToken(), message.key()), RETRY_MICROS);
+            owner.tellLater(new TermMessage.ConflictingKeyReadDue(message.fencingToken(), message.key()), RETRY_MICROS);
         }
     }
 
@@ -153,11 +153,11 @@
         String key = unread.next();
         if (key != null) {
             long fencingToken = scheduler.fencingToken();
-            state.read(key, owner.answer(r -> new TermMessage.KeyRead(r, fencingToken, key)));
+            state.read(key, owner.answer(r -> new TermMessage.UnresolvedKeyRead(r, fencingToken, key)));
         }
     }
 
-    void keyRead(TermMessage.KeyRead message) {
+    void keyRead(TermMessage.UnresolvedKeyRead message) {
         if (takeIn(message.key(), message.reply())) {
             unread.keyRead();
             readBack();
--- a/src/main/java/io/micatide/controller/NettyActorExecutor.java
+++ b/src/main/java/io/micatide/controller/NettyActorExecutor.java
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public void later(Runnable what, long delayMicros) {
+    public void executeLater(Runnable what, long delayMicros) {
         loop.schedule(what, delayMicros, TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -109,7 +109,7 @@
             looking = true;
             lookedMicros = now;
             long fencingToken = scheduler.fencingToken();
-            state.list(StoreKeys.ROLLOUT, null, owner.answer(r -> new TermMessage.RosterRead(r, fencingToken)));
+            state.list(StoreKeys.ROLLOUT, null, owner.answer(r -> new TermMessage.RolloutRecordsRead(r, fencingToken)));
         }
     }
 
@@ -174,10 +174,10 @@
                 new Transaction(
                         conditions(roster, new Transaction.Condition(StoreKeys.LAYOUT, 0)),
                         List.of(new Transaction.Write(StoreKeys.LAYOUT, first, 0))),
-                owner.answer(r -> new TermMessage.LayoutMarked(r, fencingToken, first)));
+                owner.answer(r -> new TermMessage.LayoutWritten(r, fencingToken, first)));
     }
 
-    void layoutMarked(TermMessage.LayoutMarked message) {
+    void layoutMarked(TermMessage.LayoutWritten message) {
         stepped(message.reply());
         try {
             if (message.reply().ok()) {
@@ -208,11 +208,11 @@
                                 new Transaction.Write(StoreKeys.LAYOUT, renewed, 0),
                                 new Transaction.Write(
                                         StoreKeys.ARCHIVE_MANIFEST, Archiver.first(fencingToken, owner.wall()), 0))),
-                owner.answer(r -> new TermMessage.HistoryBegun(r, fencingToken)));
+                owner.answer(r -> new TermMessage.ArchiveManifestCreated(r, fencingToken)));
     }
 
     /** Whoever wrote it, the copy of the rows tells of it. */
-    void historyBegun(TermMessage.HistoryBegun message) {
+    void historyBegun(TermMessage.ArchiveManifestCreated message) {
         stepped(message.reply());
         if (message.reply().ok()) {
             LOG.info("all {} controllers read layout {}: the archive begins", labels.size(), Settings.LAYOUT_HISTORY);
@@ -236,16 +236,16 @@
                                         StoreKeys.FEATURE_STAGES,
                                         rollout.switches().version())),
                         List.of(new Transaction.Write(StoreKeys.FEATURE_STAGES, plan.row(), 0))),
-                owner.answer(r -> new TermMessage.Stepped(r, fencingToken, plan.row(), plan.moves())));
+                owner.answer(r -> new TermMessage.FeatureStagesWritten(r, fencingToken, plan.row(), plan.moves())));
     }
 
     /** Of an outcome that is not known the row itself tells. */
-    void featuresStepped(TermMessage.Stepped message) {
+    void featuresStepped(TermMessage.FeatureStagesWritten message) {
         stepped(message.reply());
         try {
             if (message.reply().ok()) {
-                LOG.info("roll-out: {}", String.join(", ", message.moves()));
-                rollout.seen(StoreCodec.revision(message.reply().body()), message.row());
+                LOG.info("roll-out: {}", String.join(", ", message.transitions()));
+                rollout.seen(StoreCodec.revision(message.reply().body()), message.stages());
                 return;
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -95,7 +95,7 @@
         }
         blocked = !unknown.isEmpty();
         users.tell(new UsersActor.Blocked(blocked));
-        owner.switchesChanged();
+        owner.featureStagesChanged();
     }
 
     /** Called every so often. */
@@ -105,17 +105,17 @@
         }
         if ((!switches.known() || heardOf > switches.version()) && !reading && now >= readAgainMicros) {
             reading = true;
-            state.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderActor.SwitchesRead::new));
+            state.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderActor.FeatureStagesRead::new));
         }
         if (blocked && now - saidMicros >= SAID_MICROS) {
             saidMicros = now;
             LOG.warn("waits, and does not serve, because of {}", String.join(", ", switches.unknown()));
         }
         switch (registration.next(blocked ? 0 : lease, switches.version(), now)) {
-            case READ -> state.read(registration.key(), owner.answer(LeaderActor.OwnRowRead::new));
+            case READ -> state.read(registration.key(), owner.answer(LeaderActor.RegistrationRead::new));
             case PUT -> {
                 Transaction put = registration.put();
-                state.transaction(put, owner.answer(LeaderActor.Registered::new));
+                state.transaction(put, owner.answer(LeaderActor.RegistrationWritten::new));
             }
             case NOTHING -> {}
         }
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -162,7 +162,7 @@
     }
 
     private void tellWhole() {
-        leader.tell(new StandbyMessage.CopyIs(whole()));
+        leader.tell(new StandbyMessage.ReplicaStateChanged(whole()));
     }
 
     // ---- following
@@ -285,13 +285,13 @@
             if (had && copy.whole()) {
                 bringUp(copy, message.fencingToken(), message.to(), 1);
             } else {
-                message.to().tell(new FailoverLoader.Brought(copy.prefix(), null));
+                message.to().tell(new FailoverLoader.ReplicaLoaded(copy.prefix(), null));
                 copy.clear();
             }
         }
-        leader.tell(new TermMessage.HintsKept(message.fencingToken(), hints.all()));
+        leader.tell(new TermMessage.ReceivedHintsLoaded(message.fencingToken(), hints.all()));
         hints.clear();
-        leader.tell(new StandbyMessage.CopyIs(false));
+        leader.tell(new StandbyMessage.ReplicaStateChanged(false));
     }
 
     /** Whoever leads by the latest token tells; an heir that was not told of its appointment yet holds nothing. */
@@ -334,7 +334,7 @@
         if (items != null) {
             witness.accept(copy.prefix(), items);
         }
-        message.to().tell(new FailoverLoader.Brought(copy.prefix(), items));
+        message.to().tell(new FailoverLoader.ReplicaLoaded(copy.prefix(), items));
         copy.clear();
     }
 
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -21,35 +21,35 @@
  */
 final class StandbyCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    private static final byte[] FOLLOWS_NOTHING = Json.error(null, "follows nothing");
+    private static final byte[] NOT_A_STANDBY = Json.error(null, "follows nothing");
 
     private final LeaderActor owner;
     private final Settings settings;
-    private final PeerChannel siblings;
-    private final LeaderLease claims;
+    private final PeerClients peers;
+    private final LeaderLease lease;
     /** Null where the operator wants none. */
     private final StandbyActor standby;
 
-    private final ElectionDelay succession;
-    private final StandbySelector heirs;
+    private final ElectionDelay electionDelay;
+    private final StandbySelector selector;
     /** Of the present term. */
-    private HintSender hints;
+    private HintSender hintSender;
 
     StandbyCoordinator(
             LeaderActor owner,
             Settings settings,
-            PeerChannel siblings,
+            PeerClients siblings,
             LeaderLease claims,
             StandbyActor standby,
             long now) {
         this.owner = owner;
         this.settings = settings;
-        this.siblings = siblings;
-        this.claims = claims;
+        this.peers = siblings;
+        this.lease = claims;
         this.standby = standby;
-        this.succession =
+        this.electionDelay =
                 new ElectionDelay(settings.label(), settings.siblings().size(), now);
-        this.heirs = new StandbySelector(settings);
+        this.selector = new StandbySelector(settings);
     }
 
     /** Null where the operator wants none. */
@@ -60,71 +60,71 @@
     /** @param fencingToken of this controller's term, 0 if it does not lead */
     void receive(StandbyMessage message, long fencingToken) {
         long now = owner.now();
-        if (message instanceof StandbyMessage.CopyIs m) {
-            succession.copyIs(m.whole());
-        } else if (message instanceof StandbyMessage.WarmthTold m) {
-            warmthTold(m.reply(), m.sibling(), now);
-        } else if (message instanceof StandbyMessage.TakeHandOver m) {
-            takeHandOver(m.request(), fencingToken != 0, now);
-        } else if (message instanceof StandbyMessage.TakeHints m) {
-            takeHints(m.request());
-        } else if (message instanceof StandbyMessage.HintsAnswered m && m.fencingToken() == fencingToken) {
-            hintsAnswered(m.sibling(), m.reply());
+        if (message instanceof StandbyMessage.ReplicaStateChanged m) {
+            electionDelay.copyIs(m.isComplete());
+        } else if (message instanceof StandbyMessage.ReadinessAnswered m) {
+            readinessAnswered(m.reply(), m.peer(), now);
+        } else if (message instanceof StandbyMessage.HandoverRequested m) {
+            handoverRequested(m.request(), fencingToken != 0, now);
+        } else if (message instanceof StandbyMessage.HintsReceived m) {
+            hintsReceived(m.request());
+        } else if (message instanceof StandbyMessage.HintsAcknowledged m && m.fencingToken() == fencingToken) {
+            hintsAcknowledged(m.peer(), m.reply());
         }
     }
 
     // ---- a follower
 
     /** For how long a free row is left to others; asks them if this process is cold. */
-    long waits(boolean reached, long now) {
+    long claimDelayMicros(boolean reached, long now) {
         if (standby == null) {
             return ElectionDelay.waitsOfAnyone(reached);
         }
-        long claimable = claims.claimableFor(now);
-        boolean cold = succession.readiness(now) == StandbyReadiness.COLD;
+        long claimable = lease.claimableForMicros(now);
+        boolean cold = electionDelay.readiness(now) == StandbyReadiness.COLD;
         if (claimable >= 0 && (cold || !reached)) {
-            siblings.askWarmth(now);
-            if (cold && succession.warmerThere(now)) {
-                claims.leaveFormerRow();
+            peers.requestReadiness(now);
+            if (cold && electionDelay.warmerThere(now)) {
+                lease.endFormerLease();
             }
         }
-        return succession.waits(Math.max(0, claimable), reached, now);
+        return electionDelay.waits(Math.max(0, claimable), reached, now);
     }
 
     /** News of who leads by the highest token. */
-    void told(PeerCodec.News news, long now) {
-        succession.told(news.heirs(), now);
+    void leaderStatusReceived(PeerCodec.News news, long now) {
+        electionDelay.told(news.heirs(), now);
         if (standby != null) {
-            standby.tell(new StandbyActor.Appointed(succession.appointed()));
+            standby.tell(new StandbyActor.Appointed(electionDelay.appointed()));
         }
     }
 
     /** Whether this controller is appointed to take over. */
-    boolean appointed() {
-        return succession.appointed();
+    boolean isDesignated() {
+        return electionDelay.appointed();
     }
 
     /** Whether the leader before has just handed over to this controller. */
-    boolean handedOver(long now) {
-        return succession.handedOverAt(now);
+    boolean wasHandedOver(long now) {
+        return electionDelay.handedOverAt(now);
     }
 
     /** What it says of its readiness, null for nothing. */
     StandbyReadiness readiness(long now) {
-        return standby == null ? null : succession.readiness(now);
+        return standby == null ? null : electionDelay.readiness(now);
     }
 
     /** A sibling that answers, of whatever version, has been there for longer than this process. */
-    private void warmthTold(Reply reply, int sibling, long now) {
+    private void readinessAnswered(Reply reply, int sibling, long now) {
         if (reply.status() == 404) {
-            succession.word(sibling, StandbyReadiness.SEASONED, false, now);
+            electionDelay.word(sibling, StandbyReadiness.SEASONED, false, now);
         } else if (reply.status() == 0 && !reply.sent()) {
             // Refused: most likely it has ended. It may only be out of sockets, but this is courtesy.
-            succession.word(sibling, StandbyReadiness.COLD, false, now);
+            electionDelay.word(sibling, StandbyReadiness.COLD, false, now);
         } else if (reply.ok()) {
             try {
                 PeerCodec.Answer answer = PeerCodec.answer(reply.body());
-                succession.word(
+                electionDelay.word(
                         sibling,
                         answer.readiness() == null ? StandbyReadiness.COLD : answer.readiness(),
                         answer.strayedAgoMicros() >= 0,
@@ -135,22 +135,22 @@
         }
     }
 
-    private void takeHints(Request request) {
+    private void hintsReceived(Request request) {
         if (standby == null) {
-            request.answer(404, FOLLOWS_NOTHING);
+            request.answer(404, NOT_A_STANDBY);
         } else {
             standby.tell(new StandbyActor.Hinted(request));
         }
     }
 
     /** A leader that ends wants this controller to catch up. */
-    private void takeHandOver(Request request, boolean leads, long now) {
+    private void handoverRequested(Request request, boolean leads, long now) {
         try {
             long revision = PeerCodec.handedRevision(request.body());
             if (standby == null || leads) {
-                request.answer(409, FOLLOWS_NOTHING);
+                request.answer(409, NOT_A_STANDBY);
             } else {
-                succession.handedOver(now);
+                electionDelay.handedOver(now);
                 standby.tell(new StandbyActor.CatchUp(request, revision));
             }
         } catch (MalformedException e) {
@@ -161,43 +161,43 @@
     // ---- a leader
 
     /** A term of this controller begins. */
-    void begin(long fencingToken, long now) {
-        succession.led();
-        heirs.begin(now);
-        hints = new HintSender(fencingToken, settings.siblings().size());
+    void termStarted(long fencingToken, long now) {
+        electionDelay.led();
+        selector.begin(now);
+        hintSender = new HintSender(fencingToken, settings.siblings().size());
     }
 
     /** A sibling answered this term's news. */
-    void heard(int sibling, PeerCodec.Answer answer, long now) {
-        heirs.heard(sibling, answer.readiness(), answer.served(), now);
+    void peerStatusAnswered(int sibling, PeerCodec.Answer answer, long now) {
+        selector.heard(sibling, answer.readiness(), answer.served(), now);
     }
 
     /** Whom this term's news appoint, null for nobody yet or ever. */
-    List<String> appoint(long now) {
-        return standby == null ? null : heirs.appoint(now);
+    List<String> selectStandbys(long now) {
+        return standby == null ? null : selector.appoint(now);
     }
 
     /** Place among the siblings of the heir that could lead at once, or -1. */
-    int firstHeir(long now) {
-        return heirs.first(now);
+    int firstWarmStandby(long now) {
+        return selector.first(now);
     }
 
     /** Tells the heirs what no row holds. */
-    void tellHints(LeaderTerm term, long now) {
-        if (!heirs.appointed().isEmpty()) {
-            hints.picture(term.hints(now));
-            siblings.hints(heirs.appointed(), hints, term.fencingToken());
+    void sendHints(LeaderTerm term, long now) {
+        if (!selector.appointed().isEmpty()) {
+            hintSender.picture(term.hints(now));
+            peers.sendHints(selector.appointed(), hintSender, term.fencingToken());
         }
     }
 
     /** An heir's answer to a part of this term's hints. */
-    private void hintsAnswered(int sibling, Reply reply) {
+    private void hintsAcknowledged(int sibling, Reply reply) {
         long held = -1;
         try {
             held = reply.ok() ? HintCodec.held(reply.body()) : -1;
         } catch (MalformedException e) {
             LOG.error("sibling: {}", e.getMessage());
         }
-        hints.holds(sibling, held);
+        hintSender.holds(sibling, held);
     }
 }
--- a/src/main/java/io/micatide/controller/TermAnnouncer.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -24,21 +24,21 @@
 final class TermAnnouncer {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     /** What a greeting with its connection takes of a core, and about as much as a report with all that follows from it. */
-    private static final double CORE_SECONDS = 0.001;
+    private static final double CORE_SECONDS_PER_ANNOUNCEMENT = 0.001;
 
-    private static final double SHARE = 0.25;
-    private static final int MOST_WAITING = 48;
+    private static final double SPARE_CPU_SHARE = 0.25;
+    private static final int MAX_IN_FLIGHT = 48;
     /** In a cut a connection hangs; the machine comes by itself, or not at all. */
-    private static final long PATIENCE_MICROS = Micros.SECOND;
+    private static final long TIMEOUT_MICROS = Micros.SECOND;
 
     private final LeaderActor owner;
     private final Scheduler scheduler;
     private final Http.Connector connector;
     private final Settings settings;
-    private final boolean handedOver;
-    private double due;
-    private long paidMicros;
-    private int waiting;
+    private final boolean wasHandedOver;
+    private double budget;
+    private long budgetUpdatedMicros;
+    private int inFlight;
 
     /** @param handedOver whether the leader before ended in order, so that no worker looks for another one yet */
     TermAnnouncer(
@@ -47,47 +47,47 @@
         this.scheduler = scheduler;
         this.connector = connector;
         this.settings = settings;
-        this.handedOver = handedOver;
-        this.paidMicros = owner.now();
+        this.wasHandedOver = handedOver;
+        this.budgetUpdatedMicros = owner.now();
     }
 
     /** Called every so often once all is read. */
-    void next(long now) {
-        due = Math.min(MOST_WAITING, due + aSecond() * Micros.toSeconds(now - paidMicros));
-        paidMicros = now;
-        int most = (int) Math.min(due, MOST_WAITING - waiting);
+    void sendDue(long now) {
+        budget = Math.min(MAX_IN_FLIGHT, budget + ratePerSecond() * Micros.toSeconds(now - budgetUpdatedMicros));
+        budgetUpdatedMicros = now;
+        int most = (int) Math.min(budget, MAX_IN_FLIGHT - inFlight);
         if (most < 1) {
             return;
         }
         for (TermAnnouncement greeting : scheduler.nextAnnouncements(most)) {
-            due--;
-            greet(greeting, connector.to(greeting.address(), 1));
+            budget--;
+            send(greeting, connector.to(greeting.address(), 1));
         }
     }
 
-    private double aSecond() {
-        if (handedOver) {
-            return settings.cores() * SHARE / CORE_SECONDS;
+    private double ratePerSecond() {
+        if (wasHandedOver) {
+            return settings.cores() * SPARE_CPU_SHARE / CORE_SECONDS_PER_ANNOUNCEMENT;
         }
         double interval = Micros.toSeconds(settings.heartbeatIntervalMicros());
-        double reports = scheduler.machineCount() / interval * CORE_SECONDS;
-        double most = Math.max(0, settings.cores() - reports) * SHARE / CORE_SECONDS;
+        double reports = scheduler.machineCount() / interval * CORE_SECONDS_PER_ANNOUNCEMENT;
+        double most = Math.max(0, settings.cores() - reports) * SPARE_CPU_SHARE / CORE_SECONDS_PER_ANNOUNCEMENT;
         return most * interval < scheduler.machineCount() ? 0 : most;
     }
 
-    private void greet(TermAnnouncement greeting, Http worker) {
-        waiting++;
+    private void send(TermAnnouncement greeting, Http worker) {
+        inFlight++;
         long fencingToken = scheduler.fencingToken();
         worker.post(
                 "/commands",
                 WorkerCodec.greeting(fencingToken, greeting.incarnation()),
-                PATIENCE_MICROS,
-                owner.answer(r -> new TermMessage.Greeted(r, fencingToken, greeting, worker)));
+                TIMEOUT_MICROS,
+                owner.answer(r -> new TermMessage.AnnouncementAnswered(r, fencingToken, greeting, worker)));
     }
 
-    void answered(TermMessage.Greeted message) {
-        waiting--;
-        TermAnnouncement greeting = message.greeting();
+    void answered(TermMessage.AnnouncementAnswered message) {
+        inFlight--;
+        TermAnnouncement greeting = message.announcement();
         try {
             if (message.reply().ok()) {
                 scheduler.announcementAnswered(
@@ -96,12 +96,12 @@
                 Heartbeat heartbeat = WorkerCodec.heartbeat(message.reply().body());
                 if (heartbeat.fencingToken() <= message.fencingToken()
                         && heartbeat.incarnation() > greeting.incarnation()) {
-                    greet(
+                    send(
                             new TermAnnouncement(greeting.machine(), greeting.address(), heartbeat.incarnation()),
                             message.worker());
                     return;
                 }
-                owner.tokenSeen(heartbeat.fencingToken());
+                owner.observeFencingToken(heartbeat.fencingToken());
             }
         } catch (MalformedException e) {
             LOG.error("answer of {}: {}", greeting.machine(), e.getMessage());
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -74,11 +74,11 @@
         archivist.tell(new ArchiverActor.Spare(fencingToken, scheduler.spareWriteBudget(now)));
     }
 
-    void endedFound(TermMessage.EndedFound message) {
+    void endedFound(TermMessage.ArchivableJobsFound message) {
         if (!archiving) {
             return;
         }
-        List<Archiver.Ended> settled = message.ended().stream()
+        List<Archiver.Ended> settled = message.jobs().stream()
                 .filter(each -> each.outcome() == null || scheduler.mayBeArchived(each.id()))
                 .toList();
         long now = owner.now();
@@ -86,6 +86,6 @@
         if (anyway || settled.isEmpty() || settled.size() >= tuning.archiveBatchSize()) {
             fewSinceMicros = now;
         }
-        archivist.tell(new ArchiverActor.Offer(message.fencingToken(), settled, message.copyOfVersion(), anyway));
+        archivist.tell(new ArchiverActor.Offer(message.fencingToken(), settled, message.manifestVersion(), anyway));
     }
 }
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -19,55 +19,58 @@
     long fencingToken();
 
     /** Ledgers or bookings that a new leader has read. */
-    record RowsLoaded(long fencingToken, List<StoreCodec.Item> rows) implements TermMessage {}
+    record RecordsLoaded(long fencingToken, List<StoreCodec.Item> records) implements TermMessage {}
 
-    record TypesLoaded(long fencingToken, List<MachineType> types) implements TermMessage {}
+    record MachineTypesLoaded(long fencingToken, List<MachineType> types) implements TermMessage {}
 
     /** What the leader before told this controller when it followed. */
-    record HintsKept(long fencingToken, List<Hint> hints) implements TermMessage {}
+    record ReceivedHintsLoaded(long fencingToken, List<Hint> hints) implements TermMessage {}
 
     /** One of the things that a new leader reads is whole. */
-    record PartLoaded(long fencingToken) implements TermMessage {}
+    record LoadStepCompleted(long fencingToken) implements TermMessage {}
 
     /** Jobs that are over and that no open job needs, by a copy of the rows with this manifest. */
-    record EndedFound(long fencingToken, List<Archiver.Ended> ended, long copyOfVersion) implements TermMessage {}
+    record ArchivableJobsFound(long fencingToken, List<Archiver.Ended> jobs, long manifestVersion)
+            implements TermMessage {}
 
     /** The archive has used so many changes. */
-    record Spent(long fencingToken, int writes) implements TermMessage {}
+    record ArchiveWritesUsed(long fencingToken, int writes) implements TermMessage {}
 
-    record HistoryBegun(Reply reply, long fencingToken) implements TermMessage {}
+    record ArchiveManifestCreated(Reply reply, long fencingToken) implements TermMessage {}
 
     /** Who is registered and what operators ask for. */
-    record RosterRead(Reply reply, long fencingToken) implements TermMessage {}
+    record RolloutRecordsRead(Reply reply, long fencingToken) implements TermMessage {}
 
-    record Stepped(Reply reply, long fencingToken, StoredRecord.FeatureStages row, List<String> moves)
+    record FeatureStagesWritten(
+            Reply reply, long fencingToken, StoredRecord.FeatureStages stages, List<String> transitions)
             implements TermMessage {}
 
-    record FenceRead(Reply reply, long fencingToken) implements TermMessage {}
+    record ProvisioningFenceRead(Reply reply, long fencingToken) implements TermMessage {}
 
-    record LearnedStored(Reply reply, long fencingToken, String key, StoredRecord.LearnedState row)
+    record LearnedStateWritten(Reply reply, long fencingToken, String key, StoredRecord.LearnedState state)
             implements TermMessage {}
 
-    record LayoutMarked(Reply reply, long fencingToken, StoredRecord.Layout layout) implements TermMessage {}
+    record LayoutWritten(Reply reply, long fencingToken, StoredRecord.Layout layout) implements TermMessage {}
 
     /** A worker's answer to a greeting. */
-    record Greeted(Reply reply, long fencingToken, TermAnnouncement greeting, Http worker) implements TermMessage {}
+    record AnnouncementAnswered(Reply reply, long fencingToken, TermAnnouncement announcement, Http worker)
+            implements TermMessage {}
 
-    record RoundAnswered(Reply reply, long fencingToken, Transaction round) implements TermMessage {}
+    record WriteBatchAnswered(Reply reply, long fencingToken, Transaction transaction) implements TermMessage {}
 
-    record KeyRead(Reply reply, long fencingToken, String key) implements TermMessage {}
+    record UnresolvedKeyRead(Reply reply, long fencingToken, String key) implements TermMessage {}
 
     /** One of the keys that a round was refused for. */
-    record RefusedRead(Reply reply, long fencingToken, String key) implements TermMessage {}
+    record ConflictingKeyRead(Reply reply, long fencingToken, String key) implements TermMessage {}
 
-    record RefusedDue(long fencingToken, String key) implements TermMessage {}
+    record ConflictingKeyReadDue(long fencingToken, String key) implements TermMessage {}
 
     record ReadBackDue(long fencingToken) implements TermMessage {}
 
-    record TypesStored(Reply reply, long fencingToken) implements TermMessage {}
+    record MachineTypesWritten(Reply reply, long fencingToken) implements TermMessage {}
 
-    record CloudAnswered(Reply reply, long fencingToken, CloudCall call) implements TermMessage {}
+    record CloudCallAnswered(Reply reply, long fencingToken, CloudCall call) implements TermMessage {}
 
-    record ListRead(Reply reply, long fencingToken, long askedMicros, List<ListedMachine> before)
+    record MachinesListed(Reply reply, long fencingToken, long askedMicros, List<ListedMachine> earlierPages)
             implements TermMessage {}
 }
--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -25,20 +25,20 @@
     /** What lies between the end of a worker's lease and the end of its tasks, and clocks. */
     private static final long MARGIN_MICROS = Micros.SECOND;
     /** A read is never longer ago than this while the state service answers; settings that leave less cannot be kept. */
-    private static final long LEAST_MICROS = 4 * Micros.SECOND;
+    private static final long MIN_AGE_LIMIT_MICROS = 4 * Micros.SECOND;
 
-    private static final long NOTHING_KNOWN = Long.MIN_VALUE / 2;
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    private final List<Settings.Sibling> siblings;
-    private final long limitMicros;
-    private final long[] knownMicros;
-    private boolean storeRead;
+    private final List<Settings.Sibling> peers;
+    private final long maxAgeMicros;
+    private final long[] knownUpToMicros;
+    private boolean hasReadStore;
 
     public CancellationHorizon(Settings settings) {
-        siblings = settings.siblings();
-        limitMicros = Math.max(LEAST_MICROS, allowedMicros(settings));
-        knownMicros = new long[siblings.size()];
-        Arrays.fill(knownMicros, NOTHING_KNOWN);
+        peers = settings.siblings();
+        maxAgeMicros = Math.max(MIN_AGE_LIMIT_MICROS, allowedMicros(settings));
+        knownUpToMicros = new long[peers.size()];
+        Arrays.fill(knownUpToMicros, NEVER_MICROS);
     }
 
     private static long allowedMicros(Settings settings) {
@@ -48,7 +48,7 @@
     /** What these settings promise and nobody could keep, for the operator; null if they can be kept. */
     public static String violationOf(Settings settings) {
         long allowed = allowedMicros(settings);
-        return allowed >= LEAST_MICROS
+        return allowed >= MIN_AGE_LIMIT_MICROS
                 ? null
                 : String.format(
                         "workers.cancel_s: %.1f s with workers.lease_s of %.1f s leave %.1f s without news of cancellations, and at least %.1f s are needed:"
@@ -56,15 +56,15 @@
                         Micros.toSeconds(settings.cancellationLimitMicros()),
                         Micros.toSeconds(settings.workerLeaseMicros()),
                         Micros.toSeconds(allowed),
-                        Micros.toSeconds(LEAST_MICROS));
+                        Micros.toSeconds(MIN_AGE_LIMIT_MICROS));
     }
 
     /** The state service was asked then for what has changed, and all that it answered is taken in. */
-    public void storeRead(long askedMicros) {
+    public void hasReadStore(long askedMicros) {
         // It began in this process's life, so whatever a former one in its place told is in it.
-        storeRead = true;
-        for (int i = 0; i < knownMicros.length; i++) {
-            knownMicros[i] = Math.max(knownMicros[i], askedMicros);
+        hasReadStore = true;
+        for (int i = 0; i < knownUpToMicros.length; i++) {
+            knownUpToMicros[i] = Math.max(knownUpToMicros[i], askedMicros);
         }
     }
 
@@ -80,21 +80,21 @@
         // this.
         long bornMicros = heardMicros - Micros.withoutDrift(word.uptimeMicros());
         if (!word.complete()
-                || !word.controller().equals(siblings.get(sibling).label())
-                || bornMicros > knownMicros[sibling]) {
+                || !word.controller().equals(peers.get(sibling).label())
+                || bornMicros > knownUpToMicros[sibling]) {
             return false;
         }
-        knownMicros[sibling] = Math.max(knownMicros[sibling], askedMicros);
+        knownUpToMicros[sibling] = Math.max(knownUpToMicros[sibling], askedMicros);
         return true;
     }
 
     /** Whether the leader may answer workers, and by that prolong what runs on them. */
     public boolean mayAnswerWorkers(long nowMicros) {
-        if (!storeRead) {
+        if (!hasReadStore) {
             return false;
         }
-        for (long known : knownMicros) {
-            if (nowMicros - known > limitMicros) {
+        for (long known : knownUpToMicros) {
+            if (nowMicros - known > maxAgeMicros) {
                 return false;
             }
         }
@@ -102,9 +102,9 @@
     }
 
     /** Whose word is missing, for the log: labels of the siblings of which not enough is known. */
-    public List<String> laggingControllers(long nowMicros) {
-        return siblings.stream()
-                .filter(each -> nowMicros - knownMicros[siblings.indexOf(each)] > limitMicros)
+    public List<String> laggingPeers(long nowMicros) {
+        return peers.stream()
+                .filter(each -> nowMicros - knownUpToMicros[peers.indexOf(each)] > maxAgeMicros)
                 .map(Settings.Sibling::label)
                 .toList();
     }
--- a/src/main/java/io/micatide/election/LeaderElection.java
+++ b/src/main/java/io/micatide/election/LeaderElection.java
@@ -10,7 +10,7 @@
     /** What the node should do next. */
     public enum Action {
         NOTHING,
-        READ_ROW,
+        READ_RECORD,
         GRANT_LEASE,
         CLAIM,
         RENEW_LEASE
@@ -19,11 +19,11 @@
     private final String label;
     private final long leaseMicros;
     private long leaseId;
-    private long leaseTouchedMicros;
-    private boolean waiting;
-    private boolean rowKnown;
-    private String rowOwner;
-    private long rowVersion;
+    private long leaseRenewedMicros;
+    private boolean isRequestPending;
+    private boolean isRecordKnown;
+    private String recordOwner;
+    private long recordVersion;
     /** Ours while we lead, else 0. */
     private long fencingToken;
 
@@ -32,7 +32,7 @@
     private long retryAtMicros;
     private long claimableSinceMicros = Long.MAX_VALUE;
     /** Having given the lead up, this controller leaves it to others until then. */
-    private long claimsAfterMicros = Long.MIN_VALUE;
+    private long noClaimBeforeMicros = Long.MIN_VALUE;
 
     public LeaderElection(String label, long ttlMicros) {
         this.label = label;
@@ -64,8 +64,8 @@
         return highestFencingToken;
     }
 
-    public long rowVersion() {
-        return rowVersion;
+    public long recordVersion() {
+        return recordVersion;
     }
 
     /**
@@ -75,17 +75,17 @@
      */
     public Action nextAction(long nowMicros, long waitsMicros) {
         claimableForMicros(nowMicros);
-        if (waiting || nowMicros < retryAtMicros) {
+        if (isRequestPending || nowMicros < retryAtMicros) {
             return Action.NOTHING;
         }
-        Action wish = choose(nowMicros, waitsMicros);
-        waiting = wish != Action.NOTHING;
+        Action wish = chooseAction(nowMicros, waitsMicros);
+        isRequestPending = wish != Action.NOTHING;
         return wish;
     }
 
     /** For how long the row has been there to be claimed, or -1 if it is not. */
     public long claimableForMicros(long nowMicros) {
-        if (isLeader() || !rowKnown || !claimable()) {
+        if (isLeader() || !isRecordKnown || !isClaimable()) {
             claimableSinceMicros = Long.MAX_VALUE;
             return -1;
         }
@@ -93,81 +93,81 @@
         return nowMicros - claimableSinceMicros;
     }
 
-    private Action choose(long nowMicros, long waitsMicros) {
-        boolean touchDue = leaseId != 0 && nowMicros - leaseTouchedMicros >= leaseMicros / 4;
+    private Action chooseAction(long nowMicros, long waitsMicros) {
+        boolean touchDue = leaseId != 0 && nowMicros - leaseRenewedMicros >= leaseMicros / 4;
         if (isLeader()) {
             return touchDue ? Action.RENEW_LEASE : Action.NOTHING;
         }
-        if (!rowKnown) {
-            return Action.READ_ROW;
+        if (!isRecordKnown) {
+            return Action.READ_RECORD;
         }
         if (leaseId == 0) {
             return Action.GRANT_LEASE;
         }
-        if (claimable() && nowMicros >= claimsAfterMicros && claimableForMicros(nowMicros) >= waitsMicros) {
+        if (isClaimable() && nowMicros >= noClaimBeforeMicros && claimableForMicros(nowMicros) >= waitsMicros) {
             return Action.CLAIM;
         }
         return touchDue ? Action.RENEW_LEASE : Action.NOTHING;
     }
 
     /** Free, or left by this controller before it was restarted: the process that owned it is gone. */
-    private boolean claimable() {
-        return rowVersion == 0 || (label.equals(rowOwner) && rowVersion != fencingToken);
+    private boolean isClaimable() {
+        return recordVersion == 0 || (label.equals(recordOwner) && recordVersion != fencingToken);
     }
 
     public void requestFailed(long nowMicros, long pauseMicros) {
-        waiting = false;
+        isRequestPending = false;
         retryAtMicros = nowMicros + pauseMicros;
     }
 
     public void leaseGranted(long id, long nowMicros) {
-        waiting = false;
+        isRequestPending = false;
         leaseId = id;
-        leaseTouchedMicros = nowMicros;
+        leaseRenewedMicros = nowMicros;
     }
 
     /** @param askedMicros when the renewal was asked for: the lease runs from no earlier than that */
     public void leaseRenewed(long askedMicros) {
-        waiting = false;
-        leaseTouchedMicros = askedMicros;
+        isRequestPending = false;
+        leaseRenewedMicros = askedMicros;
     }
 
     /** The lease ended, and with it the row if it was ours. */
     public void leaseExpired() {
-        waiting = false;
+        isRequestPending = false;
         leaseId = 0;
         if (isLeader()) {
             stepDown();
         }
-        rowKnown = false;
+        isRecordKnown = false;
     }
 
     public void leadershipAcquired(long revision) {
-        waiting = false;
+        isRequestPending = false;
         fencingToken = revision;
-        rowOwner = label;
-        rowVersion = revision;
-        rowKnown = true;
+        recordOwner = label;
+        recordVersion = revision;
+        isRecordKnown = true;
         leader = label;
         highestFencingToken = Math.max(highestFencingToken, revision);
     }
 
     public void claimRejected() {
-        waiting = false;
-        rowKnown = false;
+        isRequestPending = false;
+        isRecordKnown = false;
     }
 
     /** The answer to READ_ROW. */
-    public void rowRead(String owner, long version) {
-        waiting = false;
-        rowObserved(owner, version);
+    public void recordRead(String owner, long version) {
+        isRequestPending = false;
+        recordObserved(owner, version);
     }
 
     /** The row as read or as watched; version 0 if there is none. */
-    public void rowObserved(String owner, long version) {
-        rowKnown = true;
-        rowOwner = owner;
-        rowVersion = version;
+    public void recordObserved(String owner, long version) {
+        isRecordKnown = true;
+        recordOwner = owner;
+        recordVersion = version;
         if (isLeader() && version != fencingToken) {
             stepDown();
         }
@@ -178,14 +178,14 @@
     }
 
     /** The watch missed changes, or a claim may have been applied without an answer. */
-    public void forgetRow() {
-        rowKnown = false;
+    public void forgetRecord() {
+        isRecordKnown = false;
     }
 
     /** A claim without an answer may have been applied: the row tells. */
     public void claimOutcomeUnknown(long nowMicros) {
         requestFailed(nowMicros, 100 * Micros.MILLISECOND);
-        rowKnown = false;
+        isRecordKnown = false;
     }
 
     /** A higher token was seen with a worker or told by a sibling: whoever has it leads, not we. */
@@ -203,7 +203,7 @@
         boolean was = isLeader();
         if (was) {
             stepDown();
-            rowKnown = false;
+            isRecordKnown = false;
         }
         return was;
     }
@@ -216,8 +216,8 @@
     public long resign(long nowMicros, long pauseMicros) {
         long ended = leaseId;
         leaseId = 0;
-        rowKnown = false;
-        claimsAfterMicros = nowMicros + pauseMicros;
+        isRecordKnown = false;
+        noClaimBeforeMicros = nowMicros + pauseMicros;
         stepDown();
         return ended;
     }
@@ -227,7 +227,7 @@
      * not fenced.
      */
     public long leaseHeldUntilMicros() {
-        return isLeader() ? leaseTouchedMicros + leaseMicros : Long.MIN_VALUE;
+        return isLeader() ? leaseRenewedMicros + leaseMicros : Long.MIN_VALUE;
     }
 
     /** Fenced: stops quietly. */
--- a/src/main/java/io/micatide/election/WorkerConnectivity.java
+++ b/src/main/java/io/micatide/election/WorkerConnectivity.java
@@ -14,34 +14,34 @@
  */
 public final class WorkerConnectivity {
     /** So many workers that left the leader within {@link #RECENT_MICROS} show that it is not they who are cut off. */
-    private static final int MANY_STRAYS = 3;
+    private static final int MANY_WORKERS = 3;
 
     private static final long RECENT_MICROS = 2 * Micros.SECOND;
     /** A worker that was sent to the leader is there by then, and one that could not reach it is back later. */
-    private static final long ARRIVES_MICROS = 2 * Micros.SECOND;
+    private static final long REDIRECTION_MICROS = 2 * Micros.SECOND;
 
     /** A leader that never heard a worker most likely has none, and stops asking for them. */
-    private static final long WORRIED_MICROS = 30 * Micros.SECOND;
+    private static final long NO_WORKERS_AFTER_MICROS = 30 * Micros.SECOND;
 
-    private record Sent(long fencingToken, long atMicros, long incarnation, long sequence) {}
+    private record Redirection(long fencingToken, long atMicros, long incarnation, long sequence) {}
 
-    private final long silenceMicros;
+    private final long silenceLimitMicros;
     private final long startedMicros;
-    private long cameMicros = Long.MIN_VALUE / 2;
-    private final Map<String, Sent> sent = new HashMap<>();
-    private final Map<String, Long> strays = new HashMap<>();
-    private long lastStrayMicros = Long.MIN_VALUE / 2;
+    private long workerRedirectedMicros = Long.MIN_VALUE / 2;
+    private final Map<String, Redirection> redirections = new HashMap<>();
+    private final Map<String, Long> workersWithoutLeader = new HashMap<>();
+    private long workerLostLeaderMicros = Long.MIN_VALUE / 2;
     private long leaderSilentSinceMicros = Long.MAX_VALUE / 2;
-    private long newsMicros = Long.MIN_VALUE / 2;
-    private boolean heardAny;
-    private long heardMicros;
-    private long strayedElsewhereMicros = Long.MIN_VALUE / 2;
+    private long leaderStatusMicros = Long.MIN_VALUE / 2;
+    private boolean hasReceivedHeartbeat;
+    private long heartbeatMicros;
+    private long workerLostThisLeaderMicros = Long.MIN_VALUE / 2;
 
     public WorkerConnectivity(Settings settings, long nowMicros) {
         startedMicros = nowMicros;
         // Reports are up to a quarter late; a fleet of any size is never silent for longer than one of them and a
         // pause.
-        silenceMicros = settings.heartbeatIntervalMicros() * 5 / 4 + Micros.SECOND;
+        silenceLimitMicros = settings.heartbeatIntervalMicros() * 5 / 4 + Micros.SECOND;
     }
 
     // ---- a follower
@@ -54,29 +54,32 @@
     public void heartbeatRedirected(Heartbeat heartbeat, long leaderToken, long nowMicros) {
         String machine = heartbeat.machine();
         long seen = heartbeat.fencingToken();
-        Sent before = sent.get(machine);
+        Redirection before = redirections.get(machine);
         if (before != null && !heartbeat.isNewerThan(before.incarnation(), before.sequence())) {
             return;
         }
-        cameMicros = nowMicros;
+        workerRedirectedMicros = nowMicros;
         boolean back = before != null
                 && before.fencingToken() == leaderToken
-                && nowMicros - before.atMicros() > ARRIVES_MICROS;
+                && nowMicros - before.atMicros() > REDIRECTION_MICROS;
         if (leaderToken > 0 && (seen == leaderToken || back)) {
-            lastStrayMicros = nowMicros;
-            strays.put(machine, nowMicros);
+            workerLostLeaderMicros = nowMicros;
+            workersWithoutLeader.put(machine, nowMicros);
         }
         if (before == null || before.fencingToken() != leaderToken) {
-            sent.values().removeIf(each -> each.fencingToken() != leaderToken);
-            sent.put(machine, new Sent(leaderToken, nowMicros, heartbeat.incarnation(), heartbeat.sequence()));
+            redirections.values().removeIf(each -> each.fencingToken() != leaderToken);
+            redirections.put(
+                    machine, new Redirection(leaderToken, nowMicros, heartbeat.incarnation(), heartbeat.sequence()));
         } else {
-            sent.put(machine, new Sent(leaderToken, before.atMicros(), heartbeat.incarnation(), heartbeat.sequence()));
+            redirections.put(
+                    machine,
+                    new Redirection(leaderToken, before.atMicros(), heartbeat.incarnation(), heartbeat.sequence()));
         }
     }
 
     /** The leader says how long no worker has come to it. */
     public void leaderReportedSilence(long silentMicros, long nowMicros) {
-        newsMicros = nowMicros;
+        leaderStatusMicros = nowMicros;
         leaderSilentSinceMicros = nowMicros - silentMicros;
     }
 
@@ -85,16 +88,16 @@
      * hangs for four seconds of a lease of ten.
      */
     public boolean isLeaderUnreachable(long nowMicros) {
-        strays.values().removeIf(at -> nowMicros - at > RECENT_MICROS);
-        return strays.size() >= MANY_STRAYS
-                || (!strays.isEmpty()
-                        && nowMicros - newsMicros < RECENT_MICROS
-                        && nowMicros - leaderSilentSinceMicros > silenceMicros);
+        workersWithoutLeader.values().removeIf(at -> nowMicros - at > RECENT_MICROS);
+        return workersWithoutLeader.size() >= MANY_WORKERS
+                || (!workersWithoutLeader.isEmpty()
+                        && nowMicros - leaderStatusMicros < RECENT_MICROS
+                        && nowMicros - leaderSilentSinceMicros > silenceLimitMicros);
     }
 
     /** How long ago a worker that had lost the leader came here, or -1 if that is too long ago to matter. */
-    public long lastStrayAgoMicros(long nowMicros) {
-        long ago = nowMicros - lastStrayMicros;
+    public long workerLostLeaderAgoMicros(long nowMicros) {
+        long ago = nowMicros - workerLostLeaderMicros;
         return ago < RECENT_MICROS ? ago : -1;
     }
 
@@ -104,7 +107,7 @@
      * them, or there are none. A process that has just begun has had no time to hear any.
      */
     public boolean isConnected(long nowMicros) {
-        return nowMicros - Math.max(cameMicros, heardMicros) < RECENT_MICROS
+        return nowMicros - Math.max(workerRedirectedMicros, heartbeatMicros) < RECENT_MICROS
                 || nowMicros - startedMicros < RECENT_MICROS;
     }
 
@@ -112,37 +115,37 @@
 
     /** A term begins: workers have yet to find this controller. */
     public void termStarted(long nowMicros) {
-        heardAny = false;
-        heardMicros = nowMicros + ARRIVES_MICROS;
-        strayedElsewhereMicros = Long.MIN_VALUE / 2;
-        sent.clear();
-        strays.clear();
+        hasReceivedHeartbeat = false;
+        heartbeatMicros = nowMicros + REDIRECTION_MICROS;
+        workerLostThisLeaderMicros = Long.MIN_VALUE / 2;
+        redirections.clear();
+        workersWithoutLeader.clear();
     }
 
     public void heartbeatReceived(long nowMicros) {
-        heardAny = true;
-        heardMicros = nowMicros;
+        hasReceivedHeartbeat = true;
+        heartbeatMicros = nowMicros;
     }
 
     /** This process stood still: its silence says nothing about the workers. */
     public void processPaused(long nowMicros) {
-        heardMicros = Math.max(heardMicros, nowMicros);
+        heartbeatMicros = Math.max(heartbeatMicros, nowMicros);
     }
 
     public long silentMicros(long nowMicros) {
-        return Math.max(0, nowMicros - heardMicros);
+        return Math.max(0, nowMicros - heartbeatMicros);
     }
 
     /** Whether siblings should be asked now instead of with the next regular news. */
     public boolean shouldAskPeers(long nowMicros) {
         long silent = silentMicros(nowMicros);
-        return silent > silenceMicros / 2 && (heardAny || silent < WORRIED_MICROS);
+        return silent > silenceLimitMicros / 2 && (hasReceivedHeartbeat || silent < NO_WORKERS_AFTER_MICROS);
     }
 
     /** A sibling's word that a worker which had lost the leader came to it that long ago; -1: none did. */
-    public void peerReportedStray(long agoMicros, long nowMicros) {
+    public void peerReportedWorkerLostLeader(long agoMicros, long nowMicros) {
         if (agoMicros >= 0) {
-            strayedElsewhereMicros = Math.max(strayedElsewhereMicros, nowMicros - agoMicros);
+            workerLostThisLeaderMicros = Math.max(workerLostThisLeaderMicros, nowMicros - agoMicros);
         }
     }
 
@@ -153,8 +156,8 @@
      */
     public boolean shouldResign(boolean stateServed, long nowMicros) {
         return stateServed
-                && silentMicros(nowMicros) > silenceMicros
-                && strayedElsewhereMicros > heardMicros
-                && nowMicros - strayedElsewhereMicros < RECENT_MICROS;
+                && silentMicros(nowMicros) > silenceLimitMicros
+                && workerLostThisLeaderMicros > heartbeatMicros
+                && nowMicros - workerLostThisLeaderMicros < RECENT_MICROS;
     }
 }
--- a/src/main/java/io/micatide/jobs/JobCache.java
+++ b/src/main/java/io/micatide/jobs/JobCache.java
@@ -91,7 +91,7 @@
         }
         seen = null;
         gone.forEach(id -> removed(id, revision));
-        cancellationLog.allReadAt(revision);
+        cancellationLog.allRecordsReadAt(revision);
     }
 
     /** What this copy has come to know as cancelled, also of jobs that it does not hold any more. */
@@ -275,7 +275,7 @@
         List<String> changed = new ArrayList<>(List.of(id));
         if (row.state().isFinal()) {
             if (row.state() == JobState.CANCELLED) {
-                cancellationLog.add(id, version);
+                cancellationLog.record(id, version);
             }
             open.remove(id);
             ended.put(id, entry);
--- a/src/main/java/io/micatide/simulation/FailoverBenchmark.java
+++ b/src/main/java/io/micatide/simulation/FailoverBenchmark.java
@@ -217,7 +217,7 @@
         for (int i = 0; i < CONTROLLERS; i++) {
             String what = i == deployment.leader()
                     ? "leads"
-                    : deployment.controller(i).follows() ? "follows" : "waits";
+                    : deployment.controller(i).isDesignatedStandby() ? "follows" : "waits";
             line.append(String.format(Locale.ROOT, " c%d %s %.2f%%", i, what, (after[i] - before[i]) / 1e7 / STEADY_S));
         }
         System.out.printf(
@@ -262,7 +262,7 @@
             }
             times = claimed < 0
                     ? null
-                    : deployment.controller(deployment.leader()).takeOver();
+                    : deployment.controller(deployment.leader()).failoverTimings();
         }
         longestMillis =
                 Math.max(longestMillis, deployment.process(deployment.leader()).longestNanos() / 1e6);
--- a/src/main/java/io/micatide/simulation/GangRendezvous.java
+++ b/src/main/java/io/micatide/simulation/GangRendezvous.java
@@ -38,7 +38,7 @@
         if (peers.size() == task.spec.taskCount()) {
             peers.forEach((each, at) -> at.run(each, each.spec.estimatedRuntimeMicros()));
         } else {
-            loop.later(
+            loop.executeLater(
                     () -> {
                         if (task.state == io.micatide.model.TaskState.WAITING) {
                             worker.exit(task, ExitCause.ALONE);
@@ -61,7 +61,7 @@
             others.forEach(each -> each.getValue().exit(each.getKey(), ExitCause.DONE));
         } else {
             broken.add(attempt(task));
-            loop.later(
+            loop.executeLater(
                     () -> others.forEach(each -> each.getValue().exit(each.getKey(), ExitCause.PEERS)),
                     settings.gangPeerTimeoutMicros());
         }
--- a/src/main/java/io/micatide/simulation/LocalDeployment.java
+++ b/src/main/java/io/micatide/simulation/LocalDeployment.java
@@ -187,7 +187,7 @@
     /** Ends a controller as if it were killed, and starts another in its place. */
     public void restart(int number) throws InterruptedException {
         nodes.get(number).close();
-        nodes.get(number).join();
+        nodes.get(number).awaitTermination();
         nodes.set(number, new ControllerServer(settings.get(number), tuning));
         nodes.get(number).start();
     }
--- a/src/main/java/io/micatide/simulation/RefusingHttp.java
+++ b/src/main/java/io/micatide/simulation/RefusingHttp.java
@@ -25,7 +25,7 @@
 
     private void unlessRefused(Consumer<Reply> then, Consumer<Consumer<Reply>> ask) {
         if (refused.getAsBoolean()) {
-            process.later(() -> then.accept(REFUSED), ANSWER_MICROS);
+            process.executeLater(() -> then.accept(REFUSED), ANSWER_MICROS);
         } else {
             // What was asked before is not answered either: open watches tell nothing.
             ask.accept(reply -> then.accept(refused.getAsBoolean() ? Reply.UNANSWERED : reply));
--- a/src/main/java/io/micatide/simulation/SimulatedCloud.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCloud.java
@@ -76,7 +76,7 @@
     private void remember() {
         past.put(loop.now(), listed());
         past.headMap(loop.now() - MEMORY_MICROS).clear();
-        loop.later(this::remember, 500 * Micros.MILLISECOND);
+        loop.executeLater(this::remember, 500 * Micros.MILLISECOND);
     }
 
     public int machines() {
@@ -146,7 +146,7 @@
     private String start(MachineType type, String zone, boolean spot) {
         Rented machine = add(type, zone, spot);
         String name = machine.name();
-        loop.later(
+        loop.executeLater(
                 () -> {
                     if (machines.containsKey(name)) {
                         booted.put(name, true);
--- a/src/main/java/io/micatide/simulation/SimulatedCluster.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCluster.java
@@ -146,8 +146,8 @@
                 plan::copy,
                 plan.abilities(number));
         controllers.set(number, controller);
-        network.listen("c" + number, process, controller::handle);
-        network.listen("p" + number, process, controller::handlePeer);
+        network.listen("c" + number, process, controller::handleRequest);
+        network.listen("p" + number, process, controller::handlePeerRequest);
         plan.started(number, controller);
         process.execute(controller::start);
     }
@@ -264,7 +264,7 @@
         VirtualTime.Process process = processes.get(number);
         if (!process.ended()) {
             note("stop c" + number);
-            process.execute(() -> controllers.get(number).end(() -> gone(process, number, backMicros)));
+            process.execute(() -> controllers.get(number).shutDown(() -> gone(process, number, backMicros)));
             time.at(time.now() + END_MICROS, () -> gone(process, number, backMicros));
         }
     }
--- a/src/main/java/io/micatide/simulation/SimulatedStore.java
+++ b/src/main/java/io/micatide/simulation/SimulatedStore.java
@@ -239,7 +239,7 @@
         }
         Watch watch = new Watch(request, prefix, from);
         watches.add(watch);
-        loop.later(
+        loop.executeLater(
                 () -> {
                     if (watches.remove(watch)) {
                         tell(request, prefix, from);
@@ -393,7 +393,7 @@
 
     private void renew(long id, Lease lease) {
         lease.endsMicros = loop.now() + lease.ttlMicros;
-        loop.later(() -> expire(id, lease), lease.ttlMicros);
+        loop.executeLater(() -> expire(id, lease), lease.ttlMicros);
     }
 
     private void expire(long id, Lease lease) {
--- a/src/main/java/io/micatide/simulation/SimulatedWorker.java
+++ b/src/main/java/io/micatide/simulation/SimulatedWorker.java
@@ -149,7 +149,7 @@
     }
 
     private void watchLease() {
-        loop.later(
+        loop.executeLater(
                 () -> {
                     if (deleted) {
                         return;
@@ -184,7 +184,7 @@
     // ---- reports
 
     private void tick() {
-        loop.later(
+        loop.executeLater(
                 () -> {
                     if (!deleted) {
                         report();
@@ -199,7 +199,7 @@
             return;
         }
         due = true;
-        loop.later(
+        loop.executeLater(
                 () -> {
                     due = false;
                     report();
@@ -262,7 +262,7 @@
         boolean named = next >= 0 && next != at;
         Http left = controllers.get(labels.get(at));
         at = named ? next : (at + 1) % labels.size();
-        loop.later(
+        loop.executeLater(
                 () -> {
                     left.close();
                     report();
@@ -344,7 +344,7 @@
                     ? Micros.ofSeconds(
                             Math.min(spec.imageGb(), 100) / machine.type().fetchGbPerSecond())
                     : 0;
-            loop.later(() -> fetched(task), fetch);
+            loop.executeLater(() -> fetched(task), fetch);
         }
     }
 
@@ -377,7 +377,7 @@
     void run(Task task, long micros) {
         task.state = TaskState.RUNNING;
         if (task.spec.kind() != JobKind.SERVICE) {
-            loop.later(
+            loop.executeLater(
                     () -> {
                         if (task.spec.kind() != JobKind.GANG || !gangs.broken(task)) {
                             exit(task, ExitCause.DONE);
@@ -393,7 +393,7 @@
                 && task.spec.checkpointIntervalMicros() > 0
                 && graceMicros >= task.spec.saveMicros()) {
             task.state = TaskState.SAVING;
-            loop.later(
+            loop.executeLater(
                     () -> {
                         task.saved = !task.over();
                         exit(task, ExitCause.STOPPED);
--- a/src/main/java/io/micatide/simulation/VirtualTime.java
+++ b/src/main/java/io/micatide/simulation/VirtualTime.java
@@ -73,11 +73,11 @@
 
         @Override
         public void execute(Runnable what) {
-            later(what, 0);
+            executeLater(what, 0);
         }
 
         @Override
-        public void later(Runnable what, long delayMicros) {
+        public void executeLater(Runnable what, long delayMicros) {
             at(now + Math.max(0, delayMicros), () -> run(what));
         }
 
--- a/src/main/java/io/micatide/simulation/scale/CountedHttp.java
+++ b/src/main/java/io/micatide/simulation/scale/CountedHttp.java
@@ -66,7 +66,7 @@
 
     private boolean lost(long timeoutMicros, Consumer<Reply> then) {
         if (silent.getAsBoolean()) {
-            loop.later(() -> then.accept(Reply.UNANSWERED), timeoutMicros);
+            loop.executeLater(() -> then.accept(Reply.UNANSWERED), timeoutMicros);
             return true;
         }
         return false;
--- a/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
+++ b/src/main/java/io/micatide/simulation/scale/HollowWorkers.java
@@ -86,7 +86,7 @@
         worker.runs(HollowWorkers::runTime);
         workers.put(machine.name(), worker);
         long wait = (long) (new Random(machine.name().hashCode()).nextDouble() * settings.heartbeatIntervalMicros());
-        loop.later(worker::start, wait);
+        loop.executeLater(worker::start, wait);
     }
 
     private String listen(SimulatedCloud.Rented machine, SimulatedWorker worker) {
--- a/src/main/java/io/micatide/simulation/scale/ScaleRun.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleRun.java
@@ -232,7 +232,7 @@
     }
 
     private void look() {
-        loop.later(
+        loop.executeLater(
                 () -> {
                     checker.look();
                     look();
@@ -250,7 +250,8 @@
             case ZONE ->
                 onLoop(() -> {
                     workers.silence(ScaleSettings.zones().get(0));
-                    loop.later(() -> workers.silence(null), 2 * settings.get(0).workerLeaseMicros());
+                    loop.executeLater(
+                            () -> workers.silence(null), 2 * settings.get(0).workerLeaseMicros());
                     return null;
                 });
         }
--- a/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
@@ -186,7 +186,7 @@
             return;
         }
         double seconds = -Math.log(1 - random.nextDouble()) / plan.jobsPerSecond();
-        loop.later(
+        loop.executeLater(
                 () -> {
                     if (submitting) {
                         submit(array(), false);
@@ -252,14 +252,14 @@
             if (reply.status() == 200 || reply.status() == 201) {
                 job.accepted = true;
                 record(accepting, loop.now() - job.submittedMicros);
-                loop.later(() -> poll(job), POLL_MICROS);
+                loop.executeLater(() -> poll(job), POLL_MICROS);
                 if (random.nextDouble() < CANCELLED_SHARE) {
-                    loop.later(() -> cancel(job), Micros.ofSeconds(random.nextDouble() * plan.taskSeconds()));
+                    loop.executeLater(() -> cancel(job), Micros.ofSeconds(random.nextDouble() * plan.taskSeconds()));
                 }
             } else if (reply.status() == 400 || reply.status() == 422) {
                 throw new IllegalStateException("a job of the scale run was refused with " + reply.status());
             } else if (loop.now() - job.submittedMicros < GIVE_UP_MICROS) {
-                loop.later(() -> send(job), RETRY_MICROS);
+                loop.executeLater(() -> send(job), RETRY_MICROS);
             } else {
                 refused++;
             }
@@ -280,7 +280,7 @@
                 }
                 job.over = true;
             } else {
-                loop.later(() -> poll(job), POLL_MICROS);
+                loop.executeLater(() -> poll(job), POLL_MICROS);
             }
         });
     }
@@ -295,7 +295,7 @@
             if (UserSideCodec.isOver(heard(job, asked, reply))) {
                 job.over = true;
             } else {
-                loop.later(() -> cancel(job), RETRY_MICROS);
+                loop.executeLater(() -> cancel(job), RETRY_MICROS);
             }
         });
     }
@@ -324,6 +324,6 @@
             int number = i;
             controllers.get(i).get("/healthz", HEALTH_MICROS, reply -> healthy[number] = reply.ok());
         }
-        loop.later(this::probe, HEALTH_MICROS);
+        loop.executeLater(this::probe, HEALTH_MICROS);
     }
 }
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -119,11 +119,11 @@
     /** Users submit, cancel and poll for so many seconds while somebody else lets time pass. */
     void later(int seconds) {
         for (int second = 0; second < seconds; second++) {
-            user.later(
+            user.executeLater(
                     () -> {
                         Job job = submit(1, 1 + random.nextInt(12), List.of());
                         if (random.nextInt(4) == 0) {
-                            user.later(() -> cancel(job), random.nextInt(3_000) * Micros.MILLISECOND);
+                            user.executeLater(() -> cancel(job), random.nextInt(3_000) * Micros.MILLISECOND);
                         }
                         submit(1, 2, List.of(job.id));
                         List<Job> all = List.copyOf(jobs.values());
@@ -225,8 +225,8 @@
                 process,
                 (endpoint, most) -> network.from(process, endpoint),
                 maker);
-        network.listen("c" + number, process, controller::handle);
-        network.listen("p" + number, process, controller::handlePeer);
+        network.listen("c" + number, process, controller::handleRequest);
+        network.listen("p" + number, process, controller::handlePeerRequest);
         process.execute(controller::start);
     }
 
@@ -399,7 +399,7 @@
             } else if (reply.status() == 400 || reply.status() == 422) {
                 broken.add((before ? "forgotten " : "refused ") + job.id + " " + reply.status());
             } else {
-                user.later(() -> trySubmit(job), Micros.SECOND);
+                user.executeLater(() -> trySubmit(job), Micros.SECOND);
             }
         });
     }
@@ -414,7 +414,7 @@
             } else if (reply.status() == 404 && accepted) {
                 broken.add("forgotten by abort " + job.id);
             } else if (reply.status() != 404) {
-                user.later(() -> cancel(job), Micros.SECOND);
+                user.executeLater(() -> cancel(job), Micros.SECOND);
             }
         });
     }
@@ -496,7 +496,7 @@
                 }
                 Job job = submit(1 + random.nextInt(2), 1 + random.nextInt(12), needs);
                 if (random.nextInt(5) == 0) {
-                    user.later(() -> cancel(job), random.nextInt(4_000) * Micros.MILLISECOND);
+                    user.executeLater(() -> cancel(job), random.nextInt(4_000) * Micros.MILLISECOND);
                 }
             }
             List<Job> all = List.copyOf(jobs.values());
--- a/src/test/java/io/micatide/election/CancellationHorizonTest.java
+++ b/src/test/java/io/micatide/election/CancellationHorizonTest.java
@@ -90,7 +90,7 @@
         StringBuilder text = new StringBuilder();
         for (String step : steps.split(" ")) {
             if (step.charAt(0) == 'r') {
-                proof.storeRead(micros(step.substring(1)));
+                proof.hasReadStore(micros(step.substring(1)));
             } else if (step.charAt(0) == 'a') {
                 text.append(proof.mayAnswerWorkers(micros(step.substring(1))) ? 'y' : 'n');
             } else {
@@ -142,7 +142,7 @@
                 100);
         CancellationHorizon proof = new CancellationHorizon(alone);
         assertEquals(false, proof.mayAnswerWorkers(Micros.SECOND));
-        proof.storeRead(Micros.SECOND);
+        proof.hasReadStore(Micros.SECOND);
         assertEquals(true, proof.mayAnswerWorkers(900 * Micros.SECOND));
     }
 
@@ -207,11 +207,11 @@
             String[] parts = step.substring(1).split("@");
             long number = Long.parseLong(parts[0]);
             switch (step.charAt(0)) {
-                case 'c' -> log.add("wk-1", number);
-                case 'l' -> log.allReadAt(number);
+                case 'c' -> log.record("wk-1", number);
+                case 'l' -> log.allRecordsReadAt(number);
                 default -> {
                     for (long each = 0; each < number; each++) {
-                        log.add("wk-" + each, Long.parseLong(parts[1]) + each);
+                        log.record("wk-" + each, Long.parseLong(parts[1]) + each);
                     }
                 }
             }
--- a/src/test/java/io/micatide/election/LeaderElectionTest.java
+++ b/src/test/java/io/micatide/election/LeaderElectionTest.java
@@ -44,8 +44,8 @@
             String[] part = event.split(":", -1);
             String owner = part.length > 1 && !part[1].isEmpty() ? part[1] : null;
             switch (part[0]) {
-                case "read" -> leadership.rowRead(owner, Long.parseLong(part[2]));
-                case "row" -> leadership.rowObserved(owner, Long.parseLong(part[2]));
+                case "read" -> leadership.recordRead(owner, Long.parseLong(part[2]));
+                case "row" -> leadership.recordObserved(owner, Long.parseLong(part[2]));
                 case "lease" -> leadership.leaseGranted(7, now);
                 case "won" -> leadership.leadershipAcquired(Long.parseLong(part[1]));
                 case "lost" -> leadership.claimRejected();
@@ -72,11 +72,11 @@
         LeaderElection leadership = new LeaderElection("me", TTL);
         long now = Micros.SECOND;
         long waits = waitsMillis * Micros.MILLISECOND;
-        leadership.rowRead("other", 4);
+        leadership.recordRead("other", 4);
         leadership.leaseGranted(7, now);
         assertEquals(-1, leadership.claimableForMicros(now));
         assertEquals(LeaderElection.Action.NOTHING, leadership.nextAction(now, waits));
-        leadership.rowObserved(null, 0);
+        leadership.recordObserved(null, 0);
         assertEquals(0, leadership.claimableForMicros(now));
         assertEquals(next, leadership.nextAction(now + afterMillis * Micros.MILLISECOND, waits));
     }
--- a/src/test/java/io/micatide/election/WorkerConnectivityTest.java
+++ b/src/test/java/io/micatide/election/WorkerConnectivityTest.java
@@ -51,7 +51,7 @@
         if (heard >= 0) {
             reach.heartbeatReceived(ago(heard));
         }
-        reach.peerReportedStray(strayed < 0 ? -1 : Micros.ofSeconds(strayed), NOW);
+        reach.peerReportedWorkerLostLeader(strayed < 0 ? -1 : Micros.ofSeconds(strayed), NOW);
         if (stalled >= 0) {
             reach.processPaused(ago(stalled));
         }
@@ -85,7 +85,7 @@
             reach.heartbeatRedirected(heartbeat("i-" + i, seen, 2), 7, NOW);
         }
         reach.leaderReportedSilence(Micros.ofSeconds(silent), NOW);
-        assertEquals(stray, reach.lastStrayAgoMicros(NOW) >= 0);
+        assertEquals(stray, reach.workerLostLeaderAgoMicros(NOW) >= 0);
         assertEquals(lost, reach.isLeaderUnreachable(NOW));
     }
 
@@ -102,7 +102,7 @@
             reach.heartbeatRedirected(heartbeat("i-" + i, 5, 9), 7, NOW);
         }
         assertEquals(lost, reach.isLeaderUnreachable(NOW));
-        assertEquals(-1, reach.lastStrayAgoMicros(NOW));
+        assertEquals(-1, reach.workerLostLeaderAgoMicros(NOW));
         assertEquals(false, reach.isConnected(NOW));
     }
 
--- a/src/test/java/io/micatide/simulation/DelayedChanges.java
+++ b/src/test/java/io/micatide/simulation/DelayedChanges.java
@@ -16,7 +16,7 @@
                 timeoutMicros,
                 !path.startsWith("/changes?starts=job/") || lateMicros.getAsLong() == 0
                         ? then
-                        : reply -> process.get().later(() -> then.accept(reply), lateMicros.getAsLong()));
+                        : reply -> process.get().executeLater(() -> then.accept(reply), lateMicros.getAsLong()));
     }
 
     @Override
--- a/src/test/java/io/micatide/simulation/ElectionReadTest.java
+++ b/src/test/java/io/micatide/simulation/ElectionReadTest.java
@@ -33,13 +33,19 @@
         }
         day.deployment.stopFor(leader, 2 * Micros.SECOND);
         while (day.deployment.leader() == leader
-                || day.deployment.controller(day.deployment.leader()).takeOver() == null
-                || day.deployment.controller(day.deployment.leader()).takeOver().stateLoadedMicros() < 0) {
+                || day.deployment.controller(day.deployment.leader()).failoverTimings() == null
+                || day.deployment
+                                .controller(day.deployment.leader())
+                                .failoverTimings()
+                                .stateLoadedMicros()
+                        < 0) {
             day.time.run(5 * Micros.MILLISECOND);
             assertTrue(day.time.now() < 20 * Micros.SECOND, "nobody took over");
         }
-        long rebuilt =
-                day.deployment.controller(day.deployment.leader()).takeOver().stateLoadedMicros();
+        long rebuilt = day.deployment
+                .controller(day.deployment.leader())
+                .failoverTimings()
+                .stateLoadedMicros();
         assertTrue(rebuilt >= LATE, "no read that began with the claim can be heard after " + rebuilt + " us");
         Arrays.fill(day.lateRowsMicros, 0);
         day.time.run(70 * Micros.SECOND);
--- a/src/test/java/io/micatide/simulation/FailoverScenario.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -339,7 +339,7 @@
     @Override
     public void started(int number, Controller controller) {
         if (number >= former) {
-            controller.witness((prefix, rows) -> compare(number, prefix, rows));
+            controller.observeReplicaRecords((prefix, rows) -> compare(number, prefix, rows));
         }
     }
 
--- a/src/test/java/io/micatide/simulation/RolloutScenario.java
+++ b/src/test/java/io/micatide/simulation/RolloutScenario.java
@@ -119,7 +119,7 @@
                             && !(now != null
                                     && SimulatedCluster.row(key, now) instanceof StoredRecord.FeatureRequest ask
                                     && ask.action() == wish)) {
-                        day.deployment.user.later(() -> ask(feature, wish), Micros.SECOND);
+                        day.deployment.user.executeLater(() -> ask(feature, wish), Micros.SECOND);
                     }
                 });
     }
--- a/src/test/java/io/micatide/simulation/SimulatedUsers.java
+++ b/src/test/java/io/micatide/simulation/SimulatedUsers.java
@@ -112,7 +112,7 @@
         controller.get("/v1/jobs/" + id, 2 * Micros.SECOND, reply -> {
             hear(id, asked, reply);
             if (reply.status() != 200 && reply.status() != 404) {
-                deployment.user.later(() -> askOnce(id, controller), 3 * Micros.SECOND);
+                deployment.user.executeLater(() -> askOnce(id, controller), 3 * Micros.SECOND);
             }
         });
     }
@@ -167,9 +167,9 @@
         anyController().post("/v1/jobs", submitted.get(id), 5 * Micros.SECOND, reply -> {
             hear(id, asked, reply);
             if (reply.status() == 200 || reply.status() == 201) {
-                deployment.user.later(() -> poll(id), 2 * Micros.SECOND);
+                deployment.user.executeLater(() -> poll(id), 2 * Micros.SECOND);
             } else {
-                deployment.user.later(() -> trySubmit(id), Micros.SECOND);
+                deployment.user.executeLater(() -> trySubmit(id), Micros.SECOND);
             }
         });
     }
@@ -187,7 +187,7 @@
                 hear(id, asked, reply);
                 replicas.remove(id);
             } else if (reply.status() != 404) {
-                deployment.user.later(() -> cancel(id, controller), Micros.SECOND);
+                deployment.user.executeLater(() -> cancel(id, controller), Micros.SECOND);
             }
         });
     }
@@ -198,7 +198,7 @@
         anyController().get("/v1/jobs/" + id, 2 * Micros.SECOND, reply -> {
             hear(id, asked, reply);
             if (!"done".equals(standing.get(id)) && !"withdrawn".equals(standing.get(id))) {
-                deployment.user.later(() -> poll(id), 2 * Micros.SECOND);
+                deployment.user.executeLater(() -> poll(id), 2 * Micros.SECOND);
             }
         });
     }
--- a/src/test/java/io/micatide/simulation/ZonePartitionTest.java
+++ b/src/test/java/io/micatide/simulation/ZonePartitionTest.java
@@ -100,9 +100,9 @@
                     Tuning.defaults(settings(i)),
                     process,
                     (endpoint, most) -> network.from(process, endpoint));
-            network.listen("c" + i, process, controller::handle);
-            network.listen("p" + i, process, controller::handlePeer);
-            process.later(controller::start, i * Micros.SECOND);
+            network.listen("c" + i, process, controller::handleRequest);
+            network.listen("p" + i, process, controller::handlePeerRequest);
+            process.executeLater(controller::start, i * Micros.SECOND);
         }
         time.run(5 * Micros.SECOND);
     }
