--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -36,7 +36,7 @@
         return readRevision;
     }
 
-    void storeRead(LeaderActor.StoreRead message) {
+    void storeRead(LeaderMessage.StoreRead message) {
         readRevision = Math.max(readRevision, message.revision());
         horizon.hasReadStore(message.askedMicros());
     }
@@ -47,12 +47,12 @@
     void digestReceived(int sibling, CancellationDigest word, long askedMicros, long now) {
         if (word != null) {
             users.tell(new UsersActor.TakeIn(
-                    word.cancelled(), new LeaderActor.DigestRecorded(sibling, word, askedMicros, now)));
+                    word.cancelled(), new LeaderMessage.DigestRecorded(sibling, word, askedMicros, now)));
         }
     }
 
     /** What a sibling named is in the copy, and the term has been told. */
-    void digestRecorded(LeaderActor.DigestRecorded message) {
+    void digestRecorded(LeaderMessage.DigestRecorded message) {
         if (!horizon.digestReceived(
                 message.peer(), message.digest(), message.askedMicros(), message.receivedMicros())) {
             LOG.debug(
--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -109,7 +109,7 @@
             try {
                 long version = StoreCodec.revision(reply.body());
                 rows.apply(id, message.row(), version);
-                own.tell(new LeaderActor.CancellationConfirmed(new CancellationDigest.Cancelled(id, version)));
+                own.tell(new LeaderMessage.CancellationConfirmed(new CancellationDigest.Cancelled(id, version)));
                 message.request().answer(200, JobCodec.accepted(id, JobCodec.Standing.CANCELLED));
                 return;
             } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -69,15 +69,15 @@
     public void start() {
         users.tell(new UsersActor.BelongsTo(leader));
         users.tell(new UsersActor.Load());
-        leader.tell(new LeaderActor.LeaseTickDue());
-        leader.tell(new LeaderActor.TickDue());
+        leader.tell(new LeaderMessage.LeaseTickDue());
+        leader.tell(new LeaderMessage.TickDue());
     }
 
     /** A request of a user, of the load balancer or of a worker. */
     public void handleRequest(Request request) {
         if (request.path().equals("/v1/report")) {
             if (request.method().equals("POST")) {
-                leader.tell(new LeaderActor.HeartbeatReceived(request));
+                leader.tell(new LeaderMessage.HeartbeatReceived(request));
             } else {
                 request.answer(405, WRONG_METHOD);
             }
@@ -88,19 +88,19 @@
 
     /** Ends in order: hands the lead over if it has it; {@code done} on the loop once others can go on. */
     public void shutDown(Runnable done) {
-        leader.tell(new LeaderActor.ShutdownRequested(done));
+        leader.tell(new LeaderMessage.ShutdownRequested(done));
     }
 
     /** A request of a sibling. */
     public void handlePeerRequest(Request request) {
         if (request.path().equals("/news") && request.method().equals("POST")) {
-            leader.tell(new LeaderActor.PeerStatusReceived(request));
+            leader.tell(new LeaderMessage.PeerStatusReceived(request));
         } else if (request.path().equals("/withdrawn") && request.method().equals("POST")) {
-            leader.tell(new LeaderActor.PeerCancellationsReceived(request));
+            leader.tell(new LeaderMessage.PeerCancellationsReceived(request));
         } else if (request.path().equals("/hints") && request.method().equals("POST")) {
             leader.tell(new StandbyMessage.HintsReceived(request));
         } else if (request.path().equals("/standby")) {
-            leader.tell(new LeaderActor.ReadinessRequested(request));
+            leader.tell(new LeaderMessage.ReadinessRequested(request));
         } else if (request.path().equals("/handover") && request.method().equals("POST")) {
             leader.tell(new StandbyMessage.HandoverRequested(request));
         } else {
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -88,12 +88,12 @@
                 .filter(job -> job.state() == JobState.CANCELLED)
                 .map(JobCache.View::id)
                 .toList();
-        leader.tell(new LeaderActor.CancellationsObserved(cancelled));
+        leader.tell(new LeaderMessage.CancellationsObserved(cancelled));
         refresh();
     }
 
     /** Jobs that a sibling knows as cancelled; {@code then} is told to the leader's actor after what follows from them. */
-    void takeIn(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then) {
+    void takeIn(List<CancellationDigest.Cancelled> jobs, LeaderMessage then) {
         jobs.forEach(job -> changed(directory.markCancelled(job.job(), job.version())));
         if (then != null) {
             own.tell(then);
@@ -161,7 +161,7 @@
         } else if (item.row() instanceof StoredRecord.ArchiveManifest manifest) {
             historyKnown(item.version(), manifest);
         } else if (item.row() instanceof StoredRecord.FeatureStages features) {
-            own.tell(new LeaderActor.FeatureStagesObserved(item.version(), features));
+            own.tell(new LeaderMessage.FeatureStagesObserved(item.version(), features));
         } else if (item.row() instanceof StoredRecord.JobRecord row) {
             apply(name, row, item.version());
         } else if (item.row() instanceof StoredRecord.FurtherDependencies needs) {
@@ -179,14 +179,14 @@
         directory.archiveManifestRead(version, manifest);
         history.tell(new ArchiveReader.Manifest(manifest));
         if (leader != null) {
-            leader.tell(new LeaderActor.ArchiveManifestObserved(version, manifest));
+            leader.tell(new LeaderMessage.ArchiveManifestObserved(version, manifest));
         }
     }
 
     void layoutKnown(long version, StoredRecord.Layout layout) {
         directory.layoutMarked(version, layout);
         if (leader != null) {
-            leader.tell(new LeaderActor.LayoutObserved(version, layout));
+            leader.tell(new LeaderMessage.LayoutObserved(version, layout));
         }
     }
 
@@ -200,9 +200,9 @@
                 owner.over(changed);
             }
             if (leader != null && !followPending) {
-                leader.tell(new LeaderActor.JobObserved(directory.view(changed)));
+                leader.tell(new LeaderMessage.JobObserved(directory.view(changed)));
             } else if (leader != null && directory.state(changed) == JobState.CANCELLED) {
-                leader.tell(new LeaderActor.CancellationsObserved(List.of(changed)));
+                leader.tell(new LeaderMessage.CancellationsObserved(List.of(changed)));
             }
         }
     }
@@ -262,16 +262,16 @@
                 if (followPending && message.askedMicros() >= followMicros) {
                     followPending = false;
                     if (directory.layoutVersion() > 0) {
-                        leader.tell(new LeaderActor.LayoutObserved(directory.layoutVersion(), directory.layout()));
+                        leader.tell(new LeaderMessage.LayoutObserved(directory.layoutVersion(), directory.layout()));
                     }
                     if (directory.archiveManifest() != null) {
-                        leader.tell(new LeaderActor.ArchiveManifestObserved(
+                        leader.tell(new LeaderMessage.ArchiveManifestObserved(
                                 directory.archiveVersion(), directory.archiveManifest()));
                     }
-                    leader.tell(new LeaderActor.JobsObserved(directory.openAndCancelled()));
+                    leader.tell(new LeaderMessage.JobsObserved(directory.openAndCancelled()));
                 }
             }
-            own.tell(new LeaderActor.StoreRead(message.askedMicros(), directory.revision()));
+            own.tell(new LeaderMessage.StoreRead(message.askedMicros(), directory.revision()));
             asked.forEach(question -> question.fresh().run());
         } else {
             asked.forEach(question -> owner.unavailable(question.request()));
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -3,8 +3,6 @@
 import io.micatide.archive.Archiver;
 import io.micatide.election.LeaderElection;
 import io.micatide.election.WorkerConnectivity;
-import io.micatide.jobs.JobCache;
-import io.micatide.model.CancellationDigest;
 import io.micatide.model.Heartbeat;
 import io.micatide.model.JobProgress;
 import io.micatide.model.Micros;
@@ -24,7 +22,6 @@
 import io.micatide.scheduler.FailoverTimings;
 import io.micatide.scheduler.Scheduler;
 import io.micatide.standby.KeyspaceReplica;
-import io.micatide.store.StoredRecord;
 import java.util.List;
 import java.util.function.BiConsumer;
 
@@ -32,103 +29,7 @@
  * Whether this controller leads, and who else does. Answers workers and siblings; the lead itself is a {@link LeaderTerm}, which lasts from
  * the claim until it is fenced.
  */
-final class LeaderActor extends Actor<LeaderActor.Message> {
-    sealed interface Message
-            permits TickDue,
-                    LeaseTickDue,
-                    HeartbeatReceived,
-                    PeerStatusReceived,
-                    JobObserved,
-                    JobsObserved,
-                    LayoutObserved,
-                    ArchiveManifestObserved,
-                    StoreRead,
-                    LeaderRecordRead,
-                    LeaseGranted,
-                    LeadershipClaimed,
-                    LeaseRenewed,
-                    LeaderRecordObserved,
-                    LeaderWatchDue,
-                    FeatureStagesObserved,
-                    FeatureStagesRead,
-                    RegistrationRead,
-                    RegistrationWritten,
-                    PeerStatusAnswered,
-                    ReadinessRequested,
-                    HandoverAnswered,
-                    ShutdownRequested,
-                    CancellationsObserved,
-                    DigestRecorded,
-                    CancellationConfirmed,
-                    PeerCancellationsReceived,
-                    StandbyMessage,
-                    TermMessage {}
-
-    record TickDue() implements Message {}
-
-    record LeaseTickDue() implements Message {}
-
-    record HeartbeatReceived(Request request) implements Message {}
-
-    record PeerStatusReceived(Request request) implements Message {}
-
-    record JobObserved(JobCache.View view) implements Message {}
-
-    record JobsObserved(List<JobCache.View> jobs) implements Message {}
-
-    /** The mark that every controller reads the present layout is in the state service. */
-    record LayoutObserved(long version, StoredRecord.Layout layout) implements Message {}
-
-    /** The archive's manifest, as the copy of the rows has it. */
-    record ArchiveManifestObserved(long version, StoredRecord.ArchiveManifest manifest) implements Message {}
-
-    /** The switches, as the copy of the rows has them. */
-    record FeatureStagesObserved(long version, StoredRecord.FeatureStages stages) implements Message {}
-
-    record FeatureStagesRead(Reply reply) implements Message {}
-
-    record RegistrationRead(Reply reply) implements Message {}
-
-    record RegistrationWritten(Reply reply) implements Message {}
-
-    /** The changes were asked for then and are taken in, up to this revision. */
-    record StoreRead(long askedMicros, long revision) implements Message {}
-
-    /** Jobs that the copy has as cancelled, before the leader has it whole. */
-    record CancellationsObserved(List<String> jobs) implements Message {}
-
-    /** What a sibling said of cancellations is in the copy. */
-    record DigestRecorded(int peer, CancellationDigest digest, long askedMicros, long receivedMicros)
-            implements Message {}
-
-    /** A user of this controller was told that a job is cancelled. */
-    record CancellationConfirmed(CancellationDigest.Cancelled job) implements Message {}
-
-    /** The same from a sibling. */
-    record PeerCancellationsReceived(Request request) implements Message {}
-
-    record LeaderRecordRead(Reply reply) implements Message {}
-
-    record LeaseGranted(Reply reply, long askedMicros) implements Message {}
-
-    record LeadershipClaimed(Reply reply) implements Message {}
-
-    record LeaseRenewed(Reply reply, long askedMicros) implements Message {}
-
-    record LeaderRecordObserved(Reply reply) implements Message {}
-
-    record LeaderWatchDue() implements Message {}
-
-    record PeerStatusAnswered(Reply reply, long fencingToken, int peer, long askedMicros) implements Message {}
-
-    /** A cold sibling wants to know who would lead better. */
-    record ReadinessRequested(Request request) implements Message {}
-
-    record HandoverAnswered(Reply reply) implements Message {}
-
-    /** This process is to end in order; {@code onCompleted} once others can go on without it. */
-    record ShutdownRequested(Runnable onCompleted) implements Message {}
-
+final class LeaderActor extends Actor<LeaderMessage> {
     private static final long TICK_MICROS = 100 * Micros.MILLISECOND;
     private static final long LEASE_TICK_MICROS = 50 * Micros.MILLISECOND;
     private static final byte[] STORE_UNREAD_TOO_LONG = Json.error(null, "cut off");
@@ -205,63 +106,63 @@
     }
 
     @Override
-    protected void receive(Message message) {
+    protected void receive(LeaderMessage message) {
         detectPause();
-        if (message instanceof HeartbeatReceived m) {
+        if (message instanceof LeaderMessage.HeartbeatReceived m) {
             heartbeat(m.request());
         } else if (message instanceof TermMessage m) {
             if (term != null && term.fencingToken() == m.fencingToken()) {
                 term.receive(m);
             }
-        } else if (message instanceof TickDue) {
+        } else if (message instanceof LeaderMessage.TickDue) {
             tick();
-            tellLater(new TickDue(), TICK_MICROS);
-        } else if (message instanceof LeaseTickDue) {
+            tellLater(new LeaderMessage.TickDue(), TICK_MICROS);
+        } else if (message instanceof LeaderMessage.LeaseTickDue) {
             advance();
-            tellLater(new LeaseTickDue(), LEASE_TICK_MICROS);
-        } else if (message instanceof PeerStatusReceived m) {
+            tellLater(new LeaderMessage.LeaseTickDue(), LEASE_TICK_MICROS);
+        } else if (message instanceof LeaderMessage.PeerStatusReceived m) {
             peerStatusReceived(m.request());
-        } else if (message instanceof PeerStatusAnswered m) {
+        } else if (message instanceof LeaderMessage.PeerStatusAnswered m) {
             peerStatusAnswered(m);
-        } else if (message instanceof LeaderWatchDue) {
+        } else if (message instanceof LeaderMessage.LeaderWatchDue) {
             lease.watchDue();
-        } else if (message instanceof FeatureStagesObserved m) {
+        } else if (message instanceof LeaderMessage.FeatureStagesObserved m) {
             rollout.seen(m.version(), m.stages());
-        } else if (message instanceof FeatureStagesRead m) {
+        } else if (message instanceof LeaderMessage.FeatureStagesRead m) {
             rollout.switchesRead(m.reply());
             advance();
-        } else if (message instanceof RegistrationRead m) {
+        } else if (message instanceof LeaderMessage.RegistrationRead m) {
             rollout.ownRowRead(m.reply());
             advance();
-        } else if (message instanceof RegistrationWritten m) {
+        } else if (message instanceof LeaderMessage.RegistrationWritten m) {
             rollout.registered(m.reply());
-        } else if (message instanceof StoreRead m) {
+        } else if (message instanceof LeaderMessage.StoreRead m) {
             cancellations.storeRead(m);
             if (term != null) {
                 term.storeRead(m.askedMicros());
             }
-        } else if (message instanceof DigestRecorded m) {
+        } else if (message instanceof LeaderMessage.DigestRecorded m) {
             cancellations.digestRecorded(m);
-        } else if (message instanceof CancellationConfirmed m) {
+        } else if (message instanceof LeaderMessage.CancellationConfirmed m) {
             cancellations.cancellationConfirmed(m.job(), election.leader(), peers);
-        } else if (message instanceof PeerCancellationsReceived m) {
+        } else if (message instanceof LeaderMessage.PeerCancellationsReceived m) {
             cancellations.peerCancellationsReceived(m.request());
-        } else if (message instanceof JobObserved
-                || message instanceof JobsObserved
-                || message instanceof CancellationsObserved
-                || message instanceof LayoutObserved
-                || message instanceof ArchiveManifestObserved) {
+        } else if (message instanceof LeaderMessage.JobObserved
+                || message instanceof LeaderMessage.JobsObserved
+                || message instanceof LeaderMessage.CancellationsObserved
+                || message instanceof LeaderMessage.LayoutObserved
+                || message instanceof LeaderMessage.ArchiveManifestObserved) {
             if (term != null) {
                 recordsObserved(message);
             }
         } else if (message instanceof StandbyMessage m) {
             standby.receive(m, term == null ? 0 : term.fencingToken());
             advance();
-        } else if (message instanceof ReadinessRequested m) {
+        } else if (message instanceof LeaderMessage.ReadinessRequested m) {
             m.request().answer(200, PeerCodec.answer(statusAnswer(now())));
-        } else if (message instanceof HandoverAnswered m) {
+        } else if (message instanceof LeaderMessage.HandoverAnswered m) {
             handover.successorAnswered(m.reply().ok());
-        } else if (message instanceof ShutdownRequested m) {
+        } else if (message instanceof LeaderMessage.ShutdownRequested m) {
             shutDown(m.onCompleted());
         } else {
             lease.answered(message);
@@ -289,16 +190,16 @@
     }
 
     /** What the copy of the job rows tells a leader. */
-    private void recordsObserved(Message message) {
-        if (message instanceof JobObserved m) {
+    private void recordsObserved(LeaderMessage message) {
+        if (message instanceof LeaderMessage.JobObserved m) {
             term.jobObserved(m.view());
-        } else if (message instanceof JobsObserved m) {
+        } else if (message instanceof LeaderMessage.JobsObserved m) {
             term.jobsObserved(m.jobs());
-        } else if (message instanceof LayoutObserved m) {
+        } else if (message instanceof LeaderMessage.LayoutObserved m) {
             term.layoutObserved(m.version(), m.layout());
-        } else if (message instanceof ArchiveManifestObserved m) {
+        } else if (message instanceof LeaderMessage.ArchiveManifestObserved m) {
             term.archiveManifestObserved(m.version(), m.manifest());
-        } else if (message instanceof CancellationsObserved m) {
+        } else if (message instanceof LeaderMessage.CancellationsObserved m) {
             term.cancellationsObserved(m.jobs());
         }
     }
@@ -532,7 +433,7 @@
         }
     }
 
-    private void peerStatusAnswered(PeerStatusAnswered message) {
+    private void peerStatusAnswered(LeaderMessage.PeerStatusAnswered message) {
         Reply reply = message.reply();
         if (!reply.ok()) {
             return;
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -70,15 +70,15 @@
                     StoreKeys.LEADER,
                     Math.max(election.recordVersion(), watchRevision),
                     WATCH_TIMEOUT_MICROS,
-                    owner.answer(LeaderActor.LeaderRecordObserved::new));
+                    owner.answer(LeaderMessage.LeaderRecordObserved::new));
         }
         // Whoever does not know what is stored leads nobody, and while that is not read nobody knows.
         switch (election.nextAction(now, rollout.mayLead() ? waitsMicros : Long.MAX_VALUE)) {
-            case READ_RECORD -> store.read(StoreKeys.LEADER, owner.answer(LeaderActor.LeaderRecordRead::new));
+            case READ_RECORD -> store.read(StoreKeys.LEADER, owner.answer(LeaderMessage.LeaderRecordRead::new));
             case GRANT_LEASE ->
-                store.grant(election.leaseMicros(), owner.answer(r -> new LeaderActor.LeaseGranted(r, now)));
+                store.grant(election.leaseMicros(), owner.answer(r -> new LeaderMessage.LeaseGranted(r, now)));
             case RENEW_LEASE ->
-                store.touch(election.leaseId(), owner.answer(r -> new LeaderActor.LeaseRenewed(r, now)));
+                store.touch(election.leaseId(), owner.answer(r -> new LeaderMessage.LeaseRenewed(r, now)));
             case CLAIM -> {
                 StoredRecord row = new StoredRecord.Leader(label);
                 List<Transaction.Condition> conditions = new ArrayList<>(rollout.claimConditions());
@@ -86,29 +86,29 @@
                 store.transaction(
                         new Transaction(
                                 conditions, List.of(new Transaction.Write(StoreKeys.LEADER, row, election.leaseId()))),
-                        owner.answer(LeaderActor.LeadershipClaimed::new));
+                        owner.answer(LeaderMessage.LeadershipClaimed::new));
             }
             case NOTHING -> {}
         }
     }
 
     /** An answer to one of the above. */
-    void answered(LeaderActor.Message message) {
+    void answered(LeaderMessage message) {
         long now = owner.now();
         try {
-            if (message instanceof LeaderActor.LeaderRecordRead m) {
+            if (message instanceof LeaderMessage.LeaderRecordRead m) {
                 recordRead(m.reply(), now);
-            } else if (message instanceof LeaderActor.LeaseGranted m) {
+            } else if (message instanceof LeaderMessage.LeaseGranted m) {
                 if (m.reply().ok()) {
                     election.leaseGranted(StoreCodec.granted(m.reply().body()), m.askedMicros());
                 } else {
                     election.requestFailed(now, RETRY_MICROS);
                 }
-            } else if (message instanceof LeaderActor.LeaseRenewed m) {
+            } else if (message instanceof LeaderMessage.LeaseRenewed m) {
                 leaseRenewed(m.reply(), m.askedMicros(), now);
-            } else if (message instanceof LeaderActor.LeadershipClaimed m) {
+            } else if (message instanceof LeaderMessage.LeadershipClaimed m) {
                 leadershipClaimed(m.reply(), now);
-            } else if (message instanceof LeaderActor.LeaderRecordObserved m) {
+            } else if (message instanceof LeaderMessage.LeaderRecordObserved m) {
                 recordObserved(m.reply());
             }
         } catch (MalformedException e) {
@@ -180,7 +180,7 @@
                 watchRevision = 0;
             }
             election.forgetRecord();
-            owner.tellLater(new LeaderActor.LeaderWatchDue(), WATCH_RETRY_MICROS);
+            owner.tellLater(new LeaderMessage.LeaderWatchDue(), WATCH_RETRY_MICROS);
         }
     }
 }
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -118,7 +118,7 @@
                         "/handover",
                         PeerCodec.handOver(fencingToken, revision),
                         HANDOVER_TIMEOUT_MICROS,
-                        owner.answer(LeaderActor.HandoverAnswered::new));
+                        owner.answer(LeaderMessage.HandoverAnswered::new));
     }
 
     /** To whoever leads, if it is a sibling: what it would otherwise learn with its next read or news. */
@@ -146,7 +146,7 @@
                                 what.featureStagesVersion(),
                                 what.readRevision())),
                         Http.PATIENCE_MICROS,
-                        owner.answer(
-                                r -> new LeaderActor.PeerStatusAnswered(r, what.fencingToken(), sibling, askedMicros)));
+                        owner.answer(r ->
+                                new LeaderMessage.PeerStatusAnswered(r, what.fencingToken(), sibling, askedMicros)));
     }
 }
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -105,17 +105,17 @@
         }
         if ((!switches.known() || heardOf > switches.version()) && !reading && now >= readAgainMicros) {
             reading = true;
-            state.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderActor.FeatureStagesRead::new));
+            state.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderMessage.FeatureStagesRead::new));
         }
         if (blocked && now - saidMicros >= SAID_MICROS) {
             saidMicros = now;
             LOG.warn("waits, and does not serve, because of {}", String.join(", ", switches.unknown()));
         }
         switch (registration.next(blocked ? 0 : lease, switches.version(), now)) {
-            case READ -> state.read(registration.key(), owner.answer(LeaderActor.RegistrationRead::new));
+            case READ -> state.read(registration.key(), owner.answer(LeaderMessage.RegistrationRead::new));
             case PUT -> {
                 Transaction put = registration.put();
-                state.transaction(put, owner.answer(LeaderActor.RegistrationWritten::new));
+                state.transaction(put, owner.answer(LeaderMessage.RegistrationWritten::new));
             }
             case NOTHING -> {}
         }
--- a/src/main/java/io/micatide/controller/StandbyMessage.java
+++ b/src/main/java/io/micatide/controller/StandbyMessage.java
@@ -4,7 +4,7 @@
 import io.micatide.net.Request;
 
 /** What concerns who follows whom. */
-sealed interface StandbyMessage extends LeaderActor.Message {
+sealed interface StandbyMessage extends LeaderMessage {
     /** Whether this controller's copy of what a leader reads is whole. */
     record ReplicaStateChanged(boolean isComplete) implements StandbyMessage {}
 
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -14,7 +14,7 @@
 import java.util.List;
 
 /** What concerns one term only: dropped once that term is over. */
-sealed interface TermMessage extends LeaderActor.Message {
+sealed interface TermMessage extends LeaderMessage {
     /** The term's token. */
     long fencingToken();
 
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -93,7 +93,7 @@
     record Testify(long revision, Consumer<CancellationDigest> then) implements Message {}
 
     /** A sibling knows these jobs as cancelled; {@code then}, if any, is told to the leader's actor once they are taken in. */
-    record TakeIn(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then) implements Message {}
+    record TakeIn(List<CancellationDigest.Cancelled> jobs, LeaderMessage then) implements Message {}
 
     /** This process ends: users are sent to the others. */
     record Closing() implements Message {}
