--- a/src/test/java/io/micatide/election/LeaderElectionTest.java
+++ b/src/test/java/io/micatide/election/LeaderElectionTest.java
@@ -21,14 +21,14 @@
         "'read:other:4,lease,row::0', 0, other, CLAIM",
         // The row of our own earlier process is replaced: that process is gone.
         "'read:me:4,lease', 0, me, CLAIM",
-        "'read::0,lease,lost', 0, , READ_ROW",
-        "'read::0,lease,unknown', 0, , READ_ROW",
+        "'read::0,lease,lost', 0, , READ_RECORD",
+        "'read::0,lease,unknown', 0, , READ_RECORD",
         // A lease that ended takes the row with it.
-        "'read::0,lease,won:5,gone', 0, , READ_ROW",
+        "'read::0,lease,won:5,gone', 0, , READ_RECORD",
         // Fenced by the row, by a sibling and by a worker.
         "'read::0,lease,won:5,row:other:9', 0, other, NOTHING",
-        "'read::0,lease,won:5,high:9:other', 0, other, READ_ROW",
-        "'read::0,lease,won:5,high:9:', 0, , READ_ROW",
+        "'read::0,lease,won:5,high:9:other', 0, other, READ_RECORD",
+        "'read::0,lease,won:5,high:9:', 0, , READ_RECORD",
         // Having given up it leaves the free row to others for a while, its own earlier row too.
         "'read::0,lease,won:5,resign,read:me:5,lease', 0, me, NOTHING",
         "'read::0,lease,won:5,resign,read::0,lease', 0, , NOTHING",
