--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -1,6 +1,5 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archiver;
 import io.micatide.model.Settings;
 import io.micatide.model.Tuning;
 import io.micatide.net.CloudClient;
@@ -10,9 +9,7 @@
 import io.micatide.protocol.ApiDescription;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.StoreCodec;
-import io.micatide.rollout.Capabilities;
 import io.micatide.scheduler.FailoverTimings;
-import io.micatide.standby.KeyspaceReplica;
 import java.util.List;
 import java.util.function.BiConsumer;
 
@@ -24,30 +21,30 @@
     private final UsersActor users;
     private final LeaderActor leader;
 
-    public Controller(Settings settings, Tuning tuning, ActorExecutor loop, Http.Connector connector) {
-        this(settings, tuning, loop, connector, Archiver::new);
+    /** A controller with the standard components. */
+    public Controller(Settings settings, Tuning tuning, ActorExecutor executor, Http.Connector connector) {
+        this(settings, tuning, executor, connector, ControllerComponents.standard());
     }
 
-    /** With another archivist, as a rehearsal plants it. */
-    public Controller(
-            Settings settings, Tuning tuning, ActorExecutor loop, Http.Connector connector, Archiver.Maker maker) {
-        this(settings, tuning, loop, connector, maker, KeyspaceReplica::new, Capabilities.ALL);
-    }
-
-    /** With another copy for the standby too, and with what a version can do. */
+    /**
+     * A controller with components of the caller's choice.
+     *
+     * @param executor runs all actors of this controller, one message at a time
+     * @param connector opens connections to the store, the cloud provider, peers and workers
+     * @param components the replaceable parts
+     */
     public Controller(
             Settings settings,
             Tuning tuning,
-            ActorExecutor loop,
+            ActorExecutor executor,
             Http.Connector connector,
-            Archiver.Maker maker,
-            KeyspaceReplica.Maker copies,
-            Capabilities abilities) {
-        StoreClient state = new StoreClient(settings, connector, loop::now);
-        CloudClient cloud = new CloudClient(settings, connector, loop::now);
+            ControllerComponents components) {
+        StoreClient store = new StoreClient(settings, connector, executor::now);
+        CloudClient cloud = new CloudClient(settings, connector, executor::now);
         this.users = new UsersActor(
-                loop, settings, state, cloud, tuning.apiDescriptionServed() ? new ApiDescription() : null);
-        this.leader = new LeaderActor(loop, settings, tuning, state, cloud, users, connector, maker, copies, abilities);
+                executor, settings, store, cloud, tuning.apiDescriptionServed() ? new ApiDescription() : null);
+        this.leader = new LeaderActor(
+                new ControllerServices(settings, tuning, executor, store, cloud, connector), users, components);
     }
 
     /** How this controller's term began, null if it does not lead. For rehearsals; on the loop. */
--- a/src/main/java/io/micatide/controller/GracefulHandover.java
+++ b/src/main/java/io/micatide/controller/GracefulHandover.java
@@ -60,7 +60,7 @@
     }
 
     /** An heir that could not catch up reads all: that is no reason to keep the lead. */
-    void successorAnswered(boolean caughtUp) {
+    void successorAnswered() {
         if (step == Step.NOTIFY_SUCCESSOR) {
             finish();
         }
--- /dev/null
+++ b/src/main/java/io/micatide/controller/HeartbeatHandler.java
@@ -0,0 +1,70 @@
+package io.micatide.controller;
+
+import io.micatide.election.LeaderElection;
+import io.micatide.election.WorkerConnectivity;
+import io.micatide.model.Heartbeat;
+import io.micatide.net.Request;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.WorkerCodec;
+
+/**
+ * Answers the heartbeats of workers: a leader with commands, any other controller with the leader's label. An answer with commands
+ * prolongs the worker's lease, so it is given only while the {@link CancellationExchange} allows it and before the leader's lease is
+ * released. Part of the leader's actor.
+ */
+final class HeartbeatHandler {
+    private static final byte[] CANCELLATIONS_UNKNOWN = Json.error(null, "cut off");
+
+    private final LeaderActor owner;
+    private final String label;
+    private final LeaderElection election;
+    private final WorkerConnectivity workers;
+    private final CancellationExchange cancellations;
+
+    /** @param label of this controller */
+    HeartbeatHandler(LeaderActor owner, String label, LeaderCollaborators collaborators) {
+        this.owner = owner;
+        this.label = label;
+        this.election = collaborators.election();
+        this.workers = collaborators.workers();
+        this.cancellations = collaborators.cancellations();
+    }
+
+    /** Answers one heartbeat. */
+    void answer(Request request) {
+        Heartbeat heartbeat;
+        try {
+            heartbeat = WorkerCodec.heartbeat(request.body());
+        } catch (MalformedException e) {
+            request.answer(400, Json.error(e.field(), e.getMessage()));
+            return;
+        }
+        owner.observeFencingToken(heartbeat.fencingToken());
+        LeadershipTransfer transfer = owner.transfer();
+        if (transfer.isCompleted()) {
+            request.answer(421, WorkerCodec.elsewhere(transfer.successor()));
+        } else if (owner.term() == null) {
+            redirect(heartbeat, request);
+        } else {
+            answerAsLeader(owner.term(), heartbeat, request);
+        }
+    }
+
+    private void redirect(Heartbeat heartbeat, Request request) {
+        String leader = election.leader();
+        long now = owner.now();
+        workers.heartbeatRedirected(heartbeat, election.highestFencingToken(), now);
+        boolean isLeaderUnknown = label.equals(leader) || workers.isLeaderUnreachable(now);
+        request.answer(421, WorkerCodec.elsewhere(isLeaderUnknown ? null : leader));
+    }
+
+    private void answerAsLeader(LeaderTerm term, Heartbeat heartbeat, Request request) {
+        workers.heartbeatReceived(owner.now());
+        if (cancellations.mayAnswerWorkers(owner.now())) {
+            request.answer(200, WorkerCodec.answer(term.fencingToken(), term.handleHeartbeat(heartbeat)));
+        } else {
+            request.answer(503, CANCELLATIONS_UNKNOWN);
+        }
+    }
+}
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -1,457 +1,286 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archiver;
 import io.micatide.election.LeaderElection;
 import io.micatide.election.WorkerConnectivity;
-import io.micatide.model.Heartbeat;
-import io.micatide.model.JobProgress;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
 import io.micatide.model.Tuning;
-import io.micatide.net.CloudClient;
-import io.micatide.net.Http;
-import io.micatide.net.Reply;
-import io.micatide.net.Request;
-import io.micatide.net.StoreClient;
-import io.micatide.protocol.Json;
-import io.micatide.protocol.MalformedException;
-import io.micatide.protocol.PeerCodec;
 import io.micatide.protocol.StoreCodec;
-import io.micatide.protocol.WorkerCodec;
-import io.micatide.rollout.Capabilities;
 import io.micatide.scheduler.FailoverTimings;
-import io.micatide.scheduler.Scheduler;
-import io.micatide.standby.KeyspaceReplica;
 import java.util.List;
 import java.util.function.BiConsumer;
 
 /**
- * Whether this controller leads, and who else does. Answers workers and siblings; the lead itself is a {@link LeaderTerm}, which lasts from
- * the claim until it is fenced.
+ * Leads, or follows whoever leads. Owns the present {@link LeaderTerm}, which lasts from the write of the leader record until a higher
+ * fencing token is seen, the lease expires or leadership is given up, and passes each message to the class that handles it. A term is
+ * over as soon as the {@link LeaderElection} no longer has its fencing token; {@link #endTermIfFenced()} is called after whatever may
+ * have changed that.
  */
 final class LeaderActor extends Actor<LeaderMessage> {
     private static final long TICK_MICROS = 100 * Micros.MILLISECOND;
     private static final long LEASE_TICK_MICROS = 50 * Micros.MILLISECOND;
-    private static final byte[] STORE_UNREAD_TOO_LONG = Json.error(null, "cut off");
-    /** No message for so long, with a timer every 50 ms, means that the process stood still. */
+    /** No message for so long, with a timer every 50 ms, means that the process was paused. */
     private static final long PAUSE_MICROS = Micros.SECOND;
 
-    private final ActorExecutor executor;
-    private final Settings settings;
-    private final Tuning tuning;
-    private final StoreClient store;
-    private final CloudClient cloud;
-    private final UsersActor users;
-    private final ArchiverActor archiver;
-    private final Http.Connector connector;
-    private final PeerClients peers;
-    private final LeaderElection election;
-    private final LeaderLease lease;
-    private final RolloutParticipant rollout;
-    private final WorkerConnectivity workerConnectivity;
-    private final CancellationExchange cancellations;
-    private final StandbyCoordinator standby;
-    /** Null until this process is told to end. */
-    private GracefulHandover handover;
+    private final LeaderCollaborators collaborators;
+    private final LeaderTermFactory terms;
+    private final HeartbeatHandler heartbeats;
+    private final LeadershipTransfer transfer;
+    private final PeerExchange peerExchange;
 
     private long lastMessageMicros;
     /** Null while another controller leads, or nobody. */
     private LeaderTerm term;
 
-    LeaderActor(
-            ActorExecutor loop,
-            Settings settings,
-            Tuning tuning,
-            StoreClient state,
-            CloudClient cloud,
-            UsersActor users,
-            Http.Connector connector,
-            Archiver.Maker maker,
-            KeyspaceReplica.Maker copies,
-            Capabilities abilities) {
-        super(loop);
-        this.executor = loop;
-        this.settings = settings;
-        this.tuning = tuning;
-        this.store = state;
-        this.cloud = cloud;
-        this.users = users;
-        this.connector = connector;
-        this.peers = new PeerClients(this, settings, connector);
+    LeaderActor(ControllerServices services, UsersActor users, ControllerComponents components) {
+        super(services.executor());
+        Settings settings = services.settings();
+        Tuning tuning = services.tuning();
+        PeerClients peers = new PeerClients(this, settings, services.connector());
         this.lastMessageMicros = now();
-        this.archiver = new ArchiverActor(loop, settings, tuning.archiveBatchSize(), maker, state, this);
-        this.workerConnectivity = new WorkerConnectivity(settings, now());
-        this.cancellations = new CancellationExchange(settings, users);
-        this.election = new LeaderElection(settings.label(), tuning.leaderLeaseMicros());
-        this.rollout = new RolloutParticipant(this, settings, abilities, state, users);
-        this.lease = new LeaderLease(this, settings.label(), state, election, rollout);
-        StandbyActor standby =
-                tuning.standbyEnabled() ? new StandbyActor(loop, settings, state, users, this, copies) : null;
-        this.standby = new StandbyCoordinator(this, settings, peers, lease, standby, now());
+        ArchiverActor archiver = new ArchiverActor(
+                services.executor(),
+                settings,
+                tuning.archiveBatchSize(),
+                components.archivers(),
+                services.store(),
+                this);
+        this.collaborators = collaborators(services, users, components, peers);
+        this.terms = new LeaderTermFactory(this, services, users, archiver, collaborators);
+        this.heartbeats = new HeartbeatHandler(this, settings.label(), collaborators);
+        this.transfer = new LeadershipTransfer(this, services, users, collaborators);
+        this.peerExchange = new PeerExchange(this, services.store(), users, collaborators, transfer);
+    }
+
+    private LeaderCollaborators collaborators(
+            ControllerServices services, UsersActor users, ControllerComponents components, PeerClients peers) {
+        Settings settings = services.settings();
+        Tuning tuning = services.tuning();
+        WorkerConnectivity workers = new WorkerConnectivity(settings, now());
+        CancellationExchange cancellations = new CancellationExchange(settings, users);
+        LeaderElection election = new LeaderElection(settings.label(), tuning.leaderLeaseMicros());
+        RolloutParticipant rollout =
+                new RolloutParticipant(this, settings, components.capabilities(), services.store(), users);
+        LeaderLease lease = new LeaderLease(this, settings.label(), services.store(), election, rollout);
+        StandbyActor standbyActor = tuning.standbyEnabled()
+                ? new StandbyActor(services.executor(), settings, services.store(), users, this, components.replicas())
+                : null;
+        StandbyCoordinator standby = new StandbyCoordinator(this, settings, peers, lease, standbyActor, now());
+        return new LeaderCollaborators(election, lease, workers, cancellations, standby, peers, rollout);
     }
 
     /** How this controller's term began, null if it does not lead. */
     FailoverTimings failoverTimings() {
-        return term == null ? null : term.takeOver();
+        return term == null ? null : term.failoverTimings();
     }
 
-    /** Whether it is appointed to take over. */
+    /** Whether the leader has designated this controller to take over. */
     boolean isDesignatedStandby() {
-        return standby.isDesignated();
+        return collaborators.standby().isDesignated();
+    }
+
+    /** Shows {@code observer} the records that the standby's replicas bring to each failover to this controller. */
+    void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> observer) {
+        collaborators.standby().standby().witness(observer);
     }
 
-    /** Sees what is brought to each take-over on this controller. */
-    void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> each) {
-        standby.standby().witness(each);
+    /** The present term, null while this controller does not lead; not an Optional, as it is asked for with each heartbeat. */
+    LeaderTerm term() {
+        return term;
     }
 
+    /** How this controller gives leadership up. */
+    LeadershipTransfer transfer() {
+        return transfer;
+    }
+
+    // ---- messages
+
     @Override
     protected void receive(LeaderMessage message) {
         detectPause();
         if (message instanceof LeaderMessage.HeartbeatReceived m) {
-            heartbeat(m.request());
+            heartbeats.answer(m.request());
         } else if (message instanceof TermMessage m) {
-            if (term != null && term.fencingToken() == m.fencingToken()) {
-                term.receive(m);
-            }
+            termMessageReceived(m);
         } else if (message instanceof LeaderMessage.TickDue) {
-            tick();
-            tellLater(new LeaderMessage.TickDue(), TICK_MICROS);
+            tickDue();
         } else if (message instanceof LeaderMessage.LeaseTickDue) {
-            advance();
-            tellLater(new LeaderMessage.LeaseTickDue(), LEASE_TICK_MICROS);
-        } else if (message instanceof LeaderMessage.PeerStatusReceived m) {
-            peerStatusReceived(m.request());
-        } else if (message instanceof LeaderMessage.PeerStatusAnswered m) {
-            peerStatusAnswered(m);
-        } else if (message instanceof LeaderMessage.LeaderWatchDue) {
-            lease.watchDue();
-        } else if (message instanceof LeaderMessage.FeatureStagesObserved m) {
-            rollout.seen(m.version(), m.stages());
-        } else if (message instanceof LeaderMessage.FeatureStagesRead m) {
-            rollout.switchesRead(m.reply());
-            advance();
-        } else if (message instanceof LeaderMessage.RegistrationRead m) {
-            rollout.ownRowRead(m.reply());
-            advance();
-        } else if (message instanceof LeaderMessage.RegistrationWritten m) {
-            rollout.registered(m.reply());
+            leaseTickDue();
+        } else if (message instanceof LeaderMessage.PeerMessage m) {
+            peerExchange.receive(m);
+        } else if (message instanceof LeaderMessage.RecordObserved m) {
+            recordObserved(m);
         } else if (message instanceof LeaderMessage.StoreRead m) {
-            cancellations.storeRead(m);
-            if (term != null) {
-                term.storeRead(m.askedMicros());
-            }
-        } else if (message instanceof LeaderMessage.DigestRecorded m) {
-            cancellations.digestRecorded(m);
-        } else if (message instanceof LeaderMessage.CancellationConfirmed m) {
-            cancellations.cancellationConfirmed(m.job(), election.leader(), peers);
-        } else if (message instanceof LeaderMessage.PeerCancellationsReceived m) {
-            cancellations.peerCancellationsReceived(m.request());
-        } else if (message instanceof LeaderMessage.JobObserved
-                || message instanceof LeaderMessage.JobsObserved
-                || message instanceof LeaderMessage.CancellationsObserved
-                || message instanceof LeaderMessage.LayoutObserved
-                || message instanceof LeaderMessage.ArchiveManifestObserved) {
-            if (term != null) {
-                recordsObserved(message);
-            }
+            storeRead(m);
+        } else if (message instanceof LeaderMessage.LeaseMessage m) {
+            leaseMessageReceived(m);
+        } else if (message instanceof LeaderMessage.LeaderWatchDue) {
+            collaborators.lease().watchDue();
+        } else if (message instanceof LeaderMessage.RolloutMessage m) {
+            rolloutMessageReceived(m);
         } else if (message instanceof StandbyMessage m) {
-            standby.receive(m, term == null ? 0 : term.fencingToken());
-            advance();
-        } else if (message instanceof LeaderMessage.ReadinessRequested m) {
-            m.request().answer(200, PeerCodec.answer(statusAnswer(now())));
-        } else if (message instanceof LeaderMessage.HandoverAnswered m) {
-            handover.successorAnswered(m.reply().ok());
+            standbyMessageReceived(m);
+        } else if (message instanceof LeaderMessage.HandoverAnswered) {
+            transfer.successorAnswered();
         } else if (message instanceof LeaderMessage.ShutdownRequested m) {
-            shutDown(m.onCompleted());
-        } else {
-            lease.answered(message);
-            endTermIfFenced();
-            advance();
+            transfer.shutDown(m.onCompleted());
         }
     }
 
-    /** What is due about the lead: asking, renewing, claiming; or ending it. */
-    private void advance() {
+    /** Called before the messages that waited during a pause are handled: they must not be taken for prompt ones. */
+    private void detectPause() {
         long now = now();
-        if (handover != null) {
-            handover.advance(now);
-            return;
+        if (now - lastMessageMicros > PAUSE_MICROS) {
+            log.warn("process paused for {} ms", (now - lastMessageMicros) / Micros.MILLISECOND);
+            collaborators.workers().processPaused(now);
+            if (term != null) {
+                term.processResumed(now);
+            }
         }
-        rollout.advance(election.leaseId(), now);
-        lease.advance(now, standby.claimDelayMicros(workerConnectivity.isConnected(now), now));
+        lastMessageMicros = now;
     }
 
-    /** The switches are not as they were. */
-    void featureStagesChanged() {
-        if (term != null) {
-            term.featureStagesChanged();
+    /** Messages of a former term are dropped. */
+    private void termMessageReceived(TermMessage message) {
+        if (term != null && term.fencingToken() == message.fencingToken()) {
+            term.receive(message);
         }
     }
 
-    /** What the copy of the job rows tells a leader. */
-    private void recordsObserved(LeaderMessage message) {
-        if (message instanceof LeaderMessage.JobObserved m) {
-            term.jobObserved(m.view());
-        } else if (message instanceof LeaderMessage.JobsObserved m) {
-            term.jobsObserved(m.jobs());
-        } else if (message instanceof LeaderMessage.LayoutObserved m) {
-            term.layoutObserved(m.version(), m.layout());
-        } else if (message instanceof LeaderMessage.ArchiveManifestObserved m) {
-            term.archiveManifestObserved(m.version(), m.manifest());
-        } else if (message instanceof LeaderMessage.CancellationsObserved m) {
-            term.cancellationsObserved(m.jobs());
+    private void tickDue() {
+        if (term != null) {
+            tick(term);
         }
+        tellLater(new LeaderMessage.TickDue(), TICK_MICROS);
     }
 
-    /** Before anything that waited meanwhile is taken in. */
-    private void detectPause() {
+    private void tick(LeaderTerm current) {
         long now = now();
-        if (now - lastMessageMicros > PAUSE_MICROS) {
-            log.warn("process paused for {} ms", (now - lastMessageMicros) / Micros.MILLISECOND);
-            workerConnectivity.processPaused(now);
-            if (term != null) {
-                term.processResumed(now);
+        if (current.isLoaded()) {
+            peerExchange.sendUrgentStatusIfWorkersAreSilent(current, now);
+            if (!transfer.isShuttingDown()) {
+                current.tick(now);
             }
         }
-        lastMessageMicros = now;
+        peerExchange.sendStatusIfDue(current, now);
+        if (current.isLoaded()) {
+            current.logSummaryIfDue(now);
+        }
     }
 
-    // ---- terms
+    private void leaseTickDue() {
+        advanceElection();
+        tellLater(new LeaderMessage.LeaseTickDue(), LEASE_TICK_MICROS);
+    }
 
-    /** Whether this process was told to end: nothing new is begun. */
-    boolean isShuttingDown() {
-        return handover != null;
+    private void recordObserved(LeaderMessage.RecordObserved message) {
+        if (term != null) {
+            term.recordObserved(message);
+        }
     }
 
-    /** The lease was renewed. */
-    void leaseRenewed() {
+    private void storeRead(LeaderMessage.StoreRead message) {
+        collaborators.cancellations().storeRead(message);
         if (term != null) {
-            term.leaseHeldUntil(election.leaseHeldUntilMicros());
+            term.storeRead(message.askedMicros());
         }
     }
 
-    /** A write was refused on condition of the token. */
-    void writeFenced() {
-        election.stepDown();
-        election.forgetRecord();
+    private void leaseMessageReceived(LeaderMessage.LeaseMessage message) {
+        collaborators.lease().receive(message);
         endTermIfFenced();
+        advanceElection();
     }
 
-    /** The highest token that a worker has seen: a higher one than ours means that another controller leads. */
-    void observeFencingToken(long fencingToken) {
-        if (fencingToken > 0 && election.observeToken(fencingToken, null)) {
-            endTermIfFenced();
+    private void rolloutMessageReceived(LeaderMessage.RolloutMessage message) {
+        RolloutParticipant rollout = collaborators.rollout();
+        if (message instanceof LeaderMessage.FeatureStagesObserved m) {
+            rollout.seen(m.version(), m.stages());
+        } else if (message instanceof LeaderMessage.FeatureStagesRead m) {
+            rollout.switchesRead(m.reply());
+            advanceElection();
+        } else if (message instanceof LeaderMessage.RegistrationRead m) {
+            rollout.ownRowRead(m.reply());
+            advanceElection();
+        } else if (message instanceof LeaderMessage.RegistrationWritten m) {
+            rollout.registered(m.reply());
         }
     }
 
-    /** The claim with this token was answered. */
+    private void standbyMessageReceived(StandbyMessage message) {
+        collaborators.standby().receive(message, term == null ? 0 : term.fencingToken());
+        advanceElection();
+    }
+
+    /** Sends what is due about the election: a read, a lease, a renewal or a claim; during a shutdown, its next step. */
+    private void advanceElection() {
+        long now = now();
+        if (transfer.isShuttingDown()) {
+            transfer.advance(now);
+            return;
+        }
+        collaborators.rollout().advance(collaborators.election().leaseId(), now);
+        boolean hasWorkers = collaborators.workers().isConnected(now);
+        collaborators.lease().advance(now, collaborators.standby().claimDelayMicros(hasWorkers, now));
+    }
+
+    // ---- the term
+
+    /** The claim of the leader record succeeded; its revision is the fencing token. */
     void startTerm(long fencingToken, long now) {
         log.info("became leader with fencing token {}", fencingToken);
-        Scheduler scheduler = new Scheduler(settings, tuning, fencingToken, now);
-        scheduler.leaseHeldUntil(election.leaseHeldUntilMicros());
-        peers.termStarted();
-        standby.termStarted(fencingToken, now);
-        workerConnectivity.termStarted(now);
-        term = new LeaderTerm(
-                this,
-                users,
-                scheduler,
-                new FailoverLoader(executor, store, this, standby.standby(), fencingToken),
-                new LedgerCommitter(this, scheduler, store, users),
-                new CloudCalls(this, scheduler, cloud, store, users),
-                new RolloutDriver(this, settings, tuning, scheduler, store, users, rollout),
-                new TermArchiving(this, tuning, scheduler, users, archiver),
-                new LearnedStateWriter(this, settings, scheduler, store, rollout),
-                new TermAnnouncer(this, settings, scheduler, connector, standby.wasHandedOver(now)));
+        collaborators.peers().termStarted();
+        collaborators.standby().termStarted(fencingToken, now);
+        collaborators.workers().termStarted(now);
+        term = terms.create(fencingToken, now);
         term.start();
     }
 
-    private void endTermIfFenced() {
-        if (term != null && election.fencingToken() != term.fencingToken()) {
+    /** Ends the term if the election says that this controller no longer leads by its fencing token. */
+    void endTermIfFenced() {
+        if (term != null && collaborators.election().fencingToken() != term.fencingToken()) {
             log.warn("fenced: term {} is over", term.fencingToken());
             term.end();
             term = null;
         }
     }
 
-    private void tick() {
-        long now = now();
-        if (term == null) {
-            return;
-        }
-        if (term.isLoaded()) {
-            if (workerConnectivity.shouldAskPeers(now)) {
-                peers.sendUrgentStatus(currentStatus(now), now);
-            }
-            if (handover == null) {
-                term.tick(now);
-            }
-        }
-        if (peers.isStatusDue(now)) {
-            List<JobProgress> jobs = term.progress();
-            if (term.isLoaded()) {
-                users.tell(new UsersActor.Progress(true, jobs));
-            }
-            peers.sendStatus(currentStatus(now), jobs, now);
-            if (term.isLoaded()) {
-                standby.sendHints(term, now);
-            }
-        }
-        if (term.isLoaded()) {
-            term.logSummaryIfDue(now);
-        }
-    }
-
-    private PeerClients.LeaderStatus currentStatus(long now) {
-        return new PeerClients.LeaderStatus(
-                term.fencingToken(),
-                store.reach().isConnected(now),
-                workerConnectivity.silentMicros(now),
-                standby.selectStandbys(now),
-                rollout.switches().version(),
-                cancellations.readRevision());
+    /** The store refused a write because the leader record is no longer ours. */
+    void writeFenced() {
+        collaborators.election().stepDown();
+        collaborators.election().forgetRecord();
+        endTermIfFenced();
     }
 
-    // ---- workers
-
-    private void heartbeat(Request request) {
-        Heartbeat heartbeat;
-        try {
-            heartbeat = WorkerCodec.heartbeat(request.body());
-        } catch (MalformedException e) {
-            request.answer(400, Json.error(e.field(), e.getMessage()));
-            return;
-        }
-        observeFencingToken(heartbeat.fencingToken());
-        if (handover != null && handover.isCompleted()) {
-            request.answer(421, WorkerCodec.elsewhere(handover.successor()));
-            return;
-        }
-        if (term == null) {
-            String leader = election.leader();
-            long now = now();
-            workerConnectivity.heartbeatRedirected(heartbeat, election.highestFencingToken(), now);
-            boolean nobody = settings.label().equals(leader) || workerConnectivity.isLeaderUnreachable(now);
-            request.answer(421, WorkerCodec.elsewhere(nobody ? null : leader));
-            return;
-        }
-        workerConnectivity.heartbeatReceived(now());
-        if (!cancellations.mayAnswerWorkers(now())) {
-            request.answer(503, STORE_UNREAD_TOO_LONG);
-            return;
-        }
-        request.answer(200, WorkerCodec.answer(term.fencingToken(), term.handleHeartbeat(heartbeat)));
+    /** A worker knows this fencing token, 0 for none: a higher one than ours means that another controller leads. */
+    void observeFencingToken(long fencingToken) {
+        observeFencingToken(fencingToken, null);
     }
 
-    // ---- siblings
-
-    /**
-     * Leaves the lead to a sibling that the workers reach. Ending the lease removes the row at once; should that request be
-     * lost, the lease ends by itself.
-     */
-    private void resignIfWorkersAreElsewhere(long now) {
-        if (term != null && workerConnectivity.shouldResign(store.reach().isConnected(now), now)) {
-            log.warn(
-                    "gives up term {}: no worker has come for {} ms, and they come to a sibling",
-                    term.fencingToken(),
-                    workerConnectivity.silentMicros(now) / Micros.MILLISECOND);
-            long lease = election.resign(now, settings.workerLeaseMicros());
-            store.endLease(lease, reply -> log.info("lease of the former term ended: {}", reply.status()));
+    /** A peer knows this fencing token, and the label of the leader that has it; null if it does not say. */
+    void observeFencingToken(long fencingToken, String leader) {
+        if (collaborators.election().observeToken(fencingToken, leader)) {
             endTermIfFenced();
         }
     }
 
-    private void peerStatusReceived(Request request) {
-        try {
-            PeerCodec.News news = PeerCodec.news(request.body());
-            if (election.observeToken(news.fencingToken(), news.leader())) {
-                endTermIfFenced();
-            }
-            long now = now();
-            if (news.fencingToken() == election.highestFencingToken()) {
-                workerConnectivity.leaderReportedSilence(news.silentMicros(), now);
-            }
-            rollout.newerThere(news.switches());
-            if (news.stateServed()) {
-                store.reach().peerServed(now);
-            }
-            if (term == null && news.fencingToken() == election.highestFencingToken()) {
-                users.tell(new UsersActor.Progress(news.first(), news.jobs()));
-                standby.leaderStatusReceived(news, now);
-            }
-            cancellations.answerPeerStatus(request, statusAnswer(now), news);
-        } catch (MalformedException e) {
-            request.answer(400, Json.error(e.field(), e.getMessage()));
-        }
-    }
-
-    private PeerCodec.Answer statusAnswer(long now) {
-        return new PeerCodec.Answer(
-                election.highestFencingToken(),
-                workerConnectivity.workerLostLeaderAgoMicros(now),
-                Settings.LAYOUT,
-                store.reach().isConnected(now),
-                handover != null ? null : standby.readiness(now));
-    }
-
-    /** Told to end: what is under way is finished or left, an heir is told, and the lease goes back. */
-    private void shutDown(Runnable done) {
-        if (handover != null) {
-            return;
+    /** The lease was renewed: the term may rely on it for longer. */
+    void leaseRenewed() {
+        if (term != null) {
+            term.leaseHeldUntil(collaborators.election().leaseHeldUntilMicros());
         }
-        long now = now();
-        int heir = term == null ? -1 : standby.firstWarmStandby(now);
-        log.info(
-                "told to end{}",
-                term == null
-                        ? ""
-                        : ", hands term " + term.fencingToken() + " over"
-                                + (heir < 0
-                                        ? ", to nobody in particular"
-                                        : " to " + settings.siblings().get(heir).label()));
-        users.tell(new UsersActor.Closing());
-        handover = new GracefulHandover(
-                term,
-                heir < 0 ? null : settings.siblings().get(heir).label(),
-                now,
-                () -> peers.requestHandover(heir, term.fencingToken(), term.lastWrittenRevision()),
-                () -> releaseLease(done));
-        handover.advance(now);
     }
 
-    private void releaseLease(Runnable done) {
-        long lease = election.resign(now(), Long.MAX_VALUE / 4);
-        endTermIfFenced();
-        if (lease == 0) {
-            done.run();
-        } else {
-            store.endLease(lease, reply -> {
-                log.info("lease given back: {}", reply.status());
-                done.run();
-            });
+    /** The stages of features are not as they were. */
+    void featureStagesChanged() {
+        if (term != null) {
+            term.featureStagesChanged();
         }
     }
 
-    private void peerStatusAnswered(LeaderMessage.PeerStatusAnswered message) {
-        Reply reply = message.reply();
-        if (!reply.ok()) {
-            return;
-        }
-        try {
-            PeerCodec.Answer answer = PeerCodec.answer(reply.body());
-            if (election.observeToken(answer.fencingToken(), null)) {
-                endTermIfFenced();
-            }
-            long now = now();
-            workerConnectivity.peerReportedWorkerLostLeader(answer.strayedAgoMicros(), now);
-            resignIfWorkersAreElsewhere(now);
-            if (term != null && term.fencingToken() == message.fencingToken()) {
-                cancellations.digestReceived(message.peer(), answer.testimony(), message.askedMicros(), now);
-                standby.peerStatusAnswered(message.peer(), answer, now);
-            }
-        } catch (MalformedException e) {
-            log.error("sibling: {}", e.getMessage());
-        }
+    /** Whether this process was told to end: nothing new is begun. */
+    boolean isShuttingDown() {
+        return transfer.isShuttingDown();
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -92,8 +92,8 @@
         }
     }
 
-    /** An answer to one of the above. */
-    void answered(LeaderMessage message) {
+    /** Handles an answer of the store about the leader record or the lease. */
+    void receive(LeaderMessage.LeaseMessage message) {
         long now = owner.now();
         try {
             if (message instanceof LeaderMessage.LeaderRecordRead m) {
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -34,46 +34,36 @@
     private final LeaderActor owner;
     private final UsersActor users;
     private final Scheduler scheduler;
-    private final FailoverLoader takeOver;
+    private final FailoverLoader loader;
     private final LedgerCommitter committer;
     private final CloudCalls cloud;
     private final RolloutDriver rollout;
     private final TermArchiving archiving;
     private final LearnedStateWriter learnedState;
     private final TermAnnouncer announcer;
-    /** What still has to be read before the scheduler may act. */
+    /** How many of the {@link #LOAD_STEPS} are not yet complete; the scheduler acts once it is 0. */
     private int remainingLoadSteps = LOAD_STEPS;
 
     private long lastSummaryMicros;
-    /** Jobs known as cancelled until all is read; from then on the scheduler has them. */
+    /** Jobs known as cancelled until all is loaded; from then on the scheduler has them. */
     private final Set<String> cancelledJobs = new HashSet<>();
 
-    LeaderTerm(
-            LeaderActor owner,
-            UsersActor users,
-            Scheduler scheduler,
-            FailoverLoader takeOver,
-            LedgerCommitter rounds,
-            CloudCalls cloud,
-            RolloutDriver steps,
-            TermArchiving archiving,
-            LearnedStateWriter learning,
-            TermAnnouncer greeter) {
+    LeaderTerm(LeaderActor owner, UsersActor users, Scheduler scheduler, TermComponents components) {
         this.owner = owner;
         this.users = users;
         this.scheduler = scheduler;
-        this.takeOver = takeOver;
-        this.committer = rounds;
-        this.cloud = cloud;
-        this.rollout = steps;
-        this.archiving = archiving;
-        this.learnedState = learning;
-        this.announcer = greeter;
+        this.loader = components.loader();
+        this.committer = components.committer();
+        this.cloud = components.cloudCalls();
+        this.rollout = components.rollout();
+        this.archiving = components.archiving();
+        this.learnedState = components.learnedState();
+        this.announcer = components.announcer();
     }
 
     void start() {
         users.tell(new UsersActor.Follow(owner));
-        takeOver.tell(new FailoverLoader.LoadRequested());
+        loader.tell(new FailoverLoader.LoadRequested());
     }
 
     /** Whether the outcome of a write is still to come. */
@@ -111,20 +101,11 @@
         scheduler.storeReadAt(askedMicros);
     }
 
-    void layoutObserved(long version, StoredRecord.Layout layout) {
-        rollout.layoutSeen(version, layout);
-    }
-
-    void archiveManifestObserved(long version, StoredRecord.ArchiveManifest manifest) {
-        rollout.historySeen();
-        archiving.historySeen(version, manifest);
-    }
-
     void featureStagesChanged() {
         rollout.switchesChanged();
     }
 
-    FailoverTimings takeOver() {
+    FailoverTimings failoverTimings() {
         return scheduler.failoverTimings();
     }
 
@@ -154,7 +135,28 @@
         return stops;
     }
 
+    /** Handles a message of this term. */
     void receive(TermMessage message) {
+        if (message instanceof TermMessage.CommitMessage m) {
+            commitMessageReceived(m);
+        } else if (message instanceof TermMessage.CloudMessage m) {
+            cloudMessageReceived(m);
+        } else if (message instanceof TermMessage.AnnouncementAnswered m) {
+            announcer.answered(m);
+        } else if (message instanceof TermMessage.LoadMessage m) {
+            loadMessageReceived(m);
+        } else if (message instanceof TermMessage.ArchivableJobsFound m) {
+            archiving.endedFound(m);
+        } else if (message instanceof TermMessage.ArchiveWritesUsed m) {
+            scheduler.writesSpent(m.writes());
+        } else if (message instanceof TermMessage.RolloutStepMessage m) {
+            rolloutStepMessageReceived(m);
+        } else if (message instanceof TermMessage.LearnedStateWritten m) {
+            learnedState.stored(m);
+        }
+    }
+
+    private void commitMessageReceived(TermMessage.CommitMessage message) {
         if (message instanceof TermMessage.WriteBatchAnswered m) {
             committer.answered(m);
         } else if (message instanceof TermMessage.UnresolvedKeyRead m) {
@@ -165,27 +167,35 @@
             committer.refusedRead(m);
         } else if (message instanceof TermMessage.ConflictingKeyReadDue m) {
             committer.readRefused(m.key());
-        } else if (message instanceof TermMessage.CloudCallAnswered m) {
+        }
+    }
+
+    private void cloudMessageReceived(TermMessage.CloudMessage message) {
+        if (message instanceof TermMessage.CloudCallAnswered m) {
             cloud.answered(m);
         } else if (message instanceof TermMessage.MachinesListed m) {
             cloud.listRead(m);
-        } else if (message instanceof TermMessage.AnnouncementAnswered m) {
-            announcer.answered(m);
         } else if (message instanceof TermMessage.MachineTypesWritten m) {
             cloud.typesStored(m.reply());
+        }
+    }
+
+    private void loadMessageReceived(TermMessage.LoadMessage message) {
+        if (message instanceof TermMessage.RecordsLoaded m) {
+            recordsLoaded(m.records());
         } else if (message instanceof TermMessage.MachineTypesLoaded m) {
             cloud.typesLoaded(m.types(), owner.now());
-        } else if (message instanceof TermMessage.RecordsLoaded m) {
-            recordsLoaded(m.records());
         } else if (message instanceof TermMessage.ReceivedHintsLoaded m) {
             scheduler.hintsReceived(m.hints(), false, owner.now());
+        } else if (message instanceof TermMessage.ProvisioningFenceRead m) {
+            provisioningFenceRead(m.reply());
         } else if (message instanceof TermMessage.LoadStepCompleted) {
             loadStepCompleted();
-        } else if (message instanceof TermMessage.ArchivableJobsFound m) {
-            archiving.endedFound(m);
-        } else if (message instanceof TermMessage.ArchiveWritesUsed m) {
-            scheduler.writesSpent(m.writes());
-        } else if (message instanceof TermMessage.ArchiveManifestCreated m) {
+        }
+    }
+
+    private void rolloutStepMessageReceived(TermMessage.RolloutStepMessage message) {
+        if (message instanceof TermMessage.ArchiveManifestCreated m) {
             rollout.historyBegun(m);
         } else if (message instanceof TermMessage.LayoutWritten m) {
             rollout.layoutMarked(m);
@@ -193,23 +203,35 @@
             rollout.rosterRead(m.reply());
         } else if (message instanceof TermMessage.FeatureStagesWritten m) {
             rollout.featuresStepped(m);
-        } else if (message instanceof TermMessage.ProvisioningFenceRead m) {
-            provisioningFenceRead(m.reply());
-        } else if (message instanceof TermMessage.LearnedStateWritten m) {
-            learnedState.stored(m);
+        }
+    }
+
+    /** Handles a record that the job cache of this controller has read. */
+    void recordObserved(LeaderMessage.RecordObserved message) {
+        if (message instanceof LeaderMessage.JobObserved m) {
+            jobObserved(m.view());
+        } else if (message instanceof LeaderMessage.JobsObserved m) {
+            jobsObserved(m.jobs());
+        } else if (message instanceof LeaderMessage.LayoutObserved m) {
+            rollout.layoutSeen(m.version(), m.layout());
+        } else if (message instanceof LeaderMessage.ArchiveManifestObserved m) {
+            rollout.historySeen();
+            archiving.historySeen(m.version(), m.manifest());
+        } else if (message instanceof LeaderMessage.CancellationsObserved m) {
+            cancellationsObserved(m.jobs());
         }
     }
 
     // ---- what is read first
 
     /** Before the rest is known of them. */
-    void cancellationsObserved(List<String> jobs) {
+    private void cancellationsObserved(List<String> jobs) {
         if (!isLoaded()) {
             cancelledJobs.addAll(jobs);
         }
     }
 
-    void jobObserved(JobCache.View view) {
+    private void jobObserved(JobCache.View view) {
         if (!isLoaded() && view.state() == JobState.CANCELLED) {
             cancelledJobs.add(view.id());
         }
@@ -217,10 +239,10 @@
     }
 
     /** The open and the cancelled jobs by a read that began after our claim: every start of an earlier leader belongs to one of them. */
-    void jobsObserved(List<JobCache.View> jobs) {
+    private void jobsObserved(List<JobCache.View> jobs) {
         if (remainingLoadSteps > 0) {
             jobs.forEach(this::jobObserved);
-            takeOver.tell(new FailoverLoader.JobsLoaded());
+            loader.tell(new FailoverLoader.JobsLoaded());
             loadStepCompleted();
         }
     }
--- /dev/null
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -0,0 +1,155 @@
+package io.micatide.controller;
+
+import io.micatide.model.JobProgress;
+import io.micatide.model.Settings;
+import io.micatide.net.Reply;
+import io.micatide.net.Request;
+import io.micatide.net.StoreClient;
+import io.micatide.protocol.Json;
+import io.micatide.protocol.MalformedException;
+import io.micatide.protocol.PeerCodec;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The status that a leader sends to its peers and what they answer. Every status and every answer carries a fencing token, and a higher
+ * one than ours ends our term before anything else of the message is used. Part of the leader's actor.
+ */
+final class PeerExchange {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
+
+    private final LeaderActor owner;
+    private final StoreClient store;
+    private final UsersActor users;
+    private final LeaderCollaborators collaborators;
+    private final LeadershipTransfer transfer;
+
+    PeerExchange(
+            LeaderActor owner,
+            StoreClient store,
+            UsersActor users,
+            LeaderCollaborators collaborators,
+            LeadershipTransfer transfer) {
+        this.owner = owner;
+        this.store = store;
+        this.users = users;
+        this.collaborators = collaborators;
+        this.transfer = transfer;
+    }
+
+    /** Handles one message of or about a peer. */
+    void receive(LeaderMessage.PeerMessage message) {
+        CancellationExchange cancellations = collaborators.cancellations();
+        if (message instanceof LeaderMessage.PeerStatusReceived m) {
+            statusReceived(m.request());
+        } else if (message instanceof LeaderMessage.PeerStatusAnswered m) {
+            statusAnswered(m);
+        } else if (message instanceof LeaderMessage.ReadinessRequested m) {
+            m.request().answer(200, PeerCodec.answer(statusAnswer(owner.now())));
+        } else if (message instanceof LeaderMessage.DigestRecorded m) {
+            cancellations.digestRecorded(m);
+        } else if (message instanceof LeaderMessage.CancellationConfirmed m) {
+            cancellations.cancellationConfirmed(
+                    m.job(), collaborators.election().leader(), collaborators.peers());
+        } else if (message instanceof LeaderMessage.PeerCancellationsReceived m) {
+            cancellations.peerCancellationsReceived(m.request());
+        }
+    }
+
+    // ---- the leader's side
+
+    /** Sends the status between two regular ones while no heartbeat comes: a peer may know where the workers are. */
+    void sendUrgentStatusIfWorkersAreSilent(LeaderTerm term, long now) {
+        if (collaborators.workers().shouldAskPeers(now)) {
+            collaborators.peers().sendUrgentStatus(currentStatus(term, now), now);
+        }
+    }
+
+    /** Sends the regular status, with the progress of jobs and, to standbys, hints. */
+    void sendStatusIfDue(LeaderTerm term, long now) {
+        if (!collaborators.peers().isStatusDue(now)) {
+            return;
+        }
+        List<JobProgress> jobs = term.progress();
+        if (term.isLoaded()) {
+            users.tell(new UsersActor.Progress(true, jobs));
+        }
+        collaborators.peers().sendStatus(currentStatus(term, now), jobs, now);
+        if (term.isLoaded()) {
+            collaborators.standby().sendHints(term, now);
+        }
+    }
+
+    private PeerClients.LeaderStatus currentStatus(LeaderTerm term, long now) {
+        return new PeerClients.LeaderStatus(
+                term.fencingToken(),
+                store.reach().isConnected(now),
+                collaborators.workers().silentMicros(now),
+                collaborators.standby().selectStandbys(now),
+                collaborators.rollout().switches().version(),
+                collaborators.cancellations().readRevision());
+    }
+
+    private void statusAnswered(LeaderMessage.PeerStatusAnswered message) {
+        Reply reply = message.reply();
+        if (!reply.ok()) {
+            return;
+        }
+        try {
+            PeerCodec.Answer answer = PeerCodec.answer(reply.body());
+            owner.observeFencingToken(answer.fencingToken(), null);
+            long now = owner.now();
+            collaborators.workers().peerReportedWorkerLostLeader(answer.strayedAgoMicros(), now);
+            transfer.resignIfWorkersAreElsewhere(now);
+            LeaderTerm term = owner.term();
+            if (term != null && term.fencingToken() == message.fencingToken()) {
+                collaborators
+                        .cancellations()
+                        .digestReceived(message.peer(), answer.testimony(), message.askedMicros(), now);
+                collaborators.standby().peerStatusAnswered(message.peer(), answer, now);
+            }
+        } catch (MalformedException e) {
+            LOG.error("peer {}: malformed answer to the status: {}", message.peer(), e.getMessage());
+        }
+    }
+
+    // ---- a follower's side
+
+    private void statusReceived(Request request) {
+        try {
+            PeerCodec.News status = PeerCodec.news(request.body());
+            owner.observeFencingToken(status.fencingToken(), status.leader());
+            long now = owner.now();
+            applyStatus(status, now);
+            collaborators.cancellations().answerPeerStatus(request, statusAnswer(now), status);
+        } catch (MalformedException e) {
+            request.answer(400, Json.error(e.field(), e.getMessage()));
+        }
+    }
+
+    private void applyStatus(PeerCodec.News status, long now) {
+        boolean isOfLatestTerm =
+                status.fencingToken() == collaborators.election().highestFencingToken();
+        if (isOfLatestTerm) {
+            collaborators.workers().leaderReportedSilence(status.silentMicros(), now);
+        }
+        collaborators.rollout().newerThere(status.switches());
+        if (status.stateServed()) {
+            store.reach().peerServed(now);
+        }
+        if (owner.term() == null && isOfLatestTerm) {
+            users.tell(new UsersActor.Progress(status.first(), status.jobs()));
+            collaborators.standby().leaderStatusReceived(status, now);
+        }
+    }
+
+    private PeerCodec.Answer statusAnswer(long now) {
+        return new PeerCodec.Answer(
+                collaborators.election().highestFencingToken(),
+                collaborators.workers().workerLostLeaderAgoMicros(now),
+                Settings.LAYOUT,
+                store.reach().isConnected(now),
+                transfer.isShuttingDown() ? null : collaborators.standby().readiness(now));
+    }
+}
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -13,64 +13,116 @@
 import io.micatide.store.Transaction;
 import java.util.List;
 
-/** What concerns one term only: dropped once that term is over. */
-sealed interface TermMessage extends LeaderMessage {
-    /** The term's token. */
+/** What concerns one {@link LeaderTerm} only; dropped once that term is over. Grouped by the class that handles it. */
+sealed interface TermMessage extends LeaderMessage
+        permits TermMessage.LoadMessage,
+                TermMessage.CommitMessage,
+                TermMessage.CloudMessage,
+                TermMessage.RolloutStepMessage,
+                TermMessage.ArchivableJobsFound,
+                TermMessage.ArchiveWritesUsed,
+                TermMessage.LearnedStateWritten,
+                TermMessage.AnnouncementAnswered {
+    /** The fencing token of the term. */
     long fencingToken();
 
-    /** Ledgers or bookings that a new leader has read. */
-    record RecordsLoaded(long fencingToken, List<StoreCodec.Item> records) implements TermMessage {}
+    // ---- loading
 
-    record MachineTypesLoaded(long fencingToken, List<MachineType> types) implements TermMessage {}
+    /** Part of what a new leader reads before its first decision; sent by {@link FailoverLoader} and {@link StandbyActor}. */
+    sealed interface LoadMessage extends TermMessage {}
 
-    /** What the leader before told this controller when it followed. */
-    record ReceivedHintsLoaded(long fencingToken, List<Hint> hints) implements TermMessage {}
+    /** Ledgers, provisioning requests, machine deletions or learned state were read. */
+    record RecordsLoaded(long fencingToken, List<StoreCodec.Item> records) implements LoadMessage {}
 
-    /** One of the things that a new leader reads is whole. */
-    record LoadStepCompleted(long fencingToken) implements TermMessage {}
+    /** The machine types were read. */
+    record MachineTypesLoaded(long fencingToken, List<MachineType> types) implements LoadMessage {}
 
-    /** Jobs that are over and that no open job needs, by a copy of the rows with this manifest. */
-    record ArchivableJobsFound(long fencingToken, List<Archiver.Ended> jobs, long manifestVersion)
-            implements TermMessage {}
+    /** The hints that the former leader had sent to this controller as its standby. */
+    record ReceivedHintsLoaded(long fencingToken, List<Hint> hints) implements LoadMessage {}
 
-    /** The archive has used so many changes. */
-    record ArchiveWritesUsed(long fencingToken, int writes) implements TermMessage {}
+    /** One of the steps that the term waits for is complete. */
+    record LoadStepCompleted(long fencingToken) implements LoadMessage {}
 
-    record ArchiveManifestCreated(Reply reply, long fencingToken) implements TermMessage {}
+    /** The fence of the provisioning requests was read, or is known not to be there. */
+    record ProvisioningFenceRead(Reply reply, long fencingToken) implements LoadMessage {}
 
-    /** Who is registered and what operators ask for. */
-    record RolloutRecordsRead(Reply reply, long fencingToken) implements TermMessage {}
+    // ---- writes of the scheduler
 
-    record FeatureStagesWritten(
-            Reply reply, long fencingToken, StoredRecord.FeatureStages stages, List<String> transitions)
-            implements TermMessage {}
+    /** Concerns a write of the scheduler; handled by {@link LedgerCommitter}. */
+    sealed interface CommitMessage extends TermMessage {}
 
-    record ProvisioningFenceRead(Reply reply, long fencingToken) implements TermMessage {}
+    /** The store answered a transaction. */
+    record WriteBatchAnswered(Reply reply, long fencingToken, Transaction transaction) implements CommitMessage {}
 
-    record LearnedStateWritten(Reply reply, long fencingToken, String key, StoredRecord.LearnedState state)
-            implements TermMessage {}
+    /** A key of a transaction whose outcome is unknown was read. */
+    record UnresolvedKeyRead(Reply reply, long fencingToken, String key) implements CommitMessage {}
 
-    record LayoutWritten(Reply reply, long fencingToken, StoredRecord.Layout layout) implements TermMessage {}
+    /** A key whose version a transaction did not expect was read. */
+    record ConflictingKeyRead(Reply reply, long fencingToken, String key) implements CommitMessage {}
 
-    /** A worker's answer to a greeting. */
-    record AnnouncementAnswered(Reply reply, long fencingToken, TermAnnouncement announcement, Http worker)
-            implements TermMessage {}
+    /** A key whose version a transaction did not expect is to be read again. */
+    record ConflictingKeyReadDue(long fencingToken, String key) implements CommitMessage {}
 
-    record WriteBatchAnswered(Reply reply, long fencingToken, Transaction transaction) implements TermMessage {}
+    /** The keys of a transaction whose outcome is unknown are to be read again. */
+    record ReadBackDue(long fencingToken) implements CommitMessage {}
 
-    record UnresolvedKeyRead(Reply reply, long fencingToken, String key) implements TermMessage {}
+    // ---- cloud provider
 
-    /** One of the keys that a round was refused for. */
-    record ConflictingKeyRead(Reply reply, long fencingToken, String key) implements TermMessage {}
+    /** Concerns requests to the cloud provider; handled by {@link CloudCalls}. */
+    sealed interface CloudMessage extends TermMessage {}
 
-    record ConflictingKeyReadDue(long fencingToken, String key) implements TermMessage {}
+    /** The cloud provider answered a request. */
+    record CloudCallAnswered(Reply reply, long fencingToken, CloudCall call) implements CloudMessage {}
 
-    record ReadBackDue(long fencingToken) implements TermMessage {}
+    /**
+     * The cloud provider answered with a page of the machines.
+     *
+     * @param askedMicros when the first page was asked for
+     * @param earlierPages the machines of the pages before
+     */
+    record MachinesListed(Reply reply, long fencingToken, long askedMicros, List<ListedMachine> earlierPages)
+            implements CloudMessage {}
 
-    record MachineTypesWritten(Reply reply, long fencingToken) implements TermMessage {}
+    /** The store answered the write of the machine types. */
+    record MachineTypesWritten(Reply reply, long fencingToken) implements CloudMessage {}
 
-    record CloudCallAnswered(Reply reply, long fencingToken, CloudCall call) implements TermMessage {}
+    // ---- rollout of features
 
-    record MachinesListed(Reply reply, long fencingToken, long askedMicros, List<ListedMachine> earlierPages)
+    /** Concerns the leader's part in a rollout; handled by {@link RolloutDriver}. */
+    sealed interface RolloutStepMessage extends TermMessage {}
+
+    /** The store answered the write of the first archive manifest. */
+    record ArchiveManifestCreated(Reply reply, long fencingToken) implements RolloutStepMessage {}
+
+    /** The registrations of the controllers and the operators' requests were read. */
+    record RolloutRecordsRead(Reply reply, long fencingToken) implements RolloutStepMessage {}
+
+    /** The store answered the write of the stages of features. */
+    record FeatureStagesWritten(
+            Reply reply, long fencingToken, StoredRecord.FeatureStages stages, List<String> transitions)
+            implements RolloutStepMessage {}
+
+    /** The store answered the write of the layout. */
+    record LayoutWritten(Reply reply, long fencingToken, StoredRecord.Layout layout) implements RolloutStepMessage {}
+
+    // ---- others
+
+    /**
+     * Jobs that are over and that no open job needs.
+     *
+     * @param manifestVersion the version of the archive manifest in the job cache that was searched
+     */
+    record ArchivableJobsFound(long fencingToken, List<Archiver.Ended> jobs, long manifestVersion)
+            implements TermMessage {}
+
+    /** The archiver has used so many writes of the store's budget. */
+    record ArchiveWritesUsed(long fencingToken, int writes) implements TermMessage {}
+
+    /** The store answered the write of learned state. */
+    record LearnedStateWritten(Reply reply, long fencingToken, String key, StoredRecord.LearnedState state)
+            implements TermMessage {}
+
+    /** A worker answered the announcement of the term. */
+    record AnnouncementAnswered(Reply reply, long fencingToken, TermAnnouncement announcement, Http worker)
             implements TermMessage {}
 }
--- a/src/main/java/io/micatide/simulation/SimulatedCluster.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCluster.java
@@ -2,6 +2,7 @@
 
 import io.micatide.archive.Archiver;
 import io.micatide.controller.Controller;
+import io.micatide.controller.ControllerComponents;
 import io.micatide.model.JobSpec;
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
@@ -142,9 +143,7 @@
                 plan.tuning(number),
                 process,
                 (endpoint, most) -> plan.reaches(number, endpoint, refusing(number, endpoint, process)),
-                Archiver::new,
-                plan::copy,
-                plan.abilities(number));
+                new ControllerComponents(Archiver::new, plan::copy, plan.abilities(number)));
         controllers.set(number, controller);
         network.listen("c" + number, process, controller::handleRequest);
         network.listen("p" + number, process, controller::handlePeerRequest);
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.micatide.controller.Controller;
+import io.micatide.controller.ControllerComponents;
 import io.micatide.model.ExitCause;
 import io.micatide.model.JobSpec;
 import io.micatide.model.MachineType;
@@ -224,7 +225,7 @@
                 new Tuning(defaults.leaderLeaseMicros(), 60 * Micros.SECOND, true, 4, false, false, true),
                 process,
                 (endpoint, most) -> network.from(process, endpoint),
-                maker);
+                ControllerComponents.withArchiver(maker));
         network.listen("c" + number, process, controller::handleRequest);
         network.listen("p" + number, process, controller::handlePeerRequest);
         process.execute(controller::start);
