--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -1,6 +1,5 @@
 package io.micatide.controller;
 
-import io.micatide.archive.Archiver;
 import io.micatide.model.Settings;
 import io.micatide.model.Tuning;
 import io.micatide.net.CloudClient;
@@ -10,9 +9,7 @@
 import io.micatide.protocol.ApiDescription;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.StoreCodec;
-import io.micatide.rollout.Capabilities;
 import io.micatide.scheduler.FailoverTimings;
-import io.micatide.standby.KeyspaceReplica;
 import java.util.List;
 import java.util.function.BiConsumer;
 
@@ -24,60 +21,60 @@
     private final UsersActor users;
     private final LeaderActor leader;
 
-    public Controller(Settings settings, Tuning tuning, ActorExecutor loop, Http.Connector connector) {
-        this(settings, tuning, loop, connector, Archiver::new);
+    /** A controller with the standard components. */
+    public Controller(Settings settings, Tuning tuning, ActorExecutor executor, Http.Connector connector) {
+        this(settings, tuning, executor, connector, ControllerComponents.standard());
     }
 
-    /** With another archivist, as a rehearsal plants it. */
-    public Controller(
-            Settings settings, Tuning tuning, ActorExecutor loop, Http.Connector connector, Archiver.Maker maker) {
-        this(settings, tuning, loop, connector, maker, KeyspaceReplica::new, Capabilities.ALL);
-    }
-
-    /** With another copy for the standby too, and with what a version can do. */
+    /**
+     * A controller with components of the caller's choice.
+     *
+     * @param executor runs all actors of this controller, one message at a time
+     * @param connector opens connections to the store, the cloud provider, peers and workers
+     * @param components the replaceable parts
+     */
     public Controller(
             Settings settings,
             Tuning tuning,
-            ActorExecutor loop,
+            ActorExecutor executor,
             Http.Connector connector,
-            Archiver.Maker maker,
-            KeyspaceReplica.Maker copies,
-            Capabilities abilities) {
-        StoreClient state = new StoreClient(settings, connector, loop::now);
-        CloudClient cloud = new CloudClient(settings, connector, loop::now);
+            ControllerComponents components) {
+        StoreClient store = new StoreClient(settings, connector, executor::now);
+        CloudClient cloud = new CloudClient(settings, connector, executor::now);
         this.users = new UsersActor(
-                loop, settings, state, cloud, tuning.apiDescriptionServed() ? new ApiDescription() : null);
-        this.leader = new LeaderActor(loop, settings, tuning, state, cloud, users, connector, maker, copies, abilities);
+                executor, settings, store, cloud, tuning.apiDescriptionServed() ? new ApiDescription() : null);
+        this.leader = new LeaderActor(
+                new ControllerServices(settings, tuning, executor, store, cloud, connector), users, components);
     }
 
     /** How this controller's term began, null if it does not lead. For rehearsals; on the loop. */
-    public FailoverTimings takeOver() {
-        return leader.takeOver();
+    public FailoverTimings failoverTimings() {
+        return leader.failoverTimings();
     }
 
     /** Whether it is appointed to take over. For rehearsals; on the loop. */
-    public boolean follows() {
-        return leader.follows();
+    public boolean isDesignatedStandby() {
+        return leader.isDesignatedStandby();
     }
 
     /** Sees what a standby's copies bring to each take-over on this controller. */
-    public void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
-        leader.witness(each);
+    public void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> each) {
+        leader.observeReplicaRecords(each);
     }
 
     /** Must be called on the loop. */
     public void start() {
         users.tell(new UsersActor.BelongsTo(leader));
         users.tell(new UsersActor.Load());
-        leader.tell(new LeaderActor.LeaseTick());
-        leader.tell(new LeaderActor.Tick());
+        leader.tell(new LeaderMessage.LeaseTickDue());
+        leader.tell(new LeaderMessage.TickDue());
     }
 
     /** A request of a user, of the load balancer or of a worker. */
-    public void handle(Request request) {
+    public void handleRequest(Request request) {
         if (request.path().equals("/v1/report")) {
             if (request.method().equals("POST")) {
-                leader.tell(new LeaderActor.Report(request));
+                leader.tell(new LeaderMessage.HeartbeatReceived(request));
             } else {
                 request.answer(405, WRONG_METHOD);
             }
@@ -87,22 +84,22 @@
     }
 
     /** Ends in order: hands the lead over if it has it; {@code done} on the loop once others can go on. */
-    public void end(Runnable done) {
-        leader.tell(new LeaderActor.End(done));
+    public void shutDown(Runnable done) {
+        leader.tell(new LeaderMessage.ShutdownRequested(done));
     }
 
     /** A request of a sibling. */
-    public void handlePeer(Request request) {
+    public void handlePeerRequest(Request request) {
         if (request.path().equals("/news") && request.method().equals("POST")) {
-            leader.tell(new LeaderActor.PeerNews(request));
+            leader.tell(new LeaderMessage.PeerStatusReceived(request));
         } else if (request.path().equals("/withdrawn") && request.method().equals("POST")) {
-            leader.tell(new LeaderActor.TakeWithdrawn(request));
+            leader.tell(new LeaderMessage.PeerCancellationsReceived(request));
         } else if (request.path().equals("/hints") && request.method().equals("POST")) {
-            leader.tell(new StandbyMessage.TakeHints(request));
+            leader.tell(new StandbyMessage.HintsReceived(request));
         } else if (request.path().equals("/standby")) {
-            leader.tell(new LeaderActor.AskReadiness(request));
+            leader.tell(new LeaderMessage.ReadinessRequested(request));
         } else if (request.path().equals("/handover") && request.method().equals("POST")) {
-            leader.tell(new StandbyMessage.TakeHandOver(request));
+            leader.tell(new StandbyMessage.HandoverRequested(request));
         } else {
             request.answer(404, NO_SUCH_PATH);
         }
