--- a/src/main/java/io/micatide/simulation/ChangeLog.java
+++ b/src/main/java/io/micatide/simulation/ChangeLog.java
@@ -51,7 +51,8 @@
 
     /** The same as the body of a response of {@code /changes}. */
     String sinceAsJson(String prefix, long revision, long currentRevision) {
-        StringBuilder out = new StringBuilder("{\"ledger\":").append(currentRevision).append(",\"events\":[");
+        StringBuilder out =
+                new StringBuilder("{\"ledger\":").append(currentRevision).append(",\"events\":[");
         String comma = "";
         for (Change change : since(prefix, revision)) {
             out.append(comma)
--- a/src/main/java/io/micatide/simulation/FaultInjector.java
+++ b/src/main/java/io/micatide/simulation/FaultInjector.java
@@ -58,7 +58,8 @@
                 number -> cluster.network.from(cluster.world(), SimulatedCluster.controllerEndpoint(number)),
                 cluster.controllers(),
                 cluster::note);
-        cluster.network.setPartition((from, endpoint) -> partitions.stream().anyMatch(each -> each.separates(from, endpoint)));
+        cluster.network.setPartition(
+                (from, endpoint) -> partitions.stream().anyMatch(each -> each.separates(from, endpoint)));
     }
 
     private void endAfter(int seconds, Runnable end) {
@@ -90,7 +91,8 @@
         VirtualTime.Process process = cluster.process(controller);
         if (!process.hasEnded()) {
             cluster.note("shutdown c" + controller);
-            process.execute(() -> cluster.controller(controller).end(() -> endProcess(process, controller, micros)));
+            process.execute(
+                    () -> cluster.controller(controller).shutDown(() -> endProcess(process, controller, micros)));
             time.at(time.now() + SHUTDOWN_MICROS, () -> endProcess(process, controller, micros));
         }
     }
@@ -240,7 +242,8 @@
      */
     public void replayHeartbeatsToNextLeader(double share, int seconds, int afterMillis) {
         cluster.note("replay heartbeats to the next leader " + share + " " + seconds + " after " + afterMillis + " ms");
-        delayedHeartbeats.keepUntilNextLeader(share, time.now() + seconds * Micros.SECOND, afterMillis * Micros.MILLISECOND);
+        delayedHeartbeats.keepUntilNextLeader(
+                share, time.now() + seconds * Micros.SECOND, afterMillis * Micros.MILLISECOND);
     }
 
     /** The link of a worker to a controller, on which {@link #replayHeartbeatsToNextLeader} acts. */
@@ -264,7 +267,8 @@
         Set<String> names = drawWorkers(share);
         cluster.note("dropped messages to " + names + " " + seconds);
         affectMessages(
-                (from, endpoint, path) -> names.contains(cluster.workerOf(from)) ? VirtualNetwork.MessageFault.RESPONSE_LOST : null,
+                (from, endpoint, path) ->
+                        names.contains(cluster.workerOf(from)) ? VirtualNetwork.MessageFault.RESPONSE_LOST : null,
                 seconds);
         partition((from, endpoint) -> isWorker(names, endpoint), seconds);
     }
--- a/src/main/java/io/micatide/simulation/StartupBenchmark.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -163,7 +163,8 @@
         StoredRecord.ArchiveManifest manifest = Archiver.first(17, 4711);
         long version = 1;
         long changes = 0;
-        Archiver archivist = new Archiver(1, LIMITS.maxValueBytes(), LIMITS.maxTransactionWrites(), 256, manifest, version);
+        Archiver archivist =
+                new Archiver(1, LIMITS.maxValueBytes(), LIMITS.maxTransactionWrites(), 256, manifest, version);
         int next = 0;
         for (Archiver.Step step = archivist.next(LIMITS.maxTransactionWrites());
                 step != null || next < jobs;
--- a/src/main/java/io/micatide/simulation/VirtualNetwork.java
+++ b/src/main/java/io/micatide/simulation/VirtualNetwork.java
@@ -183,7 +183,13 @@
         private boolean over;
         private boolean unheard;
 
-        InFlightRequest(VirtualTime.Process from, String endpoint, String method, String path, byte[] body, Consumer<Reply> then) {
+        InFlightRequest(
+                VirtualTime.Process from,
+                String endpoint,
+                String method,
+                String path,
+                byte[] body,
+                Consumer<Reply> then) {
             this.from = from;
             this.endpoint = endpoint;
             this.method = method;
