--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -82,19 +82,21 @@
     // ---- a sibling
 
     /** Answers a leader's news with what this controller knows beyond the leader's last read. */
-    void answerPeerStatus(Request request, PeerCodec.Answer answer, PeerCodec.News news) {
+    void answerPeerStatus(Request request, PeerCodec.PeerStatus answer, PeerCodec.LeaderStatus news) {
         if (news.revision() < 0) {
-            request.answer(200, PeerCodec.answer(answer));
+            request.answer(200, PeerCodec.peerStatus(answer));
         } else {
             users.tell(new UsersActor.Testify(
-                    news.revision(), word -> request.answer(200, PeerCodec.answer(answer.with(word)))));
+                    news.revision(),
+                    word -> request.answer(200, PeerCodec.peerStatus(answer.withCancellations(word)))));
         }
     }
 
     /** A sibling confirmed a cancellation; nothing rests on it, it only comes sooner than what is asked for. */
     void peerCancellationsReceived(Request request) {
         try {
-            users.tell(new UsersActor.TakeIn(PeerCodec.withdrawn(request.body()).jobs(), null));
+            users.tell(new UsersActor.TakeIn(
+                    PeerCodec.cancellationNotice(request.body()).jobs(), null));
             request.answer(200, Json.bytes(out -> {
                 out.writeStartObject();
                 out.writeEndObject();
@@ -107,7 +109,7 @@
     /** Tells whoever leads what was confirmed here. */
     void cancellationConfirmed(CancellationDigest.Cancelled job, String leader, PeerClients siblings) {
         if (leader != null && !leader.equals(settings.label())) {
-            siblings.sendCancellations(leader, new PeerCodec.Withdrawn(List.of(job)));
+            siblings.sendCancellations(leader, new PeerCodec.CancellationNotice(List.of(job)));
         }
     }
 }
--- a/src/main/java/io/micatide/controller/ControllerComponents.java
+++ b/src/main/java/io/micatide/controller/ControllerComponents.java
@@ -12,7 +12,7 @@
  * @param capabilities the features that this version can read and write
  */
 public record ControllerComponents(
-        Archiver.Maker archivers, KeyspaceReplica.Maker replicas, Capabilities capabilities) {
+        Archiver.Factory archivers, KeyspaceReplica.Factory replicas, Capabilities capabilities) {
 
     /**
      * The parts that a deployed controller has.
@@ -29,7 +29,7 @@
      * @param archivers makes the archiver of finished jobs
      * @return the standard parts but for the archiver
      */
-    public static ControllerComponents withArchiver(Archiver.Maker archivers) {
+    public static ControllerComponents withArchiver(Archiver.Factory archivers) {
         return new ControllerComponents(archivers, KeyspaceReplica::new, Capabilities.ALL);
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -81,7 +81,7 @@
 
     /** Shows {@code observer} the records that the standby's replicas bring to each failover to this controller. */
     void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> observer) {
-        collaborators.standby().standby().witness(observer);
+        collaborators.standby().standby().replicaObserver(observer);
     }
 
     /** The present term, null while this controller does not lead; not an Optional, as it is asked for with each heartbeat. */
@@ -196,15 +196,15 @@
     private void rolloutMessageReceived(LeaderMessage.RolloutMessage message) {
         RolloutParticipant rollout = collaborators.rollout();
         if (message instanceof LeaderMessage.FeatureStagesObserved m) {
-            rollout.seen(m.version(), m.stages());
+            rollout.flagsObserved(m.version(), m.stages());
         } else if (message instanceof LeaderMessage.FeatureStagesRead m) {
-            rollout.switchesRead(m.reply());
+            rollout.flagsRead(m.reply());
             advanceElection();
         } else if (message instanceof LeaderMessage.RegistrationRead m) {
-            rollout.ownRowRead(m.reply());
+            rollout.ownRecordRead(m.reply());
             advanceElection();
         } else if (message instanceof LeaderMessage.RegistrationWritten m) {
-            rollout.registered(m.reply());
+            rollout.registrationAnswered(m.reply());
         }
     }
 
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -77,7 +77,7 @@
     }
 
     void end() {
-        archiving.end();
+        archiving.endTerm();
         users.tell(new UsersActor.Unfollow());
     }
 
@@ -102,7 +102,7 @@
     }
 
     void featureStagesChanged() {
-        rollout.switchesChanged();
+        rollout.flagsChanged();
     }
 
     FailoverTimings failoverTimings() {
@@ -146,13 +146,13 @@
         } else if (message instanceof TermMessage.LoadMessage m) {
             loadMessageReceived(m);
         } else if (message instanceof TermMessage.ArchivableJobsFound m) {
-            archiving.endedFound(m);
+            archiving.finishedJobsFound(m);
         } else if (message instanceof TermMessage.ArchiveWritesUsed m) {
             scheduler.writesSpent(m.writes());
         } else if (message instanceof TermMessage.RolloutStepMessage m) {
             rolloutStepMessageReceived(m);
         } else if (message instanceof TermMessage.LearnedStateWritten m) {
-            learnedState.stored(m);
+            learnedState.writeAnswered(m);
         }
     }
 
@@ -196,13 +196,13 @@
 
     private void rolloutStepMessageReceived(TermMessage.RolloutStepMessage message) {
         if (message instanceof TermMessage.ArchiveManifestCreated m) {
-            rollout.historyBegun(m);
+            rollout.archiveStarted(m);
         } else if (message instanceof TermMessage.LayoutWritten m) {
             rollout.layoutMarked(m);
         } else if (message instanceof TermMessage.RolloutRecordsRead m) {
-            rollout.rosterRead(m.reply());
+            rollout.registryRead(m.reply());
         } else if (message instanceof TermMessage.FeatureStagesWritten m) {
-            rollout.featuresStepped(m);
+            rollout.stagesWritten(m);
         }
     }
 
@@ -213,10 +213,10 @@
         } else if (message instanceof LeaderMessage.JobsObserved m) {
             jobsObserved(m.jobs());
         } else if (message instanceof LeaderMessage.LayoutObserved m) {
-            rollout.layoutSeen(m.version(), m.layout());
+            rollout.layoutObserved(m.version(), m.layout());
         } else if (message instanceof LeaderMessage.ArchiveManifestObserved m) {
-            rollout.historySeen();
-            archiving.historySeen(m.version(), m.manifest());
+            rollout.archiveObserved();
+            archiving.manifestObserved(m.version(), m.manifest());
         } else if (message instanceof LeaderMessage.CancellationsObserved m) {
             cancellationsObserved(m.jobs());
         }
@@ -258,7 +258,7 @@
             } else if (item.row() instanceof StoredRecord.MachinesToDelete returned) {
                 scheduler.machineDeletionLoaded(item.key(), returned, item.version(), now);
             } else if (item.row() instanceof StoredRecord.LearnedState learned) {
-                learnedState.found(item.key(), learned);
+                learnedState.recordObserved(item.key(), learned);
                 scheduler.hintsReceived(learned.hints(), true, now);
             }
         }
@@ -284,8 +284,8 @@
             scheduler.allRecordsLoaded(now);
             cancelledJobs.clear();
             LOG.info("term {} rebuilt: {}", fencingToken(), scheduler.summary(now));
-            rollout.loaded();
-            archiving.loaded();
+            rollout.recordsLoaded();
+            archiving.recordsLoaded();
         }
     }
 
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -101,11 +101,11 @@
     /** To the heirs that do not hold the newest picture. */
     void sendHints(List<Integer> heirs, HintSender hints, long fencingToken) {
         for (int heir : heirs) {
-            for (HintBatch part : hints.parts(heir)) {
+            for (HintBatch part : hints.batchesFor(heir)) {
                 peers.get(heir)
                         .post(
                                 "/hints",
-                                HintCodec.part(part),
+                                HintCodec.batch(part),
                                 Http.PATIENCE_MICROS,
                                 owner.answer(r -> new StandbyMessage.HintsAcknowledged(r, fencingToken, heir)));
             }
@@ -116,16 +116,17 @@
         peers.get(sibling)
                 .post(
                         "/handover",
-                        PeerCodec.handOver(fencingToken, revision),
+                        PeerCodec.handover(fencingToken, revision),
                         HANDOVER_TIMEOUT_MICROS,
                         owner.answer(LeaderMessage.HandoverAnswered::new));
     }
 
     /** To whoever leads, if it is a sibling: what it would otherwise learn with its next read or news. */
-    void sendCancellations(String leader, PeerCodec.Withdrawn message) {
+    void sendCancellations(String leader, PeerCodec.CancellationNotice message) {
         for (int sibling = 0; sibling < peers.size(); sibling++) {
             if (settings.siblings().get(sibling).label().equals(leader)) {
-                peers.get(sibling).post("/withdrawn", PeerCodec.withdrawn(message), Http.PATIENCE_MICROS, reply -> {});
+                peers.get(sibling)
+                        .post("/withdrawn", PeerCodec.cancellationNotice(message), Http.PATIENCE_MICROS, reply -> {});
             }
         }
     }
@@ -135,7 +136,7 @@
         peers.get(sibling)
                 .post(
                         "/news",
-                        PeerCodec.news(new PeerCodec.News(
+                        PeerCodec.leaderStatus(new PeerCodec.LeaderStatus(
                                 what.fencingToken(),
                                 settings.label(),
                                 what.isStoreConnected(),
--- a/src/main/java/io/micatide/controller/PeerExchange.java
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -46,7 +46,7 @@
         } else if (message instanceof LeaderMessage.PeerStatusAnswered m) {
             statusAnswered(m);
         } else if (message instanceof LeaderMessage.ReadinessRequested m) {
-            m.request().answer(200, PeerCodec.answer(statusAnswer(owner.now())));
+            m.request().answer(200, PeerCodec.peerStatus(statusAnswer(owner.now())));
         } else if (message instanceof LeaderMessage.DigestRecorded m) {
             cancellations.digestRecorded(m);
         } else if (message instanceof LeaderMessage.CancellationConfirmed m) {
@@ -87,7 +87,7 @@
                 store.reach().isConnected(now),
                 collaborators.workers().silentMicros(now),
                 collaborators.standby().selectStandbys(now),
-                collaborators.rollout().switches().version(),
+                collaborators.rollout().featureFlags().version(),
                 collaborators.cancellations().readRevision());
     }
 
@@ -97,16 +97,16 @@
             return;
         }
         try {
-            PeerCodec.Answer answer = PeerCodec.answer(reply.body());
+            PeerCodec.PeerStatus answer = PeerCodec.peerStatus(reply.body());
             owner.observeFencingToken(answer.fencingToken(), null);
             long now = owner.now();
-            collaborators.workers().peerReportedWorkerLostLeader(answer.strayedAgoMicros(), now);
+            collaborators.workers().peerReportedWorkerLostLeader(answer.strayAgentAgoMicros(), now);
             transfer.resignIfWorkersAreElsewhere(now);
             LeaderTerm term = owner.term();
             if (term != null && term.fencingToken() == message.fencingToken()) {
                 collaborators
                         .cancellations()
-                        .digestReceived(message.peer(), answer.testimony(), message.askedMicros(), now);
+                        .digestReceived(message.peer(), answer.cancellations(), message.askedMicros(), now);
                 collaborators.standby().peerStatusAnswered(message.peer(), answer, now);
             }
         } catch (MalformedException e) {
@@ -118,7 +118,7 @@
 
     private void statusReceived(Request request) {
         try {
-            PeerCodec.News status = PeerCodec.news(request.body());
+            PeerCodec.LeaderStatus status = PeerCodec.leaderStatus(request.body());
             owner.observeFencingToken(status.fencingToken(), status.leader());
             long now = owner.now();
             applyStatus(status, now);
@@ -128,24 +128,24 @@
         }
     }
 
-    private void applyStatus(PeerCodec.News status, long now) {
+    private void applyStatus(PeerCodec.LeaderStatus status, long now) {
         boolean isOfLatestTerm =
                 status.fencingToken() == collaborators.election().highestFencingToken();
         if (isOfLatestTerm) {
-            collaborators.workers().leaderReportedSilence(status.silentMicros(), now);
+            collaborators.workers().leaderReportedSilence(status.agentSilenceMicros(), now);
         }
-        collaborators.rollout().newerThere(status.switches());
-        if (status.stateServed()) {
+        collaborators.rollout().newerVersionReported(status.featureFlagsVersion());
+        if (status.storeReachable()) {
             store.reach().peerServed(now);
         }
         if (owner.term() == null && isOfLatestTerm) {
-            users.tell(new UsersActor.Progress(status.first(), status.jobs()));
+            users.tell(new UsersActor.Progress(status.replacesProgress(), status.jobs()));
             collaborators.standby().leaderStatusReceived(status, now);
         }
     }
 
-    private PeerCodec.Answer statusAnswer(long now) {
-        return new PeerCodec.Answer(
+    private PeerCodec.PeerStatus statusAnswer(long now) {
+        return new PeerCodec.PeerStatus(
                 collaborators.election().highestFencingToken(),
                 collaborators.workers().workerLostLeaderAgoMicros(now),
                 Settings.LAYOUT,
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -61,7 +61,7 @@
     void receive(StandbyMessage message, long fencingToken) {
         long now = owner.now();
         if (message instanceof StandbyMessage.ReplicaStateChanged m) {
-            electionDelay.copyIs(m.isComplete());
+            electionDelay.setReplicaComplete(m.isComplete());
         } else if (message instanceof StandbyMessage.ReadinessAnswered m) {
             readinessAnswered(m.reply(), m.peer(), now);
         } else if (message instanceof StandbyMessage.HandoverRequested m) {
@@ -78,35 +78,35 @@
     /** For how long a free row is left to others; asks them if this process is cold. */
     long claimDelayMicros(boolean reached, long now) {
         if (standby == null) {
-            return ElectionDelay.waitsOfAnyone(reached);
+            return ElectionDelay.delayWithoutStandbys(reached);
         }
         long claimable = lease.claimableForMicros(now);
         boolean cold = electionDelay.readiness(now) == StandbyReadiness.COLD;
         if (claimable >= 0 && (cold || !reached)) {
             peers.requestReadiness(now);
-            if (cold && electionDelay.warmerThere(now)) {
+            if (cold && electionDelay.hasWarmerPeer(now)) {
                 lease.endFormerLease();
             }
         }
-        return electionDelay.waits(Math.max(0, claimable), reached, now);
+        return electionDelay.delayMicros(Math.max(0, claimable), reached, now);
     }
 
     /** News of who leads by the highest token. */
-    void leaderStatusReceived(PeerCodec.News news, long now) {
-        electionDelay.told(news.heirs(), now);
+    void leaderStatusReceived(PeerCodec.LeaderStatus news, long now) {
+        electionDelay.standbysDesignated(news.designatedStandbys(), now);
         if (standby != null) {
-            standby.tell(new StandbyActor.Appointed(electionDelay.appointed()));
+            standby.tell(new StandbyActor.DesignationChanged(electionDelay.isDesignated()));
         }
     }
 
     /** Whether this controller is appointed to take over. */
     boolean isDesignated() {
-        return electionDelay.appointed();
+        return electionDelay.isDesignated();
     }
 
     /** Whether the leader before has just handed over to this controller. */
     boolean wasHandedOver(long now) {
-        return electionDelay.handedOverAt(now);
+        return electionDelay.hasRecentHandover(now);
     }
 
     /** What it says of its readiness, null for nothing. */
@@ -117,17 +117,17 @@
     /** A sibling that answers, of whatever version, has been there for longer than this process. */
     private void readinessAnswered(Reply reply, int sibling, long now) {
         if (reply.status() == 404) {
-            electionDelay.word(sibling, StandbyReadiness.SEASONED, false, now);
+            electionDelay.peerReadinessReported(sibling, StandbyReadiness.SEASONED, false, now);
         } else if (reply.status() == 0 && !reply.sent()) {
             // Refused: most likely it has ended. It may only be out of sockets, but this is courtesy.
-            electionDelay.word(sibling, StandbyReadiness.COLD, false, now);
+            electionDelay.peerReadinessReported(sibling, StandbyReadiness.COLD, false, now);
         } else if (reply.ok()) {
             try {
-                PeerCodec.Answer answer = PeerCodec.answer(reply.body());
-                electionDelay.word(
+                PeerCodec.PeerStatus answer = PeerCodec.peerStatus(reply.body());
+                electionDelay.peerReadinessReported(
                         sibling,
                         answer.readiness() == null ? StandbyReadiness.COLD : answer.readiness(),
-                        answer.strayedAgoMicros() >= 0,
+                        answer.strayAgentAgoMicros() >= 0,
                         now);
             } catch (MalformedException e) {
                 LOG.error("sibling: {}", e.getMessage());
@@ -139,19 +139,19 @@
         if (standby == null) {
             request.answer(404, NOT_A_STANDBY);
         } else {
-            standby.tell(new StandbyActor.Hinted(request));
+            standby.tell(new StandbyActor.HintsReceived(request));
         }
     }
 
     /** A leader that ends wants this controller to catch up. */
     private void handoverRequested(Request request, boolean leads, long now) {
         try {
-            long revision = PeerCodec.handedRevision(request.body());
+            long revision = PeerCodec.handoverRevision(request.body());
             if (standby == null || leads) {
                 request.answer(409, NOT_A_STANDBY);
             } else {
-                electionDelay.handedOver(now);
-                standby.tell(new StandbyActor.CatchUp(request, revision));
+                electionDelay.handoverReceived(now);
+                standby.tell(new StandbyActor.HandoverRequested(request, revision));
             }
         } catch (MalformedException e) {
             request.answer(400, Json.error(e.field(), e.getMessage()));
@@ -162,31 +162,31 @@
 
     /** A term of this controller begins. */
     void termStarted(long fencingToken, long now) {
-        electionDelay.led();
-        selector.begin(now);
+        electionDelay.termEnded();
+        selector.termStarted(now);
         hintSender = new HintSender(fencingToken, settings.siblings().size());
     }
 
     /** A sibling answered this term's news. */
-    void peerStatusAnswered(int sibling, PeerCodec.Answer answer, long now) {
-        selector.heard(sibling, answer.readiness(), answer.served(), now);
+    void peerStatusAnswered(int sibling, PeerCodec.PeerStatus answer, long now) {
+        selector.peerAnswered(sibling, answer.readiness(), answer.storeReachable(), now);
     }
 
     /** Whom this term's news appoint, null for nobody yet or ever. */
     List<String> selectStandbys(long now) {
-        return standby == null ? null : selector.appoint(now);
+        return standby == null ? null : selector.selectStandbys(now);
     }
 
     /** Place among the siblings of the heir that could lead at once, or -1. */
     int firstWarmStandby(long now) {
-        return selector.first(now);
+        return selector.firstWarmStandby(now);
     }
 
     /** Tells the heirs what no row holds. */
     void sendHints(LeaderTerm term, long now) {
-        if (!selector.appointed().isEmpty()) {
-            hintSender.picture(term.hints(now));
-            peers.sendHints(selector.appointed(), hintSender, term.fencingToken());
+        if (!selector.selectedPeers().isEmpty()) {
+            hintSender.updateSnapshot(term.hints(now));
+            peers.sendHints(selector.selectedPeers(), hintSender, term.fencingToken());
         }
     }
 
@@ -194,10 +194,10 @@
     private void hintsAcknowledged(int sibling, Reply reply) {
         long held = -1;
         try {
-            held = reply.ok() ? HintCodec.held(reply.body()) : -1;
+            held = reply.ok() ? HintCodec.acknowledgement(reply.body()) : -1;
         } catch (MalformedException e) {
             LOG.error("sibling: {}", e.getMessage());
         }
-        hintSender.holds(sibling, held);
+        hintSender.snapshotAcknowledged(sibling, held);
     }
 }
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -112,7 +112,7 @@
      *
      * @param manifestVersion the version of the archive manifest in the job cache that was searched
      */
-    record ArchivableJobsFound(long fencingToken, List<Archiver.Ended> jobs, long manifestVersion)
+    record ArchivableJobsFound(long fencingToken, List<Archiver.ArchivableJob> jobs, long manifestVersion)
             implements TermMessage {}
 
     /** The archiver has used so many writes of the store's budget. */
--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -28,7 +28,7 @@
             double losses,
             int valueBytes,
             int changes,
-            Archiver.Maker maker) {
+            Archiver.Factory maker) {
         try {
             ArchiveScenario day = new ArchiveScenario(seed, valueBytes, changes, maker);
             day.network.setLossRates(losses, losses);
@@ -215,10 +215,10 @@
     /** The guard of the order of two writes: with it taken out, jobs that users were told of are lost. */
     @Test
     void rowsThatGoBeforeTheyAreArchivedAreMissed() {
-        Archiver.Maker hasty = (fencingToken, valueBytes, changes, worth, manifest, version) ->
+        Archiver.Factory hasty = (fencingToken, valueBytes, changes, worth, manifest, version) ->
                 new Archiver(fencingToken, valueBytes, changes, worth, manifest, version) {
                     @Override
-                    boolean mayGo(String id, long copyOfVersion) {
+                    boolean isRecordRemovable(String id, long copyOfVersion) {
                         return id.hashCode() % 4 == 0;
                     }
                 };
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -69,7 +69,7 @@
     private final Set<String> unknownAsked = new LinkedHashSet<>();
     private final int changes;
     private final int valueBytes;
-    private final Archiver.Maker maker;
+    private final Archiver.Factory maker;
 
     /** What a job's user knows. */
     static final class Job {
@@ -88,7 +88,7 @@
         }
     }
 
-    ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Maker maker) {
+    ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Factory maker) {
         this(seed, valueBytes, changes, maker, true);
     }
 
@@ -134,7 +134,7 @@
         }
     }
 
-    private ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Maker maker, boolean controllers) {
+    private ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Factory maker, boolean controllers) {
         this.random = new Random(seed);
         this.valueBytes = valueBytes;
         this.changes = changes;
--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -27,8 +27,8 @@
     /** Values by key as the state service would hold them; carries out the steps of an archivist. */
     private static final class Store {
         final TreeMap<String, StoredRecord> values = new TreeMap<>();
-        final List<Archiver.Ended> rows = new ArrayList<>();
-        StoredRecord.ArchiveManifest manifest = Archiver.first(3, 5);
+        final List<Archiver.ArchivableJob> rows = new ArrayList<>();
+        StoredRecord.ArchiveManifest manifest = Archiver.emptyManifest(3, 5);
         long version = 1;
         int changes;
         int reads;
@@ -40,18 +40,18 @@
             values.put(StoreKeys.ARCHIVE_MANIFEST, manifest);
         }
 
-        void carryOut(Archiver archivist, Archiver.Step step) throws DamagedSegmentException {
+        void carryOut(Archiver archivist, Archiver.StoreOperation step) throws DamagedSegmentException {
             if (step instanceof Archiver.Write write) {
                 write(archivist, write.transaction());
             } else if (step instanceof Archiver.FindAfter find) {
-                archivist.listed(values.higherKey(find.key()));
+                archivist.keyFound(values.higherKey(find.key()));
             } else if (step instanceof Archiver.ReadSegment read) {
                 reads++;
                 try {
-                    archivist.segment(read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.ArchiveSegment)
+                    archivist.segmentRead(read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.ArchiveSegment)
                             values.get(read.key())));
                 } catch (DamagedSegmentException e) {
-                    archivist.damaged(read.key());
+                    archivist.segmentDamaged(read.key());
                 }
             }
         }
@@ -60,7 +60,7 @@
             for (Transaction.Write each : transaction.writes()) {
                 if (each.record() != null && StoreCodec.size(each.record()) > limit) {
                     refusals++;
-                    assertTrue(archivist.refused());
+                    assertTrue(archivist.writeRejected());
                     return;
                 }
             }
@@ -78,28 +78,28 @@
             if (transaction.writes().get(0).record() instanceof StoredRecord.ArchiveManifest history) {
                 manifest = history;
             }
-            archivist.written(version);
+            archivist.writeSucceeded(version);
         }
 
         /** Until there is nothing left to do. */
         void drain(Archiver archivist, boolean anyway) throws DamagedSegmentException {
             for (int idle = 0; idle < 3; ) {
-                archivist.offer(List.copyOf(rows), version, anyway);
-                Archiver.Step step = archivist.next(16);
+                archivist.offerCandidates(List.copyOf(rows), version, anyway);
+                Archiver.StoreOperation step = archivist.nextOperation(16);
                 idle = step == null ? idle + 1 : 0;
-                for (; step != null; step = archivist.next(16)) {
+                for (; step != null; step = archivist.nextOperation(16)) {
                     carryOut(archivist, step);
                 }
             }
         }
     }
 
-    private static Archiver.Ended ended(int number, int idLength) {
+    private static Archiver.ArchivableJob ended(int number, int idLength) {
         StringBuilder id = new StringBuilder(String.format("wk-%06d", number * 7_919L % 1_000_000));
         for (Random random = new Random(number); id.length() < idLength; ) {
             id.append((char) ('a' + random.nextInt(26)));
         }
-        return new Archiver.Ended(id.toString(), 1, outcome(number), 0);
+        return new Archiver.ArchivableJob(id.toString(), 1, outcome(number), 0);
     }
 
     private static JobOutcome outcome(int number) {
@@ -136,15 +136,15 @@
         assertTrue(store.changes <= jobs * (100 + mostChanges) / 100, store.changes + " changes");
 
         MembershipFilters filters = new MembershipFilters(1 << 20);
-        filters.manifest(store.manifest);
-        for (String key = filters.wanted(); key != null; key = filters.wanted()) {
-            filters.read(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) store.values.get(key)));
+        filters.setManifest(store.manifest);
+        for (String key = filters.nextSegmentToRead(); key != null; key = filters.nextSegmentToRead()) {
+            filters.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) store.values.get(key)));
         }
         int reads = 0;
         for (int number = 0; number < jobs; number++) {
-            Archiver.Ended job = ended(number, idLength);
+            Archiver.ArchivableJob job = ended(number, idLength);
             JobOutcome found = null;
-            for (String key : filters.candidates(job.id())) {
+            for (String key : filters.candidateSegments(job.id())) {
                 reads++;
                 JobOutcome here = SegmentCodec.find(key, (StoredRecord.ArchiveSegment) store.values.get(key), job.id());
                 found = here == null ? found : here;
@@ -154,7 +154,7 @@
         assertTrue(reads < jobs * 1.2, reads + " reads for " + jobs);
         int mistaken = 0;
         for (int number = 0; number < 10_000; number++) {
-            mistaken += filters.candidates("wk-x" + number).size();
+            mistaken += filters.candidateSegments("wk-x" + number).size();
         }
         assertTrue(mistaken < 10_000 * 0.2, mistaken + " reads for 10000 ids that nobody submitted");
     }
--- a/src/test/java/io/micatide/simulation/RolloutScenario.java
+++ b/src/test/java/io/micatide/simulation/RolloutScenario.java
@@ -83,7 +83,7 @@
         for (Feature feature : Feature.values()) {
             FeatureStage before = stage(feature);
             FeatureStage after = FeatureStage.valueOf(next.getOrDefault(feature.key(), FeatureStage.OFF.name()));
-            if (Math.abs(feature.path().indexOf(after) - feature.path().indexOf(before)) > 1) {
+            if (Math.abs(feature.stages().indexOf(after) - feature.stages().indexOf(before)) > 1) {
                 otherViolations.add(feature.key() + " goes from " + before + " to " + after);
             }
         }
@@ -97,9 +97,9 @@
         }
         Capabilities abilities = scenario.capabilities(scenario.cluster.leader());
         for (Feature feature : Feature.values()) {
-            if (abilities.registers()
+            if (abilities.supportsRegistration()
                     && stage(feature) != FeatureStage.OFF
-                    && !abilities.knows().contains(feature)) {
+                    && !abilities.knownFeatures().contains(feature)) {
                 otherViolations.add(scenario.cluster.leaderLabel() + " leads and does not know " + feature.key());
             }
         }
