--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -81,19 +81,21 @@
     // ---- a sibling
 
     /** Answers a leader's news with what this controller knows beyond the leader's last read. */
-    void answer(Request request, PeerCodec.Answer answer, PeerCodec.News news) {
+    void answer(Request request, PeerCodec.PeerStatus answer, PeerCodec.LeaderStatus news) {
         if (news.revision() < 0) {
-            request.answer(200, PeerCodec.answer(answer));
+            request.answer(200, PeerCodec.peerStatus(answer));
         } else {
             users.tell(new UsersActor.Testify(
-                    news.revision(), word -> request.answer(200, PeerCodec.answer(answer.with(word)))));
+                    news.revision(),
+                    word -> request.answer(200, PeerCodec.peerStatus(answer.withCancellations(word)))));
         }
     }
 
     /** A sibling confirmed a cancellation; nothing rests on it, it only comes sooner than what is asked for. */
     void takeWithdrawn(Request request) {
         try {
-            users.tell(new UsersActor.TakeIn(PeerCodec.withdrawn(request.body()).jobs(), null));
+            users.tell(new UsersActor.TakeIn(
+                    PeerCodec.cancellationNotice(request.body()).jobs(), null));
             request.answer(200, Json.bytes(out -> {
                 out.writeStartObject();
                 out.writeEndObject();
@@ -106,7 +108,7 @@
     /** Tells whoever leads what was confirmed here. */
     void confirmed(CancellationDigest.Cancelled job, String leader, PeerChannel siblings) {
         if (leader != null && !leader.equals(settings.label())) {
-            siblings.withdrawn(leader, new PeerCodec.Withdrawn(List.of(job)));
+            siblings.withdrawn(leader, new PeerCodec.CancellationNotice(List.of(job)));
         }
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -257,7 +257,7 @@
             following.receive(m, term == null ? 0 : term.fencingToken());
             advance();
         } else if (message instanceof AskReadiness m) {
-            m.request().answer(200, PeerCodec.answer(ownAnswer(now())));
+            m.request().answer(200, PeerCodec.peerStatus(ownAnswer(now())));
         } else if (message instanceof HandedOver m) {
             handOver.heirAnswered(m.reply().ok());
         } else if (message instanceof End m) {
@@ -462,20 +462,20 @@
 
     private void peerNews(Request request) {
         try {
-            PeerCodec.News news = PeerCodec.news(request.body());
+            PeerCodec.LeaderStatus news = PeerCodec.leaderStatus(request.body());
             if (leadership.observeToken(news.fencingToken(), news.leader())) {
                 checkDeposed();
             }
             long now = now();
             if (news.fencingToken() == leadership.highestFencingToken()) {
-                reach.leaderReportedSilence(news.silentMicros(), now);
+                reach.leaderReportedSilence(news.agentSilenceMicros(), now);
             }
-            rollout.newerThere(news.switches());
-            if (news.stateServed()) {
+            rollout.newerThere(news.featureFlagsVersion());
+            if (news.storeReachable()) {
                 state.reach().peerServed(now);
             }
             if (term == null && news.fencingToken() == leadership.highestFencingToken()) {
-                users.tell(new UsersActor.Progress(news.first(), news.jobs()));
+                users.tell(new UsersActor.Progress(news.replacesProgress(), news.jobs()));
                 following.told(news, now);
             }
             testimonies.answer(request, ownAnswer(now), news);
@@ -484,8 +484,8 @@
         }
     }
 
-    private PeerCodec.Answer ownAnswer(long now) {
-        return new PeerCodec.Answer(
+    private PeerCodec.PeerStatus ownAnswer(long now) {
+        return new PeerCodec.PeerStatus(
                 leadership.highestFencingToken(),
                 reach.lastStrayAgoMicros(now),
                 Settings.LAYOUT,
@@ -537,15 +537,15 @@
             return;
         }
         try {
-            PeerCodec.Answer answer = PeerCodec.answer(reply.body());
+            PeerCodec.PeerStatus answer = PeerCodec.peerStatus(reply.body());
             if (leadership.observeToken(answer.fencingToken(), null)) {
                 checkDeposed();
             }
             long now = now();
-            reach.peerReportedStray(answer.strayedAgoMicros(), now);
+            reach.peerReportedStray(answer.strayAgentAgoMicros(), now);
             resignIfUnreached(now);
             if (term != null && term.fencingToken() == message.fencingToken()) {
-                testimonies.heard(message.sibling(), answer.testimony(), message.askedMicros(), now);
+                testimonies.heard(message.sibling(), answer.cancellations(), message.askedMicros(), now);
                 following.heard(message.sibling(), answer, now);
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/PeerChannel.java
+++ b/src/main/java/io/micatide/controller/PeerChannel.java
@@ -112,17 +112,17 @@
         siblings.get(sibling)
                 .post(
                         "/handover",
-                        PeerCodec.handOver(fencingToken, revision),
+                        PeerCodec.handover(fencingToken, revision),
                         HAND_OVER_MICROS,
                         owner.answer(LeaderActor.HandedOver::new));
     }
 
     /** To whoever leads, if it is a sibling: what it would otherwise learn with its next read or news. */
-    void withdrawn(String leader, PeerCodec.Withdrawn message) {
+    void withdrawn(String leader, PeerCodec.CancellationNotice message) {
         for (int sibling = 0; sibling < siblings.size(); sibling++) {
             if (settings.siblings().get(sibling).label().equals(leader)) {
                 siblings.get(sibling)
-                        .post("/withdrawn", PeerCodec.withdrawn(message), Http.PATIENCE_MICROS, reply -> {});
+                        .post("/withdrawn", PeerCodec.cancellationNotice(message), Http.PATIENCE_MICROS, reply -> {});
             }
         }
     }
@@ -132,7 +132,7 @@
         siblings.get(sibling)
                 .post(
                         "/news",
-                        PeerCodec.news(new PeerCodec.News(
+                        PeerCodec.leaderStatus(new PeerCodec.LeaderStatus(
                                 what.fencingToken(),
                                 settings.label(),
                                 what.stateServed(),
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -92,8 +92,8 @@
     }
 
     /** News of who leads by the highest token. */
-    void told(PeerCodec.News news, long now) {
-        succession.told(news.heirs(), now);
+    void told(PeerCodec.LeaderStatus news, long now) {
+        succession.told(news.designatedStandbys(), now);
         if (standby != null) {
             standby.tell(new StandbyActor.Appointed(succession.appointed()));
         }
@@ -123,11 +123,11 @@
             succession.word(sibling, StandbyReadiness.COLD, false, now);
         } else if (reply.ok()) {
             try {
-                PeerCodec.Answer answer = PeerCodec.answer(reply.body());
+                PeerCodec.PeerStatus answer = PeerCodec.peerStatus(reply.body());
                 succession.word(
                         sibling,
                         answer.readiness() == null ? StandbyReadiness.COLD : answer.readiness(),
-                        answer.strayedAgoMicros() >= 0,
+                        answer.strayAgentAgoMicros() >= 0,
                         now);
             } catch (MalformedException e) {
                 LOG.error("sibling: {}", e.getMessage());
@@ -146,7 +146,7 @@
     /** A leader that ends wants this controller to catch up. */
     private void takeHandOver(Request request, boolean leads, long now) {
         try {
-            long revision = PeerCodec.handedRevision(request.body());
+            long revision = PeerCodec.handoverRevision(request.body());
             if (standby == null || leads) {
                 request.answer(409, FOLLOWS_NOTHING);
             } else {
@@ -168,8 +168,8 @@
     }
 
     /** A sibling answered this term's news. */
-    void heard(int sibling, PeerCodec.Answer answer, long now) {
-        heirs.heard(sibling, answer.readiness(), answer.served(), now);
+    void heard(int sibling, PeerCodec.PeerStatus answer, long now) {
+        heirs.heard(sibling, answer.readiness(), answer.storeReachable(), now);
     }
 
     /** Whom this term's news appoint, null for nobody yet or ever. */
--- a/src/main/java/io/micatide/protocol/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -14,23 +14,23 @@
     private PeerCodec() {}
 
     /**
-     * {@code stateServed}: the sender has had answers of the state service just now; {@code silentMicros}: how long no
-     * worker has come to it; {@code heirs}: labels of those that are to take over, in this order, null from a leader that appoints
-     * nobody; {@code first}: the counts of earlier messages of this sender are replaced; {@code revision}: up to which the sender has read
+     * {@code storeReachable}: the sender has had answers of the state service just now; {@code agentSilenceMicros}: how long no
+     * worker has come to it; {@code designatedStandbys}: labels of those that are to take over, in this order, null from a leader that appoints
+     * nobody; {@code replacesProgress}: the counts of earlier messages of this sender are replaced; {@code revision}: up to which the sender has read
      * the state service, -1 from a version that does not ask for testimony.
      */
-    public record News(
+    public record LeaderStatus(
             long fencingToken,
             String leader,
-            boolean stateServed,
-            long silentMicros,
-            List<String> heirs,
-            boolean first,
+            boolean storeReachable,
+            long agentSilenceMicros,
+            List<String> designatedStandbys,
+            boolean replacesProgress,
             List<JobProgress> jobs,
-            long switches,
+            long featureFlagsVersion,
             long revision) {
         /** As versions before the switches tell them. */
-        public News(
+        public LeaderStatus(
                 long fencingToken,
                 String leader,
                 boolean stateServed,
@@ -43,7 +43,7 @@
     }
 
     /** A controller's word, unasked, that these jobs are cancelled. */
-    public record Withdrawn(List<CancellationDigest.Cancelled> jobs) {}
+    public record CancellationNotice(List<CancellationDigest.Cancelled> jobs) {}
 
     /**
      * What a sibling answers: the highest token that it knows of, and how long ago a worker that had lost the leader came to
@@ -51,38 +51,38 @@
      * it, which versions before layout 3 do not say; how warm it is, null of one that follows nobody; its testimony, null where none was
      * asked for or from a version that gives none.
      */
-    public record Answer(
+    public record PeerStatus(
             long fencingToken,
-            long strayedAgoMicros,
+            long strayAgentAgoMicros,
             int layout,
-            boolean served,
+            boolean storeReachable,
             StandbyReadiness readiness,
-            CancellationDigest testimony) {
-        public Answer(
+            CancellationDigest cancellations) {
+        public PeerStatus(
                 long fencingToken, long strayedAgoMicros, int layout, boolean served, StandbyReadiness readiness) {
             this(fencingToken, strayedAgoMicros, layout, served, readiness, null);
         }
 
-        public Answer with(CancellationDigest word) {
-            return new Answer(fencingToken, strayedAgoMicros, layout, served, readiness, word);
+        public PeerStatus withCancellations(CancellationDigest word) {
+            return new PeerStatus(fencingToken, strayAgentAgoMicros, layout, storeReachable, readiness, word);
         }
     }
 
-    public static byte[] news(News news) {
+    public static byte[] leaderStatus(LeaderStatus news) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("token", news.fencingToken());
             out.writeStringField("leader", news.leader());
-            out.writeBooleanField("stateServed", news.stateServed());
-            out.writeNumberField("silentUs", news.silentMicros());
-            if (news.heirs() != null) {
+            out.writeBooleanField("stateServed", news.storeReachable());
+            out.writeNumberField("silentUs", news.agentSilenceMicros());
+            if (news.designatedStandbys() != null) {
                 out.writeArrayFieldStart("heirs");
-                for (String heir : news.heirs()) {
+                for (String heir : news.designatedStandbys()) {
                     out.writeString(heir);
                 }
                 out.writeEndArray();
             }
-            out.writeBooleanField("first", news.first());
+            out.writeBooleanField("first", news.replacesProgress());
             out.writeArrayFieldStart("jobs");
             for (JobProgress job : news.jobs()) {
                 out.writeStartArray();
@@ -92,8 +92,8 @@
                 out.writeEndArray();
             }
             out.writeEndArray();
-            if (news.switches() > 0) {
-                out.writeNumberField("switches", news.switches());
+            if (news.featureFlagsVersion() > 0) {
+                out.writeNumberField("switches", news.featureFlagsVersion());
             }
             if (news.revision() >= 0) {
                 out.writeNumberField("revision", news.revision());
@@ -102,7 +102,7 @@
         });
     }
 
-    public static News news(byte[] body) throws MalformedException {
+    public static LeaderStatus leaderStatus(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
         List<JobProgress> jobs = new ArrayList<>();
@@ -110,7 +110,7 @@
             jobs.add(new JobProgress(
                     job.path(0).asText(), job.path(1).asInt(), job.path(2).asInt()));
         }
-        return new News(
+        return new LeaderStatus(
                 in.count("token", 1, Long.MAX_VALUE),
                 in.text("leader"),
                 in.has("stateServed") && in.flag("stateServed"),
@@ -122,20 +122,20 @@
                 in.has("revision") ? in.count("revision", 0, Long.MAX_VALUE) : -1);
     }
 
-    public static byte[] answer(Answer answer) {
+    public static byte[] peerStatus(PeerStatus answer) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("token", answer.fencingToken());
-            out.writeNumberField("strayedUs", answer.strayedAgoMicros());
+            out.writeNumberField("strayedUs", answer.strayAgentAgoMicros());
             out.writeNumberField("layout", answer.layout());
-            if (answer.served()) {
+            if (answer.storeReachable()) {
                 out.writeBooleanField("served", true);
             }
             if (answer.readiness() != null) {
                 out.writeStringField("standby", answer.readiness().name());
             }
-            if (answer.testimony() != null) {
-                CancellationDigest word = answer.testimony();
+            if (answer.cancellations() != null) {
+                CancellationDigest word = answer.cancellations();
                 out.writeObjectFieldStart("testimony");
                 out.writeStringField("by", word.controller());
                 out.writeNumberField("livedUs", word.uptimeMicros());
@@ -147,19 +147,19 @@
         });
     }
 
-    public static Answer answer(byte[] body) throws MalformedException {
+    public static PeerStatus peerStatus(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
-        return new Answer(
+        return new PeerStatus(
                 in.count("token", 0, Long.MAX_VALUE),
                 tree.path("strayedUs").asLong(-1),
                 tree.path("layout").asInt(1),
                 tree.path("served").asBoolean(false),
                 readiness(tree),
-                in.has("testimony") ? testimony(in.object("testimony"), tree.path("testimony")) : null);
+                in.has("testimony") ? cancellationDigest(in.object("testimony"), tree.path("testimony")) : null);
     }
 
-    private static CancellationDigest testimony(JsonFields in, JsonNode tree) throws MalformedException {
+    private static CancellationDigest cancellationDigest(JsonFields in, JsonNode tree) throws MalformedException {
         return new CancellationDigest(
                 in.text("by"),
                 in.count("livedUs", 0, Long.MAX_VALUE),
@@ -197,7 +197,7 @@
         return result;
     }
 
-    public static byte[] withdrawn(Withdrawn message) {
+    public static byte[] cancellationNotice(CancellationNotice message) {
         return Json.bytes(out -> {
             out.writeStartObject();
             writeCancelled(out, message.jobs());
@@ -205,9 +205,9 @@
         });
     }
 
-    public static Withdrawn withdrawn(byte[] body) throws MalformedException {
+    public static CancellationNotice cancellationNotice(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
-        return new Withdrawn(cancelled(tree, new JsonFields(tree, "").path("cancelled")));
+        return new CancellationNotice(cancelled(tree, new JsonFields(tree, "").path("cancelled")));
     }
 
     /** Null where nothing is said, or a word of a later version. */
@@ -222,7 +222,7 @@
     }
 
     /** A controller that ends tells an heir up to which revision it has written. */
-    public static byte[] handOver(long fencingToken, long revision) {
+    public static byte[] handover(long fencingToken, long revision) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("token", fencingToken);
@@ -231,8 +231,8 @@
         });
     }
 
-    /** The revision of a {@link #handOver}. */
-    public static long handedRevision(byte[] body) throws MalformedException {
+    /** The revision of a {@link #handover}. */
+    public static long handoverRevision(byte[] body) throws MalformedException {
         return new JsonFields(Json.tree(body), "").count("revision", 0, Long.MAX_VALUE);
     }
 }
--- a/src/test/java/io/micatide/protocol/StoredFormatTest.java
+++ b/src/test/java/io/micatide/protocol/StoredFormatTest.java
@@ -158,17 +158,21 @@
     void newsOfProduction() throws MalformedException {
         String text = "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'first':true,"
                 + "'jobs':[['wk-1',3,13]]}";
-        PeerCodec.News news = PeerCodec.news(json(text));
+        PeerCodec.LeaderStatus news = PeerCodec.leaderStatus(json(text));
         assertEquals(
-                new PeerCodec.News(41, "berth-1", true, 1200, null, true, List.of(new JobProgress("wk-1", 3, 13))),
+                new PeerCodec.LeaderStatus(
+                        41, "berth-1", true, 1200, null, true, List.of(new JobProgress("wk-1", 3, 13))),
                 news);
-        assertEquals(text, new String(PeerCodec.news(news), StandardCharsets.UTF_8).replace('"', '\''));
+        assertEquals(text, new String(PeerCodec.leaderStatus(news), StandardCharsets.UTF_8).replace('"', '\''));
         // Production does not say which layout it reads.
         assertEquals(
-                new PeerCodec.Answer(41, -1, 1, false, null), PeerCodec.answer(json("{'token':41,'strayedUs':-1}")));
+                new PeerCodec.PeerStatus(41, -1, 1, false, null),
+                PeerCodec.peerStatus(json("{'token':41,'strayedUs':-1}")));
         assertEquals(
                 "{'token':41,'strayedUs':-1,'layout':2}",
-                new String(PeerCodec.answer(new PeerCodec.Answer(41, -1, 2, false, null)), StandardCharsets.UTF_8)
+                new String(
+                                PeerCodec.peerStatus(new PeerCodec.PeerStatus(41, -1, 2, false, null)),
+                                StandardCharsets.UTF_8)
                         .replace('"', '\''));
     }
 
@@ -177,14 +181,14 @@
     void newsOfAStandby() throws MalformedException {
         String text =
                 "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'heirs':['berth-2'],'first':true,'jobs':[]}";
-        PeerCodec.News news = PeerCodec.news(json(text));
-        assertEquals(List.of("berth-2"), news.heirs());
-        assertEquals(text, new String(PeerCodec.news(news), StandardCharsets.UTF_8).replace('"', '\''));
-        PeerCodec.Answer answer = new PeerCodec.Answer(41, -1, 3, true, StandbyReadiness.WARM);
-        assertEquals(answer, PeerCodec.answer(PeerCodec.answer(answer)));
-        assertNull(PeerCodec.answer(json("{'token':41,'strayedUs':-1,'standby':'HOT'}"))
+        PeerCodec.LeaderStatus news = PeerCodec.leaderStatus(json(text));
+        assertEquals(List.of("berth-2"), news.designatedStandbys());
+        assertEquals(text, new String(PeerCodec.leaderStatus(news), StandardCharsets.UTF_8).replace('"', '\''));
+        PeerCodec.PeerStatus answer = new PeerCodec.PeerStatus(41, -1, 3, true, StandbyReadiness.WARM);
+        assertEquals(answer, PeerCodec.peerStatus(PeerCodec.peerStatus(answer)));
+        assertNull(PeerCodec.peerStatus(json("{'token':41,'strayedUs':-1,'standby':'HOT'}"))
                 .readiness());
-        assertEquals(77, PeerCodec.handedRevision(PeerCodec.handOver(41, 77)));
+        assertEquals(77, PeerCodec.handoverRevision(PeerCodec.handover(41, 77)));
     }
 
     /** What controllers say of cancellations: passed over by who does not know it; what is malformed proves nothing. */
@@ -192,36 +196,37 @@
     void wordsOnCancellations() throws MalformedException {
         String news =
                 "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'first':true,'jobs':[],'revision':7}";
-        assertEquals(7, PeerCodec.news(json(news)).revision());
+        assertEquals(7, PeerCodec.leaderStatus(json(news)).revision());
         assertEquals(
                 news,
-                new String(PeerCodec.news(PeerCodec.news(json(news))), StandardCharsets.UTF_8).replace('"', '\''));
+                new String(PeerCodec.leaderStatus(PeerCodec.leaderStatus(json(news))), StandardCharsets.UTF_8)
+                        .replace('"', '\''));
         CancellationDigest word = new CancellationDigest(
                 "berth-2", 5_000_000, true, List.of(new CancellationDigest.Cancelled("wk-1", 44)));
-        PeerCodec.Answer answer = new PeerCodec.Answer(41, -1, 3, true, null).with(word);
-        String told = new String(PeerCodec.answer(answer), StandardCharsets.UTF_8).replace('"', '\'');
+        PeerCodec.PeerStatus answer = new PeerCodec.PeerStatus(41, -1, 3, true, null).withCancellations(word);
+        String told = new String(PeerCodec.peerStatus(answer), StandardCharsets.UTF_8).replace('"', '\'');
         assertEquals(
                 "{'token':41,'strayedUs':-1,'layout':3,'served':true,"
                         + "'testimony':{'by':'berth-2','livedUs':5000000,'whole':true,'cancelled':[['wk-1',44]]}}",
                 told);
-        assertEquals(answer, PeerCodec.answer(json(told)));
+        assertEquals(answer, PeerCodec.peerStatus(json(told)));
         for (String part :
                 List.of("'by':'berth-2',", "'livedUs':5000000,", "'whole':true,", ",'cancelled':[['wk-1',44]]")) {
-            assertThrows(MalformedException.class, () -> PeerCodec.answer(json(told.replace(part, ""))), part);
+            assertThrows(MalformedException.class, () -> PeerCodec.peerStatus(json(told.replace(part, ""))), part);
         }
         for (String instead : List.of("7", "['wk-1']", "['wk-1',0]", "['job 1',44]", "[44,'wk-1']", "['wk-1','44']")) {
             assertThrows(
                     MalformedException.class,
-                    () -> PeerCodec.answer(json(told.replace("['wk-1',44]", instead))),
+                    () -> PeerCodec.peerStatus(json(told.replace("['wk-1',44]", instead))),
                     instead);
             assertThrows(
                     MalformedException.class,
-                    () -> PeerCodec.withdrawn(json("{'cancelled':[" + instead + "]}")),
+                    () -> PeerCodec.cancellationNotice(json("{'cancelled':[" + instead + "]}")),
                     instead);
         }
-        PeerCodec.Withdrawn push = new PeerCodec.Withdrawn(word.cancelled());
-        assertEquals(push, PeerCodec.withdrawn(PeerCodec.withdrawn(push)));
-        assertThrows(MalformedException.class, () -> PeerCodec.withdrawn(json("{}")));
+        PeerCodec.CancellationNotice push = new PeerCodec.CancellationNotice(word.cancelled());
+        assertEquals(push, PeerCodec.cancellationNotice(PeerCodec.cancellationNotice(push)));
+        assertThrows(MalformedException.class, () -> PeerCodec.cancellationNotice(json("{}")));
     }
 
     /**
