--- a/src/main/java/io/micatide/archive/Archiver.java
+++ b/src/main/java/io/micatide/archive/Archiver.java
@@ -27,32 +27,32 @@
  */
 public class Archiver {
     /** What the archivist wants done next. */
-    public sealed interface Step {}
+    public sealed interface StoreOperation {}
 
-    /** Answered by {@link #segment} or {@link #damaged}. */
-    public record ReadSegment(String key) implements Step {}
+    /** Answered by {@link #segmentOf} or {@link #segmentDamaged}. */
+    public record ReadSegment(String key) implements StoreOperation {}
 
-    /** The first key of the archive after this one; answered by {@link #listed}. */
-    public record FindAfter(String key) implements Step {}
+    /** The first key of the archive after this one; answered by {@link #keyFound}. */
+    public record FindAfter(String key) implements StoreOperation {}
 
     /** Answered by {@link #manifestRead}. */
-    public record ReadManifest() implements Step {}
+    public record ReadManifest() implements StoreOperation {}
 
-    /** Answered by {@link #written}, {@link #conflict}, {@link #repeat} or {@link #refused}. */
-    public record Write(Transaction transaction) implements Step {}
+    /** Answered by {@link #writeSucceeded}, {@link #writeConflicted}, {@link #outcomeUnknown} or {@link #writeRejected}. */
+    public record Write(Transaction transaction) implements StoreOperation {}
 
     /**
      * A job whose row is final, of which no task can run and which no open job needs, as a copy of the rows shows it.
      *
      * @param outcome null of a row that a late write of a former version brought back: the job is archived, the row just goes
-     * @param furtherRows how many rows of names belong to it
+     * @param dependencyRecords how many rows of names belong to it
      */
-    public record Ended(String id, long version, JobOutcome outcome, int furtherRows) {}
+    public record ArchivableJob(String id, long version, JobOutcome outcome, int dependencyRecords) {}
 
     /** Makes a term's archivist; a rehearsal may plant a fault in one. */
     @FunctionalInterface
-    public interface Maker {
-        Archiver make(
+    public interface Factory {
+        Archiver create(
                 long fencingToken,
                 int valueBytes,
                 int changes,
@@ -62,51 +62,51 @@
     }
 
     /** What one run takes of rows at most: as much as a small heap holds easily. */
-    private static final int MOST_ROWS = 4_096;
+    private static final int MAX_JOBS_PER_NEW_RUN = 4_096;
     /** So many runs of like size become one; a size is this many times the one below. */
-    private static final int FAN = 4;
+    private static final int MERGE_FACTOR = 4;
 
-    private static final int MOST_MERGED = 8;
+    private static final int MAX_RUNS_PER_MERGE = 8;
     /** What a value takes besides the packed bytes, which base64 makes longer by a third. */
     private static final int FRAME_BYTES = 96;
 
     private static final int MANIFEST_BYTES = 160;
     private static final int MANIFEST_RUN_BYTES = 48;
-    private static final int MOST_SEGMENT_BYTES = 16 * 1024;
-    private static final int LEAST_SEGMENT_BYTES = 512;
+    private static final int MAX_SEGMENT_BYTES = 16 * 1024;
+    private static final int MIN_SEGMENT_BYTES = 512;
     /**
      * Segments of a run differ by chance, by the root of the jobs that one holds; one that is too full costs the whole run anew. So much
      * of that is left free: one segment in 300,000 is fuller.
      */
-    private static final double DEVIATIONS = 4.5;
+    private static final double HEADROOM_DEVIATIONS = 4.5;
     /** After every key of a run. */
-    private static final String PAST = "/~";
+    private static final String AFTER_LAST_SEGMENT = "/~";
 
     private final long fencingToken;
-    private final int worthARun;
-    private final HashPartitioner spread;
-    private final int mostRuns;
+    private final int batchSize;
+    private final HashPartitioner partitioner;
+    private final int maxRuns;
     private int segmentBytes;
-    private int mostChanges;
+    private int maxTransactionWrites;
     private StoredRecord.ArchiveManifest manifest;
     private long manifestVersion;
-    private boolean manifestInDoubt;
-    private String sweptTo = StoreKeys.ARCHIVE_SEGMENTS;
-    private boolean swept;
-    private boolean sweepsAgain;
-    private int runsBegun;
+    private boolean manifestUncertain;
+    private String sweepCursor = StoreKeys.ARCHIVE_SEGMENTS;
+    private boolean sweepComplete;
+    private boolean sweepRequired;
+    private int runsStarted;
     private Build build;
-    private boolean underWay;
+    private boolean operationInFlight;
     /** The changes of the write under way. */
-    private Transaction writing;
+    private Transaction transactionInFlight;
     /** Segments that nothing names any more. */
-    private final Deque<String> leftovers = new ArrayDeque<>();
+    private final Deque<String> unreferencedSegments = new ArrayDeque<>();
     /** Rows that this leader has archived, with the manifest's version then. */
-    private final Map<String, Long> archived = new HashMap<>();
+    private final Map<String, Long> archivedAtVersion = new HashMap<>();
 
-    private final Map<String, Ended> removable = new LinkedHashMap<>();
-    private List<Ended> offered = List.of();
-    private boolean worthIt;
+    private final Map<String, ArchivableJob> removableRecords = new LinkedHashMap<>();
+    private List<ArchivableJob> candidates = List.of();
+    private boolean batchReady;
     /** Runs with a segment that cannot be read: they stay as they are. */
     private final Set<String> damagedRuns = new HashSet<>();
 
@@ -115,7 +115,7 @@
         final String name;
         final int segments;
         final List<StoredRecord.ArchiveRun> merged;
-        final List<Ended> rows;
+        final List<ArchivableJob> rows;
         final SegmentMerger content;
         int next;
         long jobs;
@@ -127,7 +127,7 @@
                 String name,
                 int segments,
                 List<StoredRecord.ArchiveRun> merged,
-                List<Ended> rows,
+                List<ArchivableJob> rows,
                 SegmentMerger content) {
             this.name = name;
             this.segments = segments;
@@ -159,17 +159,17 @@
             StoredRecord.ArchiveManifest manifest,
             long manifestVersion) {
         this.fencingToken = fencingToken;
-        this.worthARun = worthARun;
-        this.segmentBytes = Math.min(valueBytes, MOST_SEGMENT_BYTES);
-        this.mostRuns = Math.max(FAN + 1, (valueBytes - MANIFEST_BYTES) / MANIFEST_RUN_BYTES);
-        this.mostChanges = changes;
+        this.batchSize = worthARun;
+        this.segmentBytes = Math.min(valueBytes, MAX_SEGMENT_BYTES);
+        this.maxRuns = Math.max(MERGE_FACTOR + 1, (valueBytes - MANIFEST_BYTES) / MANIFEST_RUN_BYTES);
+        this.maxTransactionWrites = changes;
         this.manifest = manifest;
         this.manifestVersion = manifestVersion;
-        this.spread = new HashPartitioner(manifest);
+        this.partitioner = new HashPartitioner(manifest);
     }
 
     /** Of a manifest that nobody has written yet; the salt need only differ between installations. */
-    public static StoredRecord.ArchiveManifest first(long saltA, long saltB) {
+    public static StoredRecord.ArchiveManifest emptyManifest(long saltA, long saltB) {
         return new StoredRecord.ArchiveManifest(0, saltA & Long.MAX_VALUE, saltB & Long.MAX_VALUE, List.of());
     }
 
@@ -178,28 +178,28 @@
      *
      * @param anyway few are archived as well: they have waited long enough
      */
-    public void offer(Collection<Ended> ended, long copyOfVersion, boolean anyway) {
-        List<Ended> fresh = new ArrayList<>();
-        for (Ended each : ended) {
-            if (each.outcome() == null || mayGo(each.id(), copyOfVersion)) {
-                removable.put(each.id(), each);
-            } else if (!archived.containsKey(each.id())) {
+    public void offerCandidates(Collection<ArchivableJob> ended, long copyOfVersion, boolean anyway) {
+        List<ArchivableJob> fresh = new ArrayList<>();
+        for (ArchivableJob each : ended) {
+            if (each.outcome() == null || isRecordRemovable(each.id(), copyOfVersion)) {
+                removableRecords.put(each.id(), each);
+            } else if (!archivedAtVersion.containsKey(each.id())) {
                 fresh.add(each);
             }
         }
-        offered = fresh;
-        worthIt = fresh.size() >= worthARun || (anyway && !fresh.isEmpty());
+        candidates = fresh;
+        batchReady = fresh.size() >= batchSize || (anyway && !fresh.isEmpty());
     }
 
     /** Guards the order of the two writes: a test that lets rows go before they are archived loses jobs. */
-    boolean mayGo(String id, long copyOfVersion) {
-        Long since = archived.get(id);
+    boolean isRecordRemovable(String id, long copyOfVersion) {
+        Long since = archivedAtVersion.get(id);
         return since != null && copyOfVersion >= since;
     }
 
     /** Whether there is something to do that needs no offer. */
-    public boolean busy() {
-        return build != null || !swept || !removable.isEmpty() || !leftovers.isEmpty();
+    public boolean hasPendingWork() {
+        return build != null || !sweepComplete || !removableRecords.isEmpty() || !unreferencedSegments.isEmpty();
     }
 
     /**
@@ -207,38 +207,38 @@
      *
      * @param mostWrites how many changes the rounds leave over now
      */
-    public Step next(int mostWrites) {
-        if (underWay) {
+    public StoreOperation nextOperation(int mostWrites) {
+        if (operationInFlight) {
             return null;
         }
-        Step step = choose(Math.min(mostWrites, mostChanges));
-        underWay = step != null;
-        writing = step instanceof Write write ? write.transaction() : null;
-        return step;
+        StoreOperation operation = choose(Math.min(mostWrites, maxTransactionWrites));
+        operationInFlight = operation != null;
+        transactionInFlight = operation instanceof Write write ? write.transaction() : null;
+        return operation;
     }
 
-    private Step choose(int most) {
-        if (manifestInDoubt) {
+    private StoreOperation choose(int budget) {
+        if (manifestUncertain) {
             return new ReadManifest();
         }
-        if (!swept) {
-            return new FindAfter(sweptTo);
+        if (!sweepComplete) {
+            return new FindAfter(sweepCursor);
         }
-        if (!removable.isEmpty()) {
-            return most < 1 ? null : removeRows(most);
+        if (!removableRecords.isEmpty()) {
+            return budget < 1 ? null : removeRows(budget);
         }
         if (build == null) {
             begin();
         }
         if (build != null) {
-            return buildOn(most);
+            return buildOn(budget);
         }
-        if (leftovers.isEmpty() || most < 1) {
+        if (unreferencedSegments.isEmpty() || budget < 1) {
             return null;
         }
         List<Transaction.Write> writes = new ArrayList<>();
-        for (String key : leftovers) {
-            if (writes.size() < most) {
+        for (String key : unreferencedSegments) {
+            if (writes.size() < budget) {
                 writes.add(new Transaction.Write(key, null, 0));
             }
         }
@@ -250,18 +250,19 @@
     }
 
     /** Names that belong to a row go before it or with it: a row without them would be a job that nobody can read. */
-    private Step removeRows(int most) {
+    private StoreOperation removeRows(int budget) {
         List<Transaction.Condition> conditions = new ArrayList<>(List.of(leads()));
         List<Transaction.Write> writes = new ArrayList<>();
-        for (Ended each : removable.values()) {
-            if (writes.size() + each.furtherRows() + 1 > most && !(writes.isEmpty() && each.furtherRows() > 0)) {
+        for (ArchivableJob each : removableRecords.values()) {
+            if (writes.size() + each.dependencyRecords() + 1 > budget
+                    && !(writes.isEmpty() && each.dependencyRecords() > 0)) {
                 break;
             }
             conditions.add(new Transaction.Condition(StoreKeys.job(each.id()), each.version()));
-            for (int piece = 1; piece <= each.furtherRows() && writes.size() < most; piece++) {
+            for (int piece = 1; piece <= each.dependencyRecords() && writes.size() < budget; piece++) {
                 writes.add(new Transaction.Write(StoreKeys.dependencies(each.id(), piece), null, 0));
             }
-            if (writes.size() < most) {
+            if (writes.size() < budget) {
                 writes.add(new Transaction.Write(StoreKeys.job(each.id()), null, 0));
             }
         }
@@ -271,8 +272,8 @@
     // ---- runs
 
     private void begin() {
-        if (worthIt && !offered.isEmpty()) {
-            List<Ended> rows = offered.subList(0, Math.min(offered.size(), MOST_ROWS));
+        if (batchReady && !candidates.isEmpty()) {
+            List<ArchivableJob> rows = candidates.subList(0, Math.min(candidates.size(), MAX_JOBS_PER_NEW_RUN));
             List<ArchivedJob> jobs = rows.stream()
                     .map(each -> new ArchivedJob(each.id(), each.outcome()))
                     .toList();
@@ -281,7 +282,7 @@
                 segments = more(segments);
             }
             start(segments, List.of(), rows, jobs);
-            worthIt = false;
+            batchReady = false;
             return;
         }
         List<StoredRecord.ArchiveRun> merged = mergeable();
@@ -311,14 +312,15 @@
         }
         // With m jobs in one, m and some deviations of it have to fit.
         double fit = (double) room() * jobs / bytes;
-        double root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * fit) - DEVIATIONS) / 2;
+        double root = (Math.sqrt(HEADROOM_DEVIATIONS * HEADROOM_DEVIATIONS + 4 * fit) - HEADROOM_DEVIATIONS) / 2;
         return (int) Math.max(1, Math.ceil(jobs / Math.max(1, root * root)));
     }
 
-    private void start(int segments, List<StoredRecord.ArchiveRun> merged, List<Ended> rows, List<ArchivedJob> jobs) {
+    private void start(
+            int segments, List<StoredRecord.ArchiveRun> merged, List<ArchivableJob> rows, List<ArchivedJob> jobs) {
         String name = Long.toString(fencingToken, Character.MAX_RADIX) + "-"
-                + Integer.toString(++runsBegun, Character.MAX_RADIX);
-        build = new Build(name, segments, merged, rows, new SegmentMerger(spread, segments, merged, jobs));
+                + Integer.toString(++runsStarted, Character.MAX_RADIX);
+        build = new Build(name, segments, merged, rows, new SegmentMerger(partitioner, segments, merged, jobs));
     }
 
     private int room() {
@@ -326,9 +328,9 @@
     }
 
     private boolean fits(List<ArchivedJob> jobs, int segments) {
-        SegmentMerger content = new SegmentMerger(spread, segments, List.of(), jobs);
+        SegmentMerger content = new SegmentMerger(partitioner, segments, List.of(), jobs);
         for (int number = 0; number < segments; number++) {
-            if (SegmentCodec.pack("", content.take(number)).packed().length > room()) {
+            if (SegmentCodec.pack("", content.takeSegment(number)).packed().length > room()) {
                 return false;
             }
         }
@@ -337,7 +339,7 @@
 
     private int size(StoredRecord.ArchiveRun run) {
         int size = 0;
-        for (long jobs = run.jobs() / worthARun; jobs >= FAN; jobs /= FAN) {
+        for (long jobs = run.jobs() / batchSize; jobs >= MERGE_FACTOR; jobs /= MERGE_FACTOR) {
             size++;
         }
         return size;
@@ -352,43 +354,45 @@
             }
         }
         for (List<StoredRecord.ArchiveRun> like : bySize.values()) {
-            if (like.size() >= FAN) {
-                return List.copyOf(like.subList(0, Math.min(like.size(), MOST_MERGED)));
+            if (like.size() >= MERGE_FACTOR) {
+                return List.copyOf(like.subList(0, Math.min(like.size(), MAX_RUNS_PER_MERGE)));
             }
         }
-        if (manifest.runs().size() < mostRuns - 1) {
+        if (manifest.runs().size() < maxRuns - 1) {
             return List.of();
         }
         List<StoredRecord.ArchiveRun> smallest = new ArrayList<>();
         bySize.values().forEach(smallest::addAll);
         smallest.sort(Comparator.comparingLong(StoredRecord.ArchiveRun::jobs));
-        return smallest.size() < 2 ? List.of() : List.copyOf(smallest.subList(0, Math.min(smallest.size(), FAN)));
+        return smallest.size() < 2
+                ? List.of()
+                : List.copyOf(smallest.subList(0, Math.min(smallest.size(), MERGE_FACTOR)));
     }
 
-    private Step buildOn(int most) {
+    private StoreOperation buildOn(int budget) {
         if (build.next == build.segments) {
-            return most < 1
+            return budget < 1
                     ? null
                     : new Write(new Transaction(
                             List.of(leads(), new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, manifestVersion)),
-                            List.of(new Transaction.Write(StoreKeys.ARCHIVE_MANIFEST, named(), 0))));
+                            List.of(new Transaction.Write(StoreKeys.ARCHIVE_MANIFEST, manifestWithNewRun(), 0))));
         }
         if (build.packed == null) {
-            String unread = build.content.unread(build.next);
+            String unread = build.content.nextUnreadSegment(build.next);
             if (unread != null) {
                 return new ReadSegment(unread);
             }
-            List<ArchivedJob> jobs = build.content.take(build.next);
+            List<ArchivedJob> jobs = build.content.takeSegment(build.next);
             build.packed = SegmentCodec.pack(build.key(), jobs);
             build.packedJobs = jobs.size();
             if (build.packed.packed().length > room()) {
                 again(more(build.segments));
-                return buildOn(most);
+                return buildOn(budget);
             }
         }
         // By the manifest too: a try without an answer that arrives after its run was named, merged and removed would
         // bring it back.
-        return most < 1
+        return budget < 1
                 ? null
                 : new Write(new Transaction(
                         List.of(
@@ -399,7 +403,7 @@
     }
 
     /** The manifest with the run that was built and without those that went into it. */
-    private StoredRecord.ArchiveManifest named() {
+    private StoredRecord.ArchiveManifest manifestWithNewRun() {
         List<StoredRecord.ArchiveRun> runs = new ArrayList<>(manifest.runs());
         runs.removeAll(build.merged);
         runs.add(build.run());
@@ -422,41 +426,41 @@
 
     private void abandon() {
         for (int number = 0; number <= Math.min(build.next, build.segments - 1); number++) {
-            leftovers.add(StoreKeys.segment(build.name, number));
+            unreferencedSegments.add(StoreKeys.segment(build.name, number));
         }
         build = null;
-        sweepsAgain = true;
+        sweepRequired = true;
     }
 
     // ---- outcomes
 
     /** The first key of the archive after the one asked for, null if there is none. */
-    public void listed(String key) {
-        underWay = false;
+    public void keyFound(String key) {
+        operationInFlight = false;
         if (key == null || !key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
-            swept = true;
+            sweepComplete = true;
             return;
         }
         int slash = key.indexOf('/', StoreKeys.ARCHIVE_SEGMENTS.length());
         String name = slash < 0 ? "" : key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), slash);
         if (manifest.runs().stream().anyMatch(run -> run.name().equals(name))) {
-            sweptTo = StoreKeys.ARCHIVE_SEGMENTS + name + PAST;
+            sweepCursor = StoreKeys.ARCHIVE_SEGMENTS + name + AFTER_LAST_SEGMENT;
         } else {
-            leftovers.add(key);
-            sweptTo = key;
+            unreferencedSegments.add(key);
+            sweepCursor = key;
         }
     }
 
-    public void segment(String key, List<ArchivedJob> jobs) {
-        underWay = false;
+    public void segmentRead(String key, List<ArchivedJob> jobs) {
+        operationInFlight = false;
         if (build != null) {
-            build.content.read(key, jobs);
+            build.content.addSegment(key, jobs);
         }
     }
 
     /** A segment that a merge needs is missing or not what was written: its run stays as it is. */
-    public void damaged(String key) {
-        underWay = false;
+    public void segmentDamaged(String key) {
+        operationInFlight = false;
         damagedRuns.add(key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), key.lastIndexOf('/')));
         if (build != null) {
             abandon();
@@ -464,15 +468,15 @@
     }
 
     /** The write under way is stored, with this revision. */
-    public void written(long revision) {
-        underWay = false;
-        Transaction.Write first = writing.writes().get(0);
+    public void writeSucceeded(long revision) {
+        operationInFlight = false;
+        Transaction.Write first = transactionInFlight.writes().get(0);
         if (first.record() instanceof StoredRecord.ArchiveSegment) {
             segmentStored();
         } else if (first.record() instanceof StoredRecord.ArchiveManifest history) {
             stored(history, revision);
         } else {
-            writing.writes().forEach(this::removed);
+            transactionInFlight.writes().forEach(this::removed);
         }
     }
 
@@ -488,41 +492,41 @@
         manifestVersion = version;
         for (StoredRecord.ArchiveRun run : build.merged) {
             for (int number = 0; number < run.segments(); number++) {
-                leftovers.add(StoreKeys.segment(run.name(), number));
+                unreferencedSegments.add(StoreKeys.segment(run.name(), number));
             }
         }
-        build.rows.forEach(each -> archived.put(each.id(), version));
-        offered = List.of();
+        build.rows.forEach(each -> archivedAtVersion.put(each.id(), version));
+        candidates = List.of();
         build = null;
-        if (sweepsAgain) {
+        if (sweepRequired) {
             // What was begun and given up may have come late until now; from this version on it cannot.
-            sweepsAgain = false;
-            swept = false;
-            sweptTo = StoreKeys.ARCHIVE_SEGMENTS;
+            sweepRequired = false;
+            sweepComplete = false;
+            sweepCursor = StoreKeys.ARCHIVE_SEGMENTS;
         }
     }
 
     private void removed(Transaction.Write write) {
         if (write.key().startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
-            leftovers.remove(write.key());
+            unreferencedSegments.remove(write.key());
             return;
         }
         String name = write.key().substring(StoreKeys.JOBS.length());
         if (name.indexOf('/') < 0) {
-            removable.remove(name);
-            archived.remove(name);
+            removableRecords.remove(name);
+            archivedAtVersion.remove(name);
         }
     }
 
     /** Some conditions of the write under way do not hold; the leader's token is not among them. */
-    public void conflict(Collection<String> keys) {
-        underWay = false;
-        Transaction.Write first = writing.writes().get(0);
+    public void writeConflicted(Collection<String> keys) {
+        operationInFlight = false;
+        Transaction.Write first = transactionInFlight.writes().get(0);
         if (first.record() instanceof StoredRecord.ArchiveSegment && !keys.contains(StoreKeys.ARCHIVE_MANIFEST)) {
             // An earlier try was carried out after all: nobody else uses the name.
             segmentStored();
         } else if (first.record() != null) {
-            manifestInDoubt = true;
+            manifestUncertain = true;
         } else {
             for (String key : keys) {
                 // Gone by an earlier try.
@@ -532,15 +536,16 @@
     }
 
     /** The outcome of the step under way is not known, or it was certainly not carried out: it is tried again. */
-    public void repeat() {
-        underWay = false;
-        manifestInDoubt |= writing != null && writing.writes().get(0).record() instanceof StoredRecord.ArchiveManifest;
+    public void outcomeUnknown() {
+        operationInFlight = false;
+        manifestUncertain |= transactionInFlight != null
+                && transactionInFlight.writes().get(0).record() instanceof StoredRecord.ArchiveManifest;
     }
 
     /** The manifest as it is stored. A try of ours may still arrive, so it is written again until one try is seen. */
     public void manifestRead(StoredRecord.ArchiveManifest stored, long version) {
-        underWay = false;
-        manifestInDoubt = false;
+        operationInFlight = false;
+        manifestUncertain = false;
         if (build != null && stored.runs().stream().anyMatch(run -> run.name().equals(build.name))) {
             stored(stored, version);
         } else {
@@ -554,16 +559,16 @@
      *
      * @return whether it will be tried in another form
      */
-    public boolean refused() {
-        underWay = false;
-        Transaction.Write first = writing.writes().get(0);
-        if (first.record() instanceof StoredRecord.ArchiveSegment && segmentBytes > LEAST_SEGMENT_BYTES) {
-            segmentBytes = Math.max(LEAST_SEGMENT_BYTES, segmentBytes * 3 / 4);
+    public boolean writeRejected() {
+        operationInFlight = false;
+        Transaction.Write first = transactionInFlight.writes().get(0);
+        if (first.record() instanceof StoredRecord.ArchiveSegment && segmentBytes > MIN_SEGMENT_BYTES) {
+            segmentBytes = Math.max(MIN_SEGMENT_BYTES, segmentBytes * 3 / 4);
             again(more(build.segments));
             return true;
         }
-        if (first.record() == null && mostChanges > 1) {
-            mostChanges /= 2;
+        if (first.record() == null && maxTransactionWrites > 1) {
+            maxTransactionWrites /= 2;
             return true;
         }
         return false;
--- a/src/main/java/io/micatide/archive/HashPartitioner.java
+++ b/src/main/java/io/micatide/archive/HashPartitioner.java
@@ -22,7 +22,7 @@
         return hash.hashString(id, StandardCharsets.UTF_8).asLong();
     }
 
-    static int segment(long hash, int segments) {
+    static int segmentOf(long hash, int segments) {
         return (int) (((hash >>> HALF) * segments) >>> HALF);
     }
 
--- a/src/main/java/io/micatide/archive/MembershipFilters.java
+++ b/src/main/java/io/micatide/archive/MembershipFilters.java
@@ -17,70 +17,70 @@
  */
 public final class MembershipFilters {
     /** One question in a hundred about an id that a run does not hold costs a read: 9.6 bits a job. */
-    private static final double MISTAKEN = 0.01;
+    private static final double FALSE_POSITIVE_RATE = 0.01;
 
-    private static final int BITS_A_JOB = 10;
+    private static final int BITS_PER_JOB = 10;
 
-    private final long mostBytes;
+    private final long maxBytes;
     private final Map<String, Filter> byRun = new HashMap<>();
     /** Runs with a segment that could not be read: looking there says what is wrong. */
-    private final Set<String> unreadable = new HashSet<>();
+    private final Set<String> unreadableRuns = new HashSet<>();
 
     private StoredRecord.ArchiveManifest manifest;
-    private HashPartitioner spread;
+    private HashPartitioner partitioner;
 
     private static final class Filter {
         final BloomFilter<Long> ids;
         final StoredRecord.ArchiveRun run;
-        int read;
+        int segmentsRead;
 
         Filter(StoredRecord.ArchiveRun run) {
             this.run = run;
-            ids = BloomFilter.create(Funnels.longFunnel(), Math.max(1, run.jobs()), MISTAKEN);
+            ids = BloomFilter.create(Funnels.longFunnel(), Math.max(1, run.jobs()), FALSE_POSITIVE_RATE);
         }
 
-        boolean whole() {
-            return read == run.segments();
+        boolean isComplete() {
+            return segmentsRead == run.segments();
         }
     }
 
     /** @param mostBytes what all filters together may take */
     public MembershipFilters(long mostBytes) {
-        this.mostBytes = mostBytes;
+        this.maxBytes = mostBytes;
     }
 
     /** From now on questions are about this manifest. */
-    public void manifest(StoredRecord.ArchiveManifest now) {
+    public void setManifest(StoredRecord.ArchiveManifest now) {
         if (manifest == null || manifest.saltA() != now.saltA() || manifest.saltB() != now.saltB()) {
-            spread = new HashPartitioner(now);
+            partitioner = new HashPartitioner(now);
         }
         manifest = now;
         Set<String> names = new HashSet<>();
         now.runs().forEach(run -> names.add(run.name()));
         byRun.keySet().retainAll(names);
-        unreadable.retainAll(names);
+        unreadableRuns.retainAll(names);
     }
 
     /** The segments that may hold an id by the present manifest; empty: it is certainly not archived. */
-    public List<String> candidates(String id) {
-        long hash = spread.hash(id);
+    public List<String> candidateSegments(String id) {
+        long hash = partitioner.hash(id);
         return manifest.runs().stream()
-                .filter(run -> mayHold(run, hash))
-                .map(run -> StoreKeys.segment(run.name(), HashPartitioner.segment(hash, run.segments())))
+                .filter(run -> mayContain(run, hash))
+                .map(run -> StoreKeys.segment(run.name(), HashPartitioner.segmentOf(hash, run.segments())))
                 .toList();
     }
 
-    private boolean mayHold(StoredRecord.ArchiveRun run, long hash) {
+    private boolean mayContain(StoredRecord.ArchiveRun run, long hash) {
         Filter filter = byRun.get(run.name());
-        return filter == null || !filter.whole() || filter.ids.mightContain(hash);
+        return filter == null || !filter.isComplete() || filter.ids.mightContain(hash);
     }
 
-    private static long bytes(StoredRecord.ArchiveRun run) {
-        return run.jobs() * BITS_A_JOB / Byte.SIZE + 64;
+    private static long estimatedBytes(StoredRecord.ArchiveRun run) {
+        return run.jobs() * BITS_PER_JOB / Byte.SIZE + 64;
     }
 
     /** The next segment to be read for a filter, or null while there is none to build. */
-    public String wanted() {
+    public String nextSegmentToRead() {
         if (manifest == null) {
             return null;
         }
@@ -89,10 +89,10 @@
         for (StoredRecord.ArchiveRun run : manifest.runs()) {
             Filter filter = byRun.get(run.name());
             if (filter != null) {
-                used += bytes(run);
+                used += estimatedBytes(run);
             }
-            if ((filter == null || !filter.whole())
-                    && !unreadable.contains(run.name())
+            if ((filter == null || !filter.isComplete())
+                    && !unreadableRuns.contains(run.name())
                     && (next == null || run.jobs() < next.jobs())) {
                 next = run;
             }
@@ -102,35 +102,35 @@
         }
         Filter filter = byRun.get(next.name());
         if (filter == null) {
-            if (used + bytes(next) > mostBytes) {
+            if (used + estimatedBytes(next) > maxBytes) {
                 return null;
             }
             filter = new Filter(next);
             byRun.put(next.name(), filter);
         }
-        return StoreKeys.segment(next.name(), filter.read);
+        return StoreKeys.segment(next.name(), filter.segmentsRead);
     }
 
-    /** The segment that {@link #wanted} named. */
-    public void read(String key, List<ArchivedJob> jobs) {
+    /** The segment that {@link #nextSegmentToRead} named. */
+    public void segmentRead(String key, List<ArchivedJob> jobs) {
         for (Filter filter : byRun.values()) {
-            if (!filter.whole() && key.equals(StoreKeys.segment(filter.run.name(), filter.read))) {
-                jobs.forEach(job -> filter.ids.put(spread.hash(job.id())));
-                filter.read++;
+            if (!filter.isComplete() && key.equals(StoreKeys.segment(filter.run.name(), filter.segmentsRead))) {
+                jobs.forEach(job -> filter.ids.put(partitioner.hash(job.id())));
+                filter.segmentsRead++;
                 return;
             }
         }
     }
 
     /** A segment that cannot be had as it was written; its run is asked itself from now on. */
-    public void unreadable(String key) {
+    public void segmentUnreadable(String key) {
         String run = key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), key.lastIndexOf('/'));
-        unreadable.add(run);
+        unreadableRuns.add(run);
         byRun.remove(run);
     }
 
     /** How many runs have a whole filter. */
-    public int whole() {
-        return (int) byRun.values().stream().filter(Filter::whole).count();
+    public int completeFilterCount() {
+        return (int) byRun.values().stream().filter(Filter::isComplete).count();
     }
 }
--- a/src/main/java/io/micatide/archive/SegmentCodec.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -21,22 +21,22 @@
     /** Bytes of a digest; enough that no two values of an archive are taken for each other by chance. */
     private static final int DIGEST_BYTES = 16;
     /** What unpacking may give at most; a value of 64 KiB cannot hold more in this format but by damage. */
-    private static final int MOST_UNPACKED = 8 << 20;
+    private static final int MAX_UNPACKED_BYTES = 8 << 20;
 
     private static final int OUTCOME_BITS = 2;
     private static final int DONE = 0;
     private static final int CANCELLED = 1;
     private static final int CANCELLED_SERVICE = 2;
-    private static final int SEVEN = 7;
-    private static final int LOW_SEVEN = 0x7f;
-    private static final int MORE = 0x80;
+    private static final int VARINT_BITS = 7;
+    private static final int VARINT_MASK = 0x7f;
+    private static final int VARINT_CONTINUES = 0x80;
 
     private SegmentCodec() {}
 
     /** The value to store under {@code key}; {@code jobs} in the order of their ids, each once. */
     public static StoredRecord.ArchiveSegment pack(String key, List<ArchivedJob> jobs) {
         ByteArrayOutputStream plain = new ByteArrayOutputStream(jobs.size() * 8 + 8);
-        number(plain, jobs.size());
+        writeVarint(plain, jobs.size());
         byte[] before = new byte[0];
         for (ArchivedJob job : jobs) {
             byte[] id = job.id().getBytes(StandardCharsets.UTF_8);
@@ -44,19 +44,19 @@
             while (shared < id.length && shared < before.length && id[shared] == before[shared]) {
                 shared++;
             }
-            number(plain, shared);
-            number(plain, id.length - shared);
+            writeVarint(plain, shared);
+            writeVarint(plain, id.length - shared);
             plain.write(id, shared, id.length - shared);
             before = id;
         }
         for (ArchivedJob job : jobs) {
-            number(plain, job.outcome().tasks() << OUTCOME_BITS | kind(job.outcome()));
+            writeVarint(plain, job.outcome().tasks() << OUTCOME_BITS | outcomeKind(job.outcome()));
         }
-        byte[] packed = deflated(plain.toByteArray());
+        byte[] packed = deflate(plain.toByteArray());
         return new StoredRecord.ArchiveSegment(digest(key, packed), packed);
     }
 
-    private static int kind(JobOutcome outcome) {
+    private static int outcomeKind(JobOutcome outcome) {
         return outcome.state() == JobState.DONE ? DONE : outcome.service() ? CANCELLED_SERVICE : CANCELLED;
     }
 
@@ -70,21 +70,21 @@
         if (!digest(key, segment.packed()).equals(segment.digest())) {
             throw new DamagedSegmentException(key, "digest is wrong");
         }
-        byte[] plain = inflated(key, segment.packed());
+        byte[] plain = inflate(key, segment.packed());
         Reader in = new Reader(key, plain);
-        int count = in.number();
+        int count = in.readVarint();
         if (count < 0 || count > plain.length) {
             throw new DamagedSegmentException(key, "does not unpack");
         }
         List<String> ids = new ArrayList<>(count);
         byte[] id = new byte[0];
         for (int i = 0; i < count; i++) {
-            id = in.id(id);
+            id = in.readId(id);
             ids.add(new String(id, StandardCharsets.UTF_8));
         }
         List<ArchivedJob> jobs = new ArrayList<>(count);
         for (String each : ids) {
-            int number = in.number();
+            int number = in.readVarint();
             int kind = number & (1 << OUTCOME_BITS) - 1;
             jobs.add(new ArchivedJob(
                     each,
@@ -121,16 +121,16 @@
         return Hex.encodeHexString(sum);
     }
 
-    private static void number(ByteArrayOutputStream out, int number) {
+    private static void writeVarint(ByteArrayOutputStream out, int number) {
         int rest = number;
-        while (rest >>> SEVEN != 0) {
-            out.write((rest & LOW_SEVEN) | MORE);
-            rest >>>= SEVEN;
+        while (rest >>> VARINT_BITS != 0) {
+            out.write((rest & VARINT_MASK) | VARINT_CONTINUES);
+            rest >>>= VARINT_BITS;
         }
         out.write(rest);
     }
 
-    private static byte[] deflated(byte[] plain) {
+    private static byte[] deflate(byte[] plain) {
         Deflater deflater = new Deflater(Deflater.BEST_COMPRESSION, true);
         try {
             deflater.setInput(plain);
@@ -146,7 +146,7 @@
         }
     }
 
-    private static byte[] inflated(String key, byte[] packed) throws DamagedSegmentException {
+    private static byte[] inflate(String key, byte[] packed) throws DamagedSegmentException {
         Inflater inflater = new Inflater(true);
         try {
             inflater.setInput(packed);
@@ -155,7 +155,7 @@
             while (!inflater.finished()) {
                 int some = inflater.inflate(buffer);
                 if ((some == 0 && (inflater.needsInput() || inflater.needsDictionary()))
-                        || out.size() > MOST_UNPACKED) {
+                        || out.size() > MAX_UNPACKED_BYTES) {
                     throw new DamagedSegmentException(key, "does not unpack");
                 }
                 out.write(buffer, 0, some);
@@ -171,22 +171,22 @@
     /** Reads what {@link #pack} wrote; never past its end. */
     private static final class Reader {
         private final String key;
-        private final byte[] plain;
-        private int at;
+        private final byte[] content;
+        private int position;
 
         Reader(String key, byte[] plain) {
             this.key = key;
-            this.plain = plain;
+            this.content = plain;
         }
 
-        int number() throws DamagedSegmentException {
+        int readVarint() throws DamagedSegmentException {
             int number = 0;
-            for (int shift = 0; shift < Integer.SIZE; shift += SEVEN) {
-                if (at >= plain.length) {
+            for (int shift = 0; shift < Integer.SIZE; shift += VARINT_BITS) {
+                if (position >= content.length) {
                     break;
                 }
-                int next = plain[at++];
-                number |= (next & LOW_SEVEN) << shift;
+                int next = content[position++];
+                number |= (next & VARINT_MASK) << shift;
                 if (next >= 0) {
                     return number;
                 }
@@ -194,16 +194,16 @@
             throw new DamagedSegmentException(key, "does not unpack");
         }
 
-        byte[] id(byte[] before) throws DamagedSegmentException {
-            int shared = number();
-            int rest = number();
-            if (shared < 0 || shared > before.length || rest < 0 || rest > plain.length - at) {
+        byte[] readId(byte[] before) throws DamagedSegmentException {
+            int shared = readVarint();
+            int rest = readVarint();
+            if (shared < 0 || shared > before.length || rest < 0 || rest > content.length - position) {
                 throw new DamagedSegmentException(key, "does not unpack");
             }
             byte[] id = new byte[shared + rest];
             System.arraycopy(before, 0, id, 0, shared);
-            System.arraycopy(plain, at, id, shared, rest);
-            at += rest;
+            System.arraycopy(content, position, id, shared, rest);
+            position += rest;
             return id;
         }
     }
--- a/src/main/java/io/micatide/archive/SegmentMerger.java
+++ b/src/main/java/io/micatide/archive/SegmentMerger.java
@@ -11,66 +11,67 @@
  * segment of each is held at a time. Or jobs that come from their rows, with no run to read.
  */
 final class SegmentMerger {
-    private final HashPartitioner spread;
+    private final HashPartitioner partitioner;
     private final int segments;
     private final List<Source> sources = new ArrayList<>();
 
     private static final class Source {
         final StoredRecord.ArchiveRun run;
-        int read;
-        List<ArchivedJob> held = new ArrayList<>();
+        int segmentsRead;
+        List<ArchivedJob> pendingJobs = new ArrayList<>();
 
         Source(StoredRecord.ArchiveRun run) {
             this.run = run;
         }
     }
 
-    SegmentMerger(HashPartitioner spread, int segments, List<StoredRecord.ArchiveRun> runs, List<ArchivedJob> jobs) {
-        this.spread = spread;
+    SegmentMerger(
+            HashPartitioner partitioner, int segments, List<StoredRecord.ArchiveRun> runs, List<ArchivedJob> jobs) {
+        this.partitioner = partitioner;
         this.segments = segments;
         runs.forEach(run -> sources.add(new Source(run)));
         Source rows = new Source(null);
-        rows.held.addAll(jobs);
+        rows.pendingJobs.addAll(jobs);
         sources.add(rows);
     }
 
     /** The segment to be read before segment {@code number} of the new run can be told, or null if there is none. */
-    String unread(int number) {
+    String nextUnreadSegment(int number) {
         for (Source source : sources) {
             if (source.run != null
-                    && source.read < source.run.segments()
-                    && HashPartitioner.startsBeforeEnd(source.read, source.run.segments(), number, segments)) {
-                return StoreKeys.segment(source.run.name(), source.read);
+                    && source.segmentsRead < source.run.segments()
+                    && HashPartitioner.startsBeforeEnd(source.segmentsRead, source.run.segments(), number, segments)) {
+                return StoreKeys.segment(source.run.name(), source.segmentsRead);
             }
         }
         return null;
     }
 
-    void read(String key, List<ArchivedJob> jobs) {
+    void addSegment(String key, List<ArchivedJob> jobs) {
         for (Source source : sources) {
             if (source.run != null
-                    && source.read < source.run.segments()
-                    && key.equals(StoreKeys.segment(source.run.name(), source.read))) {
-                source.read++;
-                source.held.addAll(jobs);
+                    && source.segmentsRead < source.run.segments()
+                    && key.equals(StoreKeys.segment(source.run.name(), source.segmentsRead))) {
+                source.segmentsRead++;
+                source.pendingJobs.addAll(jobs);
                 return;
             }
         }
     }
 
     /** What segment {@code number} holds, in the order of the ids, each once; must be asked once, in the order of the numbers. */
-    List<ArchivedJob> take(int number) {
+    List<ArchivedJob> takeSegment(int number) {
         TreeMap<String, ArchivedJob> taken = new TreeMap<>();
         for (Source source : sources) {
             List<ArchivedJob> rest = new ArrayList<>();
-            for (ArchivedJob job : source.held) {
-                if (HashPartitioner.segment(spread.hash(job.id()), segments) == number) {
+            for (ArchivedJob job : source.pendingJobs) {
+                if (HashPartitioner.segmentOf(partitioner.hash(job.id()), segments) == number) {
                     taken.putIfAbsent(job.id(), job);
                 } else {
                     rest.add(job);
                 }
             }
-            source.held = rest;
+            source.pendingJobs = rest;
         }
         return List.copyOf(taken.values());
     }
--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -124,7 +124,7 @@
     private static FeatureFlags switches(StoreCalls calls) throws RefusedException, MalformedException {
         FeatureFlags switches = new FeatureFlags(Capabilities.ALL);
         StoreCodec.Item item = item(calls, StoreKeys.FEATURE_STAGES);
-        switches.seen(
+        switches.update(
                 item.version(),
                 item.row() == null
                         ? new StoredRecord.FeatureStages(Map.of())
@@ -147,7 +147,8 @@
         StoreCodec.Item leader = item(calls, StoreKeys.LEADER);
         String leads = leader.row() == null ? "" : ((StoredRecord.Leader) leader.row()).owner();
         for (String label : labels) {
-            StoredRecord.RegisteredController here = roster.here().get(label);
+            StoredRecord.RegisteredController here =
+                    roster.registeredControllers().get(label);
             out.println(label + (label.equals(leads) ? ", leads" : "") + ": "
                     + (here == null
                             ? "not registered"
@@ -166,15 +167,15 @@
             FeatureStage stage = feature == Feature.NEEDS
                     ? marked(needs)
                     : feature == Feature.HISTORY ? marked(history) : switches.stage(feature);
-            StoredRecord.RequestedAction wish = roster.asked(feature);
-            List<String> missing = feature.next(stage) == null ? List.of() : roster.missing(feature);
+            StoredRecord.RequestedAction wish = roster.requestedAction(feature);
+            List<String> missing = feature.stageAfter(stage) == null ? List.of() : roster.blockers(feature);
             out.println(feature.key() + ": " + stage
                     + (wish == StoredRecord.RequestedAction.NONE
                             ? ""
                             : ", asked to " + (wish == StoredRecord.RequestedAction.HOLD ? "stay" : "go back"))
                     + (missing.isEmpty() ? "" : ", waits: " + String.join(", ", missing)));
         }
-        switches.unknown().forEach(each -> out.println(each + ": in use, and not known to this version"));
+        switches.unsupportedFeatures().forEach(each -> out.println(each + ": in use, and not known to this version"));
     }
 
     private static FeatureStage marked(boolean there) {
@@ -207,10 +208,10 @@
 
     static void ask(StoreCalls calls, String name, StoredRecord.RequestedAction wish, PrintStream out)
             throws RefusedException, MalformedException {
-        Feature feature = Feature.of(name);
+        Feature feature = Feature.forKey(name);
         if (feature == null) {
-            throw new RefusedException(
-                    name + " is no feature of this version; there are " + String.join(", ", Capabilities.ALL.names()));
+            throw new RefusedException(name + " is no feature of this version; there are "
+                    + String.join(", ", Capabilities.ALL.knownFeatureKeys()));
         }
         if (feature.isMark()) {
             throw new RefusedException(name + " comes with the layout: it can be neither held nor taken back");
--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -109,7 +109,7 @@
                     .build();
             log.info("there is an archive of {} runs", manifest.runs().size());
         }
-        filters.manifest(manifest);
+        filters.setManifest(manifest);
         buildFilters();
     }
 
@@ -123,7 +123,7 @@
             message.then().accept(new Archived(known));
             return;
         }
-        List<String> keys = filters.candidates(message.id());
+        List<String> keys = filters.candidateSegments(message.id());
         if (keys.isEmpty()) {
             message.then().accept(new Nowhere());
             return;
@@ -203,7 +203,7 @@
     }
 
     private void damaged(String key, String what) {
-        filters.unreadable(key);
+        filters.segmentUnreadable(key);
         if (damaged.add(key)) {
             log.error("damaged segment of the archive, jobs in it are answered 503: {}", what);
         }
@@ -215,7 +215,7 @@
         if (filterKey != null || filterDue) {
             return;
         }
-        String wanted = filters.wanted();
+        String wanted = filters.nextSegmentToRead();
         if (wanted == null) {
             return;
         }
@@ -236,7 +236,7 @@
     private void filterRead(String key, StoredRecord.ArchiveSegment segment) throws DamagedSegmentException {
         filterKey = null;
         if (segment != null) {
-            filters.read(key, SegmentCodec.unpack(key, segment));
+            filters.segmentRead(key, SegmentCodec.unpack(key, segment));
             later(FILTER_PAUSE_MICROS);
         } else {
             // Gone with its run, which the next manifest tells, or not to be had now.
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -23,128 +23,128 @@
     sealed interface Message {}
 
     /** A term whose leader keeps the archive begins, or the archive itself does. */
-    record Begin(long fencingToken, StoredRecord.ArchiveManifest manifest, long version) implements Message {}
+    record StartTerm(long fencingToken, StoredRecord.ArchiveManifest manifest, long version) implements Message {}
 
-    record End() implements Message {}
+    record EndTerm() implements Message {}
 
     /** What may be archived, by a copy that had this manifest. */
-    record Offer(long fencingToken, List<Archiver.Ended> ended, long copyOfVersion, boolean anyway)
+    record CandidatesFound(long fencingToken, List<Archiver.ArchivableJob> ended, long copyOfVersion, boolean anyway)
             implements Message {}
 
     /** So many changes are left over now. */
-    record Spare(long fencingToken, int writes) implements Message {}
+    record WriteBudget(long fencingToken, int writes) implements Message {}
 
-    record Answered(Reply reply, long fencingToken, Archiver.Step step) implements Message {}
+    record OperationAnswered(Reply reply, long fencingToken, Archiver.StoreOperation operation) implements Message {}
 
     /** After a step that failed, so that an outage is not asked all the time. */
     private static final long PAUSE_MICROS = Micros.SECOND;
 
     private final Settings settings;
-    private final int worthARun;
-    private final Archiver.Maker maker;
-    private final StoreClient state;
+    private final int batchSize;
+    private final Archiver.Factory factory;
+    private final StoreClient store;
     private final LeaderActor leader;
     private long fencingToken;
-    private Archiver archivist;
-    private long resumesMicros;
+    private Archiver archiver;
+    private long pausedUntilMicros;
 
     ArchiverActor(
             ActorExecutor loop,
             Settings settings,
             int worthARun,
-            Archiver.Maker maker,
+            Archiver.Factory maker,
             StoreClient state,
             LeaderActor leader) {
         super(loop);
         this.settings = settings;
-        this.worthARun = worthARun;
-        this.maker = maker;
-        this.state = state;
+        this.batchSize = worthARun;
+        this.factory = maker;
+        this.store = state;
         this.leader = leader;
     }
 
     @Override
     protected void receive(Message message) {
-        if (message instanceof Begin m) {
+        if (message instanceof StartTerm m) {
             fencingToken = m.fencingToken();
-            archivist = maker.make(
+            archiver = factory.create(
                     fencingToken,
                     settings.maxWritableValueBytes(),
                     settings.maxTransactionWrites(),
-                    worthARun,
+                    batchSize,
                     m.manifest(),
                     m.version());
-        } else if (message instanceof End) {
+        } else if (message instanceof EndTerm) {
             fencingToken = 0;
-            archivist = null;
-        } else if (message instanceof Offer m && m.fencingToken() == fencingToken) {
-            archivist.offer(m.ended(), m.copyOfVersion(), m.anyway());
-        } else if (message instanceof Spare m && m.fencingToken() == fencingToken) {
-            spare(m.writes());
-        } else if (message instanceof Answered m && m.fencingToken() == fencingToken) {
+            archiver = null;
+        } else if (message instanceof CandidatesFound m && m.fencingToken() == fencingToken) {
+            archiver.offerCandidates(m.ended(), m.copyOfVersion(), m.anyway());
+        } else if (message instanceof WriteBudget m && m.fencingToken() == fencingToken) {
+            startNextOperation(m.writes());
+        } else if (message instanceof OperationAnswered m && m.fencingToken() == fencingToken) {
             try {
-                answered(m.step(), m.reply());
+                operationAnswered(m.operation(), m.reply());
             } catch (MalformedException e) {
                 log.error("archive: {}", e.getMessage());
-                archivist.repeat();
+                archiver.outcomeUnknown();
             }
         }
     }
 
-    private void spare(int writes) {
-        if (now() < resumesMicros || !state.idle()) {
+    private void startNextOperation(int writes) {
+        if (now() < pausedUntilMicros || !store.idle()) {
             return;
         }
-        Archiver.Step step = archivist.next(writes);
-        if (step instanceof Archiver.Write write) {
+        Archiver.StoreOperation operation = archiver.nextOperation(writes);
+        if (operation instanceof Archiver.Write write) {
             leader.tell(new TermMessage.Spent(
                     fencingToken, write.transaction().writes().size()));
-            state.transaction(write.transaction(), then(step));
-        } else if (step instanceof Archiver.ReadSegment read) {
-            state.read(read.key(), then(step));
-        } else if (step instanceof Archiver.FindAfter find) {
-            state.after(StoreKeys.ARCHIVE_SEGMENTS, find.key(), then(step));
-        } else if (step instanceof Archiver.ReadManifest) {
-            state.read(StoreKeys.ARCHIVE_MANIFEST, then(step));
+            store.transaction(write.transaction(), answerTo(operation));
+        } else if (operation instanceof Archiver.ReadSegment read) {
+            store.read(read.key(), answerTo(operation));
+        } else if (operation instanceof Archiver.FindAfter find) {
+            store.after(StoreKeys.ARCHIVE_SEGMENTS, find.key(), answerTo(operation));
+        } else if (operation instanceof Archiver.ReadManifest) {
+            store.read(StoreKeys.ARCHIVE_MANIFEST, answerTo(operation));
         }
     }
 
-    private java.util.function.Consumer<Reply> then(Archiver.Step step) {
+    private java.util.function.Consumer<Reply> answerTo(Archiver.StoreOperation operation) {
         long term = fencingToken;
-        return answer(r -> new Answered(r, term, step));
+        return answer(r -> new OperationAnswered(r, term, operation));
     }
 
-    private void answered(Archiver.Step step, Reply reply) throws MalformedException {
+    private void operationAnswered(Archiver.StoreOperation operation, Reply reply) throws MalformedException {
         if (!reply.ok() && !(reply.status() == 409 || reply.status() == 404 || reply.status() == 400)) {
-            resumesMicros = now() + PAUSE_MICROS;
-            archivist.repeat();
-        } else if (step instanceof Archiver.Write write) {
-            written(write.transaction(), reply);
-        } else if (step instanceof Archiver.ReadSegment read) {
-            segment(read.key(), reply);
-        } else if (step instanceof Archiver.FindAfter && reply.ok()) {
+            pausedUntilMicros = now() + PAUSE_MICROS;
+            archiver.outcomeUnknown();
+        } else if (operation instanceof Archiver.Write write) {
+            writeAnswered(write.transaction(), reply);
+        } else if (operation instanceof Archiver.ReadSegment read) {
+            segmentAnswered(read.key(), reply);
+        } else if (operation instanceof Archiver.FindAfter && reply.ok()) {
             List<StoreCodec.Item> items = StoreCodec.page(reply.body()).items();
-            archivist.listed(items.isEmpty() ? null : items.get(0).key());
-        } else if (step instanceof Archiver.ReadManifest && reply.ok()) {
+            archiver.keyFound(items.isEmpty() ? null : items.get(0).key());
+        } else if (operation instanceof Archiver.ReadManifest && reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
-            archivist.manifestRead((StoredRecord.ArchiveManifest) item.row(), item.version());
+            archiver.manifestRead((StoredRecord.ArchiveManifest) item.row(), item.version());
         } else {
-            resumesMicros = now() + PAUSE_MICROS;
-            archivist.repeat();
+            pausedUntilMicros = now() + PAUSE_MICROS;
+            archiver.outcomeUnknown();
         }
     }
 
-    private void written(Transaction transaction, Reply reply) throws MalformedException {
+    private void writeAnswered(Transaction transaction, Reply reply) throws MalformedException {
         if (reply.ok()) {
-            archivist.written(StoreCodec.revision(reply.body()));
+            archiver.writeSucceeded(StoreCodec.revision(reply.body()));
         } else if (reply.status() == 409) {
             List<String> failed = StoreCodec.failed(reply.body());
             if (failed.contains(StoreKeys.LEADER)) {
                 // Fenced; the leader finds out by itself.
-                resumesMicros = now() + PAUSE_MICROS;
-                archivist.repeat();
+                pausedUntilMicros = now() + PAUSE_MICROS;
+                archiver.outcomeUnknown();
             } else {
-                archivist.conflict(failed);
+                archiver.writeConflicted(failed);
             }
         } else {
             log.warn(
@@ -152,16 +152,16 @@
                     new String(reply.body(), StandardCharsets.UTF_8),
                     transaction.writes().size(),
                     transaction.writes().get(0).key());
-            if (!archivist.refused()) {
-                resumesMicros = now() + 10 * PAUSE_MICROS;
+            if (!archiver.writeRejected()) {
+                pausedUntilMicros = now() + 10 * PAUSE_MICROS;
             }
         }
     }
 
-    private void segment(String key, Reply reply) {
+    private void segmentAnswered(String key, Reply reply) {
         try {
             if (reply.ok()) {
-                archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
+                archiver.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
                         StoreCodec.item(reply.body()).row()));
                 return;
             }
@@ -169,6 +169,6 @@
         } catch (MalformedException | DamagedSegmentException e) {
             log.error("archive: {}", e.getMessage());
         }
-        archivist.damaged(key);
+        archiver.segmentDamaged(key);
     }
 }
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -30,7 +30,7 @@
 
     /** With another archivist, as a rehearsal plants it. */
     public Controller(
-            Settings settings, Tuning tuning, ActorExecutor loop, Http.Connector connector, Archiver.Maker maker) {
+            Settings settings, Tuning tuning, ActorExecutor loop, Http.Connector connector, Archiver.Factory maker) {
         this(settings, tuning, loop, connector, maker, KeyspaceReplica::new, Capabilities.ALL);
     }
 
@@ -40,8 +40,8 @@
             Tuning tuning,
             ActorExecutor loop,
             Http.Connector connector,
-            Archiver.Maker maker,
-            KeyspaceReplica.Maker copies,
+            Archiver.Factory maker,
+            KeyspaceReplica.Factory copies,
             Capabilities abilities) {
         StoreClient state = new StoreClient(settings, connector, loop::now);
         CloudClient cloud = new CloudClient(settings, connector, loop::now);
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -58,7 +58,7 @@
             tell(new Read(StoreKeys.LEARNED_STATE, null));
             tell(new Read(StoreKeys.MACHINE_DELETIONS, null));
             if (standby != null) {
-                standby.tell(new StandbyActor.Bring(fencingToken, this));
+                standby.tell(new StandbyActor.ProvideReplicas(fencingToken, this));
             } else {
                 tell(new Brought(StoreKeys.PROVISIONING_REQUESTS, null));
                 tell(new Brought(StoreKeys.LEDGERS, null));
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -317,17 +317,17 @@
             return;
         }
         Set<String> needed = directory.dependencies();
-        List<Archiver.Ended> result = new ArrayList<>();
+        List<Archiver.ArchivableJob> result = new ArrayList<>();
         for (JobCache.Entry entry : directory.ended()) {
             if (result.size() >= MOST_ENDED) {
                 break;
             }
             if (!needed.contains(entry.id())) {
-                result.add(new Archiver.Ended(
+                result.add(new Archiver.ArchivableJob(
                         entry.id(), entry.version(), JobOutcome.of(entry.record()), directory.furtherRows(entry.id())));
             }
         }
-        directory.staleRecords().forEach((id, version) -> result.add(new Archiver.Ended(id, version, null, 0)));
+        directory.staleRecords().forEach((id, version) -> result.add(new Archiver.ArchivableJob(id, version, null, 0)));
         leader.tell(new TermMessage.EndedFound(fencingToken, result, directory.archiveVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -164,8 +164,8 @@
             CloudClient cloud,
             UsersActor users,
             Http.Connector connector,
-            Archiver.Maker maker,
-            KeyspaceReplica.Maker copies,
+            Archiver.Factory maker,
+            KeyspaceReplica.Factory copies,
             Capabilities abilities) {
         super(loop);
         this.loop = loop;
@@ -200,7 +200,7 @@
 
     /** Sees what is brought to each take-over on this controller. */
     void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
-        following.standby().witness(each);
+        following.standby().setReplicaObserver(each);
     }
 
     @Override
@@ -225,15 +225,15 @@
         } else if (message instanceof WatchDue) {
             claims.watchDue();
         } else if (message instanceof SwitchesSeen m) {
-            rollout.seen(m.version(), m.row());
+            rollout.flagsObserved(m.version(), m.row());
         } else if (message instanceof SwitchesRead m) {
-            rollout.switchesRead(m.reply());
+            rollout.flagsRead(m.reply());
             advance();
         } else if (message instanceof OwnRowRead m) {
-            rollout.ownRowRead(m.reply());
+            rollout.ownRecordRead(m.reply());
             advance();
         } else if (message instanceof Registered m) {
-            rollout.registered(m.reply());
+            rollout.registrationAnswered(m.reply());
         } else if (message instanceof StateFresh m) {
             testimonies.fresh(m);
             if (term != null) {
@@ -407,7 +407,7 @@
                 state.reach().isConnected(now),
                 reach.silentMicros(now),
                 following.appoint(now),
-                rollout.switches().version(),
+                rollout.featureFlags().version(),
                 testimonies.revision());
     }
 
@@ -470,7 +470,7 @@
             if (news.fencingToken() == leadership.highestFencingToken()) {
                 reach.leaderReportedSilence(news.agentSilenceMicros(), now);
             }
-            rollout.newerThere(news.featureFlagsVersion());
+            rollout.newerVersionReported(news.featureFlagsVersion());
             if (news.storeReachable()) {
                 state.reach().peerServed(now);
             }
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -150,7 +150,7 @@
             owner.begin(fencingToken, now);
         } else if (reply.status() == 409) {
             if (StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
-                rollout.newerThere(rollout.switches().version() + 1);
+                rollout.newerVersionReported(rollout.featureFlags().version() + 1);
             }
             leadership.claimRejected();
         } else if (reply.status() == 400) {
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -87,7 +87,7 @@
     }
 
     void end() {
-        archiving.end();
+        archiving.endTerm();
         users.tell(new UsersActor.Unfollow());
     }
 
@@ -112,16 +112,16 @@
     }
 
     void layoutSeen(long version, StoredRecord.Layout layout) {
-        steps.layoutSeen(version, layout);
+        steps.layoutObserved(version, layout);
     }
 
     void historySeen(long version, StoredRecord.ArchiveManifest manifest) {
-        steps.historySeen();
-        archiving.historySeen(version, manifest);
+        steps.archiveObserved();
+        archiving.manifestObserved(version, manifest);
     }
 
     void switchesChanged() {
-        steps.switchesChanged();
+        steps.flagsChanged();
     }
 
     FailoverTimings takeOver() {
@@ -182,21 +182,21 @@
         } else if (message instanceof TermMessage.PartLoaded) {
             loadedOne();
         } else if (message instanceof TermMessage.EndedFound m) {
-            archiving.endedFound(m);
+            archiving.finishedJobsFound(m);
         } else if (message instanceof TermMessage.Spent m) {
             scheduler.writesSpent(m.writes());
         } else if (message instanceof TermMessage.HistoryBegun m) {
-            steps.historyBegun(m);
+            steps.archiveStarted(m);
         } else if (message instanceof TermMessage.LayoutMarked m) {
             steps.layoutMarked(m);
         } else if (message instanceof TermMessage.RosterRead m) {
-            steps.rosterRead(m.reply());
+            steps.registryRead(m.reply());
         } else if (message instanceof TermMessage.Stepped m) {
-            steps.featuresStepped(m);
+            steps.stagesWritten(m);
         } else if (message instanceof TermMessage.FenceRead m) {
             fenceRead(m.reply());
         } else if (message instanceof TermMessage.LearnedStored m) {
-            learning.stored(m);
+            learning.writeAnswered(m);
         }
     }
 
@@ -236,7 +236,7 @@
             } else if (item.row() instanceof StoredRecord.MachinesToDelete returned) {
                 scheduler.machineDeletionLoaded(item.key(), returned, item.version(), now);
             } else if (item.row() instanceof StoredRecord.LearnedState learned) {
-                learning.found(item.key(), learned);
+                learning.recordObserved(item.key(), learned);
                 scheduler.hintsReceived(learned.hints(), true, now);
             }
         }
@@ -262,8 +262,8 @@
             scheduler.allRecordsLoaded(now);
             cancelled.clear();
             LOG.info("term {} rebuilt: {}", fencingToken(), scheduler.summary(now));
-            steps.loaded();
-            archiving.loaded();
+            steps.recordsLoaded();
+            archiving.recordsLoaded();
         }
     }
 
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -22,7 +22,7 @@
  */
 final class LearnedStateWriter {
     /** All of them in a minute and no more than a change each two seconds. */
-    private static final long EVERY_MICROS = 2 * Micros.SECOND;
+    private static final long WRITE_INTERVAL_MICROS = 2 * Micros.SECOND;
 
     private static final List<String> KEYS = List.of(
             StoreKeys.LEARNED_STATE + "classes",
@@ -34,38 +34,40 @@
     private final LeaderActor owner;
     private final Settings settings;
     private final Scheduler scheduler;
-    private final StoreClient state;
+    private final StoreClient store;
     private final RolloutParticipant rollout;
-    private final Map<String, StoredRecord.LearnedState> stored = new HashMap<>();
-    private boolean writing;
+    private final Map<String, StoredRecord.LearnedState> storedRecords = new HashMap<>();
+    private boolean writeInFlight;
     private int next;
-    private long triedMicros = Long.MIN_VALUE / 2;
+    private long attemptedMicros = Long.MIN_VALUE / 2;
 
     LearnedStateWriter(
             LeaderActor owner, Settings settings, Scheduler scheduler, StoreClient state, RolloutParticipant rollout) {
         this.owner = owner;
         this.settings = settings;
         this.scheduler = scheduler;
-        this.state = state;
+        this.store = state;
         this.rollout = rollout;
     }
 
     /** A row as an earlier leader left it. */
-    void found(String key, StoredRecord.LearnedState row) {
-        stored.put(key, row);
+    void recordObserved(String key, StoredRecord.LearnedState row) {
+        storedRecords.put(key, row);
     }
 
     void tick(long now) {
-        if (writing || now - triedMicros < EVERY_MICROS || !rollout.switches().on(Feature.LEARNED)) {
+        if (writeInFlight
+                || now - attemptedMicros < WRITE_INTERVAL_MICROS
+                || !rollout.featureFlags().isEnabled(Feature.LEARNED)) {
             return;
         }
-        triedMicros = now;
+        attemptedMicros = now;
         List<Hint> lasting = scheduler.durableHints(now);
         for (int tries = 0; tries < KEYS.size(); tries++) {
             String key = KEYS.get(next);
             next = (next + 1) % KEYS.size();
-            StoredRecord.LearnedState row = row(key, lasting);
-            if (!row.equals(stored.getOrDefault(key, new StoredRecord.LearnedState(List.of())))) {
+            StoredRecord.LearnedState row = recordFor(key, lasting);
+            if (!row.equals(storedRecords.getOrDefault(key, new StoredRecord.LearnedState(List.of())))) {
                 if (scheduler.spareWriteBudget(now) >= 1) {
                     write(key, row);
                 }
@@ -75,7 +77,7 @@
     }
 
     /** As much as a value takes; what is left out is learned anew. */
-    private StoredRecord.LearnedState row(String key, List<Hint> lasting) {
+    private StoredRecord.LearnedState recordFor(String key, List<Hint> lasting) {
         List<Hint> hints = new ArrayList<>();
         int bytes = FRAME_BYTES;
         for (Hint hint : lasting) {
@@ -92,24 +94,24 @@
 
     private void write(String key, StoredRecord.LearnedState row) {
         long fencingToken = scheduler.fencingToken();
-        writing = true;
+        writeInFlight = true;
         scheduler.writesSpent(1);
-        state.transaction(
+        store.transaction(
                 new Transaction(
                         List.of(
                                 new Transaction.Condition(StoreKeys.LEADER, fencingToken),
                                 new Transaction.Condition(
                                         StoreKeys.FEATURE_STAGES,
-                                        rollout.switches().version())),
+                                        rollout.featureFlags().version())),
                         List.of(new Transaction.Write(key, row, 0))),
                 owner.answer(r -> new TermMessage.LearnedStored(r, fencingToken, key, row)));
     }
 
     /** Without an answer it is written again: it is the latest that counts, and only this leader writes. */
-    void stored(TermMessage.LearnedStored message) {
-        writing = false;
+    void writeAnswered(TermMessage.LearnedStored message) {
+        writeInFlight = false;
         if (message.reply().ok()) {
-            found(message.key(), message.row());
+            recordObserved(message.key(), message.row());
         }
     }
 }
--- a/src/main/java/io/micatide/controller/PeerChannel.java
+++ b/src/main/java/io/micatide/controller/PeerChannel.java
@@ -97,11 +97,11 @@
     /** To the heirs that do not hold the newest picture. */
     void hints(List<Integer> heirs, HintSender hints, long fencingToken) {
         for (int heir : heirs) {
-            for (HintBatch part : hints.parts(heir)) {
+            for (HintBatch part : hints.batchesFor(heir)) {
                 siblings.get(heir)
                         .post(
                                 "/hints",
-                                HintCodec.part(part),
+                                HintCodec.batch(part),
                                 Http.PATIENCE_MICROS,
                                 owner.answer(r -> new StandbyMessage.HintsAnswered(r, fencingToken, heir)));
             }
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -27,64 +27,65 @@
     /** A start waits for the first read: after an outage a claim came a quarter of a second later than the row allowed. */
     private static final long FIRST_RETRY_MICROS = 100 * Micros.MILLISECOND;
 
-    private static final long SAID_MICROS = 30 * Micros.SECOND;
+    private static final long LOG_INTERVAL_MICROS = 30 * Micros.SECOND;
 
     private final LeaderActor owner;
-    private final StoreClient state;
+    private final StoreClient store;
     private final UsersActor users;
-    private final Capabilities abilities;
-    private final FeatureFlags switches;
+    private final Capabilities capabilities;
+    private final FeatureFlags featureFlags;
     private final ControllerRegistration registration;
-    private boolean reading;
-    private long readAgainMicros = Long.MIN_VALUE / 2;
+    private boolean readInFlight;
+    private long readRetryMicros = Long.MIN_VALUE / 2;
     /** A version of the switches that somebody knows of; read if it is newer. */
-    private long heardOf;
+    private long newestReportedVersion;
 
     private boolean blocked;
-    private long saidMicros = Long.MIN_VALUE / 2;
+    private long loggedMicros = Long.MIN_VALUE / 2;
 
     RolloutParticipant(
-            LeaderActor owner, Settings settings, Capabilities abilities, StoreClient state, UsersActor users) {
+            LeaderActor owner, Settings settings, Capabilities capabilities, StoreClient state, UsersActor users) {
         this.owner = owner;
-        this.state = state;
+        this.store = state;
         this.users = users;
-        this.abilities = abilities;
-        this.switches = new FeatureFlags(abilities);
-        this.registration = new ControllerRegistration(settings.label(), BuildVersion.name(), abilities, owner.wall());
+        this.capabilities = capabilities;
+        this.featureFlags = new FeatureFlags(capabilities);
+        this.registration =
+                new ControllerRegistration(settings.label(), BuildVersion.name(), capabilities, owner.wall());
     }
 
-    FeatureFlags switches() {
-        return switches;
+    FeatureFlags featureFlags() {
+        return featureFlags;
     }
 
     /** Whether this version takes part at all. */
-    boolean registers() {
-        return abilities.registers();
+    boolean supportsRegistration() {
+        return capabilities.supportsRegistration();
     }
 
     /** Whether it may lead as far as the stored forms go: they are known, and this version reads all of them. */
     boolean mayLead() {
-        return !abilities.registers() || (switches.known() && !blocked);
+        return !capabilities.supportsRegistration() || (featureFlags.isKnown() && !blocked);
     }
 
     /** What a claim has as a condition. */
     List<Transaction.Condition> claimConditions() {
-        return abilities.registers()
-                ? List.of(new Transaction.Condition(StoreKeys.FEATURE_STAGES, switches.version()))
+        return capabilities.supportsRegistration()
+                ? List.of(new Transaction.Condition(StoreKeys.FEATURE_STAGES, featureFlags.version()))
                 : List.of();
     }
 
     /** A claim or a registration is refused by the switches, or a sibling's news tell of newer ones. */
-    void newerThere(long version) {
-        heardOf = Math.max(heardOf, version);
+    void newerVersionReported(long version) {
+        newestReportedVersion = Math.max(newestReportedVersion, version);
     }
 
     /** The switches as the copy of the job rows, a read or an own step shows them. */
-    void seen(long version, StoredRecord.FeatureStages row) {
-        if (!switches.seen(version, row)) {
+    void flagsObserved(long version, StoredRecord.FeatureStages row) {
+        if (!featureFlags.update(version, row)) {
             return;
         }
-        List<String> unknown = switches.unknown();
+        List<String> unknown = featureFlags.unsupportedFeatures();
         if (!unknown.isEmpty() && !blocked) {
             LOG.error(
                     "does not serve: the deployment uses {}, which this version does not know. Start a version that does, or take it back"
@@ -100,80 +101,82 @@
 
     /** Called every so often. */
     void advance(long lease, long now) {
-        if (!abilities.registers()) {
+        if (!capabilities.supportsRegistration()) {
             return;
         }
-        if ((!switches.known() || heardOf > switches.version()) && !reading && now >= readAgainMicros) {
-            reading = true;
-            state.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderActor.SwitchesRead::new));
+        if ((!featureFlags.isKnown() || newestReportedVersion > featureFlags.version())
+                && !readInFlight
+                && now >= readRetryMicros) {
+            readInFlight = true;
+            store.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderActor.SwitchesRead::new));
         }
-        if (blocked && now - saidMicros >= SAID_MICROS) {
-            saidMicros = now;
-            LOG.warn("waits, and does not serve, because of {}", String.join(", ", switches.unknown()));
+        if (blocked && now - loggedMicros >= LOG_INTERVAL_MICROS) {
+            loggedMicros = now;
+            LOG.warn("waits, and does not serve, because of {}", String.join(", ", featureFlags.unsupportedFeatures()));
         }
-        switch (registration.next(blocked ? 0 : lease, switches.version(), now)) {
-            case READ -> state.read(registration.key(), owner.answer(LeaderActor.OwnRowRead::new));
+        switch (registration.nextAction(blocked ? 0 : lease, featureFlags.version(), now)) {
+            case READ -> store.read(registration.key(), owner.answer(LeaderActor.OwnRowRead::new));
             case PUT -> {
-                Transaction put = registration.put();
-                state.transaction(put, owner.answer(LeaderActor.Registered::new));
+                Transaction put = registration.registrationTransaction();
+                store.transaction(put, owner.answer(LeaderActor.Registered::new));
             }
             case NOTHING -> {}
         }
     }
 
-    void switchesRead(Reply reply) {
-        reading = false;
+    void flagsRead(Reply reply) {
+        readInFlight = false;
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                seen(item.version(), (StoredRecord.FeatureStages) item.row());
-                heardOf = Math.min(heardOf, item.version());
+                flagsObserved(item.version(), (StoredRecord.FeatureStages) item.row());
+                newestReportedVersion = Math.min(newestReportedVersion, item.version());
                 return;
             }
             if (reply.status() == 404) {
-                seen(0, new StoredRecord.FeatureStages(Map.of()));
-                heardOf = 0;
+                flagsObserved(0, new StoredRecord.FeatureStages(Map.of()));
+                newestReportedVersion = 0;
                 return;
             }
         } catch (MalformedException e) {
             LOG.error("switches: {}", e.getMessage());
         }
-        readAgainMicros = owner.now() + (switches.known() ? RETRY_MICROS : FIRST_RETRY_MICROS);
+        readRetryMicros = owner.now() + (featureFlags.isKnown() ? RETRY_MICROS : FIRST_RETRY_MICROS);
     }
 
-    void ownRowRead(Reply reply) {
+    void ownRecordRead(Reply reply) {
         try {
             if (reply.ok()) {
-                registration.read(StoreCodec.item(reply.body()).version());
+                registration.recordRead(StoreCodec.item(reply.body()).version());
                 return;
             }
         } catch (MalformedException e) {
             LOG.error("registration: {}", e.getMessage());
         }
         if (reply.status() == 404) {
-            registration.read(0);
+            registration.recordRead(0);
         } else {
-            registration.failed(owner.now());
+            registration.requestFailed(owner.now());
         }
     }
 
-    void registered(Reply reply) {
+    void registrationAnswered(Reply reply) {
         long now = owner.now();
         try {
             if (reply.ok()) {
-                registration.registered(StoreCodec.revision(reply.body()));
+                registration.registrationStored(StoreCodec.revision(reply.body()));
                 return;
             }
             if (reply.status() == 409 && StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
-                newerThere(switches.version() + 1);
+                newerVersionReported(featureFlags.version() + 1);
             }
         } catch (MalformedException e) {
             LOG.error("registration: {}", e.getMessage());
         }
         if (reply.notExecuted()) {
-            registration.failed(now);
+            registration.requestFailed(now);
         } else {
-            registration.unclear(now);
+            registration.outcomeUnknown(now);
         }
     }
 }
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -24,62 +24,64 @@
     sealed interface Message {}
 
     /** The leader's news say whether this controller is to follow. */
-    record Appointed(boolean now) implements Message {}
+    record DesignationChanged(boolean isDesignated) implements Message {}
 
-    record Due(long life) implements Message {}
+    record PollDue(long generation) implements Message {}
 
-    record PageRead(Reply reply, long life, KeyspaceReplica copy, boolean first) implements Message {}
+    record PageRead(Reply reply, long generation, KeyspaceReplica replica, boolean first) implements Message {}
 
-    record ReadAnew(long life, KeyspaceReplica copy) implements Message {}
+    record ReloadDue(long generation, KeyspaceReplica replica) implements Message {}
 
-    record ChangesRead(Reply reply, long life, KeyspaceReplica copy, long askedMicros) implements Message {}
+    record ChangesRead(Reply reply, long generation, KeyspaceReplica replica, long askedMicros) implements Message {}
 
     /** This controller has claimed the lead: the copies, brought up to the claim, are wanted now. */
-    record Bring(long fencingToken, FailoverLoader to) implements Message {}
+    record ProvideReplicas(long fencingToken, FailoverLoader loader) implements Message {}
 
-    record BroughtUp(Reply reply, KeyspaceReplica copy, long fencingToken, FailoverLoader to, int tries)
+    record CatchUpRead(Reply reply, KeyspaceReplica replica, long fencingToken, FailoverLoader loader, int tries)
             implements Message {}
 
-    record BringAgain(KeyspaceReplica copy, long fencingToken, FailoverLoader to, int tries) implements Message {}
+    record CatchUpRetry(KeyspaceReplica replica, long fencingToken, FailoverLoader loader, int tries)
+            implements Message {}
 
     /** A leader that ends tells the last revision of its writes, and waits for the answer. */
-    record CatchUp(Request request, long revision) implements Message {}
+    record HandoverRequested(Request request, long revision) implements Message {}
 
     /** The leader's hints. */
-    record Hinted(Request request) implements Message {}
+    record HintsReceived(Request request) implements Message {}
 
-    record CaughtUp(Reply reply, long life, KeyspaceReplica copy, Request request, long revision) implements Message {}
+    record HandoverChangesRead(Reply reply, long generation, KeyspaceReplica replica, Request request, long revision)
+            implements Message {}
 
     /** Two followers, each with two of these reads and one of the job rows, take a twentieth of the requests at most. */
-    private static final double READS = 6 * 20;
+    private static final double POLL_READS_BUDGET = 6 * 20;
 
-    private static final long LEAST_MICROS = 500 * Micros.MILLISECOND;
+    private static final long MIN_POLL_MICROS = 500 * Micros.MILLISECOND;
     /** What did not fit is tried again after so long. */
-    private static final long TOO_LARGE_MICROS = 60 * Micros.SECOND;
+    private static final long TOO_LARGE_RETRY_MICROS = 60 * Micros.SECOND;
 
-    private static final long SAID_MICROS = 30 * Micros.SECOND;
-    private static final long AGAIN_MICROS = 60 * Micros.MILLISECOND;
-    private static final int BRING_TRIES = 4;
+    private static final long LOG_INTERVAL_MICROS = 30 * Micros.SECOND;
+    private static final long CATCH_UP_RETRY_MICROS = 60 * Micros.MILLISECOND;
+    private static final int MAX_CATCH_UP_ATTEMPTS = 4;
     /** All of its memory that a controller may spend on following, of which the copies' estimate is about half. */
     private static final double MEMORY_SHARE = 0.06;
 
-    private static final double MOST_MB = 10;
-    private static final byte[] NOT_WARM = Json.error(null, "follows nothing");
+    private static final double MAX_REPLICA_MB = 10;
+    private static final byte[] NOT_FOLLOWING = Json.error(null, "follows nothing");
 
-    private final StoreClient state;
+    private final StoreClient store;
     private final UsersActor users;
     private final LeaderActor leader;
-    private final long everyMicros;
-    private final List<KeyspaceReplica> copies;
+    private final long pollIntervalMicros;
+    private final List<KeyspaceReplica> replicas;
     private final ReceivedHints hints = new ReceivedHints();
     private boolean following;
     /** Answers to what an earlier following asked are dropped. */
-    private long life;
+    private long generation;
 
-    private long saidMicros;
-    private long freshMicros;
+    private long loggedMicros;
+    private long upToDateMicros;
     /** Sees what is brought to a take-over, for rehearsals that hold it against the store. */
-    private BiConsumer<String, List<StoreCodec.Item>> witness = (prefix, rows) -> {};
+    private BiConsumer<String, List<StoreCodec.Item>> replicaObserver = (prefix, rows) -> {};
 
     StandbyActor(
             ActorExecutor loop,
@@ -87,154 +89,156 @@
             StoreClient state,
             UsersActor users,
             LeaderActor leader,
-            KeyspaceReplica.Maker maker) {
+            KeyspaceReplica.Factory maker) {
         super(loop);
-        this.state = state;
+        this.store = state;
         this.users = users;
         this.leader = leader;
-        this.everyMicros = Math.max(LEAST_MICROS, Micros.ofSeconds(READS / settings.storeRequestsPerSecond()));
-        long most = (long) (Math.min(MOST_MB, settings.memoryMb() * MEMORY_SHARE) * (1 << 20));
-        this.copies = List.of(
-                maker.make(StoreKeys.LEDGERS, most * 9 / 10), maker.make(StoreKeys.PROVISIONING_REQUESTS, most / 10));
+        this.pollIntervalMicros =
+                Math.max(MIN_POLL_MICROS, Micros.ofSeconds(POLL_READS_BUDGET / settings.storeRequestsPerSecond()));
+        long most = (long) (Math.min(MAX_REPLICA_MB, settings.memoryMb() * MEMORY_SHARE) * (1 << 20));
+        this.replicas = List.of(
+                maker.create(StoreKeys.LEDGERS, most * 9 / 10),
+                maker.create(StoreKeys.PROVISIONING_REQUESTS, most / 10));
     }
 
-    void witness(BiConsumer<String, List<StoreCodec.Item>> each) {
-        witness = each;
+    void setReplicaObserver(BiConsumer<String, List<StoreCodec.Item>> each) {
+        replicaObserver = each;
     }
 
     @Override
     protected void receive(Message message) {
-        if (message instanceof Appointed m) {
-            appointed(m.now());
-        } else if (message instanceof Due m) {
-            if (m.life() == life && following) {
-                due();
+        if (message instanceof DesignationChanged m) {
+            designationChanged(m.isDesignated());
+        } else if (message instanceof PollDue m) {
+            if (m.generation() == generation && following) {
+                pollDue();
             }
         } else if (message instanceof PageRead m) {
-            if (m.life() == life) {
+            if (m.generation() == generation) {
                 pageRead(m);
             }
-        } else if (message instanceof ReadAnew m) {
-            if (m.life() == life) {
-                readPage(m.copy(), null);
+        } else if (message instanceof ReloadDue m) {
+            if (m.generation() == generation) {
+                readPage(m.replica(), null);
             }
         } else if (message instanceof ChangesRead m) {
-            if (m.life() == life) {
+            if (m.generation() == generation) {
                 changesRead(m);
             }
-        } else if (message instanceof Bring m) {
-            bring(m);
-        } else if (message instanceof BringAgain m) {
-            bringUp(m.copy(), m.fencingToken(), m.to(), m.tries());
-        } else if (message instanceof BroughtUp m) {
-            broughtUp(m);
-        } else if (message instanceof CatchUp m) {
-            catchUp(m.request(), m.revision());
-        } else if (message instanceof Hinted m) {
-            hinted(m.request());
-        } else if (message instanceof CaughtUp m) {
-            caughtUp(m);
+        } else if (message instanceof ProvideReplicas m) {
+            provideReplicas(m);
+        } else if (message instanceof CatchUpRetry m) {
+            requestCatchUp(m.replica(), m.fencingToken(), m.loader(), m.tries());
+        } else if (message instanceof CatchUpRead m) {
+            catchUpRead(m);
+        } else if (message instanceof HandoverRequested m) {
+            handoverRequested(m.request(), m.revision());
+        } else if (message instanceof HintsReceived m) {
+            hintsReceived(m.request());
+        } else if (message instanceof HandoverChangesRead m) {
+            handoverChangesRead(m);
         }
     }
 
-    private void appointed(boolean now) {
+    private void designationChanged(boolean now) {
         if (now == following) {
             return;
         }
         following = now;
-        life++;
-        copies.forEach(KeyspaceReplica::clear);
+        generation++;
+        replicas.forEach(KeyspaceReplica::clear);
         hints.clear();
-        tellWhole();
+        reportCompleteness();
         if (now) {
-            log.info("follows the leader's rows, every {} ms", everyMicros / Micros.MILLISECOND);
-            freshMicros = now();
-            saidMicros = now();
-            copies.forEach(copy -> readPage(copy, null));
-            tellLater(new Due(life), everyMicros);
+            log.info("follows the leader's rows, every {} ms", pollIntervalMicros / Micros.MILLISECOND);
+            upToDateMicros = now();
+            loggedMicros = now();
+            replicas.forEach(replica -> readPage(replica, null));
+            tellLater(new PollDue(generation), pollIntervalMicros);
         } else {
             log.info("follows no more");
         }
     }
 
-    private boolean whole() {
-        return following && copies.stream().allMatch(KeyspaceReplica::whole);
+    private boolean isComplete() {
+        return following && replicas.stream().allMatch(KeyspaceReplica::isComplete);
     }
 
-    private void tellWhole() {
-        leader.tell(new StandbyMessage.CopyIs(whole()));
+    private void reportCompleteness() {
+        leader.tell(new StandbyMessage.CopyIs(isComplete()));
     }
 
     // ---- following
 
-    private void readPage(KeyspaceReplica copy, String after) {
-        long of = life;
-        state.list(copy.prefix(), after, answer(r -> new PageRead(r, of, copy, after == null)));
+    private void readPage(KeyspaceReplica replica, String after) {
+        long of = generation;
+        store.list(replica.prefix(), after, answer(r -> new PageRead(r, of, replica, after == null)));
     }
 
-    private void due() {
+    private void pollDue() {
         long now = now();
-        for (KeyspaceReplica copy : copies) {
-            if (copy.whole()) {
-                long of = life;
-                state.changes(copy.prefix(), copy.revision(), answer(r -> new ChangesRead(r, of, copy, now)));
+        for (KeyspaceReplica replica : replicas) {
+            if (replica.isComplete()) {
+                long of = generation;
+                store.changes(replica.prefix(), replica.revision(), answer(r -> new ChangesRead(r, of, replica, now)));
             }
         }
         users.tell(new UsersActor.KeepUp());
-        if (now - saidMicros >= SAID_MICROS) {
-            saidMicros = now;
+        if (now - loggedMicros >= LOG_INTERVAL_MICROS) {
+            loggedMicros = now;
             log.info(
                     "standby: {} rows, {} KB, {} hints, as of {} ms ago at revision {}{}",
-                    copies.stream().mapToInt(KeyspaceReplica::size).sum(),
-                    copies.stream().mapToLong(KeyspaceReplica::bytes).sum() >> 10,
+                    replicas.stream().mapToInt(KeyspaceReplica::size).sum(),
+                    replicas.stream().mapToLong(KeyspaceReplica::estimatedBytes).sum() >> 10,
                     hints.size(),
-                    (now - freshMicros) / Micros.MILLISECOND,
-                    copies.get(0).revision(),
-                    whole() ? "" : ", not whole");
+                    (now - upToDateMicros) / Micros.MILLISECOND,
+                    replicas.get(0).revision(),
+                    isComplete() ? "" : ", not whole");
         }
-        tellLater(new Due(life), everyMicros);
+        tellLater(new PollDue(generation), pollIntervalMicros);
     }
 
     private void pageRead(PageRead message) {
-        KeyspaceReplica copy = message.copy();
+        KeyspaceReplica replica = message.replica();
         if (!message.reply().ok()) {
             // From the beginning: a page that follows on another is worth nothing once the first is old, and this is
             // rare.
-            readLater(copy, everyMicros);
+            reloadLater(replica, pollIntervalMicros);
             return;
         }
         try {
             StoreCodec.Items page = StoreCodec.page(message.reply().body());
             boolean more = page.more() && !page.items().isEmpty();
-            copy.page(entries(page), message.first(), !more, page.revision());
-            if (copy.flaw() != null) {
-                flawed(copy);
+            replica.loadPage(entriesOf(page), message.first(), !more, page.revision());
+            if (replica.invalidReason() != null) {
+                discardInvalid(replica);
             } else if (more) {
-                readPage(copy, page.items().get(page.items().size() - 1).key());
+                readPage(replica, page.items().get(page.items().size() - 1).key());
             } else {
-                tellWhole();
+                reportCompleteness();
             }
         } catch (MalformedException e) {
             log.error("stored rows: {}", e.getMessage());
-            readLater(copy, TOO_LARGE_MICROS);
+            reloadLater(replica, TOO_LARGE_RETRY_MICROS);
         }
     }
 
-    private void readLater(KeyspaceReplica copy, long delayMicros) {
-        copy.clear();
-        tellLater(new ReadAnew(life, copy), delayMicros);
+    private void reloadLater(KeyspaceReplica replica, long delayMicros) {
+        replica.clear();
+        tellLater(new ReloadDue(generation, replica), delayMicros);
     }
 
-    private static List<KeyspaceReplica.Entry> entries(StoreCodec.Items items) {
+    private static List<KeyspaceReplica.Entry> entriesOf(StoreCodec.Items items) {
         List<KeyspaceReplica.Entry> result = new ArrayList<>(items.items().size());
         items.items().forEach(item -> result.add(new KeyspaceReplica.Entry(item.key(), item.row(), item.version())));
         return result;
     }
 
     /** Takes an answer to a read of the changes in. */
-    private boolean apply(KeyspaceReplica copy, Reply reply) {
+    private boolean applyChanges(KeyspaceReplica replica, Reply reply) {
         if (reply.status() == 410) {
-            copy.missedChanges();
+            replica.changesCompacted();
             return true;
         }
         if (!reply.ok()) {
@@ -242,51 +246,52 @@
         }
         try {
             StoreCodec.Items changes = StoreCodec.changes(reply.body());
-            copy.changes(entries(changes), changes.revision());
+            replica.applyChanges(entriesOf(changes), changes.revision());
             return true;
         } catch (MalformedException e) {
-            log.error("changes of {}: {}", copy.prefix(), e.getMessage());
-            copy.missedChanges();
+            log.error("changes of {}: {}", replica.prefix(), e.getMessage());
+            replica.changesCompacted();
             return true;
         }
     }
 
     private void changesRead(ChangesRead message) {
-        KeyspaceReplica copy = message.copy();
-        if (!copy.whole() || !apply(copy, message.reply())) {
+        KeyspaceReplica replica = message.replica();
+        if (!replica.isComplete() || !applyChanges(replica, message.reply())) {
             return;
         }
-        if (copy.flaw() != null) {
-            flawed(copy);
+        if (replica.invalidReason() != null) {
+            discardInvalid(replica);
         } else {
-            freshMicros = message.askedMicros();
+            upToDateMicros = message.askedMicros();
         }
     }
 
-    private void flawed(KeyspaceReplica copy) {
-        KeyspaceReplica.Flaw flaw = copy.flaw();
+    private void discardInvalid(KeyspaceReplica replica) {
+        KeyspaceReplica.InvalidReason flaw = replica.invalidReason();
         log.warn(
-                "the copy of {} is worth nothing ({}), {} rows, {} KB: read anew",
-                copy.prefix(),
+                "the replica of {} is worth nothing ({}), {} rows, {} KB: read anew",
+                replica.prefix(),
                 flaw,
-                copy.size(),
-                copy.bytes() >> 10);
-        readLater(copy, flaw == KeyspaceReplica.Flaw.TOO_LARGE ? TOO_LARGE_MICROS : everyMicros);
-        tellWhole();
+                replica.size(),
+                replica.estimatedBytes() >> 10);
+        reloadLater(
+                replica, flaw == KeyspaceReplica.InvalidReason.TOO_LARGE ? TOO_LARGE_RETRY_MICROS : pollIntervalMicros);
+        reportCompleteness();
     }
 
     // ---- taking over
 
-    private void bring(Bring message) {
+    private void provideReplicas(ProvideReplicas message) {
         boolean had = following;
         following = false;
-        life++;
-        for (KeyspaceReplica copy : copies) {
-            if (had && copy.whole()) {
-                bringUp(copy, message.fencingToken(), message.to(), 1);
+        generation++;
+        for (KeyspaceReplica replica : replicas) {
+            if (had && replica.isComplete()) {
+                requestCatchUp(replica, message.fencingToken(), message.loader(), 1);
             } else {
-                message.to().tell(new FailoverLoader.Brought(copy.prefix(), null));
-                copy.clear();
+                message.loader().tell(new FailoverLoader.Brought(replica.prefix(), null));
+                replica.clear();
             }
         }
         leader.tell(new TermMessage.HintsKept(message.fencingToken(), hints.all()));
@@ -295,78 +300,86 @@
     }
 
     /** Whoever leads by the latest token tells; an heir that was not told of its appointment yet holds nothing. */
-    private void hinted(Request request) {
+    private void hintsReceived(Request request) {
         try {
-            request.answer(200, HintCodec.held(following ? hints.take(HintCodec.part(request.body())) : 0));
+            request.answer(
+                    200, HintCodec.acknowledgement(following ? hints.receive(HintCodec.batch(request.body())) : 0));
         } catch (MalformedException e) {
             request.answer(400, Json.error(e.field(), e.getMessage()));
         }
     }
 
-    private void bringUp(KeyspaceReplica copy, long fencingToken, FailoverLoader to, int tries) {
-        state.changes(copy.prefix(), copy.revision(), answer(r -> new BroughtUp(r, copy, fencingToken, to, tries)));
+    private void requestCatchUp(KeyspaceReplica replica, long fencingToken, FailoverLoader to, int tries) {
+        store.changes(
+                replica.prefix(),
+                replica.revision(),
+                answer(r -> new CatchUpRead(r, replica, fencingToken, to, tries)));
     }
 
     /**
-     * Rows that only leaders write stand still from the claim on: no write of an earlier one is applied after it. A copy that
+     * Rows that only leaders write stand still from the claim on: no write of an earlier one is applied after it. A replica that
      * reaches the claim's revision is what a full read would give, and any other is not used.
      */
-    private void broughtUp(BroughtUp message) {
-        KeyspaceReplica copy = message.copy();
-        if (!apply(copy, message.reply()) && message.tries() < BRING_TRIES) {
-            tellLater(new BringAgain(copy, message.fencingToken(), message.to(), message.tries() + 1), AGAIN_MICROS);
+    private void catchUpRead(CatchUpRead message) {
+        KeyspaceReplica replica = message.replica();
+        if (!applyChanges(replica, message.reply()) && message.tries() < MAX_CATCH_UP_ATTEMPTS) {
+            tellLater(
+                    new CatchUpRetry(replica, message.fencingToken(), message.loader(), message.tries() + 1),
+                    CATCH_UP_RETRY_MICROS);
             return;
         }
         List<StoreCodec.Item> items = null;
-        if (copy.wholeAt(message.fencingToken())) {
-            items = new ArrayList<>(copy.size());
-            for (KeyspaceReplica.Entry entry : copy.entries()) {
-                items.add(new StoreCodec.Item(entry.key(), entry.row(), entry.version()));
+        if (replica.isCompleteAt(message.fencingToken())) {
+            items = new ArrayList<>(replica.size());
+            for (KeyspaceReplica.Entry entry : replica.entries()) {
+                items.add(new StoreCodec.Item(entry.key(), entry.record(), entry.version()));
             }
         } else {
             log.warn(
-                    "the copy of {} is not as new as the claim ({}, revision {} of {}): all is read instead",
-                    copy.prefix(),
-                    copy.flaw(),
-                    copy.revision(),
+                    "the replica of {} is not as new as the claim ({}, revision {} of {}): all is read instead",
+                    replica.prefix(),
+                    replica.invalidReason(),
+                    replica.revision(),
                     message.fencingToken());
         }
         if (items != null) {
-            witness.accept(copy.prefix(), items);
+            replicaObserver.accept(replica.prefix(), items);
         }
-        message.to().tell(new FailoverLoader.Brought(copy.prefix(), items));
-        copy.clear();
+        message.loader().tell(new FailoverLoader.Brought(replica.prefix(), items));
+        replica.clear();
     }
 
     // ---- a leader that ends
 
-    private void catchUp(Request request, long revision) {
-        if (!whole()) {
-            request.answer(409, NOT_WARM);
+    private void handoverRequested(Request request, long revision) {
+        if (!isComplete()) {
+            request.answer(409, NOT_FOLLOWING);
             return;
         }
         users.tell(new UsersActor.KeepUp());
-        KeyspaceReplica ledgers = copies.get(0);
-        long of = life;
-        state.changes(
-                ledgers.prefix(), ledgers.revision(), answer(r -> new CaughtUp(r, of, ledgers, request, revision)));
+        KeyspaceReplica ledgers = replicas.get(0);
+        long of = generation;
+        store.changes(
+                ledgers.prefix(),
+                ledgers.revision(),
+                answer(r -> new HandoverChangesRead(r, of, ledgers, request, revision)));
     }
 
-    private void caughtUp(CaughtUp message) {
-        KeyspaceReplica copy = message.copy();
-        if (message.life() == life
-                && copy.whole()
-                && apply(copy, message.reply())
-                && copy.wholeAt(message.revision())) {
+    private void handoverChangesRead(HandoverChangesRead message) {
+        KeyspaceReplica replica = message.replica();
+        if (message.generation() == generation
+                && replica.isComplete()
+                && applyChanges(replica, message.reply())
+                && replica.isCompleteAt(message.revision())) {
             message.request().answer(200, Json.bytes(out -> {
                 out.writeStartObject();
                 out.writeEndObject();
             }));
         } else {
-            message.request().answer(409, NOT_WARM);
+            message.request().answer(409, NOT_FOLLOWING);
         }
-        if (message.life() == life && copy.flaw() != null) {
-            flawed(copy);
+        if (message.generation() == generation && replica.invalidReason() != null) {
+            discardInvalid(replica);
         }
     }
 }
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -61,7 +61,7 @@
     void receive(StandbyMessage message, long fencingToken) {
         long now = owner.now();
         if (message instanceof StandbyMessage.CopyIs m) {
-            succession.copyIs(m.whole());
+            succession.setReplicaComplete(m.whole());
         } else if (message instanceof StandbyMessage.WarmthTold m) {
             warmthTold(m.reply(), m.sibling(), now);
         } else if (message instanceof StandbyMessage.TakeHandOver m) {
@@ -78,35 +78,35 @@
     /** For how long a free row is left to others; asks them if this process is cold. */
     long waits(boolean reached, long now) {
         if (standby == null) {
-            return ElectionDelay.waitsOfAnyone(reached);
+            return ElectionDelay.delayWithoutStandbys(reached);
         }
         long claimable = claims.claimableFor(now);
         boolean cold = succession.readiness(now) == StandbyReadiness.COLD;
         if (claimable >= 0 && (cold || !reached)) {
             siblings.askWarmth(now);
-            if (cold && succession.warmerThere(now)) {
+            if (cold && succession.hasWarmerPeer(now)) {
                 claims.leaveFormerRow();
             }
         }
-        return succession.waits(Math.max(0, claimable), reached, now);
+        return succession.delayMicros(Math.max(0, claimable), reached, now);
     }
 
     /** News of who leads by the highest token. */
     void told(PeerCodec.LeaderStatus news, long now) {
-        succession.told(news.designatedStandbys(), now);
+        succession.standbysDesignated(news.designatedStandbys(), now);
         if (standby != null) {
-            standby.tell(new StandbyActor.Appointed(succession.appointed()));
+            standby.tell(new StandbyActor.DesignationChanged(succession.isDesignated()));
         }
     }
 
     /** Whether this controller is appointed to take over. */
     boolean appointed() {
-        return succession.appointed();
+        return succession.isDesignated();
     }
 
     /** Whether the leader before has just handed over to this controller. */
     boolean handedOver(long now) {
-        return succession.handedOverAt(now);
+        return succession.hasRecentHandover(now);
     }
 
     /** What it says of its readiness, null for nothing. */
@@ -117,14 +117,14 @@
     /** A sibling that answers, of whatever version, has been there for longer than this process. */
     private void warmthTold(Reply reply, int sibling, long now) {
         if (reply.status() == 404) {
-            succession.word(sibling, StandbyReadiness.SEASONED, false, now);
+            succession.peerReadinessReported(sibling, StandbyReadiness.SEASONED, false, now);
         } else if (reply.status() == 0 && !reply.sent()) {
             // Refused: most likely it has ended. It may only be out of sockets, but this is courtesy.
-            succession.word(sibling, StandbyReadiness.COLD, false, now);
+            succession.peerReadinessReported(sibling, StandbyReadiness.COLD, false, now);
         } else if (reply.ok()) {
             try {
                 PeerCodec.PeerStatus answer = PeerCodec.peerStatus(reply.body());
-                succession.word(
+                succession.peerReadinessReported(
                         sibling,
                         answer.readiness() == null ? StandbyReadiness.COLD : answer.readiness(),
                         answer.strayAgentAgoMicros() >= 0,
@@ -139,7 +139,7 @@
         if (standby == null) {
             request.answer(404, FOLLOWS_NOTHING);
         } else {
-            standby.tell(new StandbyActor.Hinted(request));
+            standby.tell(new StandbyActor.HintsReceived(request));
         }
     }
 
@@ -150,8 +150,8 @@
             if (standby == null || leads) {
                 request.answer(409, FOLLOWS_NOTHING);
             } else {
-                succession.handedOver(now);
-                standby.tell(new StandbyActor.CatchUp(request, revision));
+                succession.handoverReceived(now);
+                standby.tell(new StandbyActor.HandoverRequested(request, revision));
             }
         } catch (MalformedException e) {
             request.answer(400, Json.error(e.field(), e.getMessage()));
@@ -162,31 +162,31 @@
 
     /** A term of this controller begins. */
     void begin(long fencingToken, long now) {
-        succession.led();
-        heirs.begin(now);
+        succession.termEnded();
+        heirs.termStarted(now);
         hints = new HintSender(fencingToken, settings.siblings().size());
     }
 
     /** A sibling answered this term's news. */
     void heard(int sibling, PeerCodec.PeerStatus answer, long now) {
-        heirs.heard(sibling, answer.readiness(), answer.storeReachable(), now);
+        heirs.peerAnswered(sibling, answer.readiness(), answer.storeReachable(), now);
     }
 
     /** Whom this term's news appoint, null for nobody yet or ever. */
     List<String> appoint(long now) {
-        return standby == null ? null : heirs.appoint(now);
+        return standby == null ? null : heirs.selectStandbys(now);
     }
 
     /** Place among the siblings of the heir that could lead at once, or -1. */
     int firstHeir(long now) {
-        return heirs.first(now);
+        return heirs.firstWarmStandby(now);
     }
 
     /** Tells the heirs what no row holds. */
     void tellHints(LeaderTerm term, long now) {
-        if (!heirs.appointed().isEmpty()) {
-            hints.picture(term.hints(now));
-            siblings.hints(heirs.appointed(), hints, term.fencingToken());
+        if (!heirs.selectedPeers().isEmpty()) {
+            hints.updateSnapshot(term.hints(now));
+            siblings.hints(heirs.selectedPeers(), hints, term.fencingToken());
         }
     }
 
@@ -194,10 +194,10 @@
     private void hintsAnswered(int sibling, Reply reply) {
         long held = -1;
         try {
-            held = reply.ok() ? HintCodec.held(reply.body()) : -1;
+            held = reply.ok() ? HintCodec.acknowledgement(reply.body()) : -1;
         } catch (MalformedException e) {
             LOG.error("sibling: {}", e.getMessage());
         }
-        hints.holds(sibling, held);
+        hints.snapshotAcknowledged(sibling, held);
     }
 }
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -9,55 +9,55 @@
 
 /** A term's part in the archive: begins to keep it once all is read, offers it what is over and tells it what the rate leaves. */
 final class TermArchiving {
-    private static final long ENDED_MICROS = Micros.SECOND;
+    private static final long SEARCH_INTERVAL_MICROS = Micros.SECOND;
     /** A few finished jobs are archived after so long, lest the last of a busy day keep their rows. */
-    private static final long FEW_MICROS = 600 * Micros.SECOND;
+    private static final long SMALL_BATCH_MICROS = 600 * Micros.SECOND;
 
     private final LeaderActor owner;
     private final Tuning tuning;
     private final Scheduler scheduler;
     private final UsersActor users;
-    private final ArchiverActor archivist;
-    private long historyVersion;
-    private StoredRecord.ArchiveManifest history;
-    private boolean loaded;
+    private final ArchiverActor archiver;
+    private long manifestVersion;
+    private StoredRecord.ArchiveManifest manifest;
+    private boolean recordsLoaded;
     private boolean archiving;
-    private long endedAskedMicros;
-    private long fewSinceMicros;
+    private long searchedMicros;
+    private long smallBatchSinceMicros;
 
     TermArchiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchiverActor archivist) {
         this.owner = owner;
         this.tuning = tuning;
         this.scheduler = scheduler;
         this.users = users;
-        this.archivist = archivist;
-        this.fewSinceMicros = owner.now();
+        this.archiver = archivist;
+        this.smallBatchSinceMicros = owner.now();
     }
 
     /** All that a leader reads is whole. */
-    void loaded() {
-        loaded = true;
-        archive();
+    void recordsLoaded() {
+        recordsLoaded = true;
+        startIfReady();
     }
 
     /** The term is over. */
-    void end() {
-        archivist.tell(new ArchiverActor.End());
+    void endTerm() {
+        archiver.tell(new ArchiverActor.EndTerm());
         archiving = false;
     }
 
-    void historySeen(long version, StoredRecord.ArchiveManifest manifest) {
-        historyVersion = version;
-        history = manifest;
+    void manifestObserved(long version, StoredRecord.ArchiveManifest observed) {
+        manifestVersion = version;
+        manifest = observed;
         scheduler.archiveEnabled();
-        archive();
+        startIfReady();
     }
 
     /** Once all is read and there is an archive, and if this controller is to keep it. */
-    private void archive() {
-        if (tuning.archiveEnabled() && loaded && history != null && !archiving) {
+    private void startIfReady() {
+        if (tuning.archiveEnabled() && recordsLoaded && manifest != null && !archiving) {
             archiving = true;
-            archivist.tell(new ArchiverActor.Begin(scheduler.fencingToken(), history, historyVersion));
+            archiver.tell(new ArchiverActor.StartTerm(scheduler.fencingToken(), manifest, manifestVersion));
         }
     }
 
@@ -67,25 +67,26 @@
             return;
         }
         long fencingToken = scheduler.fencingToken();
-        if (now - endedAskedMicros >= ENDED_MICROS) {
-            endedAskedMicros = now;
+        if (now - searchedMicros >= SEARCH_INTERVAL_MICROS) {
+            searchedMicros = now;
             users.tell(new UsersActor.FindEnded(fencingToken));
         }
-        archivist.tell(new ArchiverActor.Spare(fencingToken, scheduler.spareWriteBudget(now)));
+        archiver.tell(new ArchiverActor.WriteBudget(fencingToken, scheduler.spareWriteBudget(now)));
     }
 
-    void endedFound(TermMessage.EndedFound message) {
+    void finishedJobsFound(TermMessage.EndedFound message) {
         if (!archiving) {
             return;
         }
-        List<Archiver.Ended> settled = message.ended().stream()
+        List<Archiver.ArchivableJob> settled = message.ended().stream()
                 .filter(each -> each.outcome() == null || scheduler.mayBeArchived(each.id()))
                 .toList();
         long now = owner.now();
-        boolean anyway = now - fewSinceMicros >= FEW_MICROS;
+        boolean anyway = now - smallBatchSinceMicros >= SMALL_BATCH_MICROS;
         if (anyway || settled.isEmpty() || settled.size() >= tuning.archiveBatchSize()) {
-            fewSinceMicros = now;
+            smallBatchSinceMicros = now;
         }
-        archivist.tell(new ArchiverActor.Offer(message.fencingToken(), settled, message.copyOfVersion(), anyway));
+        archiver.tell(
+                new ArchiverActor.CandidatesFound(message.fencingToken(), settled, message.copyOfVersion(), anyway));
     }
 }
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -30,7 +30,8 @@
     record PartLoaded(long fencingToken) implements TermMessage {}
 
     /** Jobs that are over and that no open job needs, by a copy of the rows with this manifest. */
-    record EndedFound(long fencingToken, List<Archiver.Ended> ended, long copyOfVersion) implements TermMessage {}
+    record EndedFound(long fencingToken, List<Archiver.ArchivableJob> ended, long copyOfVersion)
+            implements TermMessage {}
 
     /** The archive has used so many changes. */
     record Spent(long fencingToken, int writes) implements TermMessage {}
--- a/src/main/java/io/micatide/protocol/ArchiveCodec.java
+++ b/src/main/java/io/micatide/protocol/ArchiveCodec.java
@@ -17,15 +17,15 @@
 
     private ArchiveCodec() {}
 
-    static void write(JsonGenerator out, StoredRecord.ArchiveManifest history) throws IOException {
+    static void write(JsonGenerator out, StoredRecord.ArchiveManifest manifest) throws IOException {
         out.writeNumberField("history", FORMAT);
-        out.writeNumberField("since", history.sinceVersion());
+        out.writeNumberField("since", manifest.sinceVersion());
         out.writeArrayFieldStart("salt");
-        out.writeNumber(history.saltA());
-        out.writeNumber(history.saltB());
+        out.writeNumber(manifest.saltA());
+        out.writeNumber(manifest.saltB());
         out.writeEndArray();
         out.writeArrayFieldStart("runs");
-        for (StoredRecord.ArchiveRun run : history.runs()) {
+        for (StoredRecord.ArchiveRun run : manifest.runs()) {
             out.writeStartArray();
             out.writeString(run.name());
             out.writeNumber(run.segments());
--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -16,12 +16,12 @@
  */
 public final class HintCodec {
     private static final int SLOW = 1;
-    private static final int FAULTY = 2;
-    private static final int GONE = 4;
+    private static final int QUARANTINED = 2;
+    private static final int DELETED = 4;
 
     private HintCodec() {}
 
-    public static byte[] part(HintBatch part) {
+    public static byte[] batch(HintBatch part) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("token", part.fencingToken());
@@ -56,7 +56,8 @@
             out.writeString(each.name());
             out.writeString(each.address());
             out.writeNumber(each.incarnation());
-            out.writeNumber((each.slow() ? SLOW : 0) + (each.quarantined() ? FAULTY : 0) + (each.deleted() ? GONE : 0));
+            out.writeNumber(
+                    (each.slow() ? SLOW : 0) + (each.quarantined() ? QUARANTINED : 0) + (each.deleted() ? DELETED : 0));
             for (int i = 0; i < each.images().size(); i++) {
                 out.writeString(each.images().get(i));
                 out.writeNumber(each.imageSizesGb().get(i));
@@ -75,7 +76,7 @@
         }
     }
 
-    public static HintBatch part(byte[] body) throws MalformedException {
+    public static HintBatch batch(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
         return new HintBatch(
@@ -128,12 +129,12 @@
                 images,
                 sizes,
                 (flags & SLOW) != 0,
-                (flags & FAULTY) != 0,
-                (flags & GONE) != 0);
+                (flags & QUARANTINED) != 0,
+                (flags & DELETED) != 0);
     }
 
     /** The picture that an heir holds. */
-    public static byte[] held(long number) {
+    public static byte[] acknowledgement(long number) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("held", number);
@@ -141,8 +142,8 @@
         });
     }
 
-    /** What an heir answered with {@link #held}. */
-    public static long held(byte[] body) throws MalformedException {
+    /** What an heir answered with {@link #acknowledgement}. */
+    public static long acknowledgement(byte[] body) throws MalformedException {
         return new JsonFields(Json.tree(body), "").count("held", 0, Long.MAX_VALUE);
     }
 }
--- a/src/main/java/io/micatide/protocol/RawStoreCodec.java
+++ b/src/main/java/io/micatide/protocol/RawStoreCodec.java
@@ -11,12 +11,12 @@
     private RawStoreCodec() {}
 
     /** A value as compact JSON; {@code json} null of a deletion. */
-    public record Value(String key, String json, long stamp) {}
+    public record Value(String key, String json, long version) {}
 
     /** A page of keys, or the changes since a revision in the order in which they were made. */
-    public record Values(List<Value> values, boolean more, long revision) {}
+    public record Page(List<Value> values, boolean hasMore, long revision) {}
 
-    public static Values page(byte[] body) throws MalformedException {
+    public static Page page(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         List<Value> values = new ArrayList<>();
         for (JsonNode each : tree.path("items")) {
@@ -25,10 +25,10 @@
                     each.path("data").toString(),
                     each.path("stamp").asLong()));
         }
-        return new Values(values, tree.path("truncated").asBoolean(), StoreCodec.revision(body));
+        return new Page(values, tree.path("truncated").asBoolean(), StoreCodec.revision(body));
     }
 
-    public static Values changes(byte[] body) throws MalformedException {
+    public static Page changes(byte[] body) throws MalformedException {
         List<Value> values = new ArrayList<>();
         for (JsonNode each : Json.tree(body).path("events")) {
             boolean put = each.hasNonNull("put");
@@ -37,8 +37,8 @@
                     put ? each.path("data").toString() : null,
                     each.path("stamp").asLong()));
         }
-        values.sort(Comparator.comparingLong(Value::stamp));
-        return new Values(values, false, StoreCodec.revision(body));
+        values.sort(Comparator.comparingLong(Value::version));
+        return new Page(values, false, StoreCodec.revision(body));
     }
 
     /** A value read by its key. */
@@ -97,7 +97,7 @@
     }
 
     /** A line of a file of values. */
-    public static String line(Value value) {
-        return "{\"k\":\"" + value.key() + "\",\"data\":" + value.json() + ",\"stamp\":" + value.stamp() + "}";
+    public static String jsonLine(Value value) {
+        return "{\"k\":\"" + value.key() + "\",\"data\":" + value.json() + ",\"stamp\":" + value.version() + "}";
     }
 }
--- a/src/main/java/io/micatide/rollout/Capabilities.java
+++ b/src/main/java/io/micatide/rollout/Capabilities.java
@@ -6,25 +6,25 @@
 /**
  * What a version can do about changes of the stored state. The program has {@link #ALL}; rehearsals play others.
  *
- * @param knows features that it reads and writes at all their stages
- * @param registers whether it registers and reads the switches; versions before them do neither, and cannot read past their row
+ * @param knownFeatures features that it reads and writes at all their stages
+ * @param supportsRegistration whether it registers and reads the flags; versions before them do neither, and cannot read past their row
  */
-public record Capabilities(List<Feature> knows, boolean registers) {
+public record Capabilities(List<Feature> knownFeatures, boolean supportsRegistration) {
     public static final Capabilities ALL = new Capabilities(List.of(Feature.values()), true);
-    /** As a version before the switches. */
-    public static final Capabilities FORMER = new Capabilities(List.of(), false);
+    /** As a version before the flags. */
+    public static final Capabilities LEGACY = new Capabilities(List.of(), false);
 
-    /** As a version with switches that does not know these features yet. */
+    /** As a version with flags that does not know these features yet. */
     public static Capabilities without(Feature... features) {
         return new Capabilities(
-                ALL.knows().stream()
+                ALL.knownFeatures().stream()
                         .filter(each -> !Arrays.asList(features).contains(each))
                         .toList(),
                 true);
     }
 
     /** Names of what it knows. */
-    public List<String> names() {
-        return knows.stream().map(Feature::key).toList();
+    public List<String> knownFeatureKeys() {
+        return knownFeatures.stream().map(Feature::key).toList();
     }
 }
--- a/src/main/java/io/micatide/rollout/ControllerRegistration.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistration.java
@@ -13,37 +13,37 @@
  */
 public final class ControllerRegistration {
     /** What to do next; every wish but NOTHING must be followed by its outcome. */
-    public enum Wish {
+    public enum Action {
         NOTHING,
         READ,
         PUT
     }
 
-    private static final long PAUSE_MICROS = 300 * Micros.MILLISECOND;
+    private static final long RETRY_PAUSE_MICROS = 300 * Micros.MILLISECOND;
 
     private final String key;
     private final String build;
-    private final Capabilities abilities;
-    private final long sinceWall;
-    private boolean waiting;
-    private long againMicros = Long.MIN_VALUE / 2;
+    private final Capabilities capabilities;
+    private final long startedWall;
+    private boolean requestInFlight;
+    private long retryMicros = Long.MIN_VALUE / 2;
     /** Of the own row; -1 before it was read. */
-    private long rowVersion = -1;
+    private long recordVersion = -1;
 
-    private long askedLease;
-    private long askedActs;
-    private long lease;
-    private long acts = -1;
+    private long requestedLease;
+    private long requestedFlagsVersion;
+    private long registeredLease;
+    private long registeredFlagsVersion = -1;
 
     /**
      * @param build the version of this program, for operators
      * @param sinceWall time of day at which this process began
      */
-    public ControllerRegistration(String label, String build, Capabilities abilities, long sinceWall) {
-        this.abilities = abilities;
+    public ControllerRegistration(String label, String build, Capabilities capabilities, long sinceWall) {
+        this.capabilities = capabilities;
         this.key = StoreKeys.controller(label);
         this.build = build;
-        this.sinceWall = sinceWall;
+        this.startedWall = sinceWall;
     }
 
     /** The controller's own row. */
@@ -55,56 +55,57 @@
      * @param leaseNow the lease of this controller, 0 if it has none
      * @param actsNow version of the switches by which it acts, -1 while they are not known
      */
-    public Wish next(long leaseNow, long actsNow, long nowMicros) {
-        if (!abilities.registers()
-                || waiting
-                || nowMicros < againMicros
+    public Action nextAction(long leaseNow, long actsNow, long nowMicros) {
+        if (!capabilities.supportsRegistration()
+                || requestInFlight
+                || nowMicros < retryMicros
                 || leaseNow == 0
                 || actsNow < 0
-                || (leaseNow == lease && actsNow == acts)) {
-            return Wish.NOTHING;
+                || (leaseNow == registeredLease && actsNow == registeredFlagsVersion)) {
+            return Action.NOTHING;
         }
-        waiting = true;
-        askedLease = leaseNow;
-        askedActs = actsNow;
-        return rowVersion < 0 ? Wish.READ : Wish.PUT;
+        requestInFlight = true;
+        requestedLease = leaseNow;
+        requestedFlagsVersion = actsNow;
+        return recordVersion < 0 ? Action.READ : Action.PUT;
     }
 
     /** What to write after {@link Action#PUT}. */
-    public Transaction put() {
+    public Transaction registrationTransaction() {
         return new Transaction(
                 List.of(
-                        new Transaction.Condition(StoreKeys.FEATURE_STAGES, askedActs),
-                        new Transaction.Condition(key, rowVersion)),
+                        new Transaction.Condition(StoreKeys.FEATURE_STAGES, requestedFlagsVersion),
+                        new Transaction.Condition(key, recordVersion)),
                 List.of(new Transaction.Write(
                         key,
-                        new StoredRecord.RegisteredController(build, abilities.names(), askedActs, sinceWall),
-                        askedLease)));
+                        new StoredRecord.RegisteredController(
+                                build, capabilities.knownFeatureKeys(), requestedFlagsVersion, startedWall),
+                        requestedLease)));
     }
 
     /** The own row as read, version 0 if there is none. */
-    public void read(long version) {
-        waiting = false;
-        rowVersion = version;
+    public void recordRead(long version) {
+        requestInFlight = false;
+        recordVersion = version;
     }
 
-    public void registered(long revision) {
-        waiting = false;
-        rowVersion = revision;
-        lease = askedLease;
-        acts = askedActs;
+    public void registrationStored(long revision) {
+        requestInFlight = false;
+        recordVersion = revision;
+        registeredLease = requestedLease;
+        registeredFlagsVersion = requestedFlagsVersion;
     }
 
     /** Refused or of unknown outcome: the row is read before the next try. */
-    public void unclear(long nowMicros) {
-        waiting = false;
-        rowVersion = -1;
-        againMicros = nowMicros + PAUSE_MICROS;
+    public void outcomeUnknown(long nowMicros) {
+        requestInFlight = false;
+        recordVersion = -1;
+        retryMicros = nowMicros + RETRY_PAUSE_MICROS;
     }
 
     /** Certainly not executed. */
-    public void failed(long nowMicros) {
-        waiting = false;
-        againMicros = nowMicros + PAUSE_MICROS;
+    public void requestFailed(long nowMicros) {
+        requestInFlight = false;
+        retryMicros = nowMicros + RETRY_PAUSE_MICROS;
     }
 }
--- a/src/main/java/io/micatide/rollout/Feature.java
+++ b/src/main/java/io/micatide/rollout/Feature.java
@@ -20,12 +20,12 @@
 
     private final String key;
     private final boolean mark;
-    private final List<FeatureStage> path;
+    private final List<FeatureStage> stages;
 
     Feature(String key, boolean mark, FeatureStage... path) {
         this.key = key;
         this.mark = mark;
-        this.path = List.of(path);
+        this.stages = List.of(path);
     }
 
     /** Its name in the state service and for operators. */
@@ -38,12 +38,12 @@
         return mark;
     }
 
-    public List<FeatureStage> path() {
-        return path;
+    public List<FeatureStage> stages() {
+        return stages;
     }
 
     /** The feature of that name, null if this version knows none. */
-    public static Feature of(String key) {
+    public static Feature forKey(String key) {
         for (Feature each : values()) {
             if (each.key.equals(key)) {
                 return each;
@@ -53,14 +53,14 @@
     }
 
     /** The stage after this one, null after the last. */
-    public FeatureStage next(FeatureStage now) {
-        int at = path.indexOf(now);
-        return at >= 0 && at + 1 < path.size() ? path.get(at + 1) : null;
+    public FeatureStage stageAfter(FeatureStage now) {
+        int at = stages.indexOf(now);
+        return at >= 0 && at + 1 < stages.size() ? stages.get(at + 1) : null;
     }
 
     /** The stage before this one; null before the first, and of what is gone for good. */
-    public FeatureStage before(FeatureStage now) {
-        int at = path.indexOf(now);
-        return at > 0 && now != FeatureStage.CLEAN ? path.get(at - 1) : null;
+    public FeatureStage stageBefore(FeatureStage now) {
+        int at = stages.indexOf(now);
+        return at > 0 && now != FeatureStage.CLEAN ? stages.get(at - 1) : null;
     }
 }
--- a/src/main/java/io/micatide/rollout/FeatureFlags.java
+++ b/src/main/java/io/micatide/rollout/FeatureFlags.java
@@ -10,26 +10,26 @@
  * order they come.
  */
 public final class FeatureFlags {
-    private final Capabilities abilities;
+    private final Capabilities capabilities;
     private long version = -1;
-    private StoredRecord.FeatureStages row = new StoredRecord.FeatureStages(Map.of());
+    private StoredRecord.FeatureStages record = new StoredRecord.FeatureStages(Map.of());
 
-    public FeatureFlags(Capabilities abilities) {
-        this.abilities = abilities;
+    public FeatureFlags(Capabilities capabilities) {
+        this.capabilities = capabilities;
     }
 
     /** The row as read or watched; version 0 with no stages if there is none. Returns whether that is news. */
-    public boolean seen(long newVersion, StoredRecord.FeatureStages newRow) {
+    public boolean update(long newVersion, StoredRecord.FeatureStages newRow) {
         if (newVersion <= version) {
             return false;
         }
         version = newVersion;
-        row = newRow;
+        record = newRow;
         return true;
     }
 
     /** Whether it has been read at all. */
-    public boolean known() {
+    public boolean isKnown() {
         return version >= 0;
     }
 
@@ -38,31 +38,31 @@
         return version;
     }
 
-    public StoredRecord.FeatureStages row() {
-        return row;
+    public StoredRecord.FeatureStages record() {
+        return record;
     }
 
     /** Where a feature stands; of a mark, always OFF. */
     public FeatureStage stage(Feature feature) {
-        FeatureStage stage = stage(row.stages().get(feature.key()));
+        FeatureStage stage = stage(record.stages().get(feature.key()));
         return stage == null ? FeatureStage.OFF : stage;
     }
 
     /** Whether the new form is what counts. */
-    public boolean on(Feature feature) {
+    public boolean isEnabled(Feature feature) {
         return stage(feature).compareTo(FeatureStage.ON) >= 0;
     }
 
     /** Features that are in use and that this version does not know, or not at that stage: it cannot read what is stored. */
-    public List<String> unknown() {
+    public List<String> unsupportedFeatures() {
         List<String> result = new ArrayList<>();
-        row.stages().forEach((name, word) -> {
+        record.stages().forEach((name, word) -> {
             FeatureStage stage = stage(word);
-            Feature feature = Feature.of(name);
+            Feature feature = Feature.forKey(name);
             if (stage != FeatureStage.OFF
                     && (stage == null
-                            || !abilities.knows().contains(feature)
-                            || !feature.path().contains(stage))) {
+                            || !capabilities.knownFeatures().contains(feature)
+                            || !feature.stages().contains(stage))) {
                 result.add(name + " (" + word + ")");
             }
         });
--- a/src/main/java/io/micatide/simulation/StartupBenchmark.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -160,20 +160,20 @@
             }
             return 0;
         }
-        StoredRecord.ArchiveManifest manifest = Archiver.first(17, 4711);
+        StoredRecord.ArchiveManifest manifest = Archiver.emptyManifest(17, 4711);
         long version = 1;
         long changes = 0;
         Archiver archivist = new Archiver(1, LIMITS.valueBytes(), LIMITS.transactionChanges(), 256, manifest, version);
         int next = 0;
-        for (Archiver.Step step = archivist.next(LIMITS.transactionChanges());
+        for (Archiver.StoreOperation step = archivist.nextOperation(LIMITS.transactionChanges());
                 step != null || next < jobs;
-                step = archivist.next(LIMITS.transactionChanges())) {
+                step = archivist.nextOperation(LIMITS.transactionChanges())) {
             if (step == null) {
-                List<Archiver.Ended> some = new ArrayList<>();
+                List<Archiver.ArchivableJob> some = new ArrayList<>();
                 for (int end = Math.min(jobs, next + 256); next < end; next++) {
-                    some.add(new Archiver.Ended(id(next), 1, new JobOutcome(JobState.DONE, false, 16), 0));
+                    some.add(new Archiver.ArchivableJob(id(next), 1, new JobOutcome(JobState.DONE, false, 16), 0));
                 }
-                archivist.offer(some, 0, true);
+                archivist.offerCandidates(some, 0, true);
             } else if (step instanceof Archiver.Write write) {
                 changes += write.transaction().writes().size();
                 for (Transaction.Write each : write.transaction().writes()) {
@@ -183,9 +183,9 @@
                         state.preset(each.key(), json(each.record()));
                     }
                 }
-                archivist.written(++version);
+                archivist.writeSucceeded(++version);
             } else if (step instanceof Archiver.FindAfter) {
-                archivist.listed(null);
+                archivist.keyFound(null);
             } else if (step instanceof Archiver.ReadSegment read) {
                 segment(state, archivist, read.key());
             }
@@ -199,7 +199,7 @@
         try {
             String value = "{\"k\":\"" + key + "\",\"data\":"
                     + new String(state.values().get(key).json(), StandardCharsets.UTF_8) + ",\"stamp\":1}";
-            archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
+            archivist.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
                     StoreCodec.item(value.getBytes(StandardCharsets.UTF_8)).row()));
         } catch (MalformedException | DamagedSegmentException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/io/micatide/snapshot/SnapshotFile.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotFile.java
@@ -43,8 +43,8 @@
     private record Part(String name, int lines, String sha256) {}
 
     private static final int FORMAT = 1;
-    private static final int LINES_A_PART = 10_000;
-    private static final long MOST_PART_BYTES = 256L << 20;
+    private static final int LINES_PER_PART = 10_000;
+    private static final long MAX_PART_BYTES = 256L << 20;
     private static final String MANIFEST = "manifest.json";
     private static final String MAC = "manifest.mac";
 
@@ -69,20 +69,20 @@
             StringBuilder lines = new StringBuilder();
             int count = 0;
             for (RawStoreCodec.Value value : image.values().values()) {
-                lines.append(RawStoreCodec.line(value)).append('\n');
-                if (++count == LINES_A_PART) {
-                    parts.add(part(tar, parts.size(), lines, count));
+                lines.append(RawStoreCodec.jsonLine(value)).append('\n');
+                if (++count == LINES_PER_PART) {
+                    parts.add(writePart(tar, parts.size(), lines, count));
                     lines.setLength(0);
                     count = 0;
                 }
             }
             if (count > 0) {
-                parts.add(part(tar, parts.size(), lines, count));
+                parts.add(writePart(tar, parts.size(), lines, count));
             }
             byte[] manifest = manifest(image, parts, key != null, taken);
-            entry(tar, MANIFEST, manifest);
+            writeEntry(tar, MANIFEST, manifest);
             if (key != null) {
-                entry(tar, MAC, mac(key, manifest).getBytes(StandardCharsets.US_ASCII));
+                writeEntry(tar, MAC, mac(key, manifest).getBytes(StandardCharsets.US_ASCII));
             }
         }
         try {
@@ -92,15 +92,15 @@
         }
     }
 
-    private static Part part(TarArchiveOutputStream tar, int number, StringBuilder lines, int count)
+    private static Part writePart(TarArchiveOutputStream tar, int number, StringBuilder lines, int count)
             throws IOException {
         byte[] bytes = lines.toString().getBytes(StandardCharsets.UTF_8);
         String name = String.format("values/%06d.jsonl", number);
-        entry(tar, name, bytes);
+        writeEntry(tar, name, bytes);
         return new Part(name, count, DigestUtils.sha256Hex(bytes));
     }
 
-    private static void entry(TarArchiveOutputStream tar, String name, byte[] bytes) throws IOException {
+    private static void writeEntry(TarArchiveOutputStream tar, String name, byte[] bytes) throws IOException {
         TarArchiveEntry entry = new TarArchiveEntry(name);
         entry.setSize(bytes.length);
         tar.putArchiveEntry(entry);
@@ -161,7 +161,7 @@
      * @param file what complaints call it
      */
     public static Content read(String file, InputStream in, byte[] key) throws SnapshotException {
-        Map<String, byte[]> entries = entries(file, in);
+        Map<String, byte[]> entries = readEntries(file, in);
         byte[] manifest = entries.get(MANIFEST);
         if (manifest == null) {
             throw new SnapshotException(file + ": is cut off, " + MANIFEST + " is missing");
@@ -175,20 +175,20 @@
                     file + ": " + MAC + " does not fit the key: another key, or a changed " + MANIFEST);
         }
         try {
-            return content(file, entries, manifest, mac != null);
+            return checkContent(file, entries, manifest, mac != null);
         } catch (MalformedException e) {
             throw new SnapshotException(file + ": " + MANIFEST + ": " + e.getMessage());
         }
     }
 
-    private static Map<String, byte[]> entries(String file, InputStream in) throws SnapshotException {
+    private static Map<String, byte[]> readEntries(String file, InputStream in) throws SnapshotException {
         Map<String, byte[]> entries = new TreeMap<>();
         String at = "its beginning";
         try (GzipCompressorInputStream plain = new GzipCompressorInputStream(new BufferedInputStream(in));
                 TarArchiveInputStream tar = new TarArchiveInputStream(plain, "UTF-8")) {
             for (TarArchiveEntry entry = tar.getNextEntry(); entry != null; entry = tar.getNextEntry()) {
                 at = entry.getName();
-                if (entry.getSize() > MOST_PART_BYTES) {
+                if (entry.getSize() > MAX_PART_BYTES) {
                     throw new SnapshotException(file + ": " + at + " is larger than a part may be");
                 }
                 ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -206,7 +206,7 @@
         }
     }
 
-    private static Content content(String file, Map<String, byte[]> entries, byte[] manifest, boolean signed)
+    private static Content checkContent(String file, Map<String, byte[]> entries, byte[] manifest, boolean signed)
             throws MalformedException, SnapshotException {
         JsonNode tree = Json.tree(manifest);
         if (tree.path("format").asInt() != FORMAT) {
--- a/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
@@ -22,13 +22,13 @@
     /** Stays behind, so that a restore which ended without an answer may be repeated as well. */
     static final String RESTORED = "restored";
 
-    private static final int MOST_TRIES = 50;
-    private static final int MOST_BYTES = 40_000;
+    private static final int MAX_ATTEMPTS = 50;
+    private static final int MAX_TRANSACTION_BYTES = 40_000;
     private static final int NO_ANSWER = 0;
 
     private final StoreCalls calls;
-    private final int mostChanges;
-    private final int mostValueBytes;
+    private final int maxTransactionWrites;
+    private final int maxValueBytes;
     private final Consumer<String> progress;
 
     /**
@@ -37,8 +37,8 @@
      */
     public SnapshotRestorer(StoreCalls calls, int mostChanges, int mostValueBytes, Consumer<String> progress) {
         this.calls = calls;
-        this.mostChanges = mostChanges;
-        this.mostValueBytes = mostValueBytes;
+        this.maxTransactionWrites = mostChanges;
+        this.maxValueBytes = mostValueBytes;
         this.progress = progress;
     }
 
@@ -49,29 +49,30 @@
      */
     public void restore(StoreImage image, String digest, boolean advance) throws SnapshotException {
         for (RawStoreCodec.Value value : image.values().values()) {
-            if (value.json().getBytes(StandardCharsets.UTF_8).length > mostValueBytes) {
+            if (value.json().getBytes(StandardCharsets.UTF_8).length > maxValueBytes) {
                 throw new SnapshotException(
                         value.key() + ": is larger than a value of this service may be, nothing was written");
             }
         }
-        if (restored(digest)) {
+        if (isRestored(digest)) {
             progress.accept("this snapshot was restored here before, nothing is left to do");
             return;
         }
-        long marker = begin(digest);
+        long marker = writeMarker(digest);
         if (advance) {
-            marker = advance(digest, marker, image.revision());
+            marker = advanceRevision(digest, marker, image.revision());
         }
         List<RawStoreCodec.Value> some = new ArrayList<>();
         int bytes = 0;
         int written = 0;
         List<RawStoreCodec.Value> inOrder = new ArrayList<>(image.values().values());
         // Jobs in the order in which they were accepted: those that need others come after them.
-        inOrder.sort(Comparator.comparingLong(RawStoreCodec.Value::stamp).thenComparing(RawStoreCodec.Value::key));
+        inOrder.sort(Comparator.comparingLong(RawStoreCodec.Value::version).thenComparing(RawStoreCodec.Value::key));
         for (RawStoreCodec.Value value : inOrder) {
             int size = value.json().length() + 2 * value.key().length() + 64;
             boolean needs = value.json().contains("\"awaits\"");
-            if (!some.isEmpty() && (some.size() == mostChanges || bytes + size > MOST_BYTES || needs)) {
+            if (!some.isEmpty()
+                    && (some.size() == maxTransactionWrites || bytes + size > MAX_TRANSACTION_BYTES || needs)) {
                 write(some, marker);
                 written += some.size();
                 progress.accept(written + " of " + inOrder.size() + " values");
@@ -82,7 +83,7 @@
             bytes += size;
         }
         write(some, marker);
-        end(digest, marker);
+        removeMarker(digest, marker);
         progress.accept(inOrder.size() + " values restored");
     }
 
@@ -90,16 +91,16 @@
         return new RawStoreCodec.Value(MARKER, "{\"restoring\":\"" + digest + "\"}", 0);
     }
 
-    private boolean restored(String digest) throws SnapshotException {
+    private boolean isRestored(String digest) throws SnapshotException {
         RawStoreCodec.Value there = read(RESTORED);
         return there != null && there.json().equals(marker(digest).json()) && read(MARKER) == null;
     }
 
     /** The marker's version: written now, or left by an earlier try with the same image. */
-    private long begin(String digest) throws SnapshotException {
+    private long writeMarker(String digest) throws SnapshotException {
         RawStoreCodec.Value there = read(MARKER);
         if (there == null) {
-            String found = anything();
+            String found = findAnyKey();
             if (found != null) {
                 throw new SnapshotException(
                         "the state service is not empty: it holds " + found + "; nothing was written");
@@ -111,10 +112,10 @@
             throw new SnapshotException(
                     "another snapshot is being restored into this state service; nothing was written");
         }
-        return there.stamp();
+        return there.version();
     }
 
-    private String anything() throws SnapshotException {
+    private String findAnyKey() throws SnapshotException {
         List<String> prefixes = new ArrayList<>(StoreImage.PREFIXES);
         prefixes.add(StoreKeys.LEADER);
         for (String prefix : prefixes) {
@@ -133,7 +134,7 @@
     }
 
     /** The marker is rewritten until its version is past the image's revision. */
-    private long advance(String digest, long from, long past) throws SnapshotException {
+    private long advanceRevision(String digest, long from, long past) throws SnapshotException {
         long version = from;
         for (long count = 0; version <= past; count++) {
             if (count % 500 == 0) {
@@ -145,7 +146,7 @@
             if (there == null) {
                 throw new SnapshotException(MARKER + ": went meanwhile");
             }
-            version = there.stamp();
+            version = there.version();
         }
         return version;
     }
@@ -160,7 +161,7 @@
         }
         try {
             if (reply.status() == 409 && !StoreCodec.failed(reply.body()).contains(MARKER)) {
-                oneByOne(values, marker);
+                writeOneByOne(values, marker);
                 return;
             }
         } catch (MalformedException e) {
@@ -171,7 +172,7 @@
     }
 
     /** Some are there already: by an earlier try, in which case they are the same. */
-    private void oneByOne(List<RawStoreCodec.Value> values, long marker) throws SnapshotException {
+    private void writeOneByOne(List<RawStoreCodec.Value> values, long marker) throws SnapshotException {
         for (RawStoreCodec.Value value : values) {
             Reply reply = post(RawStoreCodec.putNew(List.of(value), MARKER, marker));
             if (reply.ok()) {
@@ -184,7 +185,7 @@
         }
     }
 
-    private void end(String digest, long marker) throws SnapshotException {
+    private void removeMarker(String digest, long marker) throws SnapshotException {
         Reply reply = post(RawStoreCodec.replace(
                 MARKER, marker, new RawStoreCodec.Value(RESTORED, marker(digest).json(), 0)));
         if (!reply.ok() && read(MARKER) != null) {
@@ -204,25 +205,25 @@
     }
 
     private Reply get(String path) throws SnapshotException {
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
+        for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
             Reply reply = calls.get(path);
             if (reply.ok() || reply.status() == 404) {
                 return reply;
             }
             calls.pause();
         }
-        throw new SnapshotException(path + ": no answer in " + MOST_TRIES + " tries; repeat the restore later");
+        throw new SnapshotException(path + ": no answer in " + MAX_ATTEMPTS + " tries; repeat the restore later");
     }
 
     /** Sent again until there is an answer: the conditions make a repetition harmless, and one that was carried out ends in 409. */
     private Reply post(byte[] body) throws SnapshotException {
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
+        for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
             Reply reply = calls.post("/txn", body);
             if (reply.status() != 429 && reply.status() != 503 && reply.status() != NO_ANSWER) {
                 return reply;
             }
             calls.pause();
         }
-        throw new SnapshotException("no answer in " + MOST_TRIES + " tries; repeat the restore later");
+        throw new SnapshotException("no answer in " + MAX_ATTEMPTS + " tries; repeat the restore later");
     }
 }
--- a/src/main/java/io/micatide/snapshot/SnapshotTaker.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotTaker.java
@@ -14,8 +14,8 @@
  * the protocol's word that a response holds all changes: one that is younger than the cut is left out, and the one before it is there.
  */
 public final class SnapshotTaker {
-    private static final int PAGE = 500;
-    private static final int MOST_TRIES = 20;
+    private static final int PAGE_VALUES = 500;
+    private static final int MAX_ATTEMPTS = 20;
 
     private final StoreCalls calls;
     private final Consumer<String> progress;
@@ -23,7 +23,7 @@
     /** Keys that went while they were read: a page that is older may still show them. */
     private final Map<String, Long> deleted = new HashMap<>();
 
-    private final Map<String, Long> readTo = new HashMap<>();
+    private final Map<String, Long> readRevisions = new HashMap<>();
 
     /** @param progress is told a line now and then */
     public SnapshotTaker(StoreCalls calls, Consumer<String> progress) {
@@ -34,40 +34,40 @@
     /** @throws SnapshotException the service does not answer, or forgot changes that were needed; nothing was kept then */
     public StoreImage take() throws SnapshotException {
         for (String prefix : StoreImage.PREFIXES) {
-            pages(prefix);
+            readPages(prefix);
         }
         long cut = Long.MAX_VALUE;
-        Map<String, RawStoreCodec.Values> last = new HashMap<>();
+        Map<String, RawStoreCodec.Page> last = new HashMap<>();
         for (String prefix : StoreImage.PREFIXES) {
-            RawStoreCodec.Values changes = changes(prefix);
+            RawStoreCodec.Page changes = readChanges(prefix);
             last.put(prefix, changes);
             cut = Math.min(cut, changes.revision());
         }
-        for (RawStoreCodec.Values changes : last.values()) {
+        for (RawStoreCodec.Page changes : last.values()) {
             apply(changes, cut);
         }
         progress.accept(values.size() + " values at revision " + cut);
         return new StoreImage(cut, values);
     }
 
-    private void pages(String prefix) throws SnapshotException {
+    private void readPages(String prefix) throws SnapshotException {
         String after = null;
         int pages = 0;
         boolean more = true;
         while (more) {
-            RawStoreCodec.Values page =
-                    read("/store?starts=" + prefix + (after == null ? "" : "&from=" + after) + "&most=" + PAGE, true);
-            readTo.putIfAbsent(prefix, page.revision());
+            RawStoreCodec.Page page = read(
+                    "/store?starts=" + prefix + (after == null ? "" : "&from=" + after) + "&most=" + PAGE_VALUES, true);
+            readRevisions.putIfAbsent(prefix, page.revision());
             for (RawStoreCodec.Value value : page.values()) {
                 put(value);
                 after = value.key();
             }
-            more = page.more() && !page.values().isEmpty();
+            more = page.hasMore() && !page.values().isEmpty();
             if (more) {
                 // All of them are applied: those of keys that are still to come are read again with their pages.
-                RawStoreCodec.Values changes = changes(prefix);
+                RawStoreCodec.Page changes = readChanges(prefix);
                 apply(changes, Long.MAX_VALUE);
-                readTo.put(prefix, changes.revision());
+                readRevisions.put(prefix, changes.revision());
             }
             if (++pages % 20 == 0) {
                 progress.accept(values.size() + " values, at " + after);
@@ -75,9 +75,9 @@
         }
     }
 
-    private void apply(RawStoreCodec.Values changes, long upTo) {
+    private void apply(RawStoreCodec.Page changes, long upTo) {
         for (RawStoreCodec.Value value : changes.values()) {
-            if (value.stamp() <= upTo) {
+            if (value.version() <= upTo) {
                 put(value);
             }
         }
@@ -85,25 +85,25 @@
 
     private void put(RawStoreCodec.Value value) {
         RawStoreCodec.Value known = values.get(value.key());
-        if ((known != null && known.stamp() >= value.stamp())
-                || deleted.getOrDefault(value.key(), 0L) >= value.stamp()) {
+        if ((known != null && known.version() >= value.version())
+                || deleted.getOrDefault(value.key(), 0L) >= value.version()) {
             return;
         }
         if (value.json() == null) {
             values.remove(value.key());
-            deleted.put(value.key(), value.stamp());
+            deleted.put(value.key(), value.version());
         } else {
             values.put(value.key(), value);
         }
     }
 
-    private RawStoreCodec.Values changes(String prefix) throws SnapshotException {
-        return read("/changes?starts=" + prefix + "&from=" + readTo.get(prefix), false);
+    private RawStoreCodec.Page readChanges(String prefix) throws SnapshotException {
+        return read("/changes?starts=" + prefix + "&from=" + readRevisions.get(prefix), false);
     }
 
-    private RawStoreCodec.Values read(String path, boolean page) throws SnapshotException {
+    private RawStoreCodec.Page read(String path, boolean page) throws SnapshotException {
         int status = 0;
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
+        for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
             Reply reply = calls.get(path);
             status = reply.status();
             try {
@@ -119,6 +119,6 @@
             }
             calls.pause();
         }
-        throw new SnapshotException(path + ": no answer but " + status + " in " + MOST_TRIES + " tries");
+        throw new SnapshotException(path + ": no answer but " + status + " in " + MAX_ATTEMPTS + " tries");
     }
 }
--- a/src/main/java/io/micatide/standby/ElectionDelay.java
+++ b/src/main/java/io/micatide/standby/ElectionDelay.java
@@ -10,52 +10,52 @@
  */
 public final class ElectionDelay {
     /** One that workers do not reach would lead a fleet that it cannot hear. */
-    static final long UNREACHED_WAITS_MICROS = 600 * Micros.MILLISECOND;
+    static final long UNREACHED_DELAY_MICROS = 600 * Micros.MILLISECOND;
     /** A claim takes two ways to the state service, and the watch of its outcome one more. */
-    static final long STEP_MICROS = 100 * Micros.MILLISECOND;
+    static final long RANK_DELAY_MICROS = 100 * Micros.MILLISECOND;
     /** What a cold process leaves to a warm one at most. */
-    static final long COLD_WAITS_MICROS = 600 * Micros.MILLISECOND;
+    static final long COLD_DELAY_MICROS = 600 * Micros.MILLISECOND;
     /** Siblings that are there answer within this; nobody waits longer for one that may not be there. */
-    static final long ANSWER_MICROS = 200 * Micros.MILLISECOND;
+    static final long PEER_ANSWER_MICROS = 200 * Micros.MILLISECOND;
     /** A process is no longer cold after so long, whether it has heard of a leader or not. */
     static final long COLD_FOR_MICROS = 5 * Micros.SECOND;
     /** Heirs told longer ago than this may all be gone. */
-    static final long HEIRS_LAST_MICROS = 20 * Micros.SECOND;
+    static final long DESIGNATION_TTL_MICROS = 20 * Micros.SECOND;
     /** A leader that hands over gives its lease back within this. */
-    static final long HANDED_LASTS_MICROS = 2 * Micros.SECOND;
+    static final long HANDOVER_TTL_MICROS = 2 * Micros.SECOND;
     /** A sibling's word on its own readiness holds for so long. */
-    static final long WORD_LASTS_MICROS = 2 * Micros.SECOND;
+    static final long PEER_REPORT_TTL_MICROS = 2 * Micros.SECOND;
 
     private final String label;
     private final long startedMicros;
-    private boolean heard;
-    private List<String> heirs = List.of();
-    private long heirsMicros = Long.MIN_VALUE / 2;
-    private final long[] wordMicros;
-    private final boolean[] warmer;
-    private final boolean[] hearsWorkers;
-    private boolean copyWhole;
-    private long handedMicros = Long.MIN_VALUE / 2;
+    private boolean leaderSeen;
+    private List<String> designatedStandbys = List.of();
+    private long designatedMicros = Long.MIN_VALUE / 2;
+    private final long[] peerReportedMicros;
+    private final boolean[] peerIsWarmer;
+    private final boolean[] peerReachedByAgents;
+    private boolean replicaComplete;
+    private long handoverMicros = Long.MIN_VALUE / 2;
 
     /** @param siblings how many other controllers the deployment has */
     public ElectionDelay(String label, int siblings, long nowMicros) {
         this.label = label;
         this.startedMicros = nowMicros;
-        this.wordMicros = new long[siblings];
-        this.warmer = new boolean[siblings];
-        this.hearsWorkers = new boolean[siblings];
-        java.util.Arrays.fill(wordMicros, Long.MIN_VALUE / 2);
+        this.peerReportedMicros = new long[siblings];
+        this.peerIsWarmer = new boolean[siblings];
+        this.peerReachedByAgents = new boolean[siblings];
+        java.util.Arrays.fill(peerReportedMicros, Long.MIN_VALUE / 2);
     }
 
     /** Without standbys: whether workers come to a controller is all that counts. */
-    public static long waitsOfAnyone(boolean reached) {
-        return reached ? 0 : UNREACHED_WAITS_MICROS;
+    public static long delayWithoutStandbys(boolean reached) {
+        return reached ? 0 : UNREACHED_DELAY_MICROS;
     }
 
     /** Whether a sibling has said just now that it would lead better than a cold one. */
-    public boolean warmerThere(long nowMicros) {
-        for (int sibling = 0; sibling < wordMicros.length; sibling++) {
-            if (warmer[sibling] && nowMicros - wordMicros[sibling] <= WORD_LASTS_MICROS) {
+    public boolean hasWarmerPeer(long nowMicros) {
+        for (int sibling = 0; sibling < peerReportedMicros.length; sibling++) {
+            if (peerIsWarmer[sibling] && nowMicros - peerReportedMicros[sibling] <= PEER_REPORT_TTL_MICROS) {
                 return true;
             }
         }
@@ -66,49 +66,49 @@
      * The leader's news: who is to take over, the first one first; null from a leader that has not appointed anybody yet or, being
      * of a former version, never will.
      */
-    public void told(List<String> newHeirs, long nowMicros) {
-        heard = true;
+    public void standbysDesignated(List<String> newHeirs, long nowMicros) {
+        leaderSeen = true;
         if (newHeirs == null) {
-            heirs = nowMicros - heirsMicros > HEIRS_LAST_MICROS ? List.of() : heirs;
+            designatedStandbys = nowMicros - designatedMicros > DESIGNATION_TTL_MICROS ? List.of() : designatedStandbys;
             return;
         }
-        heirs = List.copyOf(newHeirs);
-        heirsMicros = nowMicros;
+        designatedStandbys = List.copyOf(newHeirs);
+        designatedMicros = nowMicros;
     }
 
     /** Whether this controller has been told to follow what a leader reads. */
-    public boolean appointed() {
-        return heirs.contains(label);
+    public boolean isDesignated() {
+        return designatedStandbys.contains(label);
     }
 
     /** This controller has led: it knows the deployment. */
-    public void led() {
-        heard = true;
+    public void termEnded() {
+        leaderSeen = true;
     }
 
     /**
      * The leader ends in order and wants this controller to go on. Workers had no reason to come here yet, so that none has come says
      * nothing.
      */
-    public void handedOver(long nowMicros) {
-        handedMicros = nowMicros;
+    public void handoverReceived(long nowMicros) {
+        handoverMicros = nowMicros;
     }
 
     /** Whether the leader has told this controller just now to go on. */
-    public boolean handedOverAt(long nowMicros) {
-        return nowMicros - handedMicros <= HANDED_LASTS_MICROS;
+    public boolean hasRecentHandover(long nowMicros) {
+        return nowMicros - handoverMicros <= HANDOVER_TTL_MICROS;
     }
 
     /** Whether the copy of what a leader reads is whole. */
-    public void copyIs(boolean whole) {
-        copyWhole = whole;
+    public void setReplicaComplete(boolean whole) {
+        replicaComplete = whole;
     }
 
     public StandbyReadiness readiness(long nowMicros) {
-        if (!heard && nowMicros - startedMicros < COLD_FOR_MICROS) {
+        if (!leaderSeen && nowMicros - startedMicros < COLD_FOR_MICROS) {
             return StandbyReadiness.COLD;
         }
-        return copyWhole && appointed() ? StandbyReadiness.WARM : StandbyReadiness.SEASONED;
+        return replicaComplete && isDesignated() ? StandbyReadiness.WARM : StandbyReadiness.SEASONED;
     }
 
     /**
@@ -117,14 +117,14 @@
      *
      * @param reached whether workers that have lost the leader came to it just now
      */
-    public void word(int sibling, StandbyReadiness said, boolean reached, long nowMicros) {
-        wordMicros[sibling] = nowMicros;
-        warmer[sibling] = said != StandbyReadiness.COLD;
-        hearsWorkers[sibling] = reached;
+    public void peerReadinessReported(int sibling, StandbyReadiness said, boolean reached, long nowMicros) {
+        peerReportedMicros[sibling] = nowMicros;
+        peerIsWarmer[sibling] = said != StandbyReadiness.COLD;
+        peerReachedByAgents[sibling] = reached;
     }
 
-    private boolean allHaveSaid(long nowMicros) {
-        return java.util.Arrays.stream(wordMicros).allMatch(at -> nowMicros - at <= WORD_LASTS_MICROS);
+    private boolean allPeersReported(long nowMicros) {
+        return java.util.Arrays.stream(peerReportedMicros).allMatch(at -> nowMicros - at <= PEER_REPORT_TTL_MICROS);
     }
 
     /**
@@ -133,40 +133,40 @@
      * @param claimableMicros for how long it has been claimable already
      * @param reached whether workers come to this controller
      */
-    public long waits(long claimableMicros, boolean reached, long nowMicros) {
-        if (handedOverAt(nowMicros)) {
+    public long delayMicros(long claimableMicros, boolean reached, long nowMicros) {
+        if (hasRecentHandover(nowMicros)) {
             return 0;
         }
-        long waits = reached ? 0 : unreachedWaits(claimableMicros, nowMicros);
+        long waits = reached ? 0 : unreachedDelayMicros(claimableMicros, nowMicros);
         StandbyReadiness own = readiness(nowMicros);
         if (own == StandbyReadiness.COLD) {
-            return waits + coldWaits(claimableMicros, nowMicros);
+            return waits + coldDelayMicros(claimableMicros, nowMicros);
         }
-        if (heirs.isEmpty() || nowMicros - heirsMicros > HEIRS_LAST_MICROS) {
+        if (designatedStandbys.isEmpty() || nowMicros - designatedMicros > DESIGNATION_TTL_MICROS) {
             return waits;
         }
-        int place = own == StandbyReadiness.WARM ? heirs.indexOf(label) : heirs.size();
-        return waits + place * STEP_MICROS;
+        int place = own == StandbyReadiness.WARM ? designatedStandbys.indexOf(label) : designatedStandbys.size();
+        return waits + place * RANK_DELAY_MICROS;
     }
 
     /**
      * One that no worker has come to leaves the lead to one that they come to. Where they come to nobody, since the leader was there a
      * moment ago, it would wait for nothing: with processes that are back at once this was most of the time without a leader.
      */
-    private long unreachedWaits(long claimableMicros, long nowMicros) {
-        for (int sibling = 0; sibling < wordMicros.length; sibling++) {
-            if (hearsWorkers[sibling] && nowMicros - wordMicros[sibling] <= WORD_LASTS_MICROS) {
-                return UNREACHED_WAITS_MICROS;
+    private long unreachedDelayMicros(long claimableMicros, long nowMicros) {
+        for (int sibling = 0; sibling < peerReportedMicros.length; sibling++) {
+            if (peerReachedByAgents[sibling] && nowMicros - peerReportedMicros[sibling] <= PEER_REPORT_TTL_MICROS) {
+                return UNREACHED_DELAY_MICROS;
             }
         }
-        return allHaveSaid(nowMicros) || claimableMicros >= ANSWER_MICROS ? 0 : ANSWER_MICROS;
+        return allPeersReported(nowMicros) || claimableMicros >= PEER_ANSWER_MICROS ? 0 : PEER_ANSWER_MICROS;
     }
 
     /** Alone, or among others as cold, nobody waits. */
-    private long coldWaits(long claimableMicros, long nowMicros) {
-        if (warmerThere(nowMicros)) {
-            return COLD_WAITS_MICROS;
+    private long coldDelayMicros(long claimableMicros, long nowMicros) {
+        if (hasWarmerPeer(nowMicros)) {
+            return COLD_DELAY_MICROS;
         }
-        return allHaveSaid(nowMicros) || claimableMicros >= ANSWER_MICROS ? 0 : ANSWER_MICROS;
+        return allPeersReported(nowMicros) || claimableMicros >= PEER_ANSWER_MICROS ? 0 : PEER_ANSWER_MICROS;
     }
 }
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -14,34 +14,34 @@
  */
 public final class HintSender {
     /** A number of hints that a request to a sibling has room for. */
-    static final int PART = 100;
+    static final int MAX_HINTS_PER_BATCH = 100;
 
     private final long fencingToken;
-    private final long[] held;
-    private Map<String, Hint> picture = new HashMap<>();
+    private final long[] acknowledgedNumbers;
+    private Map<String, Hint> snapshot = new HashMap<>();
     private List<Hint> changed = List.of();
-    private List<String> gone = List.of();
+    private List<String> removedKeys = List.of();
     private long number;
 
     public HintSender(long fencingToken, int siblings) {
         this.fencingToken = fencingToken;
-        this.held = new long[siblings];
-        Arrays.fill(held, -1);
+        this.acknowledgedNumbers = new long[siblings];
+        Arrays.fill(acknowledgedNumbers, -1);
     }
 
     /** A new picture, with the next number. */
-    public void picture(List<Hint> now) {
+    public void updateSnapshot(List<Hint> now) {
         Map<String, Hint> next = new HashMap<>(2 * now.size());
         List<Hint> differs = new ArrayList<>();
         for (Hint hint : now) {
             next.put(key(hint), hint);
-            if (!hint.equals(picture.remove(key(hint)))) {
+            if (!hint.equals(snapshot.remove(key(hint)))) {
                 differs.add(hint);
             }
         }
-        gone = List.copyOf(picture.keySet());
+        removedKeys = List.copyOf(snapshot.keySet());
         changed = differs;
-        picture = next;
+        snapshot = next;
         number++;
     }
 
@@ -51,15 +51,15 @@
     }
 
     /** What an heir is to be told now; empty if it holds this picture already. */
-    public List<HintBatch> parts(int sibling) {
-        if (held[sibling] == number || number == 0) {
+    public List<HintBatch> batchesFor(int sibling) {
+        if (acknowledgedNumbers[sibling] == number || number == 0) {
             return List.of();
         }
-        boolean difference = held[sibling] == number - 1 && held[sibling] > 0;
-        List<Hint> all = difference ? changed : List.copyOf(picture.values());
-        List<String> away = difference ? gone : List.of();
+        boolean difference = acknowledgedNumbers[sibling] == number - 1 && acknowledgedNumbers[sibling] > 0;
+        List<Hint> all = difference ? changed : List.copyOf(snapshot.values());
+        List<String> away = difference ? removedKeys : List.of();
         List<HintBatch> result = new ArrayList<>();
-        int parts = Math.max(1, (all.size() + PART - 1) / PART);
+        int parts = Math.max(1, (all.size() + MAX_HINTS_PER_BATCH - 1) / MAX_HINTS_PER_BATCH);
         for (int index = 0; index < parts; index++) {
             result.add(new HintBatch(
                     fencingToken,
@@ -67,14 +67,14 @@
                     difference ? number - 1 : 0,
                     index,
                     parts,
-                    all.subList(index * PART, Math.min(all.size(), (index + 1) * PART)),
+                    all.subList(index * MAX_HINTS_PER_BATCH, Math.min(all.size(), (index + 1) * MAX_HINTS_PER_BATCH)),
                     index == 0 ? away : List.of()));
         }
         return result;
     }
 
     /** What a sibling says that it holds of this term's pictures; -1 without an answer. */
-    public void holds(int sibling, long itsNumber) {
-        held[sibling] = itsNumber;
+    public void snapshotAcknowledged(int sibling, long itsNumber) {
+        acknowledgedNumbers[sibling] = itsNumber;
     }
 }
--- a/src/main/java/io/micatide/standby/KeyspaceReplica.java
+++ b/src/main/java/io/micatide/standby/KeyspaceReplica.java
@@ -13,44 +13,44 @@
  * rests starts on the ledgers' machines without another write, so a copy that lacks one machine would run a task twice.
  */
 public class KeyspaceReplica {
-    /** A key with its row and the revision of its last change; {@code row} null of a deletion. */
-    public record Entry(String key, StoredRecord row, long version) {}
+    /** A key with its row and the revision of its last change; {@code record} null of a deletion. */
+    public record Entry(String key, StoredRecord record, long version) {}
 
     /** Makes a prefix's copy; a rehearsal plants another one. */
     @FunctionalInterface
-    public interface Maker {
-        KeyspaceReplica make(String prefix, long mostBytes);
+    public interface Factory {
+        KeyspaceReplica create(String prefix, long mostBytes);
     }
 
     /** Why a copy is worth nothing; null while it is worth something. */
-    public enum Flaw {
+    public enum InvalidReason {
         TOO_LARGE,
-        WENT_BACK,
-        MISSED_CHANGES
+        REVISION_REGRESSED,
+        CHANGES_COMPACTED
     }
 
     private static final int ENTRY_BYTES = 160;
     /** A reference to a name that all ledgers share. */
-    private static final int NAME_BYTES = 8;
+    private static final int NAME_REFERENCE_BYTES = 8;
     /** Machines come and go for weeks; names of those that are gone are not kept for ever. */
-    private static final int MOST_NAMES = 20_000;
+    private static final int MAX_SHARED_NAMES = 20_000;
 
     private final String prefix;
-    private final long mostBytes;
+    private final long maxBytes;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
-    private final Map<String, String> names = new HashMap<>();
-    private long bytes;
+    private final Map<String, String> sharedNames = new HashMap<>();
+    private long estimatedBytes;
     private long revision;
     /** Pages of one read are of rising revisions: up to the last of them a change may be older than what a page has shown. */
-    private long pagesRevision;
+    private long lastPageRevision;
 
-    private boolean whole;
-    private Flaw flaw;
+    private boolean complete;
+    private InvalidReason invalidReason;
 
     /** @param mostBytes what it may take of memory, estimated; beyond that it is given up */
     public KeyspaceReplica(String prefix, long mostBytes) {
         this.prefix = prefix;
-        this.mostBytes = mostBytes;
+        this.maxBytes = mostBytes;
     }
 
     public String prefix() {
@@ -62,22 +62,22 @@
         return revision;
     }
 
-    public boolean whole() {
-        return whole && flaw == null;
+    public boolean isComplete() {
+        return complete && invalidReason == null;
     }
 
     /** Whether the copy holds everything that was stored at {@code asOf}. */
-    public boolean wholeAt(long asOf) {
-        return whole() && revision >= asOf;
+    public boolean isCompleteAt(long asOf) {
+        return isComplete() && revision >= asOf;
     }
 
-    public Flaw flaw() {
-        return flaw;
+    public InvalidReason invalidReason() {
+        return invalidReason;
     }
 
     /** Estimated bytes of memory. */
-    public long bytes() {
-        return bytes;
+    public long estimatedBytes() {
+        return estimatedBytes;
     }
 
     public Iterable<Entry> entries() {
@@ -91,12 +91,12 @@
     /** Forgets all, to be read anew. */
     public void clear() {
         entries.clear();
-        names.clear();
-        bytes = 0;
+        sharedNames.clear();
+        estimatedBytes = 0;
         revision = 0;
-        pagesRevision = 0;
-        whole = false;
-        flaw = null;
+        lastPageRevision = 0;
+        complete = false;
+        invalidReason = null;
     }
 
     /**
@@ -104,28 +104,28 @@
      *
      * @param first whether it begins the read; the copy's revision is that of the first page, and later changes come again
      */
-    public void page(List<Entry> items, boolean first, boolean last, long pageRevision) {
+    public void loadPage(List<Entry> items, boolean first, boolean last, long pageRevision) {
         if (first) {
             clear();
             revision = pageRevision;
-        } else if (pageRevision < pagesRevision) {
-            flawed(Flaw.WENT_BACK);
+        } else if (pageRevision < lastPageRevision) {
+            invalidate(InvalidReason.REVISION_REGRESSED);
         }
-        pagesRevision = pageRevision;
+        lastPageRevision = pageRevision;
         items.forEach(this::apply);
-        whole = last;
+        complete = last;
     }
 
     /** All changes after {@link #revision} up to {@code upTo}. */
-    public void changes(List<Entry> events, long upTo) {
+    public void applyChanges(List<Entry> events, long upTo) {
         if (upTo < revision) {
             // A service that lost data, or another one: nothing that was read from it before holds.
-            flawed(Flaw.WENT_BACK);
+            invalidate(InvalidReason.REVISION_REGRESSED);
             return;
         }
         events.stream().sorted(Comparator.comparingLong(Entry::version)).forEach(event -> {
             if (event.version() > upTo) {
-                flawed(Flaw.WENT_BACK);
+                invalidate(InvalidReason.REVISION_REGRESSED);
             }
             apply(event);
         });
@@ -133,13 +133,13 @@
     }
 
     /** The service no longer has all changes since this copy's revision. */
-    public void missedChanges() {
-        flawed(Flaw.MISSED_CHANGES);
+    public void changesCompacted() {
+        invalidate(InvalidReason.CHANGES_COMPACTED);
     }
 
-    private void flawed(Flaw why) {
-        if (flaw == null) {
-            flaw = why;
+    private void invalidate(InvalidReason why) {
+        if (invalidReason == null) {
+            invalidReason = why;
         }
     }
 
@@ -149,46 +149,46 @@
         }
         Entry before = entries.get(item.key());
         if (before != null && item.version() < before.version()) {
-            if (item.version() > pagesRevision) {
-                flawed(Flaw.WENT_BACK);
+            if (item.version() > lastPageRevision) {
+                invalidate(InvalidReason.REVISION_REGRESSED);
             }
             return;
         }
         if (before != null) {
-            bytes -= bytes(before);
+            estimatedBytes -= estimatedBytes(before);
         }
-        if (item.row() == null) {
+        if (item.record() == null) {
             entries.remove(item.key());
             return;
         }
-        Entry kept = item.row() instanceof StoredRecord.Ledger ledger
-                ? new Entry(item.key(), shared(ledger), item.version())
+        Entry kept = item.record() instanceof StoredRecord.Ledger ledger
+                ? new Entry(item.key(), withSharedNames(ledger), item.version())
                 : item;
         entries.put(item.key(), kept);
-        bytes += bytes(kept);
-        if (bytes > mostBytes) {
+        estimatedBytes += estimatedBytes(kept);
+        if (estimatedBytes > maxBytes) {
             clear();
-            flaw = Flaw.TOO_LARGE;
+            invalidReason = InvalidReason.TOO_LARGE;
         }
     }
 
     /** Hundreds of ledgers name the same machines. */
-    private StoredRecord.Ledger shared(StoredRecord.Ledger ledger) {
-        if (names.size() > MOST_NAMES) {
-            names.clear();
+    private StoredRecord.Ledger withSharedNames(StoredRecord.Ledger ledger) {
+        if (sharedNames.size() > MAX_SHARED_NAMES) {
+            sharedNames.clear();
         }
         return new StoredRecord.Ledger(
                 ledger.machines().stream()
-                        .map(name -> names.computeIfAbsent(name, k -> k))
+                        .map(name -> sharedNames.computeIfAbsent(name, k -> k))
                         .toList(),
                 ledger.gangAttempt(),
                 ledger.finishedTasks(),
                 ledger.compressedNames());
     }
 
-    private static long bytes(Entry entry) {
-        long rest = entry.row() instanceof StoredRecord.Ledger ledger
-                ? (long) ledger.machines().size() * NAME_BYTES
+    private static long estimatedBytes(Entry entry) {
+        long rest = entry.record() instanceof StoredRecord.Ledger ledger
+                ? (long) ledger.machines().size() * NAME_REFERENCE_BYTES
                         + ledger.finishedTasks().length()
                 : 0;
         return ENTRY_BYTES + entry.key().length() + rest;
--- a/src/main/java/io/micatide/standby/ReceivedHints.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -13,38 +13,38 @@
  */
 public final class ReceivedHints {
     private final Map<String, Hint> hints = new HashMap<>();
-    private final BitSet parts = new BitSet();
+    private final BitSet receivedParts = new BitSet();
     private long fencingToken;
-    private long number;
-    private long arriving;
+    private long completeNumber;
+    private long partialNumber;
 
     /** @return number of the picture that is held whole, 0 for none */
-    public long take(HintBatch part) {
+    public long receive(HintBatch part) {
         if (part.fencingToken() < fencingToken) {
             return 0;
         }
         if (part.fencingToken() > fencingToken) {
             fencingToken = part.fencingToken();
-            number = 0;
-            arriving = 0;
+            completeNumber = 0;
+            partialNumber = 0;
         }
-        if ((part.base() != 0 && part.base() != number) || part.number() < arriving) {
-            return number;
+        if ((part.base() != 0 && part.base() != completeNumber) || part.number() < partialNumber) {
+            return completeNumber;
         }
-        if (part.number() > arriving) {
-            arriving = part.number();
-            parts.clear();
+        if (part.number() > partialNumber) {
+            partialNumber = part.number();
+            receivedParts.clear();
             if (part.base() == 0) {
                 hints.clear();
             }
         }
         part.gone().forEach(hints::remove);
         part.hints().forEach(hint -> hints.put(HintSender.key(hint), hint));
-        parts.set(part.index());
-        if (parts.cardinality() == part.parts()) {
-            number = part.number();
+        receivedParts.set(part.index());
+        if (receivedParts.cardinality() == part.parts()) {
+            completeNumber = part.number();
         }
-        return number;
+        return completeNumber;
     }
 
     public List<Hint> all() {
@@ -58,9 +58,9 @@
     /** Followed no more. */
     public void clear() {
         hints.clear();
-        parts.clear();
+        receivedParts.clear();
         fencingToken = 0;
-        number = 0;
-        arriving = 0;
+        completeNumber = 0;
+        partialNumber = 0;
     }
 }
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -14,31 +14,31 @@
  */
 public final class StandbySelector {
     /** News goes out every second and is answered within one. */
-    static final long HEARD_MICROS = 3 * Micros.SECOND;
+    static final long ANSWER_TTL_MICROS = 3 * Micros.SECOND;
     /** Siblings answer a new leader's first news within this. */
     static final long SETTLE_MICROS = 1_500 * Micros.MILLISECOND;
     /** With fewer requests a second two followers would take more than a twentieth of them. */
-    static final double RATE_OF_TWO = 40;
+    static final double MIN_REQUEST_RATE_FOR_TWO = 40;
 
     private final Settings settings;
     private final long[] answeredMicros;
     private final StandbyReadiness[] readiness;
-    private List<Integer> heirs = List.of();
-    private long beganMicros;
+    private List<Integer> selected = List.of();
+    private long termStartedMicros;
 
     public StandbySelector(Settings settings) {
         this.settings = settings;
         this.answeredMicros = new long[settings.siblings().size()];
         this.readiness = new StandbyReadiness[settings.siblings().size()];
-        begin(0);
+        termStarted(0);
     }
 
     /** A new term. */
-    public final void begin(long nowMicros) {
-        beganMicros = nowMicros;
+    public final void termStarted(long nowMicros) {
+        termStartedMicros = nowMicros;
         java.util.Arrays.fill(answeredMicros, Long.MIN_VALUE / 2);
         java.util.Arrays.fill(readiness, StandbyReadiness.COLD);
-        heirs = List.of();
+        selected = List.of();
     }
 
     /**
@@ -47,13 +47,13 @@
      * @param said null of one that cannot follow: a former version, or one that is told not to
      * @param served whether the state service answers it
      */
-    public void heard(int sibling, StandbyReadiness said, boolean served, long nowMicros) {
+    public void peerAnswered(int sibling, StandbyReadiness said, boolean served, long nowMicros) {
         readiness[sibling] = said;
         answeredMicros[sibling] = said != null && served ? nowMicros : Long.MIN_VALUE / 2;
     }
 
     /** How many labels after this controller's a sibling's comes, in a ring. */
-    private int behind(int sibling) {
+    private int ringDistance(int sibling) {
         Comparator<String> order = Comparator.comparingInt(String::length).thenComparing(Comparator.naturalOrder());
         List<String> ring = new ArrayList<>(
                 settings.siblings().stream().map(Settings.Sibling::label).toList());
@@ -63,46 +63,48 @@
                 ring.indexOf(settings.siblings().get(sibling).label()) - ring.indexOf(settings.label()), ring.size());
     }
 
-    private boolean fit(int sibling, long nowMicros) {
-        return nowMicros - answeredMicros[sibling] <= HEARD_MICROS;
+    private boolean hasRecentAnswer(int sibling, long nowMicros) {
+        return nowMicros - answeredMicros[sibling] <= ANSWER_TTL_MICROS;
     }
 
     /**
      * Labels of those appointed from now on, the first to take over first; null while a new leader has yet to hear who is there: those
      * who followed the one before keep what they have.
      */
-    public List<String> appoint(long nowMicros) {
-        if (nowMicros - beganMicros < SETTLE_MICROS) {
+    public List<String> selectStandbys(long nowMicros) {
+        if (nowMicros - termStartedMicros < SETTLE_MICROS) {
             return null;
         }
         List<Integer> fit = new ArrayList<>();
         for (int sibling = 0; sibling < answeredMicros.length; sibling++) {
-            if (fit(sibling, nowMicros)) {
+            if (hasRecentAnswer(sibling, nowMicros)) {
                 fit.add(sibling);
             }
         }
-        List<Integer> before = heirs;
+        List<Integer> before = selected;
         fit.sort(Comparator.comparing((Integer each) -> !before.contains(each))
                 .thenComparing(each -> settings.siblings().get(each).zone().equals(settings.zone()))
-                .thenComparing(this::behind));
-        List<Integer> now = new ArrayList<>(
-                fit.subList(0, Math.min(fit.size(), settings.storeRequestsPerSecond() < RATE_OF_TWO ? 1 : 2)));
+                .thenComparing(this::ringDistance));
+        List<Integer> now = new ArrayList<>(fit.subList(
+                0, Math.min(fit.size(), settings.storeRequestsPerSecond() < MIN_REQUEST_RATE_FOR_TWO ? 1 : 2)));
         // A warm one goes before one that still reads, and otherwise the order stays.
         now.sort(Comparator.comparing((Integer each) -> readiness[each] != StandbyReadiness.WARM)
                 .thenComparing(each -> before.contains(each) ? before.indexOf(each) : before.size()));
-        heirs = now;
-        return heirs.stream().map(each -> settings.siblings().get(each).label()).toList();
+        selected = now;
+        return selected.stream()
+                .map(each -> settings.siblings().get(each).label())
+                .toList();
     }
 
     /** Those appointed, by their places among the siblings. */
-    public List<Integer> appointed() {
-        return heirs;
+    public List<Integer> selectedPeers() {
+        return selected;
     }
 
     /** The first heir that is warm and heard, or -1. */
-    public int first(long nowMicros) {
-        for (int each : heirs) {
-            if (fit(each, nowMicros) && readiness[each] == StandbyReadiness.WARM) {
+    public int firstWarmStandby(long nowMicros) {
+        for (int each : selected) {
+            if (hasRecentAnswer(each, nowMicros) && readiness[each] == StandbyReadiness.WARM) {
                 return each;
             }
         }
--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -28,9 +28,9 @@
             double losses,
             int valueBytes,
             int changes,
-            Archiver.Maker maker) {
+            Archiver.Factory factory) {
         try {
-            ArchiveScenario day = new ArchiveScenario(seed, valueBytes, changes, maker);
+            ArchiveScenario day = new ArchiveScenario(seed, valueBytes, changes, factory);
             day.network.losses(losses, losses);
             day.killAfterwards = afterwards;
             day.killAt = interaction;
@@ -215,10 +215,10 @@
     /** The guard of the order of two writes: with it taken out, jobs that users were told of are lost. */
     @Test
     void rowsThatGoBeforeTheyAreArchivedAreMissed() {
-        Archiver.Maker hasty = (fencingToken, valueBytes, changes, worth, manifest, version) ->
+        Archiver.Factory hasty = (fencingToken, valueBytes, changes, worth, manifest, version) ->
                 new Archiver(fencingToken, valueBytes, changes, worth, manifest, version) {
                     @Override
-                    boolean mayGo(String id, long copyOfVersion) {
+                    boolean isRecordRemovable(String id, long copyOfVersion) {
                         return id.hashCode() % 4 == 0;
                     }
                 };
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -68,7 +68,7 @@
     private final Set<String> unknownAsked = new LinkedHashSet<>();
     private final int changes;
     private final int valueBytes;
-    private final Archiver.Maker maker;
+    private final Archiver.Factory factory;
 
     /** What a job's user knows. */
     static final class Job {
@@ -87,8 +87,8 @@
         }
     }
 
-    ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Maker maker) {
-        this(seed, valueBytes, changes, maker, true);
+    ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Factory factory) {
+        this(seed, valueBytes, changes, factory, true);
     }
 
     /** A state service, a cloud and a network, and nobody there yet. */
@@ -133,11 +133,11 @@
         }
     }
 
-    private ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Maker maker, boolean controllers) {
+    private ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Factory factory, boolean controllers) {
         this.random = new Random(seed);
         this.valueBytes = valueBytes;
         this.changes = changes;
-        this.maker = maker;
+        this.factory = factory;
         network = new VirtualNetwork(time, random);
         state = new SimulatedStore(world, new SimulatedStore.Limits(400, 120, valueBytes, changes));
         cloud = new SimulatedCloud(world, List.of(TYPE), 6, this::up, name -> {
@@ -224,7 +224,7 @@
                 new Tuning(defaults.leaderLeaseMicros(), 60 * Micros.SECOND, true, 4, false, false, true),
                 process,
                 (endpoint, most) -> network.from(process, endpoint),
-                maker);
+                factory);
         network.listen("c" + number, process, controller::handle);
         network.listen("p" + number, process, controller::handlePeer);
         process.execute(controller::start);
