--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -24,11 +24,11 @@
 
 /** What a long history comes to: values, reads for a look-up, changes; and what is damaged or refused. */
 class ArchiverTest {
-    /** Values by key as the state service would hold them; carries out the steps of an archivist. */
+    /** Values by key as the state service would hold them; carries out the steps of an archiver. */
     private static final class Store {
         final TreeMap<String, StoredRecord> values = new TreeMap<>();
-        final List<Archiver.Ended> rows = new ArrayList<>();
-        StoredRecord.ArchiveManifest manifest = Archiver.first(3, 5);
+        final List<Archiver.ArchivableJob> rows = new ArrayList<>();
+        StoredRecord.ArchiveManifest manifest = Archiver.emptyManifest(3, 5);
         long version = 1;
         int changes;
         int reads;
@@ -40,27 +40,27 @@
             values.put(StoreKeys.ARCHIVE_MANIFEST, manifest);
         }
 
-        void carryOut(Archiver archivist, Archiver.Step step) throws DamagedSegmentException {
-            if (step instanceof Archiver.Write write) {
-                write(archivist, write.transaction());
-            } else if (step instanceof Archiver.FindAfter find) {
-                archivist.listed(values.higherKey(find.key()));
-            } else if (step instanceof Archiver.ReadSegment read) {
+        void carryOut(Archiver archiver, Archiver.StoreOperation operation) throws DamagedSegmentException {
+            if (operation instanceof Archiver.Write write) {
+                write(archiver, write.transaction());
+            } else if (operation instanceof Archiver.FindAfter find) {
+                archiver.keyFound(values.higherKey(find.key()));
+            } else if (operation instanceof Archiver.ReadSegment read) {
                 reads++;
                 try {
-                    archivist.segment(read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.ArchiveSegment)
+                    archiver.segmentRead(read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.ArchiveSegment)
                             values.get(read.key())));
                 } catch (DamagedSegmentException e) {
-                    archivist.damaged(read.key());
+                    archiver.segmentDamaged(read.key());
                 }
             }
         }
 
-        private void write(Archiver archivist, Transaction transaction) {
+        private void write(Archiver archiver, Transaction transaction) {
             for (Transaction.Write each : transaction.writes()) {
                 if (each.record() != null && StoreCodec.size(each.record()) > limit) {
                     refusals++;
-                    assertTrue(archivist.refused());
+                    assertTrue(archiver.writeRejected());
                     return;
                 }
             }
@@ -78,28 +78,28 @@
             if (transaction.writes().get(0).record() instanceof StoredRecord.ArchiveManifest history) {
                 manifest = history;
             }
-            archivist.written(version);
+            archiver.writeSucceeded(version);
         }
 
         /** Until there is nothing left to do. */
-        void drain(Archiver archivist, boolean anyway) throws DamagedSegmentException {
+        void drain(Archiver archiver, boolean anyway) throws DamagedSegmentException {
             for (int idle = 0; idle < 3; ) {
-                archivist.offer(List.copyOf(rows), version, anyway);
-                Archiver.Step step = archivist.next(16);
-                idle = step == null ? idle + 1 : 0;
-                for (; step != null; step = archivist.next(16)) {
-                    carryOut(archivist, step);
+                archiver.offerCandidates(List.copyOf(rows), version, anyway);
+                Archiver.StoreOperation operation = archiver.nextOperation(16);
+                idle = operation == null ? idle + 1 : 0;
+                for (; operation != null; operation = archiver.nextOperation(16)) {
+                    carryOut(archiver, operation);
                 }
             }
         }
     }
 
-    private static Archiver.Ended ended(int number, int idLength) {
+    private static Archiver.ArchivableJob ended(int number, int idLength) {
         StringBuilder id = new StringBuilder(String.format("wk-%06d", number * 7_919L % 1_000_000));
         for (Random random = new Random(number); id.length() < idLength; ) {
             id.append((char) ('a' + random.nextInt(26)));
         }
-        return new Archiver.Ended(id.toString(), 1, outcome(number), 0);
+        return new Archiver.ArchivableJob(id.toString(), 1, outcome(number), 0);
     }
 
     private static JobOutcome outcome(int number) {
@@ -121,12 +121,12 @@
             int jobs, int limit, int idLength, int mostValues, int mostRuns, int mostChanges)
             throws DamagedSegmentException {
         Store store = new Store(limit);
-        Archiver archivist = new Archiver(7, limit, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, limit, 16, 256, store.manifest, 1);
         for (int from = 0; from < jobs; from += 256) {
             for (int number = from; number < Math.min(jobs, from + 256); number++) {
                 store.rows.add(ended(number, idLength));
             }
-            store.drain(archivist, true);
+            store.drain(archiver, true);
         }
         assertEquals(0, store.refusals);
         assertEquals(List.of(), store.rows);
@@ -136,15 +136,15 @@
         assertTrue(store.changes <= jobs * (100 + mostChanges) / 100, store.changes + " changes");
 
         MembershipFilters filters = new MembershipFilters(1 << 20);
-        filters.manifest(store.manifest);
-        for (String key = filters.wanted(); key != null; key = filters.wanted()) {
-            filters.read(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) store.values.get(key)));
+        filters.setManifest(store.manifest);
+        for (String key = filters.nextSegmentToRead(); key != null; key = filters.nextSegmentToRead()) {
+            filters.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) store.values.get(key)));
         }
         int reads = 0;
         for (int number = 0; number < jobs; number++) {
-            Archiver.Ended job = ended(number, idLength);
+            Archiver.ArchivableJob job = ended(number, idLength);
             JobOutcome found = null;
-            for (String key : filters.candidates(job.id())) {
+            for (String key : filters.candidateSegments(job.id())) {
                 reads++;
                 JobOutcome here = SegmentCodec.find(key, (StoredRecord.ArchiveSegment) store.values.get(key), job.id());
                 found = here == null ? found : here;
@@ -154,7 +154,7 @@
         assertTrue(reads < jobs * 1.2, reads + " reads for " + jobs);
         int mistaken = 0;
         for (int number = 0; number < 10_000; number++) {
-            mistaken += filters.candidates("wk-x" + number).size();
+            mistaken += filters.candidateSegments("wk-x" + number).size();
         }
         assertTrue(mistaken < 10_000 * 0.2, mistaken + " reads for 10000 ids that nobody submitted");
     }
@@ -164,12 +164,12 @@
     @CsvSource({"1500", "900", "640"})
     void limitsThatFall(int limit) throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archiver archivist = new Archiver(7, 16384, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, 16384, 16, 256, store.manifest, 1);
         for (int number = 0; number < 3000; number++) {
             store.rows.add(ended(number, 9));
         }
         store.limit = limit;
-        store.drain(archivist, true);
+        store.drain(archiver, true);
         assertTrue(store.refusals > 0);
         assertEquals(List.of(), store.rows);
         assertEquals(
@@ -194,13 +194,13 @@
     @Test
     void aDamagedRunStaysAsItIs() throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archiver archivist = new Archiver(7, 16384, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, 16384, 16, 256, store.manifest, 1);
         String damaged = null;
         for (int round = 0; round < 12; round++) {
             for (int number = round * 256; number < (round + 1) * 256; number++) {
                 store.rows.add(ended(number, 9));
             }
-            store.drain(archivist, true);
+            store.drain(archiver, true);
             if (round == 0) {
                 damaged = store.manifest.runs().get(0).name();
                 String key = StoreKeys.segment(damaged, 0);
@@ -220,7 +220,7 @@
         assertTrue(store.manifest.runs().size() < 9);
     }
 
-    /** What an archivist that was killed left behind goes, and nothing else does. */
+    /** What an archiver that was killed left behind goes, and nothing else does. */
     @Test
     void whatNothingNamesIsRemoved() throws DamagedSegmentException {
         Store store = new Store(16384);
--- a/src/test/java/io/micatide/rollout/RolloutPlanTest.java
+++ b/src/test/java/io/micatide/rollout/RolloutPlanTest.java
@@ -35,32 +35,32 @@
         stages.put(
                 "returns",
                 text != null && text.contains("=ON") ? "ON" : text != null && text.contains("=READ") ? "READ" : "OFF");
-        switches.seen(VERSION, new StoredRecord.FeatureStages(stages));
+        switches.update(VERSION, new StoredRecord.FeatureStages(stages));
         return switches;
     }
 
     /** `a`, `b` and `c` registered: `+` knows all and acts by the present switches, `-` by former ones, `o` knows nothing, `.` is not there. */
-    private static ControllerRegistry roster(String there, String asked) {
-        ControllerRegistry roster = new ControllerRegistry(List.of("a", "b", "c"));
+    private static ControllerRegistry registry(String there, String asked) {
+        ControllerRegistry registry = new ControllerRegistry(List.of("a", "b", "c"));
         for (int i = 0; i < 3; i++) {
             char how = there.charAt(i);
             if (how != '.') {
-                roster.add(
+                registry.add(
                         StoreKeys.controller("abc".substring(i, i + 1)),
                         new StoredRecord.RegisteredController(
                                 "1",
-                                how == 'o' ? List.of("needs", "history") : Capabilities.ALL.names(),
+                                how == 'o' ? List.of("needs", "history") : Capabilities.ALL.knownFeatureKeys(),
                                 how == '-' ? VERSION - 1 : VERSION,
                                 5),
                         7 + i);
             }
         }
         stages(asked)
-                .forEach((feature, wish) -> roster.add(
+                .forEach((feature, wish) -> registry.add(
                         StoreKeys.featureRequest(feature),
                         new StoredRecord.FeatureRequest(StoredRecord.RequestedAction.valueOf(wish)),
                         3));
-        return roster;
+        return registry;
     }
 
     /** Of the features but {@code returns}, which goes as they do and is left out for the width of the table. */
@@ -89,11 +89,11 @@
                 "booking-fence=ON learned=READ    | ++- | learned=BACK  | true  |",
             })
     void steps(String stages, String there, String asked, boolean forward, String next) {
-        RolloutPlan plan = RolloutPlan.of(switches(stages), roster(there, asked), forward);
+        RolloutPlan plan = RolloutPlan.create(switches(stages), registry(there, asked), forward);
         if (next == null) {
-            assertNull(plan.row());
+            assertNull(plan.newStages());
         } else {
-            Map<String, String> after = new TreeMap<>(plan.row().stages());
+            Map<String, String> after = new TreeMap<>(plan.newStages().stages());
             after.remove("returns");
             assertEquals(stages(next), after);
         }
@@ -111,7 +111,9 @@
     void waitsByName(String there, String told) {
         assertEquals(
                 told,
-                RolloutPlan.of(switches(""), roster(there, ""), true).waits().get(0));
+                RolloutPlan.create(switches(""), registry(there, ""), true)
+                        .blockers()
+                        .get(0));
     }
 
     /** A step names as many registrations as a transaction has room for. */
@@ -119,55 +121,55 @@
     void conditions() {
         assertEquals(
                 List.of(new Transaction.Condition("rollout/here/a", 7), new Transaction.Condition("rollout/here/b", 8)),
-                roster("+++", "").conditions(2));
+                registry("+++", "").registrationConditions(2));
     }
 
     /** What is in use and not known, by version, stage and name; off is nobody's concern, and an older version of the row is no news. */
     @Test
     void unknownFeatures() {
         FeatureFlags former = new FeatureFlags(Capabilities.without(Feature.LEARNED));
-        assertFalse(former.known());
-        assertTrue(former.seen(
+        assertFalse(former.isKnown());
+        assertTrue(former.update(
                 9, new StoredRecord.FeatureStages(Map.of("learned", "READ", "booking-fence", "ON", "later", "OFF"))));
-        assertEquals(List.of("learned (READ)"), former.unknown());
-        assertFalse(former.seen(8, new StoredRecord.FeatureStages(Map.of())));
-        assertEquals(List.of("learned (READ)"), former.unknown());
-        assertTrue(former.seen(
+        assertEquals(List.of("learned (READ)"), former.unsupportedFeatures());
+        assertFalse(former.update(8, new StoredRecord.FeatureStages(Map.of())));
+        assertEquals(List.of("learned (READ)"), former.unsupportedFeatures());
+        assertTrue(former.update(
                 10, new StoredRecord.FeatureStages(Map.of("later", "ON", "booking-fence", "BOTH", "learned", "OFF"))));
         assertEquals(
                 List.of("booking-fence (BOTH)", "later (ON)"),
-                former.unknown().stream().sorted().toList());
+                former.unsupportedFeatures().stream().sorted().toList());
     }
 
     /** One put for each lease and for each step, on condition of the switches and of the row as it was read. */
     @Test
     void registers() {
         ControllerRegistration mine = new ControllerRegistration("a", "1", Capabilities.ALL, 5);
-        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(0, 40, 0), "no lease to attach it to");
-        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, -1, 0), "the switches are not known");
-        assertEquals(ControllerRegistration.Wish.READ, mine.next(3, 40, 0));
-        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, 40, 0), "one request at a time");
-        mine.read(12);
-        assertEquals(ControllerRegistration.Wish.PUT, mine.next(3, 40, 0));
+        assertEquals(ControllerRegistration.Action.NOTHING, mine.nextAction(0, 40, 0), "no lease to attach it to");
+        assertEquals(ControllerRegistration.Action.NOTHING, mine.nextAction(3, -1, 0), "the switches are not known");
+        assertEquals(ControllerRegistration.Action.READ, mine.nextAction(3, 40, 0));
+        assertEquals(ControllerRegistration.Action.NOTHING, mine.nextAction(3, 40, 0), "one request at a time");
+        mine.recordRead(12);
+        assertEquals(ControllerRegistration.Action.PUT, mine.nextAction(3, 40, 0));
         assertEquals(
                 List.of(new Transaction.Condition("job/features", 40), new Transaction.Condition("rollout/here/a", 12)),
-                mine.put().conditions());
-        assertEquals(3, mine.put().writes().get(0).leaseId());
-        mine.registered(50);
-        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, 40, 0));
-        assertEquals(ControllerRegistration.Wish.PUT, mine.next(3, 60, 0), "newer switches");
-        mine.unclear(0);
-        assertEquals(ControllerRegistration.Wish.NOTHING, mine.next(3, 60, 1));
+                mine.registrationTransaction().conditions());
+        assertEquals(3, mine.registrationTransaction().writes().get(0).leaseId());
+        mine.registrationStored(50);
+        assertEquals(ControllerRegistration.Action.NOTHING, mine.nextAction(3, 40, 0));
+        assertEquals(ControllerRegistration.Action.PUT, mine.nextAction(3, 60, 0), "newer switches");
+        mine.outcomeUnknown(0);
+        assertEquals(ControllerRegistration.Action.NOTHING, mine.nextAction(3, 60, 1));
         assertEquals(
-                ControllerRegistration.Wish.READ,
-                mine.next(3, 60, 1_000_000),
+                ControllerRegistration.Action.READ,
+                mine.nextAction(3, 60, 1_000_000),
                 "a put without an answer may have been applied");
-        mine.read(61);
-        assertEquals(ControllerRegistration.Wish.PUT, mine.next(4, 60, 1_000_000));
-        mine.registered(70);
-        assertEquals(ControllerRegistration.Wish.PUT, mine.next(5, 60, 1_000_000), "a new lease");
+        mine.recordRead(61);
+        assertEquals(ControllerRegistration.Action.PUT, mine.nextAction(4, 60, 1_000_000));
+        mine.registrationStored(70);
+        assertEquals(ControllerRegistration.Action.PUT, mine.nextAction(5, 60, 1_000_000), "a new lease");
         assertEquals(
-                ControllerRegistration.Wish.NOTHING,
-                new ControllerRegistration("a", "1", Capabilities.FORMER, 5).next(3, 40, 0));
+                ControllerRegistration.Action.NOTHING,
+                new ControllerRegistration("a", "1", Capabilities.LEGACY, 5).nextAction(3, 40, 0));
     }
 }
--- a/src/test/java/io/micatide/simulation/FailoverScenario.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -50,7 +50,7 @@
     final List<String> wrong = new ArrayList<>();
     final SimulatedUsers users;
     int brought;
-    private final KeyspaceReplica.Maker copies;
+    private final KeyspaceReplica.Factory copies;
     /** Controllers that run without a standby, as those of a former version do. */
     private final int former;
     /** What the version of each controller can do, from its next start on. */
@@ -63,7 +63,7 @@
     private int killTimes;
     private long killBackMicros;
 
-    FailoverScenario(long seed, int controllers, int former, KeyspaceReplica.Maker copies) {
+    FailoverScenario(long seed, int controllers, int former, KeyspaceReplica.Factory copies) {
         this(seed, controllers, former, copies, 800 * Micros.MILLISECOND, 10 * Micros.SECOND);
     }
 
@@ -72,7 +72,7 @@
             long seed,
             int controllers,
             int former,
-            KeyspaceReplica.Maker copies,
+            KeyspaceReplica.Factory copies,
             long heartbeatIntervalMicros,
             long workerLeaseMicros) {
         this(seed, controllers, former, copies, heartbeatIntervalMicros, workerLeaseMicros, Capabilities.ALL);
@@ -83,7 +83,7 @@
             long seed,
             int controllers,
             int former,
-            KeyspaceReplica.Maker copies,
+            KeyspaceReplica.Factory copies,
             long heartbeatIntervalMicros,
             long workerLeaseMicros,
             Capabilities version) {
@@ -155,7 +155,7 @@
             long seed,
             int controllers,
             int former,
-            KeyspaceReplica.Maker copies,
+            KeyspaceReplica.Factory copies,
             long heartbeatIntervalMicros,
             long workerLeaseMicros,
             Capabilities version,
@@ -171,7 +171,7 @@
         Arrays.fill(versions, version);
         if (teams.size() > 1) {
             // As in production: neither a standby nor the switches.
-            Arrays.fill(versions, 0, former, Capabilities.FORMER);
+            Arrays.fill(versions, 0, former, Capabilities.LEGACY);
         }
         this.heartbeatIntervalMicros = heartbeatIntervalMicros;
         this.workerLeaseMicros = workerLeaseMicros;
@@ -310,7 +310,7 @@
 
     @Override
     public KeyspaceReplica copy(String prefix, long mostBytes) {
-        return copies.make(prefix, mostBytes);
+        return copies.create(prefix, mostBytes);
     }
 
     @Override
@@ -327,7 +327,9 @@
     /** To a version before the switches their row is a job without a state, and it cannot read on. */
     @Override
     public Http reaches(int number, String endpoint, Http http) {
-        Http to = versions[number].registers() || !endpoint.equals("state") ? http : new FormerVersionReader(http);
+        Http to = versions[number].supportsRegistration() || !endpoint.equals("state")
+                ? http
+                : new FormerVersionReader(http);
         return endpoint.equals("state")
                 ? new DelayedChanges(to, () -> lateRowsMicros[number], () -> deployment.process(number))
                 : to;
--- a/src/test/java/io/micatide/simulation/FailoverTest.java
+++ b/src/test/java/io/micatide/simulation/FailoverTest.java
@@ -69,15 +69,15 @@
                         private int reads;
 
                         @Override
-                        public void changes(List<Entry> events, long upTo) {
+                        public void applyChanges(List<Entry> events, long upTo) {
                             if (++reads % 3 == 0) {
-                                super.changes(events, upTo);
+                                super.applyChanges(events, upTo);
                             }
                         }
 
                         @Override
-                        public boolean wholeAt(long asOf) {
-                            return whole();
+                        public boolean isCompleteAt(long asOf) {
+                            return isComplete();
                         }
                     }))
                     .verdict()
--- a/src/test/java/io/micatide/simulation/RolloutScenario.java
+++ b/src/test/java/io/micatide/simulation/RolloutScenario.java
@@ -82,7 +82,7 @@
         for (Feature feature : Feature.values()) {
             FeatureStage before = stage(feature);
             FeatureStage after = FeatureStage.valueOf(next.getOrDefault(feature.key(), FeatureStage.OFF.name()));
-            if (Math.abs(feature.path().indexOf(after) - feature.path().indexOf(before)) > 1) {
+            if (Math.abs(feature.stages().indexOf(after) - feature.stages().indexOf(before)) > 1) {
                 wrong.add(feature.key() + " goes from " + before + " to " + after);
             }
         }
@@ -96,9 +96,9 @@
         }
         Capabilities abilities = day.abilities(day.deployment.leader());
         for (Feature feature : Feature.values()) {
-            if (abilities.registers()
+            if (abilities.supportsRegistration()
                     && stage(feature) != FeatureStage.OFF
-                    && !abilities.knows().contains(feature)) {
+                    && !abilities.knownFeatures().contains(feature)) {
                 wrong.add(day.deployment.owner() + " leads and does not know " + feature.key());
             }
         }
--- a/src/test/java/io/micatide/simulation/RolloutTest.java
+++ b/src/test/java/io/micatide/simulation/RolloutTest.java
@@ -24,7 +24,7 @@
 
     private static final int FIRST = Integer.getInteger("micatide.first", 0);
     private static final List<Capabilities> VERSIONS =
-            List.of(Capabilities.FORMER, Capabilities.without(Feature.LEARNED), Capabilities.ALL);
+            List.of(Capabilities.LEGACY, Capabilities.without(Feature.LEARNED), Capabilities.ALL);
 
     static RolloutScenario begin(long seed) {
         return new RolloutScenario(seed, seed % 2 == 0 ? 3 : 5, VERSIONS.get((int) (seed / 2 % 3)));
@@ -82,7 +82,7 @@
     @ParameterizedTest
     @CsvSource({"3", "5"})
     void theLastOneSwitchesItOn(int controllers) {
-        RolloutScenario roll = new RolloutScenario(7, controllers, Capabilities.FORMER);
+        RolloutScenario roll = new RolloutScenario(7, controllers, Capabilities.LEGACY);
         FailoverScenario day = roll.day;
         for (int i = 0; i < controllers - 1; i++) {
             day.time.run(2 * Micros.SECOND);
--- a/src/test/java/io/micatide/standby/ElectionDelayTest.java
+++ b/src/test/java/io/micatide/standby/ElectionDelayTest.java
@@ -61,34 +61,35 @@
     })
     void waits(String events, boolean reached, int millis) {
         long now = 100 * SECOND;
-        ElectionDelay succession = new ElectionDelay("me", 2, now);
+        ElectionDelay delay = new ElectionDelay("me", 2, now);
         long since = 0;
         for (String event : events.split(",")) {
             String[] part = event.split(":");
             switch (part[0]) {
                 case "up", "later" -> now += Long.parseLong(part[1]) * SECOND;
-                case "heirs" -> succession.told(List.of(part[1].split("\\+")), now);
-                case "copy" -> succession.copyIs(true);
+                case "heirs" -> delay.standbysDesignated(List.of(part[1].split("\\+")), now);
+                case "copy" -> delay.setReplicaComplete(true);
                 case "word" ->
-                    succession.word(Integer.parseInt(part[1]), StandbyReadiness.valueOf(part[2]), part.length > 3, now);
-                case "led" -> succession.led();
-                case "handed" -> succession.handedOver(now);
+                    delay.peerReadinessReported(
+                            Integer.parseInt(part[1]), StandbyReadiness.valueOf(part[2]), part.length > 3, now);
+                case "led" -> delay.termEnded();
+                case "handed" -> delay.handoverReceived(now);
                 case "since" -> since = Long.parseLong(part[1]) * Micros.MILLISECOND;
                 default -> throw new IllegalArgumentException(event);
             }
         }
-        assertEquals(millis * Micros.MILLISECOND, succession.waits(since, reached, now));
+        assertEquals(millis * Micros.MILLISECOND, delay.delayMicros(since, reached, now));
     }
 
     /** A new leader that has heard nobody yet appoints nobody, and dismisses nobody either. */
     @Test
     void whoWasAppointedStaysSoOverATakeOver() {
-        ElectionDelay succession = new ElectionDelay("me", 2, SECOND);
-        succession.told(List.of("me"), 20 * SECOND);
-        succession.told(null, 22 * SECOND);
-        assertTrue(succession.appointed());
-        succession.told(null, 50 * SECOND);
-        assertFalse(succession.appointed());
+        ElectionDelay delay = new ElectionDelay("me", 2, SECOND);
+        delay.standbysDesignated(List.of("me"), 20 * SECOND);
+        delay.standbysDesignated(null, 22 * SECOND);
+        assertTrue(delay.isDesignated());
+        delay.standbysDesignated(null, 50 * SECOND);
+        assertFalse(delay.isDesignated());
     }
 
     private static Settings settings(double rate, String... siblings) {
@@ -141,8 +142,8 @@
     void appoints(double rate, String answers, String heirs) {
         Settings settings = settings(rate, "b n-1", "b n-3", "a n-4", "a n-10");
         StandbySelector appointed = new StandbySelector(settings);
-        appointed.begin(0);
-        assertNull(appointed.appoint(SECOND));
+        appointed.termStarted(0);
+        assertNull(appointed.selectStandbys(SECOND));
         for (String answer : answers.split(",")) {
             String[] part = answer.split("=");
             int sibling = settings.siblings().stream()
@@ -150,30 +151,30 @@
                     .toList()
                     .indexOf(part[0]);
             boolean served = !part[1].equals("-");
-            appointed.heard(
+            appointed.peerAnswered(
                     sibling,
                     part[1].equals("null") || !served ? null : StandbyReadiness.valueOf(part[1]),
                     served,
                     SECOND);
         }
-        assertEquals(heirs, String.join(" ", appointed.appoint(2 * SECOND)));
+        assertEquals(heirs, String.join(" ", appointed.selectStandbys(2 * SECOND)));
     }
 
     /** Who is appointed stays so while it answers, whoever else comes back; who falls silent is replaced. */
     @Test
     void anHeirIsKept() {
         StandbySelector heirs = new StandbySelector(settings(300, "b n-1", "b n-3", "a n-4"));
-        heirs.begin(0);
-        heirs.heard(2, StandbyReadiness.SEASONED, true, 2 * SECOND);
-        heirs.heard(0, StandbyReadiness.WARM, true, 2 * SECOND);
-        assertEquals(List.of("n-1", "n-4"), heirs.appoint(2 * SECOND));
-        heirs.heard(0, StandbyReadiness.WARM, true, 6 * SECOND);
-        heirs.heard(1, StandbyReadiness.SEASONED, true, 6 * SECOND);
-        heirs.heard(2, StandbyReadiness.WARM, true, 4 * SECOND);
-        assertEquals(List.of("n-1", "n-4"), heirs.appoint(6 * SECOND));
-        assertEquals(List.of("n-1", "n-3"), heirs.appoint(8 * SECOND));
-        assertEquals(0, heirs.first(8 * SECOND));
-        assertEquals(-1, heirs.first(20 * SECOND));
+        heirs.termStarted(0);
+        heirs.peerAnswered(2, StandbyReadiness.SEASONED, true, 2 * SECOND);
+        heirs.peerAnswered(0, StandbyReadiness.WARM, true, 2 * SECOND);
+        assertEquals(List.of("n-1", "n-4"), heirs.selectStandbys(2 * SECOND));
+        heirs.peerAnswered(0, StandbyReadiness.WARM, true, 6 * SECOND);
+        heirs.peerAnswered(1, StandbyReadiness.SEASONED, true, 6 * SECOND);
+        heirs.peerAnswered(2, StandbyReadiness.WARM, true, 4 * SECOND);
+        assertEquals(List.of("n-1", "n-4"), heirs.selectStandbys(6 * SECOND));
+        assertEquals(List.of("n-1", "n-3"), heirs.selectStandbys(8 * SECOND));
+        assertEquals(0, heirs.firstWarmStandby(8 * SECOND));
+        assertEquals(-1, heirs.firstWarmStandby(20 * SECOND));
     }
 
     private static KeyspaceReplica.Entry entry(String text) {
@@ -207,11 +208,11 @@
         "'page:10:a@3,page!:20:b@18,changes:21:b@12 -b@15 b@18', 21, 'a@3 b@18'",
         "'page:10:a@3,page!:20:b@18,changes:21:-a@11', 21, 'b@18'",
         // A state service that went back: by its revision, by a page, by a key.
-        "'page!:10:a@3,changes:9:', WENT_BACK, ''",
-        "'page:10:a@3,page!:8:b@2', WENT_BACK, ''",
-        "'page!:10:a@3,changes:30:a@25,changes:40:a@20', WENT_BACK, ''",
-        "'page!:10:a@3,changes:12:b@14', WENT_BACK, ''",
-        "'page!:10:a@3,missed', MISSED_CHANGES, ''",
+        "'page!:10:a@3,changes:9:', REVISION_REGRESSED, ''",
+        "'page:10:a@3,page!:8:b@2', REVISION_REGRESSED, ''",
+        "'page!:10:a@3,changes:30:a@25,changes:40:a@20', REVISION_REGRESSED, ''",
+        "'page!:10:a@3,changes:12:b@14', REVISION_REGRESSED, ''",
+        "'page!:10:a@3,missed', CHANGES_COMPACTED, ''",
         "'page!:10:a@1 b@1 c@1 d@1 e@1 f@1 g@1 h@1', TOO_LARGE, ''",
         // The read is not over.
         "'page:10:a@3', -, ''",
@@ -222,19 +223,21 @@
             String[] part = step.split(":", 3);
             switch (part[0]) {
                 case "page", "page!" ->
-                    copy.page(entries(part[2]), copy.size() == 0, part[0].endsWith("!"), Long.parseLong(part[1]));
-                case "changes" -> copy.changes(entries(part[2]), Long.parseLong(part[1]));
-                default -> copy.missedChanges();
+                    copy.loadPage(entries(part[2]), copy.size() == 0, part[0].endsWith("!"), Long.parseLong(part[1]));
+                case "changes" -> copy.applyChanges(entries(part[2]), Long.parseLong(part[1]));
+                default -> copy.changesCompacted();
             }
         }
         if (!Character.isDigit(outcome.charAt(0))) {
-            assertFalse(copy.whole());
-            assertEquals(outcome, copy.flaw() == null ? "-" : copy.flaw().name());
+            assertFalse(copy.isComplete());
+            assertEquals(
+                    outcome,
+                    copy.invalidReason() == null ? "-" : copy.invalidReason().name());
             return;
         }
         long revision = Long.parseLong(outcome);
-        assertTrue(copy.wholeAt(revision));
-        assertFalse(copy.wholeAt(revision + 1), "it is not as new as that");
+        assertTrue(copy.isCompleteAt(revision));
+        assertFalse(copy.isCompleteAt(revision + 1), "it is not as new as that");
         List<String> names = new ArrayList<>();
         copy.entries().forEach(each -> names.add(each.key().substring("ledger/".length()) + "@" + each.version()));
         assertEquals(held, String.join(" ", names));
--- a/src/test/java/io/micatide/standby/HintsTest.java
+++ b/src/test/java/io/micatide/standby/HintsTest.java
@@ -52,29 +52,29 @@
                             picture.add(hint);
                         }
                     }
-                    sender.picture(picture);
-                    for (HintBatch part : sender.parts(0)) {
+                    sender.updateSnapshot(picture);
+                    for (HintBatch part : sender.batchesFor(0)) {
                         differences += part.base() > 0 ? 1 : 0;
-                        byte[] body = HintCodec.part(part);
+                        byte[] body = HintCodec.batch(part);
                         bytes = Math.max(bytes, body.length);
-                        HintBatch read = HintCodec.part(body);
+                        HintBatch read = HintCodec.batch(body);
                         assertEquals(part, read);
                         int fate = second >= 10 ? 9 : random.nextInt(12);
                         if (fate == 0) {
-                            sender.holds(0, -1);
+                            sender.snapshotAcknowledged(0, -1);
                         } else if (fate == 1) {
                             late.add(read);
                         } else {
-                            sender.holds(0, held.take(read));
+                            sender.snapshotAcknowledged(0, held.receive(read));
                         }
                         if (!late.isEmpty() && fate == 2) {
-                            held.take(late.remove(0));
+                            held.receive(late.remove(0));
                         }
                     }
                 }
                 assertEquals(
                         new HashSet<>(picture), new HashSet<>(held.all()), "seed " + seed + " term " + fencingToken);
-                assertTrue(sender.parts(0).isEmpty(), "nothing is told twice");
+                assertTrue(sender.batchesFor(0).isEmpty(), "nothing is told twice");
             }
         }
         assertTrue(differences > 1_000, "differences are what usually goes out");
