--- a/src/main/java/io/micatide/archive/Archiver.java
+++ b/src/main/java/io/micatide/archive/Archiver.java
@@ -4,550 +4,344 @@
 import io.micatide.store.StoreKeys;
 import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
-import java.util.Deque;
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import java.util.TreeMap;
 
 /**
- * A leader's work on the archive: finished rows go into runs, runs of like size into larger ones, and what nothing names is removed.
+ * Moves finished jobs from their records into the archive during one leader's term: writes runs of new jobs, merges runs of like size, and
+ * deletes records and segments that are no longer needed. Returns each read or write as a {@link ArchiveOperation} and is told its outcome;
+ * does no input or output itself. One thread at a time.
  *
- * <p>What holds at every moment, whoever is killed where: each job that is over has its row or is in a run that the manifest names. So
- * segments are written first, unnamed; then the manifest names them, by a condition on its version; and a row goes only when a copy of
- * the rows that was read after that shows no open job that needs it. Every write has the leader's token as a condition, and no name of
- * a run is ever used again. One step is under way at a time, and a step of unknown outcome is repeated until it is known.
+ * <p>Invariant, whichever process is killed at whatever moment: each finished job has its record or is in a run that the manifest names. So
+ * segments are written first, while no manifest names them; then the manifest names their run, by a compare-and-swap on its version; and a
+ * record is deleted only when a copy of the records that was read after that shows no open job that needs it. Every write has the leader's
+ * fencing token as a condition, and the name of a run is never used again. One operation is in flight at a time, and one of unknown
+ * outcome is repeated until its outcome is known.
  */
 public class Archiver {
-    /** What the archivist wants done next. */
-    public sealed interface StoreOperation {}
-
-    /** Answered by {@link #segmentOf} or {@link #segmentDamaged}. */
-    public record ReadSegment(String key) implements StoreOperation {}
-
-    /** The first key of the archive after this one; answered by {@link #keyFound}. */
-    public record FindAfter(String key) implements StoreOperation {}
-
-    /** Answered by {@link #manifestRead}. */
-    public record ReadManifest() implements StoreOperation {}
-
-    /** Answered by {@link #writeSucceeded}, {@link #writeConflicted}, {@link #outcomeUnknown} or {@link #writeRejected}. */
-    public record Write(Transaction transaction) implements StoreOperation {}
-
     /**
-     * A job whose row is final, of which no task can run and which no open job needs, as a copy of the rows shows it.
+     * A job whose record is final, of which no task can run and which no open job needs, as a copy of the records shows it.
      *
-     * @param outcome null of a row that a late write of a former version brought back: the job is archived, the row just goes
-     * @param dependencyRecords how many rows of names belong to it
+     * @param id the job's id
+     * @param version version of its record
+     * @param outcome null of a record that a late write of a former version brought back: the job is archived, the record is just deleted
+     * @param dependencyRecords how many records with names of dependencies belong to it
      */
     public record ArchivableJob(String id, long version, JobOutcome outcome, int dependencyRecords) {}
 
-    /** Makes a term's archivist; a rehearsal may plant a fault in one. */
+    /** How many finished jobs are worth a run. */
+    public enum BatchPolicy {
+        /** Only as many as {@link ArchiveLimits#batchSize}. */
+        FULL_BATCHES,
+        /** Any number: they have waited long enough. */
+        ANY_SIZE
+    }
+
+    /** Makes a term's archiver; a test may plant a fault in one. */
     @FunctionalInterface
     public interface Factory {
+        /**
+         * Makes an archiver; the parameters are those of its constructor.
+         *
+         * @param fencingToken the leader's
+         * @param limits what it keeps to
+         * @param manifest as it is stored
+         * @param manifestVersion version of the manifest
+         * @return the term's archiver
+         */
         Archiver create(
-                long fencingToken,
-                int valueBytes,
-                int changes,
-                int worthARun,
-                StoredRecord.ArchiveManifest manifest,
-                long manifestVersion);
+                long fencingToken, ArchiveLimits limits, StoredRecord.ArchiveManifest manifest, long manifestVersion);
     }
 
-    /** What one run takes of rows at most: as much as a small heap holds easily. */
-    private static final int MAX_JOBS_PER_NEW_RUN = 4_096;
-    /** So many runs of like size become one; a size is this many times the one below. */
-    private static final int MERGE_FACTOR = 4;
-
-    private static final int MAX_RUNS_PER_MERGE = 8;
-    /** What a value takes besides the packed bytes, which base64 makes longer by a third. */
-    private static final int FRAME_BYTES = 96;
-
-    private static final int MANIFEST_BYTES = 160;
-    private static final int MANIFEST_RUN_BYTES = 48;
-    private static final int MAX_SEGMENT_BYTES = 16 * 1024;
-    private static final int MIN_SEGMENT_BYTES = 512;
-    /**
-     * Segments of a run differ by chance, by the root of the jobs that one holds; one that is too full costs the whole run anew. So much
-     * of that is left free: one segment in 300,000 is fuller.
-     */
-    private static final double HEADROOM_DEVIATIONS = 4.5;
-    /** After every key of a run. */
-    private static final String AFTER_LAST_SEGMENT = "/~";
-
     private final long fencingToken;
-    private final int batchSize;
     private final HashPartitioner partitioner;
-    private final int maxRuns;
-    private int segmentBytes;
+    private final SegmentSizing sizing;
+    private final MergePolicy mergePolicy;
+    private final JobRecordRemoval records;
+    private final UnreferencedSegments unreferenced = new UnreferencedSegments();
+    /** Names of runs with a segment that cannot be read: they stay as they are. */
+    private final Set<String> damagedRuns = new HashSet<>();
+
     private int maxTransactionWrites;
     private StoredRecord.ArchiveManifest manifest;
     private long manifestVersion;
-    private boolean manifestUncertain;
-    private String sweepCursor = StoreKeys.ARCHIVE_SEGMENTS;
-    private boolean sweepComplete;
-    private boolean sweepRequired;
-    private int runsStarted;
-    private Build build;
-    private boolean operationInFlight;
-    /** The changes of the write under way. */
-    private Transaction transactionInFlight;
-    /** Segments that nothing names any more. */
-    private final Deque<String> unreferencedSegments = new ArrayDeque<>();
-    /** Rows that this leader has archived, with the manifest's version then. */
-    private final Map<String, Long> archivedAtVersion = new HashMap<>();
-
-    private final Map<String, ArchivableJob> removableRecords = new LinkedHashMap<>();
-    private List<ArchivableJob> candidates = List.of();
-    private boolean batchReady;
-    /** Runs with a segment that cannot be read: they stay as they are. */
-    private final Set<String> damagedRuns = new HashSet<>();
-
-    /** A run in the making. */
-    private static final class Build {
-        final String name;
-        final int segments;
-        final List<StoredRecord.ArchiveRun> merged;
-        final List<ArchivableJob> rows;
-        final SegmentMerger content;
-        int next;
-        long jobs;
-        long bytes;
-        StoredRecord.ArchiveSegment packed;
-        int packedJobs;
-
-        Build(
-                String name,
-                int segments,
-                List<StoredRecord.ArchiveRun> merged,
-                List<ArchivableJob> rows,
-                SegmentMerger content) {
-            this.name = name;
-            this.segments = segments;
-            this.merged = merged;
-            this.rows = rows;
-            this.content = content;
-        }
+    /** Whether a write of the manifest may have been carried out unseen. */
+    private boolean isManifestUncertain;
 
-        String key() {
-            return StoreKeys.segment(name, next);
-        }
+    private int runsStarted;
+    /** The run that is being written, null between runs. */
+    private RunBuilder builder;
 
-        StoredRecord.ArchiveRun run() {
-            return new StoredRecord.ArchiveRun(name, segments, jobs, bytes);
-        }
-    }
+    private boolean isOperationInFlight;
+    /** The transaction in flight, null if the operation is a read. */
+    private Transaction transactionInFlight;
 
     /**
+     * Makes a term's archiver.
+     *
      * @param fencingToken the leader's
-     * @param valueBytes what a value may hold
-     * @param changes what a transaction may change
-     * @param worthARun how many rows are worth a run, which takes two writes
+     * @param limits what it keeps to
+     * @param manifest as it is stored
+     * @param manifestVersion version of the manifest
      */
     public Archiver(
-            long fencingToken,
-            int valueBytes,
-            int changes,
-            int worthARun,
-            StoredRecord.ArchiveManifest manifest,
-            long manifestVersion) {
+            long fencingToken, ArchiveLimits limits, StoredRecord.ArchiveManifest manifest, long manifestVersion) {
         this.fencingToken = fencingToken;
-        this.batchSize = worthARun;
-        this.segmentBytes = Math.min(valueBytes, MAX_SEGMENT_BYTES);
-        this.maxRuns = Math.max(MERGE_FACTOR + 1, (valueBytes - MANIFEST_BYTES) / MANIFEST_RUN_BYTES);
-        this.maxTransactionWrites = changes;
+        this.partitioner = new HashPartitioner(manifest);
+        this.sizing = new SegmentSizing(limits.valueBytes());
+        this.mergePolicy = new MergePolicy(limits);
+        this.records = new JobRecordRemoval(limits.batchSize());
+        this.maxTransactionWrites = limits.transactionWrites();
         this.manifest = manifest;
         this.manifestVersion = manifestVersion;
-        this.partitioner = new HashPartitioner(manifest);
     }
 
-    /** Of a manifest that nobody has written yet; the salt need only differ between installations. */
+    /**
+     * The manifest of an archive that is empty. The salt, which keys the hash of ids, need only differ between installations.
+     *
+     * @param saltA first half of the salt
+     * @param saltB second half
+     * @return a manifest without runs
+     */
     public static StoredRecord.ArchiveManifest emptyManifest(long saltA, long saltB) {
         return new StoredRecord.ArchiveManifest(0, saltA & Long.MAX_VALUE, saltB & Long.MAX_VALUE, List.of());
     }
 
     /**
-     * What may be archived by a copy of the rows that had this manifest.
+     * Replaces the candidates by those of a newer copy of the job records.
      *
-     * @param anyway few are archived as well: they have waited long enough
+     * @param finished jobs that may be archived or whose record may be deleted
+     * @param manifestVersion version of the manifest that the copy held
+     * @param policy how many jobs are worth a run now
      */
-    public void offerCandidates(Collection<ArchivableJob> ended, long copyOfVersion, boolean anyway) {
-        List<ArchivableJob> fresh = new ArrayList<>();
-        for (ArchivableJob each : ended) {
-            if (each.outcome() == null || isRecordRemovable(each.id(), copyOfVersion)) {
-                removableRecords.put(each.id(), each);
-            } else if (!archivedAtVersion.containsKey(each.id())) {
-                fresh.add(each);
-            }
-        }
-        candidates = fresh;
-        batchReady = fresh.size() >= batchSize || (anyway && !fresh.isEmpty());
+    public void offerCandidates(Collection<ArchivableJob> finished, long manifestVersion, BatchPolicy policy) {
+        records.offer(finished, policy, job -> isRecordRemovable(job.id(), manifestVersion));
     }
 
-    /** Guards the order of the two writes: a test that lets rows go before they are archived loses jobs. */
+    /** Guards the order of the two writes: a test that lets records go before their jobs are archived loses jobs. */
     boolean isRecordRemovable(String id, long copyOfVersion) {
-        Long since = archivedAtVersion.get(id);
-        return since != null && copyOfVersion >= since;
-    }
-
-    /** Whether there is something to do that needs no offer. */
-    public boolean hasPendingWork() {
-        return build != null || !sweepComplete || !removableRecords.isEmpty() || !unreferencedSegments.isEmpty();
+        return records.isArchivedAt(id, copyOfVersion);
     }
 
     /**
-     * The next step, or null if there is none, or none with so few changes, or one is under way.
+     * The next operation, which is in flight until its outcome is told.
      *
-     * @param mostWrites how many changes the rounds leave over now
+     * @param writeBudget how many writes scheduling rounds leave over now
+     * @return null if there is nothing to do, nothing that fits the budget, or an operation in flight
      */
-    public StoreOperation nextOperation(int mostWrites) {
-        if (operationInFlight) {
+    public ArchiveOperation nextOperation(int writeBudget) {
+        if (isOperationInFlight) {
             return null;
         }
-        StoreOperation operation = choose(Math.min(mostWrites, maxTransactionWrites));
-        operationInFlight = operation != null;
-        transactionInFlight = operation instanceof Write write ? write.transaction() : null;
+        ArchiveOperation operation = chooseOperation(Math.min(writeBudget, maxTransactionWrites));
+        isOperationInFlight = operation != null;
+        transactionInFlight = operation instanceof ArchiveOperation.Write write ? write.transaction() : null;
         return operation;
     }
 
-    private StoreOperation choose(int budget) {
-        if (manifestUncertain) {
-            return new ReadManifest();
+    private ArchiveOperation chooseOperation(int maxWrites) {
+        if (isManifestUncertain) {
+            return new ArchiveOperation.ReadManifest();
         }
-        if (!sweepComplete) {
-            return new FindAfter(sweepCursor);
+        if (!unreferenced.isSweepComplete()) {
+            return new ArchiveOperation.FindAfter(unreferenced.sweepCursor());
         }
-        if (!removableRecords.isEmpty()) {
-            return budget < 1 ? null : removeRows(budget);
+        if (records.hasRemovable()) {
+            Transaction removal = maxWrites < 1 ? null : records.planRemoval(leadership(), maxWrites);
+            return removal == null ? null : new ArchiveOperation.Write(removal);
         }
-        if (build == null) {
-            begin();
+        if (builder == null) {
+            startNextRun();
         }
-        if (build != null) {
-            return buildOn(budget);
+        if (builder != null) {
+            return continueRun(maxWrites);
         }
-        if (unreferencedSegments.isEmpty() || budget < 1) {
+        if (unreferenced.isEmpty() || maxWrites < 1) {
             return null;
         }
-        List<Transaction.Write> writes = new ArrayList<>();
-        for (String key : unreferencedSegments) {
-            if (writes.size() < budget) {
-                writes.add(new Transaction.Write(key, null, 0));
-            }
-        }
-        return new Write(new Transaction(List.of(leads()), writes));
+        return new ArchiveOperation.Write(new Transaction(List.of(leadership()), unreferenced.planDeletes(maxWrites)));
     }
 
-    private Transaction.Condition leads() {
+    private Transaction.Condition leadership() {
         return new Transaction.Condition(StoreKeys.LEADER, fencingToken);
     }
 
-    /** Names that belong to a row go before it or with it: a row without them would be a job that nobody can read. */
-    private StoreOperation removeRows(int budget) {
-        List<Transaction.Condition> conditions = new ArrayList<>(List.of(leads()));
-        List<Transaction.Write> writes = new ArrayList<>();
-        for (ArchivableJob each : removableRecords.values()) {
-            if (writes.size() + each.dependencyRecords() + 1 > budget
-                    && !(writes.isEmpty() && each.dependencyRecords() > 0)) {
-                break;
-            }
-            conditions.add(new Transaction.Condition(StoreKeys.job(each.id()), each.version()));
-            for (int piece = 1; piece <= each.dependencyRecords() && writes.size() < budget; piece++) {
-                writes.add(new Transaction.Write(StoreKeys.dependencies(each.id(), piece), null, 0));
-            }
-            if (writes.size() < budget) {
-                writes.add(new Transaction.Write(StoreKeys.job(each.id()), null, 0));
-            }
-        }
-        return writes.isEmpty() ? null : new Write(new Transaction(conditions, writes));
+    private Transaction.Condition unchangedManifest() {
+        return new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, manifestVersion);
     }
 
-    // ---- runs
-
-    private void begin() {
-        if (batchReady && !candidates.isEmpty()) {
-            List<ArchivableJob> rows = candidates.subList(0, Math.min(candidates.size(), MAX_JOBS_PER_NEW_RUN));
-            List<ArchivedJob> jobs = rows.stream()
-                    .map(each -> new ArchivedJob(each.id(), each.outcome()))
-                    .toList();
-            int segments = 1;
-            while (!fits(jobs, segments)) {
-                segments = more(segments);
-            }
-            start(segments, List.of(), rows, jobs);
-            batchReady = false;
+    private void startNextRun() {
+        if (records.hasBatch()) {
+            RunBuilder.Input input = new RunBuilder.Input(List.of(), records.takeBatch());
+            startRun(sizing.segmentsForJobs(partitioner, input.archivedJobs()), input);
             return;
         }
-        List<StoredRecord.ArchiveRun> merged = mergeable();
+        List<StoredRecord.ArchiveRun> merged = mergePolicy.selectRuns(manifest.runs(), damagedRuns);
         if (!merged.isEmpty()) {
-            start(
-                    segments(
-                            merged.stream()
-                                    .mapToLong(StoredRecord.ArchiveRun::jobs)
-                                    .sum(),
-                            merged.stream()
-                                    .mapToLong(StoredRecord.ArchiveRun::bytes)
-                                    .sum()),
-                    merged,
-                    List.of(),
-                    List.of());
+            long jobs = merged.stream().mapToLong(StoredRecord.ArchiveRun::jobs).sum();
+            long bytes =
+                    merged.stream().mapToLong(StoredRecord.ArchiveRun::bytes).sum();
+            startRun(sizing.segmentsForMerge(jobs, bytes), new RunBuilder.Input(merged, List.of()));
         }
     }
 
-    private static int more(int segments) {
-        return Math.max(segments + 1, segments * 5 / 4);
+    private void startRun(int segments, RunBuilder.Input input) {
+        runsStarted++;
+        String name = Long.toString(fencingToken, Character.MAX_RADIX)
+                + "-"
+                + Integer.toString(runsStarted, Character.MAX_RADIX);
+        builder = new RunBuilder(name, segments, input, partitioner);
     }
 
-    /** In how many segments so many jobs go that take so many bytes. */
-    private int segments(long jobs, long bytes) {
-        if (bytes <= room() / 2) {
-            return 1;
+    private ArchiveOperation continueRun(int maxWrites) {
+        if (builder.isComplete()) {
+            return maxWrites < 1 ? null : new ArchiveOperation.Write(manifestUpdate());
         }
-        // With m jobs in one, m and some deviations of it have to fit.
-        double fit = (double) room() * jobs / bytes;
-        double root = (Math.sqrt(HEADROOM_DEVIATIONS * HEADROOM_DEVIATIONS + 4 * fit) - HEADROOM_DEVIATIONS) / 2;
-        return (int) Math.max(1, Math.ceil(jobs / Math.max(1, root * root)));
-    }
-
-    private void start(
-            int segments, List<StoredRecord.ArchiveRun> merged, List<ArchivableJob> rows, List<ArchivedJob> jobs) {
-        String name = Long.toString(fencingToken, Character.MAX_RADIX) + "-"
-                + Integer.toString(++runsStarted, Character.MAX_RADIX);
-        build = new Build(name, segments, merged, rows, new SegmentMerger(partitioner, segments, merged, jobs));
-    }
-
-    private int room() {
-        return (segmentBytes - FRAME_BYTES) * 3 / 4;
-    }
-
-    private boolean fits(List<ArchivedJob> jobs, int segments) {
-        SegmentMerger content = new SegmentMerger(partitioner, segments, List.of(), jobs);
-        for (int number = 0; number < segments; number++) {
-            if (SegmentCodec.pack("", content.takeSegment(number)).packed().length > room()) {
-                return false;
-            }
-        }
-        return true;
-    }
-
-    private int size(StoredRecord.ArchiveRun run) {
-        int size = 0;
-        for (long jobs = run.jobs() / batchSize; jobs >= MERGE_FACTOR; jobs /= MERGE_FACTOR) {
-            size++;
+        String unread = builder.nextUnreadSegment();
+        if (unread != null) {
+            return new ArchiveOperation.ReadSegment(unread);
         }
-        return size;
-    }
-
-    /** Runs of like size once there are enough of them, or the smallest when the manifest gets long. */
-    private List<StoredRecord.ArchiveRun> mergeable() {
-        Map<Integer, List<StoredRecord.ArchiveRun>> bySize = new TreeMap<>();
-        for (StoredRecord.ArchiveRun run : manifest.runs()) {
-            if (!damagedRuns.contains(run.name())) {
-                bySize.computeIfAbsent(size(run), k -> new ArrayList<>()).add(run);
-            }
-        }
-        for (List<StoredRecord.ArchiveRun> like : bySize.values()) {
-            if (like.size() >= MERGE_FACTOR) {
-                return List.copyOf(like.subList(0, Math.min(like.size(), MAX_RUNS_PER_MERGE)));
-            }
+        if (!sizing.fits(builder.packNextSegment())) {
+            restartRun();
+            return continueRun(maxWrites);
         }
-        if (manifest.runs().size() < maxRuns - 1) {
-            return List.of();
-        }
-        List<StoredRecord.ArchiveRun> smallest = new ArrayList<>();
-        bySize.values().forEach(smallest::addAll);
-        smallest.sort(Comparator.comparingLong(StoredRecord.ArchiveRun::jobs));
-        return smallest.size() < 2
-                ? List.of()
-                : List.copyOf(smallest.subList(0, Math.min(smallest.size(), MERGE_FACTOR)));
+        return maxWrites < 1 ? null : new ArchiveOperation.Write(segmentPut());
     }
 
-    private StoreOperation buildOn(int budget) {
-        if (build.next == build.segments) {
-            return budget < 1
-                    ? null
-                    : new Write(new Transaction(
-                            List.of(leads(), new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, manifestVersion)),
-                            List.of(new Transaction.Write(StoreKeys.ARCHIVE_MANIFEST, manifestWithNewRun(), 0))));
-        }
-        if (build.packed == null) {
-            String unread = build.content.nextUnreadSegment(build.next);
-            if (unread != null) {
-                return new ReadSegment(unread);
-            }
-            List<ArchivedJob> jobs = build.content.takeSegment(build.next);
-            build.packed = SegmentCodec.pack(build.key(), jobs);
-            build.packedJobs = jobs.size();
-            if (build.packed.packed().length > room()) {
-                again(more(build.segments));
-                return buildOn(budget);
-            }
-        }
-        // By the manifest too: a try without an answer that arrives after its run was named, merged and removed would
-        // bring it back.
-        return budget < 1
-                ? null
-                : new Write(new Transaction(
-                        List.of(
-                                leads(),
-                                new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, manifestVersion),
-                                new Transaction.Condition(build.key(), 0)),
-                        List.of(new Transaction.Write(build.key(), build.packed, 0))));
+    /**
+     * The manifest's version is a condition of a segment's write as well: a try without an answer that arrives after its run was named,
+     * merged and removed would bring the segment back.
+     */
+    private Transaction segmentPut() {
+        String key = builder.nextKey();
+        return new Transaction(
+                List.of(leadership(), unchangedManifest(), new Transaction.Condition(key, 0)),
+                List.of(new Transaction.Write(key, builder.packNextSegment(), 0)));
     }
 
-    /** The manifest with the run that was built and without those that went into it. */
-    private StoredRecord.ArchiveManifest manifestWithNewRun() {
+    /** Names the finished run in the manifest, in place of those that went into it. */
+    private Transaction manifestUpdate() {
         List<StoredRecord.ArchiveRun> runs = new ArrayList<>(manifest.runs());
-        runs.removeAll(build.merged);
-        runs.add(build.run());
-        return new StoredRecord.ArchiveManifest(
+        runs.removeAll(builder.input().mergedRuns());
+        runs.add(builder.run());
+        StoredRecord.ArchiveManifest updated = new StoredRecord.ArchiveManifest(
                 manifest.sinceVersion() == 0 ? manifestVersion : manifest.sinceVersion(),
                 manifest.saltA(),
                 manifest.saltB(),
                 List.copyOf(runs));
+        return new Transaction(
+                List.of(leadership(), unchangedManifest()),
+                List.of(new Transaction.Write(StoreKeys.ARCHIVE_MANIFEST, updated, 0)));
     }
 
-    /** Starts the run over in more segments; what was written of it goes. */
-    private void again(int segments) {
-        Build before = build;
-        abandon();
-        List<ArchivedJob> jobs = before.rows.stream()
-                .map(each -> new ArchivedJob(each.id(), each.outcome()))
-                .toList();
-        start(segments, before.merged, before.rows, jobs);
+    /** Writes the run anew, in more segments and under a new name. */
+    private void restartRun() {
+        RunBuilder abandoned = builder;
+        abandonRun();
+        startRun(SegmentSizing.increase(abandoned.segmentCount()), abandoned.input());
     }
 
-    private void abandon() {
-        for (int number = 0; number <= Math.min(build.next, build.segments - 1); number++) {
-            unreferencedSegments.add(StoreKeys.segment(build.name, number));
-        }
-        build = null;
-        sweepRequired = true;
+    private void abandonRun() {
+        unreferenced.addRun(builder.name(), builder.possiblyStoredSegments());
+        unreferenced.requireSweep();
+        builder = null;
     }
 
     // ---- outcomes
 
-    /** The first key of the archive after the one asked for, null if there is none. */
+    /**
+     * Outcome of {@link ArchiveOperation.FindAfter}.
+     *
+     * @param key the first key after the one asked for, null if there is none
+     */
     public void keyFound(String key) {
-        operationInFlight = false;
-        if (key == null || !key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
-            sweepComplete = true;
-            return;
-        }
-        int slash = key.indexOf('/', StoreKeys.ARCHIVE_SEGMENTS.length());
-        String name = slash < 0 ? "" : key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), slash);
-        if (manifest.runs().stream().anyMatch(run -> run.name().equals(name))) {
-            sweepCursor = StoreKeys.ARCHIVE_SEGMENTS + name + AFTER_LAST_SEGMENT;
-        } else {
-            unreferencedSegments.add(key);
-            sweepCursor = key;
-        }
+        isOperationInFlight = false;
+        unreferenced.keyFound(key, manifest);
     }
 
+    /**
+     * Outcome of {@link ArchiveOperation.ReadSegment}.
+     *
+     * @param key the segment's key
+     * @param jobs its content
+     */
     public void segmentRead(String key, List<ArchivedJob> jobs) {
-        operationInFlight = false;
-        if (build != null) {
-            build.content.addSegment(key, jobs);
+        isOperationInFlight = false;
+        if (builder != null) {
+            builder.addSegment(key, jobs);
         }
     }
 
-    /** A segment that a merge needs is missing or not what was written: its run stays as it is. */
+    /**
+     * Outcome of {@link ArchiveOperation.ReadSegment}: the segment is missing or not what was written. Its run stays as it is.
+     *
+     * @param key the segment's key
+     */
     public void segmentDamaged(String key) {
-        operationInFlight = false;
+        isOperationInFlight = false;
         damagedRuns.add(key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), key.lastIndexOf('/')));
-        if (build != null) {
-            abandon();
+        if (builder != null) {
+            abandonRun();
         }
     }
 
-    /** The write under way is stored, with this revision. */
+    /**
+     * Outcome of {@link ArchiveOperation.Write}: it is stored.
+     *
+     * @param revision the store's revision of it, which is the version of every record that it put
+     */
     public void writeSucceeded(long revision) {
-        operationInFlight = false;
-        Transaction.Write first = transactionInFlight.writes().get(0);
-        if (first.record() instanceof StoredRecord.ArchiveSegment) {
-            segmentStored();
-        } else if (first.record() instanceof StoredRecord.ArchiveManifest history) {
-            stored(history, revision);
+        isOperationInFlight = false;
+        StoredRecord first = firstRecordInFlight();
+        if (first instanceof StoredRecord.ArchiveSegment) {
+            builder.segmentStored();
+        } else if (first instanceof StoredRecord.ArchiveManifest stored) {
+            manifestStored(stored, revision);
         } else {
-            transactionInFlight.writes().forEach(this::removed);
+            transactionInFlight.writes().forEach(write -> deleted(write.key()));
         }
     }
 
-    private void segmentStored() {
-        build.jobs += build.packedJobs;
-        build.bytes += build.packed.packed().length;
-        build.packed = null;
-        build.next++;
-    }
-
-    private void stored(StoredRecord.ArchiveManifest history, long version) {
-        manifest = history;
-        manifestVersion = version;
-        for (StoredRecord.ArchiveRun run : build.merged) {
-            for (int number = 0; number < run.segments(); number++) {
-                unreferencedSegments.add(StoreKeys.segment(run.name(), number));
-            }
-        }
-        build.rows.forEach(each -> archivedAtVersion.put(each.id(), version));
-        candidates = List.of();
-        build = null;
-        if (sweepRequired) {
-            // What was begun and given up may have come late until now; from this version on it cannot.
-            sweepRequired = false;
-            sweepComplete = false;
-            sweepCursor = StoreKeys.ARCHIVE_SEGMENTS;
-        }
-    }
-
-    private void removed(Transaction.Write write) {
-        if (write.key().startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
-            unreferencedSegments.remove(write.key());
-            return;
-        }
-        String name = write.key().substring(StoreKeys.JOBS.length());
-        if (name.indexOf('/') < 0) {
-            removableRecords.remove(name);
-            archivedAtVersion.remove(name);
-        }
-    }
-
-    /** Some conditions of the write under way do not hold; the leader's token is not among them. */
+    /**
+     * Outcome of {@link ArchiveOperation.Write}: some of its conditions do not hold.
+     *
+     * @param keys those of the conditions that failed; the leader's is not among them
+     */
     public void writeConflicted(Collection<String> keys) {
-        operationInFlight = false;
-        Transaction.Write first = transactionInFlight.writes().get(0);
-        if (first.record() instanceof StoredRecord.ArchiveSegment && !keys.contains(StoreKeys.ARCHIVE_MANIFEST)) {
+        isOperationInFlight = false;
+        StoredRecord first = firstRecordInFlight();
+        if (first instanceof StoredRecord.ArchiveSegment && !keys.contains(StoreKeys.ARCHIVE_MANIFEST)) {
             // An earlier try was carried out after all: nobody else uses the name.
-            segmentStored();
-        } else if (first.record() != null) {
-            manifestUncertain = true;
+            builder.segmentStored();
+        } else if (first != null) {
+            isManifestUncertain = true;
         } else {
-            for (String key : keys) {
-                // Gone by an earlier try.
-                removed(new Transaction.Write(key, null, 0));
-            }
+            // An earlier try deleted them.
+            keys.forEach(this::deleted);
         }
     }
 
-    /** The outcome of the step under way is not known, or it was certainly not carried out: it is tried again. */
+    /** The outcome of the operation in flight is not known, or it was certainly not carried out: it is tried again. */
     public void outcomeUnknown() {
-        operationInFlight = false;
-        manifestUncertain |= transactionInFlight != null
-                && transactionInFlight.writes().get(0).record() instanceof StoredRecord.ArchiveManifest;
+        isOperationInFlight = false;
+        isManifestUncertain |=
+                transactionInFlight != null && firstRecordInFlight() instanceof StoredRecord.ArchiveManifest;
     }
 
-    /** The manifest as it is stored. A try of ours may still arrive, so it is written again until one try is seen. */
+    /**
+     * Outcome of {@link ArchiveOperation.ReadManifest}. A try of this leader may still arrive, so the manifest is written again until one try is seen.
+     *
+     * @param stored the manifest as it is stored
+     * @param version its version
+     */
     public void manifestRead(StoredRecord.ArchiveManifest stored, long version) {
-        operationInFlight = false;
-        manifestUncertain = false;
-        if (build != null && stored.runs().stream().anyMatch(run -> run.name().equals(build.name))) {
-            stored(stored, version);
+        isOperationInFlight = false;
+        isManifestUncertain = false;
+        if (builder != null && stored.runs().stream().anyMatch(run -> run.name().equals(builder.name()))) {
+            manifestStored(stored, version);
         } else {
             manifest = stored;
             manifestVersion = version;
@@ -555,26 +349,52 @@
     }
 
     /**
-     * The state service does not take the write under way, most likely since its limits fell.
+     * Outcome of {@link ArchiveOperation.Write}: the store does not take it, most likely since its limits fell.
      *
      * @return whether it will be tried in another form
      */
     public boolean writeRejected() {
-        operationInFlight = false;
-        Transaction.Write first = transactionInFlight.writes().get(0);
-        if (first.record() instanceof StoredRecord.ArchiveSegment && segmentBytes > MIN_SEGMENT_BYTES) {
-            segmentBytes = Math.max(MIN_SEGMENT_BYTES, segmentBytes * 3 / 4);
-            again(more(build.segments));
+        isOperationInFlight = false;
+        StoredRecord first = firstRecordInFlight();
+        if (first instanceof StoredRecord.ArchiveSegment && sizing.reduce()) {
+            restartRun();
             return true;
         }
-        if (first.record() == null && maxTransactionWrites > 1) {
+        if (first == null && maxTransactionWrites > 1) {
             maxTransactionWrites /= 2;
             return true;
         }
         return false;
     }
 
-    /** The manifest as far as this leader knows it. */
+    /** The record that the first write in flight puts, null if it deletes. */
+    private StoredRecord firstRecordInFlight() {
+        return transactionInFlight.writes().get(0).record();
+    }
+
+    private void manifestStored(StoredRecord.ArchiveManifest stored, long version) {
+        manifest = stored;
+        manifestVersion = version;
+        RunBuilder.Input input = builder.input();
+        input.mergedRuns().forEach(run -> unreferenced.addRun(run.name(), run.segments()));
+        records.archived(input.newJobs(), version);
+        builder = null;
+        unreferenced.manifestChanged();
+    }
+
+    private void deleted(String key) {
+        if (key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
+            unreferenced.deleted(key);
+        } else {
+            records.deleted(key);
+        }
+    }
+
+    /**
+     * The manifest as far as this leader knows it.
+     *
+     * @return never null
+     */
     public StoredRecord.ArchiveManifest manifest() {
         return manifest;
     }
--- a/src/main/java/io/micatide/archive/DamagedSegmentException.java
+++ b/src/main/java/io/micatide/archive/DamagedSegmentException.java
@@ -1,10 +1,10 @@
 package io.micatide.archive;
 
-/** A stored segment is not what was written; the message names its key and what is wrong. */
+/** Thrown when a stored segment is not what was written; the message names its key and what is wrong. */
 public final class DamagedSegmentException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    DamagedSegmentException(String key, String what) {
-        super(key + ": " + what);
+    DamagedSegmentException(String key, String problem) {
+        super(key + ": " + problem);
     }
 }
--- /dev/null
+++ b/src/main/java/io/micatide/archive/RunBuilder.java
@@ -0,0 +1,105 @@
+package io.micatide.archive;
+
+import io.micatide.store.StoreKeys;
+import io.micatide.store.StoredRecord;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * A run that is being written, segment by segment.
+ *
+ * <p>Invariant: segments are packed and stored in ascending order, one at a time, and the counts of the finished run are those of the
+ * segments that were stored.
+ */
+final class RunBuilder {
+    /**
+     * What goes into a run: either new jobs or the content of older runs.
+     *
+     * @param mergedRuns runs that the new one replaces
+     * @param newJobs jobs that come from their records
+     */
+    record Input(List<StoredRecord.ArchiveRun> mergedRuns, List<Archiver.ArchivableJob> newJobs) {
+        List<ArchivedJob> archivedJobs() {
+            List<ArchivedJob> jobs = new ArrayList<>(newJobs.size());
+            newJobs.forEach(job -> jobs.add(new ArchivedJob(job.id(), job.outcome())));
+            return jobs;
+        }
+    }
+
+    private final String name;
+    private final int segmentCount;
+    private final Input input;
+    private final SegmentMerger content;
+    private int nextSegment;
+    private long storedJobs;
+    private long storedBytes;
+    private StoredRecord.ArchiveSegment packedSegment;
+    private int packedJobs;
+
+    RunBuilder(String name, int segmentCount, Input input, HashPartitioner partitioner) {
+        this.name = name;
+        this.segmentCount = segmentCount;
+        this.input = input;
+        this.content = new SegmentMerger(partitioner, segmentCount, input.mergedRuns(), input.archivedJobs());
+    }
+
+    String name() {
+        return name;
+    }
+
+    int segmentCount() {
+        return segmentCount;
+    }
+
+    Input input() {
+        return input;
+    }
+
+    /** Whether every segment is stored. */
+    boolean isComplete() {
+        return nextSegment == segmentCount;
+    }
+
+    /** The key of the next segment to store. */
+    String nextKey() {
+        return StoreKeys.segment(name, nextSegment);
+    }
+
+    /** The segment of an older run that has to be read before the next one can be packed, or null if there is none. */
+    String nextUnreadSegment() {
+        return packedSegment == null ? content.nextUnreadSegment(nextSegment) : null;
+    }
+
+    /** The content of a segment of an older run. */
+    void addSegment(String key, List<ArchivedJob> jobs) {
+        content.addSegment(key, jobs);
+    }
+
+    /** The next segment, packed once however often it is asked for. All that it needs must have been read. */
+    StoredRecord.ArchiveSegment packNextSegment() {
+        if (packedSegment == null) {
+            List<ArchivedJob> jobs = content.takeSegment(nextSegment);
+            packedSegment = SegmentCodec.pack(nextKey(), jobs);
+            packedJobs = jobs.size();
+        }
+        return packedSegment;
+    }
+
+    /** The packed segment is in the store. */
+    void segmentStored() {
+        storedJobs += packedJobs;
+        storedBytes += packedSegment.packed().length;
+        packedSegment = null;
+        nextSegment++;
+    }
+
+    /** How many segments may be in the store: those stored, and one whose write may have been sent. */
+    int possiblyStoredSegments() {
+        return Math.min(nextSegment + 1, segmentCount);
+    }
+
+    /** The manifest's entry of the finished run. */
+    StoredRecord.ArchiveRun run() {
+        return new StoredRecord.ArchiveRun(name, segmentCount, storedJobs, storedBytes);
+    }
+}
--- a/src/main/java/io/micatide/archive/SegmentCodec.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -14,7 +14,7 @@
 import org.apache.commons.codec.digest.Blake3;
 
 /**
- * Packs a segment: jobs in the order of their ids, each id without what it shares with the one before, then the outcomes, all of it
+ * The format of a segment: jobs in the order of their ids, each id without what it shares with the one before, then the outcomes, all of it
  * deflated. Some 2.5 bytes a job with ids of six digits.
  */
 public final class SegmentCodec {
@@ -23,7 +23,10 @@
     /** What unpacking may give at most; a value of 64 KiB cannot hold more in this format but by damage. */
     private static final int MAX_UNPACKED_BYTES = 8 << 20;
 
+    /** Lowest bits of an outcome's number; the rest is the number of tasks. */
     private static final int OUTCOME_BITS = 2;
+
+    private static final int OUTCOME_MASK = (1 << OUTCOME_BITS) - 1;
     private static final int DONE = 0;
     private static final int CANCELLED = 1;
     private static final int CANCELLED_SERVICE = 2;
@@ -31,23 +34,25 @@
     private static final int VARINT_MASK = 0x7f;
     private static final int VARINT_CONTINUES = 0x80;
 
+    private static final String DOES_NOT_UNPACK = "does not unpack";
+
     private SegmentCodec() {}
 
-    /** The value to store under {@code key}; {@code jobs} in the order of their ids, each once. */
+    /**
+     * Packs jobs into the value of a segment.
+     *
+     * @param key under which the value will be stored; its digest covers the key
+     * @param jobs in the order of their ids, each once
+     * @return the value
+     */
     public static StoredRecord.ArchiveSegment pack(String key, List<ArchivedJob> jobs) {
         ByteArrayOutputStream plain = new ByteArrayOutputStream(jobs.size() * 8 + 8);
         writeVarint(plain, jobs.size());
-        byte[] before = new byte[0];
+        byte[] previousId = new byte[0];
         for (ArchivedJob job : jobs) {
             byte[] id = job.id().getBytes(StandardCharsets.UTF_8);
-            int shared = 0;
-            while (shared < id.length && shared < before.length && id[shared] == before[shared]) {
-                shared++;
-            }
-            writeVarint(plain, shared);
-            writeVarint(plain, id.length - shared);
-            plain.write(id, shared, id.length - shared);
-            before = id;
+            writeId(plain, id, previousId);
+            previousId = id;
         }
         for (ArchivedJob job : jobs) {
             writeVarint(plain, job.outcome().tasks() << OUTCOME_BITS | outcomeKind(job.outcome()));
@@ -56,13 +61,35 @@
         return new StoredRecord.ArchiveSegment(digest(key, packed), packed);
     }
 
+    private static void writeId(ByteArrayOutputStream out, byte[] id, byte[] previousId) {
+        int shared = 0;
+        while (shared < id.length && shared < previousId.length && id[shared] == previousId[shared]) {
+            shared++;
+        }
+        writeVarint(out, shared);
+        writeVarint(out, id.length - shared);
+        out.write(id, shared, id.length - shared);
+    }
+
     private static int outcomeKind(JobOutcome outcome) {
-        return outcome.state() == JobState.DONE ? DONE : outcome.service() ? CANCELLED_SERVICE : CANCELLED;
+        if (outcome.state() == JobState.DONE) {
+            return DONE;
+        }
+        return outcome.service() ? CANCELLED_SERVICE : CANCELLED;
+    }
+
+    private static JobOutcome outcome(int number) {
+        int kind = number & OUTCOME_MASK;
+        return new JobOutcome(
+                kind == DONE ? JobState.DONE : JobState.CANCELLED, kind == CANCELLED_SERVICE, number >>> OUTCOME_BITS);
     }
 
     /**
-     * The jobs of a stored segment.
+     * Unpacks the jobs of a stored segment.
      *
+     * @param key under which it is stored
+     * @param segment the value
+     * @return jobs in the order of their ids
      * @throws DamagedSegmentException its digest is wrong, or it does not unpack; the message names the key
      */
     public static List<ArchivedJob> unpack(String key, StoredRecord.ArchiveSegment segment)
@@ -74,7 +101,7 @@
         Reader in = new Reader(key, plain);
         int count = in.readVarint();
         if (count < 0 || count > plain.length) {
-            throw new DamagedSegmentException(key, "does not unpack");
+            throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
         }
         List<String> ids = new ArrayList<>(count);
         byte[] id = new byte[0];
@@ -84,21 +111,18 @@
         }
         List<ArchivedJob> jobs = new ArrayList<>(count);
         for (String each : ids) {
-            int number = in.readVarint();
-            int kind = number & (1 << OUTCOME_BITS) - 1;
-            jobs.add(new ArchivedJob(
-                    each,
-                    new JobOutcome(
-                            kind == DONE ? JobState.DONE : JobState.CANCELLED,
-                            kind == CANCELLED_SERVICE,
-                            number >>> OUTCOME_BITS)));
+            jobs.add(new ArchivedJob(each, outcome(in.readVarint())));
         }
         return jobs;
     }
 
     /**
-     * What a stored segment says of one id, or null if it does not hold it.
+     * Looks up one job in a stored segment.
      *
+     * @param key under which it is stored
+     * @param segment the value
+     * @param id the job's id
+     * @return its outcome, null if the segment does not hold the job
      * @throws DamagedSegmentException as {@link #unpack}
      */
     public static JobOutcome find(String key, StoredRecord.ArchiveSegment segment, String id)
@@ -156,19 +180,19 @@
                 int some = inflater.inflate(buffer);
                 if ((some == 0 && (inflater.needsInput() || inflater.needsDictionary()))
                         || out.size() > MAX_UNPACKED_BYTES) {
-                    throw new DamagedSegmentException(key, "does not unpack");
+                    throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
                 }
                 out.write(buffer, 0, some);
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
-            throw new DamagedSegmentException(key, "does not unpack");
+            throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
         } finally {
             inflater.end();
         }
     }
 
-    /** Reads what {@link #pack} wrote; never past its end. */
+    /** Reads the inflated content of a segment; never past its end. */
     private static final class Reader {
         private final String key;
         private final byte[] content;
@@ -191,14 +215,14 @@
                     return number;
                 }
             }
-            throw new DamagedSegmentException(key, "does not unpack");
+            throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
         }
 
         byte[] readId(byte[] before) throws DamagedSegmentException {
             int shared = readVarint();
             int rest = readVarint();
             if (shared < 0 || shared > before.length || rest < 0 || rest > content.length - position) {
-                throw new DamagedSegmentException(key, "does not unpack");
+                throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
             }
             byte[] id = new byte[shared + rest];
             System.arraycopy(before, 0, id, 0, shared);
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -1,10 +1,11 @@
 package io.micatide.controller;
 
+import io.micatide.archive.ArchiveLimits;
+import io.micatide.archive.ArchiveOperation;
 import io.micatide.archive.Archiver;
 import io.micatide.archive.DamagedSegmentException;
 import io.micatide.archive.SegmentCodec;
 import io.micatide.model.Micros;
-import io.micatide.model.Settings;
 import io.micatide.net.Reply;
 import io.micatide.net.StoreClient;
 import io.micatide.protocol.MalformedException;
@@ -14,158 +15,186 @@
 import io.micatide.store.Transaction;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.function.Consumer;
 
 /**
- * Carries out the steps of a leader's {@link Archiver}, one at a time, with the changes and the requests that are left over. Owned by
- * a term: what is answered after it is dropped.
+ * Carries out the operations of a leader's {@link Archiver}, one at a time, with the writes and requests that scheduling and users leave
+ * over. An answer that arrives after the term in which it was asked for is dropped.
  */
 final class ArchiverActor extends Actor<ArchiverActor.Message> {
+    /** What this actor is told. */
     sealed interface Message {}
 
-    /** A term whose leader keeps the archive begins, or the archive itself does. */
+    /** A term begins whose leader keeps the archive, or the archive itself begins during a term. */
     record StartTerm(long fencingToken, StoredRecord.ArchiveManifest manifest, long version) implements Message {}
 
+    /** The term is over. */
     record EndTerm() implements Message {}
 
-    /** What may be archived, by a copy that had this manifest. */
-    record CandidatesFound(long fencingToken, List<Archiver.ArchivableJob> ended, long copyOfVersion, boolean anyway)
+    /**
+     * What may be archived, by a copy of the job records.
+     *
+     * @param manifestVersion version of the manifest that the copy held
+     */
+    record CandidatesFound(
+            long fencingToken,
+            List<Archiver.ArchivableJob> finished,
+            long manifestVersion,
+            Archiver.BatchPolicy batchPolicy)
             implements Message {}
 
-    /** So many changes are left over now. */
+    /** So many writes are left over now. */
     record WriteBudget(long fencingToken, int writes) implements Message {}
 
-    record OperationAnswered(Reply reply, long fencingToken, Archiver.StoreOperation operation) implements Message {}
+    /** The store's answer to an operation. */
+    record OperationAnswered(Reply reply, long fencingToken, ArchiveOperation operation) implements Message {}
 
-    /** After a step that failed, so that an outage is not asked all the time. */
+    /** How long to wait after an operation that failed, so that a store in an outage is not asked all the time. */
     private static final long PAUSE_MICROS = Micros.SECOND;
 
-    private final Settings settings;
-    private final int batchSize;
+    private static final long REJECTED_PAUSE_MICROS = 10 * PAUSE_MICROS;
+    private static final int BAD_REQUEST = 400;
+    private static final int NOT_FOUND = 404;
+    private static final int CONFLICT = 409;
+
+    private final ArchiveLimits limits;
     private final Archiver.Factory factory;
     private final StoreClient store;
     private final LeaderActor leader;
+    /** The term's, 0 between terms. */
     private long fencingToken;
+
     private Archiver archiver;
     private long pausedUntilMicros;
 
     ArchiverActor(
-            ActorExecutor loop,
-            Settings settings,
-            int worthARun,
-            Archiver.Factory maker,
-            StoreClient state,
-            LeaderActor leader) {
+            ActorExecutor loop, ArchiveLimits limits, Archiver.Factory factory, StoreClient store, LeaderActor leader) {
         super(loop);
-        this.settings = settings;
-        this.batchSize = worthARun;
-        this.factory = maker;
-        this.store = state;
+        this.limits = limits;
+        this.factory = factory;
+        this.store = store;
         this.leader = leader;
     }
 
     @Override
     protected void receive(Message message) {
         if (message instanceof StartTerm m) {
-            fencingToken = m.fencingToken();
-            archiver = factory.create(
-                    fencingToken,
-                    settings.maxWritableValueBytes(),
-                    settings.maxTransactionWrites(),
-                    batchSize,
-                    m.manifest(),
-                    m.version());
+            startTerm(m);
         } else if (message instanceof EndTerm) {
-            fencingToken = 0;
-            archiver = null;
+            endTerm();
         } else if (message instanceof CandidatesFound m && m.fencingToken() == fencingToken) {
-            archiver.offerCandidates(m.ended(), m.copyOfVersion(), m.anyway());
+            archiver.offerCandidates(m.finished(), m.manifestVersion(), m.batchPolicy());
         } else if (message instanceof WriteBudget m && m.fencingToken() == fencingToken) {
             startNextOperation(m.writes());
         } else if (message instanceof OperationAnswered m && m.fencingToken() == fencingToken) {
-            try {
-                operationAnswered(m.operation(), m.reply());
-            } catch (MalformedException e) {
-                log.error("archive: {}", e.getMessage());
-                archiver.outcomeUnknown();
-            }
+            operationAnswered(m);
         }
     }
 
-    private void startNextOperation(int writes) {
+    private void startTerm(StartTerm message) {
+        fencingToken = message.fencingToken();
+        archiver = factory.create(fencingToken, limits, message.manifest(), message.version());
+    }
+
+    private void endTerm() {
+        fencingToken = 0;
+        archiver = null;
+    }
+
+    private void startNextOperation(int writeBudget) {
         if (now() < pausedUntilMicros || !store.idle()) {
             return;
         }
-        Archiver.StoreOperation operation = archiver.nextOperation(writes);
-        if (operation instanceof Archiver.Write write) {
+        ArchiveOperation operation = archiver.nextOperation(writeBudget);
+        if (operation instanceof ArchiveOperation.Write write) {
             leader.tell(new TermMessage.Spent(
                     fencingToken, write.transaction().writes().size()));
             store.transaction(write.transaction(), answerTo(operation));
-        } else if (operation instanceof Archiver.ReadSegment read) {
+        } else if (operation instanceof ArchiveOperation.ReadSegment read) {
             store.read(read.key(), answerTo(operation));
-        } else if (operation instanceof Archiver.FindAfter find) {
+        } else if (operation instanceof ArchiveOperation.FindAfter find) {
             store.after(StoreKeys.ARCHIVE_SEGMENTS, find.key(), answerTo(operation));
-        } else if (operation instanceof Archiver.ReadManifest) {
+        } else if (operation instanceof ArchiveOperation.ReadManifest) {
             store.read(StoreKeys.ARCHIVE_MANIFEST, answerTo(operation));
         }
     }
 
-    private java.util.function.Consumer<Reply> answerTo(Archiver.StoreOperation operation) {
+    private Consumer<Reply> answerTo(ArchiveOperation operation) {
         long term = fencingToken;
-        return answer(r -> new OperationAnswered(r, term, operation));
+        return answer(reply -> new OperationAnswered(reply, term, operation));
     }
 
-    private void operationAnswered(Archiver.StoreOperation operation, Reply reply) throws MalformedException {
-        if (!reply.ok() && !(reply.status() == 409 || reply.status() == 404 || reply.status() == 400)) {
-            pausedUntilMicros = now() + PAUSE_MICROS;
+    private void operationAnswered(OperationAnswered message) {
+        try {
+            dispatchAnswer(message.operation(), message.reply());
+        } catch (MalformedException e) {
+            log.error("archive: {}", e.getMessage());
             archiver.outcomeUnknown();
-        } else if (operation instanceof Archiver.Write write) {
+        }
+    }
+
+    private void dispatchAnswer(ArchiveOperation operation, Reply reply) throws MalformedException {
+        if (!reply.ok() && !isRefusal(reply.status())) {
+            retryAfterPause();
+        } else if (operation instanceof ArchiveOperation.Write write) {
             writeAnswered(write.transaction(), reply);
-        } else if (operation instanceof Archiver.ReadSegment read) {
+        } else if (operation instanceof ArchiveOperation.ReadSegment read) {
             segmentAnswered(read.key(), reply);
-        } else if (operation instanceof Archiver.FindAfter && reply.ok()) {
+        } else if (operation instanceof ArchiveOperation.FindAfter && reply.ok()) {
             List<StoreCodec.Item> items = StoreCodec.page(reply.body()).items();
             archiver.keyFound(items.isEmpty() ? null : items.get(0).key());
-        } else if (operation instanceof Archiver.ReadManifest && reply.ok()) {
+        } else if (operation instanceof ArchiveOperation.ReadManifest && reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
             archiver.manifestRead((StoredRecord.ArchiveManifest) item.row(), item.version());
         } else {
-            pausedUntilMicros = now() + PAUSE_MICROS;
-            archiver.outcomeUnknown();
+            retryAfterPause();
         }
     }
 
+    /** Whether the store answered that it will not do what was asked, now or later. */
+    private static boolean isRefusal(int status) {
+        return status == CONFLICT || status == NOT_FOUND || status == BAD_REQUEST;
+    }
+
+    private void retryAfterPause() {
+        pausedUntilMicros = now() + PAUSE_MICROS;
+        archiver.outcomeUnknown();
+    }
+
     private void writeAnswered(Transaction transaction, Reply reply) throws MalformedException {
         if (reply.ok()) {
             archiver.writeSucceeded(StoreCodec.revision(reply.body()));
-        } else if (reply.status() == 409) {
-            List<String> failed = StoreCodec.failed(reply.body());
-            if (failed.contains(StoreKeys.LEADER)) {
-                // Fenced; the leader finds out by itself.
-                pausedUntilMicros = now() + PAUSE_MICROS;
-                archiver.outcomeUnknown();
-            } else {
-                archiver.writeConflicted(failed);
-            }
+        } else if (reply.status() == CONFLICT) {
+            conflictAnswered(StoreCodec.failed(reply.body()));
         } else {
             log.warn(
-                    "the state service takes no such change of the archive: {}; first of {}: {}",
-                    new String(reply.body(), StandardCharsets.UTF_8),
+                    "store rejected archive transaction of {} writes starting at {}: {}",
                     transaction.writes().size(),
-                    transaction.writes().get(0).key());
+                    transaction.writes().get(0).key(),
+                    new String(reply.body(), StandardCharsets.UTF_8));
             if (!archiver.writeRejected()) {
-                pausedUntilMicros = now() + 10 * PAUSE_MICROS;
+                pausedUntilMicros = now() + REJECTED_PAUSE_MICROS;
             }
         }
     }
 
+    private void conflictAnswered(List<String> failedKeys) {
+        if (failedKeys.contains(StoreKeys.LEADER)) {
+            // Fenced; the leader finds out by itself.
+            retryAfterPause();
+        } else {
+            archiver.writeConflicted(failedKeys);
+        }
+    }
+
     private void segmentAnswered(String key, Reply reply) {
         try {
             if (reply.ok()) {
-                archiver.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
-                        StoreCodec.item(reply.body()).row()));
+                StoreCodec.Item item = StoreCodec.item(reply.body());
+                archiver.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) item.row()));
                 return;
             }
-            log.error("archive: {} is missing", key);
+            log.error("archive segment {} is missing", key);
         } catch (MalformedException | DamagedSegmentException e) {
             log.error("archive: {}", e.getMessage());
         }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -1,5 +1,6 @@
 package io.micatide.controller;
 
+import io.micatide.archive.ArchiveLimits;
 import io.micatide.archive.Archiver;
 import io.micatide.election.LeaderElection;
 import io.micatide.election.WorkerConnectivity;
@@ -177,7 +178,13 @@
         this.connector = connector;
         this.siblings = new PeerChannel(this, settings, connector);
         this.activeMicros = now();
-        this.archivist = new ArchiverActor(loop, settings, tuning.archiveBatchSize(), maker, state, this);
+        this.archivist = new ArchiverActor(
+                loop,
+                new ArchiveLimits(
+                        settings.maxWritableValueBytes(), settings.maxTransactionWrites(), tuning.archiveBatchSize()),
+                maker,
+                state,
+                this);
         this.reach = new WorkerConnectivity(settings, now());
         this.testimonies = new CancellationExchange(settings, users);
         this.leadership = new LeaderElection(settings.label(), tuning.leaderLeaseMicros());
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -7,10 +7,14 @@
 import io.micatide.store.StoredRecord;
 import java.util.List;
 
-/** A term's part in the archive: begins to keep it once all is read, offers it what is over and tells it what the rate leaves. */
+/**
+ * A term's link between the leader and its {@link ArchiverActor}: starts the archiver once all records are read, tells it which jobs are
+ * finished, and passes on the writes that scheduling leaves over. Part of the leader's actor.
+ */
 final class TermArchiving {
+    /** How often finished jobs are looked for; they can wait, and finding them goes over all open jobs. */
     private static final long SEARCH_INTERVAL_MICROS = Micros.SECOND;
-    /** A few finished jobs are archived after so long, lest the last of a busy day keep their rows. */
+    /** A few finished jobs are archived after so long, lest the last of a busy day keep their records. */
     private static final long SMALL_BATCH_MICROS = 600 * Micros.SECOND;
 
     private final LeaderActor owner;
@@ -19,33 +23,36 @@
     private final UsersActor users;
     private final ArchiverActor archiver;
     private long manifestVersion;
+    /** Null until there is an archive. */
     private StoredRecord.ArchiveManifest manifest;
-    private boolean recordsLoaded;
-    private boolean archiving;
+
+    private boolean areRecordsLoaded;
+    private boolean isArchiving;
     private long searchedMicros;
     private long smallBatchSinceMicros;
 
-    TermArchiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchiverActor archivist) {
+    TermArchiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchiverActor archiver) {
         this.owner = owner;
         this.tuning = tuning;
         this.scheduler = scheduler;
         this.users = users;
-        this.archiver = archivist;
+        this.archiver = archiver;
         this.smallBatchSinceMicros = owner.now();
     }
 
-    /** All that a leader reads is whole. */
+    /** All records that a leader needs are read. */
     void recordsLoaded() {
-        recordsLoaded = true;
+        areRecordsLoaded = true;
         startIfReady();
     }
 
     /** The term is over. */
     void endTerm() {
         archiver.tell(new ArchiverActor.EndTerm());
-        archiving = false;
+        isArchiving = false;
     }
 
+    /** The manifest was read, or has a new version. */
     void manifestObserved(long version, StoredRecord.ArchiveManifest observed) {
         manifestVersion = version;
         manifest = observed;
@@ -53,40 +60,45 @@
         startIfReady();
     }
 
-    /** Once all is read and there is an archive, and if this controller is to keep it. */
     private void startIfReady() {
-        if (tuning.archiveEnabled() && recordsLoaded && manifest != null && !archiving) {
-            archiving = true;
+        if (tuning.archiveEnabled() && areRecordsLoaded && manifest != null && !isArchiving) {
+            isArchiving = true;
             archiver.tell(new ArchiverActor.StartTerm(scheduler.fencingToken(), manifest, manifestVersion));
         }
     }
 
-    /** Not at every tick: what is over can wait, and finding it goes over all open jobs. */
-    void tick(long now) {
-        if (!archiving) {
+    /** Called every so often. */
+    void tick(long nowMicros) {
+        if (!isArchiving) {
             return;
         }
         long fencingToken = scheduler.fencingToken();
-        if (now - searchedMicros >= SEARCH_INTERVAL_MICROS) {
-            searchedMicros = now;
+        if (nowMicros - searchedMicros >= SEARCH_INTERVAL_MICROS) {
+            searchedMicros = nowMicros;
             users.tell(new UsersActor.FindEnded(fencingToken));
         }
-        archiver.tell(new ArchiverActor.WriteBudget(fencingToken, scheduler.spareWriteBudget(now)));
+        archiver.tell(new ArchiverActor.WriteBudget(fencingToken, scheduler.spareWriteBudget(nowMicros)));
     }
 
+    /** The answer to a search for finished jobs. Those whose tasks may still run are left for a later one. */
     void finishedJobsFound(TermMessage.EndedFound message) {
-        if (!archiving) {
+        if (!isArchiving) {
             return;
         }
         List<Archiver.ArchivableJob> settled = message.ended().stream()
-                .filter(each -> each.outcome() == null || scheduler.mayBeArchived(each.id()))
+                .filter(job -> job.outcome() == null || scheduler.mayBeArchived(job.id()))
                 .toList();
-        long now = owner.now();
-        boolean anyway = now - smallBatchSinceMicros >= SMALL_BATCH_MICROS;
-        if (anyway || settled.isEmpty() || settled.size() >= tuning.archiveBatchSize()) {
-            smallBatchSinceMicros = now;
-        }
+        Archiver.BatchPolicy policy = chooseBatchPolicy(settled.size());
         archiver.tell(
-                new ArchiverActor.CandidatesFound(message.fencingToken(), settled, message.copyOfVersion(), anyway));
+                new ArchiverActor.CandidatesFound(message.fencingToken(), settled, message.copyOfVersion(), policy));
+    }
+
+    private Archiver.BatchPolicy chooseBatchPolicy(int jobs) {
+        long nowMicros = owner.now();
+        boolean hasWaited = nowMicros - smallBatchSinceMicros >= SMALL_BATCH_MICROS;
+        if (hasWaited || jobs == 0 || jobs >= tuning.archiveBatchSize()) {
+            smallBatchSinceMicros = nowMicros;
+        }
+        return hasWaited ? Archiver.BatchPolicy.ANY_SIZE : Archiver.BatchPolicy.FULL_BATCHES;
     }
 }
--- a/src/main/java/io/micatide/simulation/StartupBenchmark.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -1,5 +1,7 @@
 package io.micatide.simulation;
 
+import io.micatide.archive.ArchiveLimits;
+import io.micatide.archive.ArchiveOperation;
 import io.micatide.archive.Archiver;
 import io.micatide.archive.DamagedSegmentException;
 import io.micatide.archive.SegmentCodec;
@@ -163,9 +165,10 @@
         StoredRecord.ArchiveManifest manifest = Archiver.emptyManifest(17, 4711);
         long version = 1;
         long changes = 0;
-        Archiver archivist = new Archiver(1, LIMITS.valueBytes(), LIMITS.transactionChanges(), 256, manifest, version);
+        Archiver archivist = new Archiver(
+                1, new ArchiveLimits(LIMITS.valueBytes(), LIMITS.transactionChanges(), 256), manifest, version);
         int next = 0;
-        for (Archiver.StoreOperation step = archivist.nextOperation(LIMITS.transactionChanges());
+        for (ArchiveOperation step = archivist.nextOperation(LIMITS.transactionChanges());
                 step != null || next < jobs;
                 step = archivist.nextOperation(LIMITS.transactionChanges())) {
             if (step == null) {
@@ -173,8 +176,8 @@
                 for (int end = Math.min(jobs, next + 256); next < end; next++) {
                     some.add(new Archiver.ArchivableJob(id(next), 1, new JobOutcome(JobState.DONE, false, 16), 0));
                 }
-                archivist.offerCandidates(some, 0, true);
-            } else if (step instanceof Archiver.Write write) {
+                archivist.offerCandidates(some, 0, Archiver.BatchPolicy.ANY_SIZE);
+            } else if (step instanceof ArchiveOperation.Write write) {
                 changes += write.transaction().writes().size();
                 for (Transaction.Write each : write.transaction().writes()) {
                     if (each.record() == null) {
@@ -184,9 +187,9 @@
                     }
                 }
                 archivist.writeSucceeded(++version);
-            } else if (step instanceof Archiver.FindAfter) {
+            } else if (step instanceof ArchiveOperation.FindAfter) {
                 archivist.keyFound(null);
-            } else if (step instanceof Archiver.ReadSegment read) {
+            } else if (step instanceof ArchiveOperation.ReadSegment read) {
                 segment(state, archivist, read.key());
             }
         }
--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -215,8 +215,8 @@
     /** The guard of the order of two writes: with it taken out, jobs that users were told of are lost. */
     @Test
     void rowsThatGoBeforeTheyAreArchivedAreMissed() {
-        Archiver.Factory hasty = (fencingToken, valueBytes, changes, worth, manifest, version) ->
-                new Archiver(fencingToken, valueBytes, changes, worth, manifest, version) {
+        Archiver.Factory hasty =
+                (fencingToken, limits, manifest, version) -> new Archiver(fencingToken, limits, manifest, version) {
                     @Override
                     boolean isRecordRemovable(String id, long copyOfVersion) {
                         return id.hashCode() % 4 == 0;
--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -40,12 +40,12 @@
             values.put(StoreKeys.ARCHIVE_MANIFEST, manifest);
         }
 
-        void carryOut(Archiver archiver, Archiver.StoreOperation operation) throws DamagedSegmentException {
-            if (operation instanceof Archiver.Write write) {
+        void carryOut(Archiver archiver, ArchiveOperation operation) throws DamagedSegmentException {
+            if (operation instanceof ArchiveOperation.Write write) {
                 write(archiver, write.transaction());
-            } else if (operation instanceof Archiver.FindAfter find) {
+            } else if (operation instanceof ArchiveOperation.FindAfter find) {
                 archiver.keyFound(values.higherKey(find.key()));
-            } else if (operation instanceof Archiver.ReadSegment read) {
+            } else if (operation instanceof ArchiveOperation.ReadSegment read) {
                 reads++;
                 try {
                     archiver.segmentRead(read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.ArchiveSegment)
@@ -82,10 +82,10 @@
         }
 
         /** Until there is nothing left to do. */
-        void drain(Archiver archiver, boolean anyway) throws DamagedSegmentException {
+        void drain(Archiver archiver, Archiver.BatchPolicy policy) throws DamagedSegmentException {
             for (int idle = 0; idle < 3; ) {
-                archiver.offerCandidates(List.copyOf(rows), version, anyway);
-                Archiver.StoreOperation operation = archiver.nextOperation(16);
+                archiver.offerCandidates(List.copyOf(rows), version, policy);
+                ArchiveOperation operation = archiver.nextOperation(16);
                 idle = operation == null ? idle + 1 : 0;
                 for (; operation != null; operation = archiver.nextOperation(16)) {
                     carryOut(archiver, operation);
@@ -121,12 +121,12 @@
             int jobs, int limit, int idLength, int mostValues, int mostRuns, int mostChanges)
             throws DamagedSegmentException {
         Store store = new Store(limit);
-        Archiver archiver = new Archiver(7, limit, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, new ArchiveLimits(limit, 16, 256), store.manifest, 1);
         for (int from = 0; from < jobs; from += 256) {
             for (int number = from; number < Math.min(jobs, from + 256); number++) {
                 store.rows.add(ended(number, idLength));
             }
-            store.drain(archiver, true);
+            store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
         }
         assertEquals(0, store.refusals);
         assertEquals(List.of(), store.rows);
@@ -164,12 +164,12 @@
     @CsvSource({"1500", "900", "640"})
     void limitsThatFall(int limit) throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archiver archiver = new Archiver(7, 16384, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         for (int number = 0; number < 3000; number++) {
             store.rows.add(ended(number, 9));
         }
         store.limit = limit;
-        store.drain(archiver, true);
+        store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
         assertTrue(store.refusals > 0);
         assertEquals(List.of(), store.rows);
         assertEquals(
@@ -194,13 +194,13 @@
     @Test
     void aDamagedRunStaysAsItIs() throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archiver archiver = new Archiver(7, 16384, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         String damaged = null;
         for (int round = 0; round < 12; round++) {
             for (int number = round * 256; number < (round + 1) * 256; number++) {
                 store.rows.add(ended(number, 9));
             }
-            store.drain(archiver, true);
+            store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
             if (round == 0) {
                 damaged = store.manifest.runs().get(0).name();
                 String key = StoreKeys.segment(damaged, 0);
@@ -224,17 +224,19 @@
     @Test
     void whatNothingNamesIsRemoved() throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archiver first = new Archiver(7, 16384, 16, 256, store.manifest, 1);
+        Archiver first = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         for (int number = 0; number < 600; number++) {
             store.rows.add(ended(number, 9));
         }
-        store.drain(first, true);
+        store.drain(first, Archiver.BatchPolicy.ANY_SIZE);
         Set<String> named = Set.copyOf(store.values.keySet());
         for (String run : List.of("0-1", "6-1", "7-9", "zz-1")) {
             store.values.put(StoreKeys.segment(run, 0), new StoredRecord.ArchiveSegment("x", new byte[1]));
             store.values.put(StoreKeys.segment(run, 1), new StoredRecord.ArchiveSegment("x", new byte[1]));
         }
-        store.drain(new Archiver(8, 16384, 16, 256, store.manifest, store.version), false);
+        store.drain(
+                new Archiver(8, new ArchiveLimits(16384, 16, 256), store.manifest, store.version),
+                Archiver.BatchPolicy.FULL_BATCHES);
         assertEquals(named, store.values.keySet());
     }
 
