--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -9,10 +9,9 @@
 import java.util.List;
 
 /**
- * A leader's hints to an heir. Compact, since hundreds change in a second: a machine is {@code ["m", name, address, incarnation, flags, image,
- * size, …]}, a
- * job {@code ["j", name, mean, tasks, probes]} with -1 probes if it is not suspected, a class {@code ["c", name, factor, spread]}; what
- * begins with another word is passed over.
+ * The JSON of a leader's hints to a designated standby, and of the stored rows of learned state. Compact, since hundreds change in a
+ * second: a machine is {@code ["m", name, address, incarnation, flags, image, size, …]}, a job {@code ["j", name, mean, tasks, probes]}
+ * with -1 probes if it is not quarantined, a class {@code ["c", name, factor, spread]}; what begins with another letter is passed over.
  */
 public final class HintCodec {
     private static final int SLOW = 1;
@@ -21,20 +20,26 @@
 
     private HintCodec() {}
 
-    public static byte[] batch(HintBatch part) {
+    /**
+     * Encodes a batch of hints.
+     *
+     * @param batch what to send
+     * @return JSON
+     */
+    public static byte[] batch(HintBatch batch) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("token", part.fencingToken());
-            out.writeNumberField("number", part.number());
-            out.writeNumberField("base", part.base());
-            out.writeNumberField("index", part.index());
-            out.writeNumberField("parts", part.parts());
+            out.writeNumberField("token", batch.fencingToken());
+            out.writeNumberField("number", batch.number());
+            out.writeNumberField("base", batch.base());
+            out.writeNumberField("index", batch.index());
+            out.writeNumberField("parts", batch.parts());
             out.writeArrayFieldStart("gone");
-            for (String name : part.gone()) {
+            for (String name : batch.gone()) {
                 out.writeString(name);
             }
             out.writeEndArray();
-            write(out, part.hints());
+            write(out, batch.hints());
             out.writeEndObject();
         });
     }
@@ -76,6 +81,13 @@
         }
     }
 
+    /**
+     * Decodes a batch of hints.
+     *
+     * @param body JSON
+     * @return the batch; hints of kinds that this version does not know are left out
+     * @throws MalformedException a field is missing or out of its range; the message names it
+     */
     public static HintBatch batch(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
@@ -96,13 +108,7 @@
             String name = each.path(1).asText();
             switch (each.path(0).asText()) {
                 case "m" -> hints.add(machine(name, each));
-                case "j" ->
-                    hints.add(new Hint.JobHint(
-                            name,
-                            Math.max(0, each.path(2).asLong()),
-                            Math.max(0, each.path(3).asInt()),
-                            each.path(4).asInt(-1) >= 0,
-                            Math.max(0, each.path(4).asInt(-1))));
+                case "j" -> hints.add(job(name, each));
                 case "c" ->
                     hints.add(new Hint.JobClassHint(
                             name, each.path(2).asDouble(1), each.path(3).asDouble()));
@@ -114,6 +120,16 @@
         return hints;
     }
 
+    private static Hint job(String name, JsonNode each) {
+        int failedProbes = each.path(4).asInt(-1);
+        return new Hint.JobHint(
+                name,
+                Math.max(0, each.path(2).asLong()),
+                Math.max(0, each.path(3).asInt()),
+                failedProbes >= 0,
+                Math.max(0, failedProbes));
+    }
+
     private static Hint machine(String name, JsonNode each) {
         List<String> images = new ArrayList<>();
         List<Double> sizes = new ArrayList<>();
@@ -133,7 +149,12 @@
                 (flags & DELETED) != 0);
     }
 
-    /** The picture that an heir holds. */
+    /**
+     * Encodes a standby's acknowledgement.
+     *
+     * @param number of the snapshot that it holds completely, 0 for none
+     * @return JSON
+     */
     public static byte[] acknowledgement(long number) {
         return Json.bytes(out -> {
             out.writeStartObject();
@@ -142,7 +163,13 @@
         });
     }
 
-    /** What an heir answered with {@link #acknowledgement}. */
+    /**
+     * Decodes a standby's acknowledgement.
+     *
+     * @param body JSON
+     * @return number of the snapshot that it holds completely, 0 for none
+     * @throws MalformedException the number is missing or out of its range
+     */
     public static long acknowledgement(byte[] body) throws MalformedException {
         return new JsonFields(Json.tree(body), "").count("held", 0, Long.MAX_VALUE);
     }
--- a/src/main/java/io/micatide/protocol/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -9,15 +9,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What controllers tell each other: who leads, the counts that users are shown, and which jobs are known as cancelled. */
+/** The JSON of messages between controllers: status, cancellations, and the handover of leadership. */
 public final class PeerCodec {
     private PeerCodec() {}
 
     /**
-     * {@code storeReachable}: the sender has had answers of the state service just now; {@code agentSilenceMicros}: how long no
-     * worker has come to it; {@code designatedStandbys}: labels of those that are to take over, in this order, null from a leader that appoints
-     * nobody; {@code replacesProgress}: the counts of earlier messages of this sender are replaced; {@code revision}: up to which the sender has read
-     * the state service, -1 from a version that does not ask for testimony.
+     * A leader's status, which it sends to every other controller.
+     *
+     * @param fencingToken the leader's
+     * @param leader the leader's label
+     * @param storeReachable whether the store has answered the leader just now
+     * @param agentSilenceMicros for how long no agent has come to the leader
+     * @param designatedStandbys labels of the controllers that are to take over, the first one first; null from a leader that designates
+     *     nobody
+     * @param replacesProgress whether the progress of earlier messages of this leader is dropped
+     * @param jobs progress of jobs, which users are shown
+     * @param featureFlagsVersion version of the feature stages that the leader knows, 0 if there is none or from a former version
+     * @param revision up to which the leader has read the store, -1 from a version that does not ask for cancellations
      */
     public record LeaderStatus(
             long fencingToken,
@@ -29,27 +37,54 @@
             List<JobProgress> jobs,
             long featureFlagsVersion,
             long revision) {
-        /** As versions before the switches tell them. */
+        /**
+         * A status as versions without feature stages send it.
+         *
+         * @param fencingToken the leader's
+         * @param leader the leader's label
+         * @param storeReachable whether the store has answered the leader just now
+         * @param agentSilenceMicros for how long no agent has come to the leader
+         * @param designatedStandbys labels of the controllers that are to take over, null if nobody is designated
+         * @param replacesProgress whether the progress of earlier messages is dropped
+         * @param jobs progress of jobs
+         */
         public LeaderStatus(
                 long fencingToken,
                 String leader,
-                boolean stateServed,
-                long silentMicros,
-                List<String> heirs,
-                boolean first,
+                boolean storeReachable,
+                long agentSilenceMicros,
+                List<String> designatedStandbys,
+                boolean replacesProgress,
                 List<JobProgress> jobs) {
-            this(fencingToken, leader, stateServed, silentMicros, heirs, first, jobs, 0, -1);
+            this(
+                    fencingToken,
+                    leader,
+                    storeReachable,
+                    agentSilenceMicros,
+                    designatedStandbys,
+                    replacesProgress,
+                    jobs,
+                    0,
+                    -1);
         }
     }
 
-    /** A controller's word, unasked, that these jobs are cancelled. */
+    /**
+     * Jobs that a controller reports, unasked, as cancelled.
+     *
+     * @param jobs those jobs, each with the version of its record
+     */
     public record CancellationNotice(List<CancellationDigest.Cancelled> jobs) {}
 
     /**
-     * What a sibling answers: the highest token that it knows of, and how long ago a worker that had lost the leader came to
-     * it, or -1; the layout that it reads, 1 for the version before there was such a number; and whether the state service answers
-     * it, which versions before layout 3 do not say; how warm it is, null of one that follows nobody; its testimony, null where none was
-     * asked for or from a version that gives none.
+     * A controller's answer to a {@link LeaderStatus}.
+     *
+     * @param fencingToken the highest one that it knows of
+     * @param strayAgentAgoMicros how long ago an agent that had lost the leader came to it, -1 for never
+     * @param layout the stored layout that it reads, 1 from the version before layouts had numbers
+     * @param storeReachable whether the store answers it; versions before layout 3 do not say
+     * @param readiness how ready it is to take over, null of one that cannot follow a leader
+     * @param cancellations what it knows as cancelled; null if it was not asked for or from a version that does not say
      */
     public record PeerStatus(
             long fencingToken,
@@ -58,33 +93,58 @@
             boolean storeReachable,
             StandbyReadiness readiness,
             CancellationDigest cancellations) {
+        /**
+         * A status without cancellations.
+         *
+         * @param fencingToken the highest one that it knows of
+         * @param strayAgentAgoMicros how long ago an agent that had lost the leader came to it, -1 for never
+         * @param layout the stored layout that it reads
+         * @param storeReachable whether the store answers it
+         * @param readiness how ready it is to take over, may be null
+         */
         public PeerStatus(
-                long fencingToken, long strayedAgoMicros, int layout, boolean served, StandbyReadiness readiness) {
-            this(fencingToken, strayedAgoMicros, layout, served, readiness, null);
+                long fencingToken,
+                long strayAgentAgoMicros,
+                int layout,
+                boolean storeReachable,
+                StandbyReadiness readiness) {
+            this(fencingToken, strayAgentAgoMicros, layout, storeReachable, readiness, null);
         }
 
-        public PeerStatus withCancellations(CancellationDigest word) {
-            return new PeerStatus(fencingToken, strayAgentAgoMicros, layout, storeReachable, readiness, word);
+        /**
+         * The same status with cancellations.
+         *
+         * @param digest what the controller knows as cancelled, may be null
+         * @return a copy
+         */
+        public PeerStatus withCancellations(CancellationDigest digest) {
+            return new PeerStatus(fencingToken, strayAgentAgoMicros, layout, storeReachable, readiness, digest);
         }
     }
 
-    public static byte[] leaderStatus(LeaderStatus news) {
+    /**
+     * Encodes a leader's status.
+     *
+     * @param status what to send
+     * @return JSON
+     */
+    public static byte[] leaderStatus(LeaderStatus status) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("token", news.fencingToken());
-            out.writeStringField("leader", news.leader());
-            out.writeBooleanField("stateServed", news.storeReachable());
-            out.writeNumberField("silentUs", news.agentSilenceMicros());
-            if (news.designatedStandbys() != null) {
+            out.writeNumberField("token", status.fencingToken());
+            out.writeStringField("leader", status.leader());
+            out.writeBooleanField("stateServed", status.storeReachable());
+            out.writeNumberField("silentUs", status.agentSilenceMicros());
+            if (status.designatedStandbys() != null) {
                 out.writeArrayFieldStart("heirs");
-                for (String heir : news.designatedStandbys()) {
-                    out.writeString(heir);
+                for (String standby : status.designatedStandbys()) {
+                    out.writeString(standby);
                 }
                 out.writeEndArray();
             }
-            out.writeBooleanField("first", news.replacesProgress());
+            out.writeBooleanField("first", status.replacesProgress());
             out.writeArrayFieldStart("jobs");
-            for (JobProgress job : news.jobs()) {
+            for (JobProgress job : status.jobs()) {
                 out.writeStartArray();
                 out.writeString(job.id());
                 out.writeNumber(job.finishedTasks());
@@ -92,16 +152,23 @@
                 out.writeEndArray();
             }
             out.writeEndArray();
-            if (news.featureFlagsVersion() > 0) {
-                out.writeNumberField("switches", news.featureFlagsVersion());
+            if (status.featureFlagsVersion() > 0) {
+                out.writeNumberField("switches", status.featureFlagsVersion());
             }
-            if (news.revision() >= 0) {
-                out.writeNumberField("revision", news.revision());
+            if (status.revision() >= 0) {
+                out.writeNumberField("revision", status.revision());
             }
             out.writeEndObject();
         });
     }
 
+    /**
+     * Decodes a leader's status.
+     *
+     * @param body JSON
+     * @return the status
+     * @throws MalformedException a field is missing or wrong; the message names it
+     */
     public static LeaderStatus leaderStatus(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
@@ -122,31 +189,44 @@
                 in.has("revision") ? in.count("revision", 0, Long.MAX_VALUE) : -1);
     }
 
-    public static byte[] peerStatus(PeerStatus answer) {
+    /**
+     * Encodes an answer to a leader's status.
+     *
+     * @param status what to send
+     * @return JSON
+     */
+    public static byte[] peerStatus(PeerStatus status) {
         return Json.bytes(out -> {
             out.writeStartObject();
-            out.writeNumberField("token", answer.fencingToken());
-            out.writeNumberField("strayedUs", answer.strayAgentAgoMicros());
-            out.writeNumberField("layout", answer.layout());
-            if (answer.storeReachable()) {
+            out.writeNumberField("token", status.fencingToken());
+            out.writeNumberField("strayedUs", status.strayAgentAgoMicros());
+            out.writeNumberField("layout", status.layout());
+            if (status.storeReachable()) {
                 out.writeBooleanField("served", true);
             }
-            if (answer.readiness() != null) {
-                out.writeStringField("standby", answer.readiness().name());
+            if (status.readiness() != null) {
+                out.writeStringField("standby", status.readiness().name());
             }
-            if (answer.cancellations() != null) {
-                CancellationDigest word = answer.cancellations();
+            if (status.cancellations() != null) {
+                CancellationDigest digest = status.cancellations();
                 out.writeObjectFieldStart("testimony");
-                out.writeStringField("by", word.controller());
-                out.writeNumberField("livedUs", word.uptimeMicros());
-                out.writeBooleanField("whole", word.complete());
-                writeCancelled(out, word.cancelled());
+                out.writeStringField("by", digest.controller());
+                out.writeNumberField("livedUs", digest.uptimeMicros());
+                out.writeBooleanField("whole", digest.complete());
+                writeCancelled(out, digest.cancelled());
                 out.writeEndObject();
             }
             out.writeEndObject();
         });
     }
 
+    /**
+     * Decodes an answer to a leader's status.
+     *
+     * @param body JSON
+     * @return the answer
+     * @throws MalformedException a field is missing or wrong; the message names it
+     */
     public static PeerStatus peerStatus(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
@@ -197,6 +277,12 @@
         return result;
     }
 
+    /**
+     * Encodes a notice of cancelled jobs.
+     *
+     * @param message what to send
+     * @return JSON
+     */
     public static byte[] cancellationNotice(CancellationNotice message) {
         return Json.bytes(out -> {
             out.writeStartObject();
@@ -205,23 +291,36 @@
         });
     }
 
+    /**
+     * Decodes a notice of cancelled jobs.
+     *
+     * @param body JSON
+     * @return the notice
+     * @throws MalformedException the list is missing or wrong; the message names the place
+     */
     public static CancellationNotice cancellationNotice(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         return new CancellationNotice(cancelled(tree, new JsonFields(tree, "").path("cancelled")));
     }
 
-    /** Null where nothing is said, or a word of a later version. */
+    /** Null where nothing is said, or a constant of a later version. */
     private static StandbyReadiness readiness(JsonNode tree) {
-        String word = tree.path("standby").asText("");
+        String name = tree.path("standby").asText("");
         for (StandbyReadiness each : StandbyReadiness.values()) {
-            if (each.name().equals(word)) {
+            if (each.name().equals(name)) {
                 return each;
             }
         }
         return null;
     }
 
-    /** A controller that ends tells an heir up to which revision it has written. */
+    /**
+     * Encodes the message by which a leader that ends hands over to a designated standby.
+     *
+     * @param fencingToken the leader's
+     * @param revision up to which the leader has written
+     * @return JSON
+     */
     public static byte[] handover(long fencingToken, long revision) {
         return Json.bytes(out -> {
             out.writeStartObject();
@@ -231,7 +330,13 @@
         });
     }
 
-    /** The revision of a {@link #handover}. */
+    /**
+     * Decodes the revision of a {@link #handover}.
+     *
+     * @param body JSON
+     * @return up to which the leader has written
+     * @throws MalformedException the revision is missing or wrong
+     */
     public static long handoverRevision(byte[] body) throws MalformedException {
         return new JsonFields(Json.tree(body), "").count("revision", 0, Long.MAX_VALUE);
     }
