--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -17,93 +17,116 @@
 import java.util.function.BiConsumer;
 
 /**
- * Keeps the copies of ledgers and bookings while this controller is appointed to take over, and brings them to a {@link FailoverLoader} on
- * this controller. Costs nothing while it is not appointed: no reads, no rows.
+ * Keeps replicas of ledgers and provisioning requests while this controller is a designated standby, and provides them to a
+ * {@link FailoverLoader} on this controller. Costs nothing while it is not designated: no reads, no records.
  */
 final class StandbyActor extends Actor<StandbyActor.Message> {
+    /** What this actor is told. */
     sealed interface Message {}
 
-    /** The leader's news say whether this controller is to follow. */
+    /** The leader's status says whether this controller is a designated standby. */
     record DesignationChanged(boolean isDesignated) implements Message {}
 
+    /** It is time to read the changes of all replicas. */
     record PollDue(long generation) implements Message {}
 
-    record PageRead(Reply reply, long generation, KeyspaceReplica replica, boolean first) implements Message {}
+    /** A page of a full read. */
+    record PageRead(Reply reply, long generation, KeyspaceReplica replica, boolean isFirst) implements Message {}
 
+    /** It is time to read a replica anew. */
     record ReloadDue(long generation, KeyspaceReplica replica) implements Message {}
 
+    /** The changes since a replica's revision. */
     record ChangesRead(Reply reply, long generation, KeyspaceReplica replica, long askedMicros) implements Message {}
 
-    /** This controller has claimed the lead: the copies, brought up to the claim, are wanted now. */
+    /** This controller has claimed the lease: the replicas, brought up to the claim, are wanted now. */
     record ProvideReplicas(long fencingToken, FailoverLoader loader) implements Message {}
 
-    record CatchUpRead(Reply reply, KeyspaceReplica replica, long fencingToken, FailoverLoader loader, int tries)
-            implements Message {}
+    /** The changes up to the claim. */
+    record CatchUpRead(Reply reply, CatchUp catchUp) implements Message {}
 
-    record CatchUpRetry(KeyspaceReplica replica, long fencingToken, FailoverLoader loader, int tries)
-            implements Message {}
+    /** It is time to ask again for the changes up to the claim. */
+    record CatchUpRetry(CatchUp catchUp) implements Message {}
 
     /** A leader that ends tells the last revision of its writes, and waits for the answer. */
     record HandoverRequested(Request request, long revision) implements Message {}
 
-    /** The leader's hints. */
-    record HintsReceived(Request request) implements Message {}
-
+    /** The changes up to a handover. */
     record HandoverChangesRead(Reply reply, long generation, KeyspaceReplica replica, Request request, long revision)
             implements Message {}
 
-    /** Two followers, each with two of these reads and one of the job rows, take a twentieth of the requests at most. */
+    /** A batch of the leader's hints. */
+    record HintsReceived(Request request) implements Message {}
+
+    /**
+     * A replica on its way to the revision of a claim.
+     *
+     * @param attempt from 1
+     */
+    record CatchUp(KeyspaceReplica replica, long fencingToken, FailoverLoader loader, int attempt) {
+        CatchUp nextAttempt() {
+            return new CatchUp(replica, fencingToken, loader, attempt + 1);
+        }
+    }
+
+    /** Two standbys, each with two of these reads and one of the job records, take a twentieth of the requests at most. */
     private static final double POLL_READS_BUDGET = 6 * 20;
 
     private static final long MIN_POLL_MICROS = 500 * Micros.MILLISECOND;
-    /** What did not fit is tried again after so long. */
+    /** What is too large, or could not be decoded, is tried again after so long. */
     private static final long TOO_LARGE_RETRY_MICROS = 60 * Micros.SECOND;
 
     private static final long LOG_INTERVAL_MICROS = 30 * Micros.SECOND;
     private static final long CATCH_UP_RETRY_MICROS = 60 * Micros.MILLISECOND;
     private static final int MAX_CATCH_UP_ATTEMPTS = 4;
-    /** All of its memory that a controller may spend on following, of which the copies' estimate is about half. */
+    /** What a controller may spend of its memory on following, of which the replicas' estimate is about half. */
     private static final double MEMORY_SHARE = 0.06;
 
     private static final double MAX_REPLICA_MB = 10;
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int CONFLICT = 409;
+    private static final int GONE = 410;
     private static final byte[] NOT_FOLLOWING = Json.error(null, "follows nothing");
 
     private final StoreClient store;
     private final UsersActor users;
     private final LeaderActor leader;
     private final long pollIntervalMicros;
+    /** Ledgers first. */
     private final List<KeyspaceReplica> replicas;
+
     private final ReceivedHints hints = new ReceivedHints();
-    private boolean following;
-    /** Answers to what an earlier following asked are dropped. */
+    private boolean isFollowing;
+    /** Counts designations and their ends; answers to what an earlier one asked are dropped. */
     private long generation;
 
     private long loggedMicros;
     private long upToDateMicros;
-    /** Sees what is brought to a take-over, for rehearsals that hold it against the store. */
-    private BiConsumer<String, List<StoreCodec.Item>> replicaObserver = (prefix, rows) -> {};
+    /** Sees what is provided to a loader; tests compare it with the store. */
+    private BiConsumer<String, List<StoreCodec.Item>> replicaObserver = (prefix, records) -> {};
 
     StandbyActor(
             ActorExecutor loop,
             Settings settings,
-            StoreClient state,
+            StoreClient store,
             UsersActor users,
             LeaderActor leader,
-            KeyspaceReplica.Factory maker) {
+            KeyspaceReplica.Factory factory) {
         super(loop);
-        this.store = state;
+        this.store = store;
         this.users = users;
         this.leader = leader;
         this.pollIntervalMicros =
                 Math.max(MIN_POLL_MICROS, Micros.ofSeconds(POLL_READS_BUDGET / settings.storeRequestsPerSecond()));
-        long most = (long) (Math.min(MAX_REPLICA_MB, settings.memoryMb() * MEMORY_SHARE) * (1 << 20));
+        long maxBytes = (long) (Math.min(MAX_REPLICA_MB, settings.memoryMb() * MEMORY_SHARE) * (1 << 20));
         this.replicas = List.of(
-                maker.create(StoreKeys.LEDGERS, most * 9 / 10),
-                maker.create(StoreKeys.PROVISIONING_REQUESTS, most / 10));
+                factory.create(StoreKeys.LEDGERS, maxBytes * 9 / 10),
+                factory.create(StoreKeys.PROVISIONING_REQUESTS, maxBytes / 10));
     }
 
-    void setReplicaObserver(BiConsumer<String, List<StoreCodec.Item>> each) {
-        replicaObserver = each;
+    void setReplicaObserver(BiConsumer<String, List<StoreCodec.Item>> observer) {
+        replicaObserver = observer;
     }
 
     @Override
@@ -111,25 +134,17 @@
         if (message instanceof DesignationChanged m) {
             designationChanged(m.isDesignated());
         } else if (message instanceof PollDue m) {
-            if (m.generation() == generation && following) {
-                pollDue();
-            }
+            pollDue(m);
         } else if (message instanceof PageRead m) {
-            if (m.generation() == generation) {
-                pageRead(m);
-            }
+            pageRead(m);
         } else if (message instanceof ReloadDue m) {
-            if (m.generation() == generation) {
-                readPage(m.replica(), null);
-            }
+            reloadDue(m);
         } else if (message instanceof ChangesRead m) {
-            if (m.generation() == generation) {
-                changesRead(m);
-            }
+            changesRead(m);
         } else if (message instanceof ProvideReplicas m) {
             provideReplicas(m);
         } else if (message instanceof CatchUpRetry m) {
-            requestCatchUp(m.replica(), m.fencingToken(), m.loader(), m.tries());
+            readCatchUp(m.catchUp());
         } else if (message instanceof CatchUpRead m) {
             catchUpRead(m);
         } else if (message instanceof HandoverRequested m) {
@@ -141,28 +156,30 @@
         }
     }
 
-    private void designationChanged(boolean now) {
-        if (now == following) {
+    private void designationChanged(boolean isDesignated) {
+        if (isDesignated == isFollowing) {
             return;
         }
-        following = now;
+        isFollowing = isDesignated;
         generation++;
         replicas.forEach(KeyspaceReplica::clear);
         hints.clear();
         reportCompleteness();
-        if (now) {
-            log.info("follows the leader's rows, every {} ms", pollIntervalMicros / Micros.MILLISECOND);
+        if (isDesignated) {
+            log.info(
+                    "following leader as designated standby, polling every {} ms",
+                    pollIntervalMicros / Micros.MILLISECOND);
             upToDateMicros = now();
             loggedMicros = now();
             replicas.forEach(replica -> readPage(replica, null));
             tellLater(new PollDue(generation), pollIntervalMicros);
         } else {
-            log.info("follows no more");
+            log.info("stopped following leader");
         }
     }
 
     private boolean isComplete() {
-        return following && replicas.stream().allMatch(KeyspaceReplica::isComplete);
+        return isFollowing && replicas.stream().allMatch(KeyspaceReplica::isComplete);
     }
 
     private void reportCompleteness() {
@@ -172,34 +189,57 @@
     // ---- following
 
     private void readPage(KeyspaceReplica replica, String after) {
-        long of = generation;
-        store.list(replica.prefix(), after, answer(r -> new PageRead(r, of, replica, after == null)));
+        long asked = generation;
+        store.list(replica.prefix(), after, answer(reply -> new PageRead(reply, asked, replica, after == null)));
+    }
+
+    private void reloadDue(ReloadDue message) {
+        if (message.generation() == generation) {
+            readPage(message.replica(), null);
+        }
     }
 
-    private void pollDue() {
+    private void pollDue(PollDue message) {
+        if (message.generation() != generation || !isFollowing) {
+            return;
+        }
         long now = now();
         for (KeyspaceReplica replica : replicas) {
             if (replica.isComplete()) {
-                long of = generation;
-                store.changes(replica.prefix(), replica.revision(), answer(r -> new ChangesRead(r, of, replica, now)));
+                readChanges(replica, now);
             }
         }
         users.tell(new UsersActor.KeepUp());
         if (now - loggedMicros >= LOG_INTERVAL_MICROS) {
             loggedMicros = now;
-            log.info(
-                    "standby: {} rows, {} KB, {} hints, as of {} ms ago at revision {}{}",
-                    replicas.stream().mapToInt(KeyspaceReplica::size).sum(),
-                    replicas.stream().mapToLong(KeyspaceReplica::estimatedBytes).sum() >> 10,
-                    hints.size(),
-                    (now - upToDateMicros) / Micros.MILLISECOND,
-                    replicas.get(0).revision(),
-                    isComplete() ? "" : ", not whole");
+            logState(now);
         }
         tellLater(new PollDue(generation), pollIntervalMicros);
     }
 
+    private void readChanges(KeyspaceReplica replica, long askedMicros) {
+        long asked = generation;
+        store.changes(
+                replica.prefix(),
+                replica.revision(),
+                answer(reply -> new ChangesRead(reply, asked, replica, askedMicros)));
+    }
+
+    private void logState(long nowMicros) {
+        log.info(
+                "standby: {} records, {} KB, {} hints, as of {} ms ago at revision {}{}",
+                replicas.stream().mapToInt(KeyspaceReplica::size).sum(),
+                replicas.stream().mapToLong(KeyspaceReplica::estimatedBytes).sum() >> 10,
+                hints.size(),
+                (nowMicros - upToDateMicros) / Micros.MILLISECOND,
+                replicas.get(0).revision(),
+                isComplete() ? "" : ", incomplete");
+    }
+
     private void pageRead(PageRead message) {
+        if (message.generation() != generation) {
+            return;
+        }
         KeyspaceReplica replica = message.replica();
         if (!message.reply().ok()) {
             // From the beginning: a page that follows on another is worth nothing once the first is old, and this is
@@ -209,17 +249,17 @@
         }
         try {
             StoreCodec.Items page = StoreCodec.page(message.reply().body());
-            boolean more = page.more() && !page.items().isEmpty();
-            replica.loadPage(entriesOf(page), message.first(), !more, page.revision());
+            boolean hasMore = page.more() && !page.items().isEmpty();
+            replica.loadPage(entriesOf(page), message.isFirst(), !hasMore, page.revision());
             if (replica.invalidReason() != null) {
                 discardInvalid(replica);
-            } else if (more) {
+            } else if (hasMore) {
                 readPage(replica, page.items().get(page.items().size() - 1).key());
             } else {
                 reportCompleteness();
             }
         } catch (MalformedException e) {
-            log.error("stored rows: {}", e.getMessage());
+            log.error("page of {}: {}", replica.prefix(), e.getMessage());
             reloadLater(replica, TOO_LARGE_RETRY_MICROS);
         }
     }
@@ -235,9 +275,13 @@
         return result;
     }
 
-    /** Takes an answer to a read of the changes in. */
+    /**
+     * Takes in the answer to a read of the changes.
+     *
+     * @return whether there was an answer; the replica may be invalid by it
+     */
     private boolean applyChanges(KeyspaceReplica replica, Reply reply) {
-        if (reply.status() == 410) {
+        if (reply.status() == GONE) {
             replica.changesCompacted();
             return true;
         }
@@ -247,17 +291,16 @@
         try {
             StoreCodec.Items changes = StoreCodec.changes(reply.body());
             replica.applyChanges(entriesOf(changes), changes.revision());
-            return true;
         } catch (MalformedException e) {
             log.error("changes of {}: {}", replica.prefix(), e.getMessage());
             replica.changesCompacted();
-            return true;
         }
+        return true;
     }
 
     private void changesRead(ChangesRead message) {
         KeyspaceReplica replica = message.replica();
-        if (!replica.isComplete() || !applyChanges(replica, message.reply())) {
+        if (message.generation() != generation || !replica.isComplete() || !applyChanges(replica, message.reply())) {
             return;
         }
         if (replica.invalidReason() != null) {
@@ -268,27 +311,38 @@
     }
 
     private void discardInvalid(KeyspaceReplica replica) {
-        KeyspaceReplica.InvalidReason flaw = replica.invalidReason();
+        KeyspaceReplica.InvalidReason reason = replica.invalidReason();
         log.warn(
-                "the replica of {} is worth nothing ({}), {} rows, {} KB: read anew",
+                "discarded replica of {} ({}), {} records, {} KB: reading it anew",
                 replica.prefix(),
-                flaw,
+                reason,
                 replica.size(),
                 replica.estimatedBytes() >> 10);
         reloadLater(
-                replica, flaw == KeyspaceReplica.InvalidReason.TOO_LARGE ? TOO_LARGE_RETRY_MICROS : pollIntervalMicros);
+                replica,
+                reason == KeyspaceReplica.InvalidReason.TOO_LARGE ? TOO_LARGE_RETRY_MICROS : pollIntervalMicros);
         reportCompleteness();
     }
 
-    // ---- taking over
+    /** Hints of the leader with the latest token are kept; a standby that has not heard of its designation yet holds none. */
+    private void hintsReceived(Request request) {
+        try {
+            long held = isFollowing ? hints.receive(HintCodec.batch(request.body())) : 0;
+            request.answer(OK, HintCodec.acknowledgement(held));
+        } catch (MalformedException e) {
+            request.answer(BAD_REQUEST, Json.error(e.field(), e.getMessage()));
+        }
+    }
+
+    // ---- failover
 
     private void provideReplicas(ProvideReplicas message) {
-        boolean had = following;
-        following = false;
+        boolean wasFollowing = isFollowing;
+        isFollowing = false;
         generation++;
         for (KeyspaceReplica replica : replicas) {
-            if (had && replica.isComplete()) {
-                requestCatchUp(replica, message.fencingToken(), message.loader(), 1);
+            if (wasFollowing && replica.isComplete()) {
+                readCatchUp(new CatchUp(replica, message.fencingToken(), message.loader(), 1));
             } else {
                 message.loader().tell(new FailoverLoader.Brought(replica.prefix(), null));
                 replica.clear();
@@ -299,86 +353,77 @@
         leader.tell(new StandbyMessage.CopyIs(false));
     }
 
-    /** Whoever leads by the latest token tells; an heir that was not told of its appointment yet holds nothing. */
-    private void hintsReceived(Request request) {
-        try {
-            request.answer(
-                    200, HintCodec.acknowledgement(following ? hints.receive(HintCodec.batch(request.body())) : 0));
-        } catch (MalformedException e) {
-            request.answer(400, Json.error(e.field(), e.getMessage()));
-        }
-    }
-
-    private void requestCatchUp(KeyspaceReplica replica, long fencingToken, FailoverLoader to, int tries) {
-        store.changes(
-                replica.prefix(),
-                replica.revision(),
-                answer(r -> new CatchUpRead(r, replica, fencingToken, to, tries)));
+    private void readCatchUp(CatchUp catchUp) {
+        KeyspaceReplica replica = catchUp.replica();
+        store.changes(replica.prefix(), replica.revision(), answer(reply -> new CatchUpRead(reply, catchUp)));
     }
 
     /**
-     * Rows that only leaders write stand still from the claim on: no write of an earlier one is applied after it. A replica that
+     * Records that only leaders write stand still from the claim on: no write of an earlier leader is applied after it. A replica that
      * reaches the claim's revision is what a full read would give, and any other is not used.
      */
     private void catchUpRead(CatchUpRead message) {
-        KeyspaceReplica replica = message.replica();
-        if (!applyChanges(replica, message.reply()) && message.tries() < MAX_CATCH_UP_ATTEMPTS) {
-            tellLater(
-                    new CatchUpRetry(replica, message.fencingToken(), message.loader(), message.tries() + 1),
-                    CATCH_UP_RETRY_MICROS);
+        CatchUp catchUp = message.catchUp();
+        KeyspaceReplica replica = catchUp.replica();
+        if (!applyChanges(replica, message.reply()) && catchUp.attempt() < MAX_CATCH_UP_ATTEMPTS) {
+            tellLater(new CatchUpRetry(catchUp.nextAttempt()), CATCH_UP_RETRY_MICROS);
             return;
         }
         List<StoreCodec.Item> items = null;
-        if (replica.isCompleteAt(message.fencingToken())) {
-            items = new ArrayList<>(replica.size());
-            for (KeyspaceReplica.Entry entry : replica.entries()) {
-                items.add(new StoreCodec.Item(entry.key(), entry.record(), entry.version()));
-            }
+        if (replica.isCompleteAt(catchUp.fencingToken())) {
+            items = itemsOf(replica);
+            replicaObserver.accept(replica.prefix(), items);
         } else {
             log.warn(
-                    "the replica of {} is not as new as the claim ({}, revision {} of {}): all is read instead",
+                    "replica of {} did not reach the claim ({}, revision {} of {}): reading all records instead",
                     replica.prefix(),
                     replica.invalidReason(),
                     replica.revision(),
-                    message.fencingToken());
-        }
-        if (items != null) {
-            replicaObserver.accept(replica.prefix(), items);
+                    catchUp.fencingToken());
         }
-        message.loader().tell(new FailoverLoader.Brought(replica.prefix(), items));
+        catchUp.loader().tell(new FailoverLoader.Brought(replica.prefix(), items));
         replica.clear();
     }
 
-    // ---- a leader that ends
+    private static List<StoreCodec.Item> itemsOf(KeyspaceReplica replica) {
+        List<StoreCodec.Item> items = new ArrayList<>(replica.size());
+        for (KeyspaceReplica.Entry entry : replica.entries()) {
+            items.add(new StoreCodec.Item(entry.key(), entry.record(), entry.version()));
+        }
+        return items;
+    }
+
+    // ---- handover
 
     private void handoverRequested(Request request, long revision) {
         if (!isComplete()) {
-            request.answer(409, NOT_FOLLOWING);
+            request.answer(CONFLICT, NOT_FOLLOWING);
             return;
         }
         users.tell(new UsersActor.KeepUp());
         KeyspaceReplica ledgers = replicas.get(0);
-        long of = generation;
+        long asked = generation;
         store.changes(
                 ledgers.prefix(),
                 ledgers.revision(),
-                answer(r -> new HandoverChangesRead(r, of, ledgers, request, revision)));
+                answer(reply -> new HandoverChangesRead(reply, asked, ledgers, request, revision)));
     }
 
     private void handoverChangesRead(HandoverChangesRead message) {
         KeyspaceReplica replica = message.replica();
-        if (message.generation() == generation
+        boolean isCurrent = message.generation() == generation;
+        if (isCurrent
                 && replica.isComplete()
                 && applyChanges(replica, message.reply())
                 && replica.isCompleteAt(message.revision())) {
-            message.request().answer(200, Json.bytes(out -> {
+            message.request().answer(OK, Json.bytes(out -> {
                 out.writeStartObject();
                 out.writeEndObject();
             }));
         } else {
-            message.request().answer(409, NOT_FOLLOWING);
+            message.request().answer(CONFLICT, NOT_FOLLOWING);
         }
-        if (message.generation() == generation && replica.invalidReason() != null) {
+        if (isCurrent && replica.invalidReason() != null) {
             discardInvalid(replica);
         }
     }
--- a/src/main/java/io/micatide/standby/ElectionDelay.java
+++ b/src/main/java/io/micatide/standby/ElectionDelay.java
@@ -5,57 +5,87 @@
 import java.util.List;
 
 /**
- * How long a controller leaves a free leader row to others that would lead better. This is courtesy and no part of safety: the row's
- * condition decides, and whoever waits for nothing loses half a second at most. Times in microseconds on the process's steady clock.
+ * Decides how long a controller delays its candidacy once the leader lease is free, so that a controller that is better prepared wins the
+ * election. The delay is no part of safety: the compare-and-swap on the lease decides, and whoever waits for nobody loses half a second
+ * at most. Times in microseconds on the process's steady clock. One thread at a time.
  */
 public final class ElectionDelay {
-    /** One that workers do not reach would lead a fleet that it cannot hear. */
+    /** Delay of a controller that agents do not reach: it would lead a fleet that it cannot hear. */
     static final long UNREACHED_DELAY_MICROS = 600 * Micros.MILLISECOND;
-    /** A claim takes two ways to the state service, and the watch of its outcome one more. */
+    /** Delay for each designated standby with a better rank. A claim takes two round trips to the store, and the watch of its outcome one. */
     static final long RANK_DELAY_MICROS = 100 * Micros.MILLISECOND;
-    /** What a cold process leaves to a warm one at most. */
+    /** Delay of a cold controller while a warmer one is there. */
     static final long COLD_DELAY_MICROS = 600 * Micros.MILLISECOND;
-    /** Siblings that are there answer within this; nobody waits longer for one that may not be there. */
+    /** Peers that are there answer within this; nobody waits longer for one that may not be there. */
     static final long PEER_ANSWER_MICROS = 200 * Micros.MILLISECOND;
     /** A process is no longer cold after so long, whether it has heard of a leader or not. */
     static final long COLD_FOR_MICROS = 5 * Micros.SECOND;
-    /** Heirs told longer ago than this may all be gone. */
+    /** How long a designation counts: standbys designated longer ago may all be gone. */
     static final long DESIGNATION_TTL_MICROS = 20 * Micros.SECOND;
     /** A leader that hands over gives its lease back within this. */
     static final long HANDOVER_TTL_MICROS = 2 * Micros.SECOND;
-    /** A sibling's word on its own readiness holds for so long. */
+    /** How long a peer's report of its readiness counts. */
     static final long PEER_REPORT_TTL_MICROS = 2 * Micros.SECOND;
+    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final String label;
     private final long startedMicros;
-    private boolean leaderSeen;
+    private final PeerReport[] peers;
+    /** Whether this process has heard of a leader or led itself. */
+    private boolean hasSeenLeader;
+
     private List<String> designatedStandbys = List.of();
-    private long designatedMicros = Long.MIN_VALUE / 2;
-    private final long[] peerReportedMicros;
-    private final boolean[] peerIsWarmer;
-    private final boolean[] peerReachedByAgents;
-    private boolean replicaComplete;
-    private long handoverMicros = Long.MIN_VALUE / 2;
-
-    /** @param siblings how many other controllers the deployment has */
+    private long designatedMicros = NEVER_MICROS;
+    private boolean isReplicaComplete;
+    private long handoverMicros = NEVER_MICROS;
+
+    /** What a peer said last of its readiness. */
+    private static final class PeerReport {
+        long reportedMicros = NEVER_MICROS;
+        boolean isWarm;
+        boolean isReachedByAgents;
+
+        boolean isRecent(long nowMicros) {
+            return nowMicros - reportedMicros <= PEER_REPORT_TTL_MICROS;
+        }
+    }
+
+    /**
+     * Makes the delay of a process that begins now.
+     *
+     * @param label this controller's
+     * @param siblings how many other controllers the deployment has
+     * @param nowMicros the present time
+     */
     public ElectionDelay(String label, int siblings, long nowMicros) {
         this.label = label;
         this.startedMicros = nowMicros;
-        this.peerReportedMicros = new long[siblings];
-        this.peerIsWarmer = new boolean[siblings];
-        this.peerReachedByAgents = new boolean[siblings];
-        java.util.Arrays.fill(peerReportedMicros, Long.MIN_VALUE / 2);
+        this.peers = new PeerReport[siblings];
+        for (int sibling = 0; sibling < siblings; sibling++) {
+            peers[sibling] = new PeerReport();
+        }
     }
 
-    /** Without standbys: whether workers come to a controller is all that counts. */
-    public static long delayWithoutStandbys(boolean reached) {
-        return reached ? 0 : UNREACHED_DELAY_MICROS;
+    /**
+     * The delay in a deployment without standbys, where all that counts is whether agents reach the controller.
+     *
+     * @param isReached whether agents come to this controller
+     * @return microseconds from the moment at which the lease is free
+     */
+    public static long delayWithoutStandbys(boolean isReached) {
+        return isReached ? 0 : UNREACHED_DELAY_MICROS;
     }
 
-    /** Whether a sibling has said just now that it would lead better than a cold one. */
+    /**
+     * Whether a peer has reported just now that it is not cold.
+     *
+     * @param nowMicros the present time
+     * @return whether a cold controller should leave the lease to that peer
+     */
     public boolean hasWarmerPeer(long nowMicros) {
-        for (int sibling = 0; sibling < peerReportedMicros.length; sibling++) {
-            if (peerIsWarmer[sibling] && nowMicros - peerReportedMicros[sibling] <= PEER_REPORT_TTL_MICROS) {
+        for (PeerReport peer : peers) {
+            if (peer.isWarm && peer.isRecent(nowMicros)) {
                 return true;
             }
         }
@@ -63,110 +93,154 @@
     }
 
     /**
-     * The leader's news: who is to take over, the first one first; null from a leader that has not appointed anybody yet or, being
-     * of a former version, never will.
+     * The leader's status names the standbys that are to take over.
+     *
+     * @param labels of the standbys, the first one first; null from a leader that has not designated anybody yet or, being of a former
+     *     version, never will
+     * @param nowMicros the present time
      */
-    public void standbysDesignated(List<String> newHeirs, long nowMicros) {
-        leaderSeen = true;
-        if (newHeirs == null) {
-            designatedStandbys = nowMicros - designatedMicros > DESIGNATION_TTL_MICROS ? List.of() : designatedStandbys;
+    public void standbysDesignated(List<String> labels, long nowMicros) {
+        hasSeenLeader = true;
+        if (labels == null) {
+            if (isDesignationExpired(nowMicros)) {
+                designatedStandbys = List.of();
+            }
             return;
         }
-        designatedStandbys = List.copyOf(newHeirs);
+        designatedStandbys = List.copyOf(labels);
         designatedMicros = nowMicros;
     }
 
-    /** Whether this controller has been told to follow what a leader reads. */
+    /**
+     * Whether this controller is a designated standby.
+     *
+     * @return whether it is to keep a replica of what a leader reads
+     */
     public boolean isDesignated() {
         return designatedStandbys.contains(label);
     }
 
-    /** This controller has led: it knows the deployment. */
+    /** This controller's term is over: it knows the deployment and is not cold. */
     public void termEnded() {
-        leaderSeen = true;
+        hasSeenLeader = true;
     }
 
     /**
-     * The leader ends in order and wants this controller to go on. Workers had no reason to come here yet, so that none has come says
+     * The leader ends in order and wants this controller to go on. Agents had no reason to come here yet, so that none has come says
      * nothing.
+     *
+     * @param nowMicros the present time
      */
     public void handoverReceived(long nowMicros) {
         handoverMicros = nowMicros;
     }
 
-    /** Whether the leader has told this controller just now to go on. */
+    /**
+     * Whether the leader has handed over to this controller just now.
+     *
+     * @param nowMicros the present time
+     * @return whether this controller claims the lease without delay
+     */
     public boolean hasRecentHandover(long nowMicros) {
         return nowMicros - handoverMicros <= HANDOVER_TTL_MICROS;
     }
 
-    /** Whether the copy of what a leader reads is whole. */
-    public void setReplicaComplete(boolean whole) {
-        replicaComplete = whole;
+    /**
+     * Sets whether the replica of what a leader reads is complete.
+     *
+     * @param isComplete false as well of one that keeps no replica
+     */
+    public void setReplicaComplete(boolean isComplete) {
+        isReplicaComplete = isComplete;
     }
 
+    /**
+     * How ready this controller is to take over.
+     *
+     * @param nowMicros the present time
+     * @return never null
+     */
     public StandbyReadiness readiness(long nowMicros) {
-        if (!leaderSeen && nowMicros - startedMicros < COLD_FOR_MICROS) {
+        if (!hasSeenLeader && nowMicros - startedMicros < COLD_FOR_MICROS) {
             return StandbyReadiness.COLD;
         }
-        return replicaComplete && isDesignated() ? StandbyReadiness.WARM : StandbyReadiness.SEASONED;
+        return isReplicaComplete && isDesignated() ? StandbyReadiness.WARM : StandbyReadiness.SEASONED;
     }
 
     /**
-     * A sibling's own word; one of a former version that answers at all is taken for seasoned, one that nothing listens for any more for
-     * cold and unreached.
+     * A peer's report of its readiness. One of a former version that answers at all is taken for seasoned, one that nothing listens for
+     * any more for cold and unreached.
      *
-     * @param reached whether workers that have lost the leader came to it just now
+     * @param sibling the peer's index among the siblings
+     * @param readiness what it reports
+     * @param isReachedByAgents whether agents that have lost the leader came to it just now
+     * @param nowMicros the present time
      */
-    public void peerReadinessReported(int sibling, StandbyReadiness said, boolean reached, long nowMicros) {
-        peerReportedMicros[sibling] = nowMicros;
-        peerIsWarmer[sibling] = said != StandbyReadiness.COLD;
-        peerReachedByAgents[sibling] = reached;
-    }
-
-    private boolean allPeersReported(long nowMicros) {
-        return java.util.Arrays.stream(peerReportedMicros).allMatch(at -> nowMicros - at <= PEER_REPORT_TTL_MICROS);
+    public void peerReadinessReported(
+            int sibling, StandbyReadiness readiness, boolean isReachedByAgents, long nowMicros) {
+        PeerReport peer = peers[sibling];
+        peer.reportedMicros = nowMicros;
+        peer.isWarm = readiness != StandbyReadiness.COLD;
+        peer.isReachedByAgents = isReachedByAgents;
     }
 
     /**
-     * How long a row that became claimable may be left to others, counted from then.
+     * How long this controller leaves a free lease to others, counted from the moment at which it became free.
      *
-     * @param claimableMicros for how long it has been claimable already
-     * @param reached whether workers come to this controller
+     * @param claimableMicros for how long it has been free already
+     * @param isReached whether agents come to this controller
+     * @param nowMicros the present time
+     * @return microseconds, 0 for no delay
      */
-    public long delayMicros(long claimableMicros, boolean reached, long nowMicros) {
+    public long delayMicros(long claimableMicros, boolean isReached, long nowMicros) {
         if (hasRecentHandover(nowMicros)) {
             return 0;
         }
-        long waits = reached ? 0 : unreachedDelayMicros(claimableMicros, nowMicros);
+        long delay = isReached ? 0 : unreachedDelayMicros(claimableMicros, nowMicros);
         StandbyReadiness own = readiness(nowMicros);
         if (own == StandbyReadiness.COLD) {
-            return waits + coldDelayMicros(claimableMicros, nowMicros);
+            return delay + coldDelayMicros(claimableMicros, nowMicros);
         }
-        if (designatedStandbys.isEmpty() || nowMicros - designatedMicros > DESIGNATION_TTL_MICROS) {
-            return waits;
+        if (designatedStandbys.isEmpty() || isDesignationExpired(nowMicros)) {
+            return delay;
         }
-        int place = own == StandbyReadiness.WARM ? designatedStandbys.indexOf(label) : designatedStandbys.size();
-        return waits + place * RANK_DELAY_MICROS;
+        int rank = own == StandbyReadiness.WARM ? designatedStandbys.indexOf(label) : designatedStandbys.size();
+        return delay + rank * RANK_DELAY_MICROS;
+    }
+
+    private boolean isDesignationExpired(long nowMicros) {
+        return nowMicros - designatedMicros > DESIGNATION_TTL_MICROS;
     }
 
     /**
-     * One that no worker has come to leaves the lead to one that they come to. Where they come to nobody, since the leader was there a
-     * moment ago, it would wait for nothing: with processes that are back at once this was most of the time without a leader.
+     * A controller that no agent has come to leaves the lease to one that they come to. Where they come to nobody, since the leader was
+     * there a moment ago, it would wait for nothing: with processes that are back at once this was most of the time without a leader.
      */
     private long unreachedDelayMicros(long claimableMicros, long nowMicros) {
-        for (int sibling = 0; sibling < peerReportedMicros.length; sibling++) {
-            if (peerReachedByAgents[sibling] && nowMicros - peerReportedMicros[sibling] <= PEER_REPORT_TTL_MICROS) {
+        for (PeerReport peer : peers) {
+            if (peer.isReachedByAgents && peer.isRecent(nowMicros)) {
                 return UNREACHED_DELAY_MICROS;
             }
         }
-        return allPeersReported(nowMicros) || claimableMicros >= PEER_ANSWER_MICROS ? 0 : PEER_ANSWER_MICROS;
+        return peerAnswerDelayMicros(claimableMicros, nowMicros);
     }
 
     /** Alone, or among others as cold, nobody waits. */
     private long coldDelayMicros(long claimableMicros, long nowMicros) {
-        if (hasWarmerPeer(nowMicros)) {
-            return COLD_DELAY_MICROS;
+        return hasWarmerPeer(nowMicros) ? COLD_DELAY_MICROS : peerAnswerDelayMicros(claimableMicros, nowMicros);
+    }
+
+    /** Leaves peers the time to report, unless all have done so already. */
+    private long peerAnswerDelayMicros(long claimableMicros, long nowMicros) {
+        return claimableMicros >= PEER_ANSWER_MICROS || haveAllPeersReported(nowMicros) ? 0 : PEER_ANSWER_MICROS;
+    }
+
+    private boolean haveAllPeersReported(long nowMicros) {
+        for (PeerReport peer : peers) {
+            if (!peer.isRecent(nowMicros)) {
+                return false;
+            }
         }
-        return allPeersReported(nowMicros) || claimableMicros >= PEER_ANSWER_MICROS ? 0 : PEER_ANSWER_MICROS;
+        return true;
     }
 }
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -9,72 +9,102 @@
 import java.util.Map;
 
 /**
- * A leader's side of the hints: each picture has a number, and an heir that holds the one before gets the difference, any other the
- * whole. Only the last difference is kept, so that who misses one costs a picture and no memory.
+ * Sends a leader's hints to its designated standbys as numbered snapshots: a standby that holds the snapshot before gets the difference,
+ * any other the whole. Only the last difference is kept, so that a standby that misses one costs a whole snapshot and no memory. Belongs
+ * to one term; one thread at a time.
  */
 public final class HintSender {
-    /** A number of hints that a request to a sibling has room for. */
+    /** The number of hints that a request to a sibling has room for. */
     static final int MAX_HINTS_PER_BATCH = 100;
 
+    private static final int NONE = -1;
+
     private final long fencingToken;
+    /** The snapshot that each sibling holds, {@link #NONE} if that is not known. */
     private final long[] acknowledgedNumbers;
+
     private Map<String, Hint> snapshot = new HashMap<>();
     private List<Hint> changed = List.of();
     private List<String> removedKeys = List.of();
     private long number;
 
+    /**
+     * Makes a term's sender.
+     *
+     * @param fencingToken the leader's
+     * @param siblings how many other controllers the deployment has
+     */
     public HintSender(long fencingToken, int siblings) {
         this.fencingToken = fencingToken;
         this.acknowledgedNumbers = new long[siblings];
-        Arrays.fill(acknowledgedNumbers, -1);
+        Arrays.fill(acknowledgedNumbers, NONE);
     }
 
-    /** A new picture, with the next number. */
-    public void updateSnapshot(List<Hint> now) {
-        Map<String, Hint> next = new HashMap<>(2 * now.size());
-        List<Hint> differs = new ArrayList<>();
-        for (Hint hint : now) {
+    /**
+     * Replaces the snapshot by one with the next number.
+     *
+     * @param hints all hints of now
+     */
+    public void updateSnapshot(List<Hint> hints) {
+        Map<String, Hint> next = new HashMap<>(2 * hints.size());
+        List<Hint> differing = new ArrayList<>();
+        for (Hint hint : hints) {
             next.put(key(hint), hint);
             if (!hint.equals(snapshot.remove(key(hint)))) {
-                differs.add(hint);
+                differing.add(hint);
             }
         }
         removedKeys = List.copyOf(snapshot.keySet());
-        changed = differs;
+        changed = differing;
         snapshot = next;
         number++;
     }
 
-    /** A job and a machine may have the same name. */
+    /** A key by kind and name: a job and a machine may have the same name. */
     static String key(Hint hint) {
-        return (hint instanceof Hint.MachineHint ? "m/" : hint instanceof Hint.JobHint ? "j/" : "c/") + hint.name();
+        if (hint instanceof Hint.MachineHint) {
+            return "m/" + hint.name();
+        }
+        return (hint instanceof Hint.JobHint ? "j/" : "c/") + hint.name();
     }
 
-    /** What an heir is to be told now; empty if it holds this picture already. */
+    /**
+     * The batches that bring a standby to the present snapshot.
+     *
+     * @param sibling the standby's index among the siblings
+     * @return empty if it holds this snapshot already
+     */
     public List<HintBatch> batchesFor(int sibling) {
-        if (acknowledgedNumbers[sibling] == number || number == 0) {
+        long acknowledged = acknowledgedNumbers[sibling];
+        if (acknowledged == number || number == 0) {
             return List.of();
         }
-        boolean difference = acknowledgedNumbers[sibling] == number - 1 && acknowledgedNumbers[sibling] > 0;
-        List<Hint> all = difference ? changed : List.copyOf(snapshot.values());
-        List<String> away = difference ? removedKeys : List.of();
-        List<HintBatch> result = new ArrayList<>();
-        int parts = Math.max(1, (all.size() + MAX_HINTS_PER_BATCH - 1) / MAX_HINTS_PER_BATCH);
+        boolean isDifference = acknowledged == number - 1 && acknowledged > 0;
+        List<Hint> hints = isDifference ? changed : List.copyOf(snapshot.values());
+        List<String> removed = isDifference ? removedKeys : List.of();
+        int parts = Math.max(1, (hints.size() + MAX_HINTS_PER_BATCH - 1) / MAX_HINTS_PER_BATCH);
+        List<HintBatch> batches = new ArrayList<>();
         for (int index = 0; index < parts; index++) {
-            result.add(new HintBatch(
+            int from = index * MAX_HINTS_PER_BATCH;
+            batches.add(new HintBatch(
                     fencingToken,
                     number,
-                    difference ? number - 1 : 0,
+                    isDifference ? number - 1 : 0,
                     index,
                     parts,
-                    all.subList(index * MAX_HINTS_PER_BATCH, Math.min(all.size(), (index + 1) * MAX_HINTS_PER_BATCH)),
-                    index == 0 ? away : List.of()));
+                    hints.subList(from, Math.min(hints.size(), from + MAX_HINTS_PER_BATCH)),
+                    index == 0 ? removed : List.of()));
         }
-        return result;
+        return batches;
     }
 
-    /** What a sibling says that it holds of this term's pictures; -1 without an answer. */
-    public void snapshotAcknowledged(int sibling, long itsNumber) {
-        acknowledgedNumbers[sibling] = itsNumber;
+    /**
+     * Records which of this term's snapshots a standby holds.
+     *
+     * @param sibling the standby's index among the siblings
+     * @param heldNumber number of the snapshot, 0 for none, -1 without an answer
+     */
+    public void snapshotAcknowledged(int sibling, long heldNumber) {
+        acknowledgedNumbers[sibling] = heldNumber;
     }
 }
--- a/src/main/java/io/micatide/standby/KeyspaceReplica.java
+++ b/src/main/java/io/micatide/standby/KeyspaceReplica.java
@@ -8,27 +8,46 @@
 import java.util.TreeMap;
 
 /**
- * A standby's copy of one prefix of the state service, brought up to date by the changes since its revision. It is either whole as of
- * {@link #revision}, or it is not used: whatever does not fit what was seen before makes it worthless until it is read anew. A leader
- * rests starts on the ledgers' machines without another write, so a copy that lacks one machine would run a task twice.
+ * A standby's replica of one prefix of the store, brought up to date by the changes since its revision.
+ *
+ * <p>Invariant: it is either complete as of {@link #revision}, or it is not used: whatever does not fit what was seen before invalidates
+ * it until it is read anew. A leader rests starts on the ledgers' machines without another write, so a replica that lacks one machine
+ * would run a task twice. One thread at a time.
  */
 public class KeyspaceReplica {
-    /** A key with its row and the revision of its last change; {@code record} null of a deletion. */
+    /**
+     * A key with its record.
+     *
+     * @param key the key
+     * @param record the record, null of a deletion
+     * @param version revision of its last change
+     */
     public record Entry(String key, StoredRecord record, long version) {}
 
-    /** Makes a prefix's copy; a rehearsal plants another one. */
+    /** Makes a prefix's replica; a test may plant another one. */
     @FunctionalInterface
     public interface Factory {
-        KeyspaceReplica create(String prefix, long mostBytes);
+        /**
+         * Makes a replica; the parameters are those of its constructor.
+         *
+         * @param prefix of the keys
+         * @param maxBytes what it may take of memory, estimated
+         * @return a replica that has nothing yet
+         */
+        KeyspaceReplica create(String prefix, long maxBytes);
     }
 
-    /** Why a copy is worth nothing; null while it is worth something. */
+    /** Why a replica must not be used until it is read anew. */
     public enum InvalidReason {
+        /** It would take more memory than it may. */
         TOO_LARGE,
+        /** A revision or a version was lower than one seen before: the store lost data, or it is another store. */
         REVISION_REGRESSED,
+        /** The store no longer has all changes since the replica's revision. */
         CHANGES_COMPACTED
     }
 
+    /** What an entry takes besides its key and its lists, estimated. */
     private static final int ENTRY_BYTES = 160;
     /** A reference to a name that all ledgers share. */
     private static final int NAME_REFERENCE_BYTES = 8;
@@ -47,48 +66,91 @@
     private boolean complete;
     private InvalidReason invalidReason;
 
-    /** @param mostBytes what it may take of memory, estimated; beyond that it is given up */
-    public KeyspaceReplica(String prefix, long mostBytes) {
+    /**
+     * Makes a replica that has nothing yet.
+     *
+     * @param prefix of the keys
+     * @param maxBytes what it may take of memory, estimated; beyond that it is given up
+     */
+    public KeyspaceReplica(String prefix, long maxBytes) {
         this.prefix = prefix;
-        this.maxBytes = mostBytes;
+        this.maxBytes = maxBytes;
     }
 
+    /**
+     * The prefix of its keys.
+     *
+     * @return as given
+     */
     public String prefix() {
         return prefix;
     }
 
-    /** All changes up to this one are in the copy, if it is whole. */
+    /**
+     * The store's revision up to which all changes are in the replica, if it is complete.
+     *
+     * @return 0 before the first page
+     */
     public long revision() {
         return revision;
     }
 
+    /**
+     * Whether it holds everything that was stored at its revision.
+     *
+     * @return false as well of an invalid one
+     */
     public boolean isComplete() {
         return complete && invalidReason == null;
     }
 
-    /** Whether the copy holds everything that was stored at {@code asOf}. */
+    /**
+     * Whether it holds everything that was stored at a revision.
+     *
+     * @param asOf a revision of the store
+     * @return whether it is complete and as new as that
+     */
     public boolean isCompleteAt(long asOf) {
         return isComplete() && revision >= asOf;
     }
 
+    /**
+     * Why it must not be used until it is read anew.
+     *
+     * @return null of a replica that is valid, complete or not
+     */
     public InvalidReason invalidReason() {
         return invalidReason;
     }
 
-    /** Estimated bytes of memory. */
+    /**
+     * What it takes of memory.
+     *
+     * @return estimated bytes
+     */
     public long estimatedBytes() {
         return estimatedBytes;
     }
 
+    /**
+     * Its entries.
+     *
+     * @return a view, in the order of the keys
+     */
     public Iterable<Entry> entries() {
         return entries.values();
     }
 
+    /**
+     * The number of entries.
+     *
+     * @return 0 or more
+     */
     public int size() {
         return entries.size();
     }
 
-    /** Forgets all, to be read anew. */
+    /** Forgets everything, to be read anew. */
     public void clear() {
         entries.clear();
         sharedNames.clear();
@@ -100,9 +162,12 @@
     }
 
     /**
-     * A page of the full read.
+     * Takes in a page of a full read.
      *
-     * @param first whether it begins the read; the copy's revision is that of the first page, and later changes come again
+     * @param items the page's entries
+     * @param first whether it begins the read; the replica's revision is that of the first page, and later changes come again
+     * @param last whether it ends the read
+     * @param pageRevision the store's revision when it was read
      */
     public void loadPage(List<Entry> items, boolean first, boolean last, long pageRevision) {
         if (first) {
@@ -116,10 +181,15 @@
         complete = last;
     }
 
-    /** All changes after {@link #revision} up to {@code upTo}. */
+    /**
+     * Takes in all changes after {@link #revision}.
+     *
+     * @param events in any order
+     * @param upTo the revision up to which they are all
+     */
     public void applyChanges(List<Entry> events, long upTo) {
         if (upTo < revision) {
-            // A service that lost data, or another one: nothing that was read from it before holds.
+            // A store that lost data, or another one: nothing that was read from it before holds.
             invalidate(InvalidReason.REVISION_REGRESSED);
             return;
         }
@@ -132,14 +202,14 @@
         revision = upTo;
     }
 
-    /** The service no longer has all changes since this copy's revision. */
+    /** The store no longer has all changes since this replica's revision. */
     public void changesCompacted() {
         invalidate(InvalidReason.CHANGES_COMPACTED);
     }
 
-    private void invalidate(InvalidReason why) {
+    private void invalidate(InvalidReason reason) {
         if (invalidReason == null) {
-            invalidReason = why;
+            invalidReason = reason;
         }
     }
 
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -4,28 +4,41 @@
 import io.micatide.model.Settings;
 import io.micatide.model.StandbyReadiness;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
 
 /**
- * Whom a leader appoints to follow it. At most two, since each of them reads along; those in another zone than the leader first, since
- * zones fail whole; then those that come next in the order of labels, since workers that have lost a leader try the next one and so
- * reach these first. Whoever is appointed stays so while it answers, since a copy takes reads to build. Times in microseconds.
+ * Selects the standbys that a leader designates. At most two, since each of them reads along; those in another zone than the leader
+ * first, since zones fail whole; then those that come next in the order of labels, since agents that have lost a leader try the next one
+ * and so reach these first. A designated standby stays so while it answers, since a replica takes reads to build. Times in microseconds.
+ * One thread at a time.
  */
 public final class StandbySelector {
-    /** News goes out every second and is answered within one. */
+    /** How long an answer counts: status goes out every second and is answered within one. */
     static final long ANSWER_TTL_MICROS = 3 * Micros.SECOND;
-    /** Siblings answer a new leader's first news within this. */
+    /** Siblings answer a new leader's first status within this. */
     static final long SETTLE_MICROS = 1_500 * Micros.MILLISECOND;
-    /** With fewer requests a second two followers would take more than a twentieth of them. */
+    /** With fewer requests a second two standbys would take more than a twentieth of them. */
     static final double MIN_REQUEST_RATE_FOR_TWO = 40;
+    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
+
+    private static final int NONE = -1;
 
     private final Settings settings;
     private final long[] answeredMicros;
+    /** Null of a sibling that cannot follow a leader. */
     private final StandbyReadiness[] readiness;
+
     private List<Integer> selected = List.of();
     private long termStartedMicros;
 
+    /**
+     * Makes the selector of a controller that does not lead yet.
+     *
+     * @param settings of this controller
+     */
     public StandbySelector(Settings settings) {
         this.settings = settings;
         this.answeredMicros = new long[settings.siblings().size()];
@@ -33,23 +46,29 @@
         termStarted(0);
     }
 
-    /** A new term. */
+    /**
+     * A new term of this controller begins; what an earlier one knew is forgotten.
+     *
+     * @param nowMicros the present time
+     */
     public final void termStarted(long nowMicros) {
         termStartedMicros = nowMicros;
-        java.util.Arrays.fill(answeredMicros, Long.MIN_VALUE / 2);
-        java.util.Arrays.fill(readiness, StandbyReadiness.COLD);
+        Arrays.fill(answeredMicros, NEVER_MICROS);
+        Arrays.fill(readiness, StandbyReadiness.COLD);
         selected = List.of();
     }
 
     /**
-     * A sibling answered.
+     * A sibling answered the leader's status.
      *
-     * @param said null of one that cannot follow: a former version, or one that is told not to
-     * @param served whether the state service answers it
+     * @param sibling its index among the siblings
+     * @param reported its readiness; null of one that cannot follow: a former version, or one that is told not to
+     * @param isStoreReachable whether the store answers it
+     * @param nowMicros the present time
      */
-    public void peerAnswered(int sibling, StandbyReadiness said, boolean served, long nowMicros) {
-        readiness[sibling] = said;
-        answeredMicros[sibling] = said != null && served ? nowMicros : Long.MIN_VALUE / 2;
+    public void peerAnswered(int sibling, StandbyReadiness reported, boolean isStoreReachable, long nowMicros) {
+        readiness[sibling] = reported;
+        answeredMicros[sibling] = reported != null && isStoreReachable ? nowMicros : NEVER_MICROS;
     }
 
     /** How many labels after this controller's a sibling's comes, in a ring. */
@@ -68,46 +87,63 @@
     }
 
     /**
-     * Labels of those appointed from now on, the first to take over first; null while a new leader has yet to hear who is there: those
-     * who followed the one before keep what they have.
+     * Selects the standbys that are designated from now on.
+     *
+     * @param nowMicros the present time
+     * @return their labels, the first to take over first; null while a new leader has yet to hear who is there: those who followed the one
+     *     before keep what they have
      */
     public List<String> selectStandbys(long nowMicros) {
         if (nowMicros - termStartedMicros < SETTLE_MICROS) {
             return null;
         }
-        List<Integer> fit = new ArrayList<>();
-        for (int sibling = 0; sibling < answeredMicros.length; sibling++) {
-            if (hasRecentAnswer(sibling, nowMicros)) {
-                fit.add(sibling);
-            }
-        }
-        List<Integer> before = selected;
-        fit.sort(Comparator.comparing((Integer each) -> !before.contains(each))
-                .thenComparing(each -> settings.siblings().get(each).zone().equals(settings.zone()))
+        List<Integer> previous = selected;
+        List<Integer> eligible = eligiblePeers(nowMicros);
+        eligible.sort(Comparator.comparing((Integer peer) -> !previous.contains(peer))
+                .thenComparing(peer -> settings.siblings().get(peer).zone().equals(settings.zone()))
                 .thenComparing(this::ringDistance));
-        List<Integer> now = new ArrayList<>(fit.subList(
-                0, Math.min(fit.size(), settings.storeRequestsPerSecond() < MIN_REQUEST_RATE_FOR_TWO ? 1 : 2)));
+        int wanted = settings.storeRequestsPerSecond() < MIN_REQUEST_RATE_FOR_TWO ? 1 : 2;
+        List<Integer> chosen = new ArrayList<>(eligible.subList(0, Math.min(eligible.size(), wanted)));
         // A warm one goes before one that still reads, and otherwise the order stays.
-        now.sort(Comparator.comparing((Integer each) -> readiness[each] != StandbyReadiness.WARM)
-                .thenComparing(each -> before.contains(each) ? before.indexOf(each) : before.size()));
-        selected = now;
+        chosen.sort(Comparator.comparing((Integer peer) -> readiness[peer] != StandbyReadiness.WARM)
+                .thenComparing(peer -> previous.contains(peer) ? previous.indexOf(peer) : previous.size()));
+        selected = chosen;
         return selected.stream()
-                .map(each -> settings.siblings().get(each).label())
+                .map(peer -> settings.siblings().get(peer).label())
                 .toList();
     }
 
-    /** Those appointed, by their places among the siblings. */
+    private List<Integer> eligiblePeers(long nowMicros) {
+        List<Integer> eligible = new ArrayList<>();
+        for (int sibling = 0; sibling < answeredMicros.length; sibling++) {
+            if (hasRecentAnswer(sibling, nowMicros)) {
+                eligible.add(sibling);
+            }
+        }
+        return eligible;
+    }
+
+    /**
+     * The designated standbys.
+     *
+     * @return their indices among the siblings, the first to take over first
+     */
     public List<Integer> selectedPeers() {
         return selected;
     }
 
-    /** The first heir that is warm and heard, or -1. */
+    /**
+     * The first designated standby that is warm and answers.
+     *
+     * @param nowMicros the present time
+     * @return its index among the siblings, -1 if there is none
+     */
     public int firstWarmStandby(long nowMicros) {
-        for (int each : selected) {
-            if (hasRecentAnswer(each, nowMicros) && readiness[each] == StandbyReadiness.WARM) {
-                return each;
+        for (int peer : selected) {
+            if (hasRecentAnswer(peer, nowMicros) && readiness[peer] == StandbyReadiness.WARM) {
+                return peer;
             }
         }
-        return -1;
+        return NONE;
     }
 }
