--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -16,19 +16,22 @@
 import java.util.Map;
 
 /**
- * A term's part in what is learned: keeps run times, suspicions, slow, faulty and returned machines in a few rows, so that a leader that nobody
- * told knows them too. One row at a time, only what changed, and only with changes that rounds and users leave over. As hints these rows
- * speed up and never allow.
+ * Stores what a leader has learned during its term in a few records: run times, quarantined jobs, and slow, quarantined and deleted
+ * machines, so that a leader that received no hints knows them too. One record at a time, only what changed, and only with writes that
+ * scheduling and users leave over. Like hints, these records speed decisions up and never allow anything. Part of the leader's actor.
  */
 final class LearnedStateWriter {
-    /** All of them in a minute and no more than a change each two seconds. */
+    /** How often a record is written at most: all of them within a minute. */
     private static final long WRITE_INTERVAL_MICROS = 2 * Micros.SECOND;
 
-    private static final List<String> KEYS = List.of(
-            StoreKeys.LEARNED_STATE + "classes",
-            StoreKeys.LEARNED_STATE + "jobs",
-            StoreKeys.LEARNED_STATE + "machines");
-    /** What the frame of a row takes. */
+    private static final String CLASSES = StoreKeys.LEARNED_STATE + "classes";
+    private static final String JOBS = StoreKeys.LEARNED_STATE + "jobs";
+    private static final String MACHINES = StoreKeys.LEARNED_STATE + "machines";
+    private static final List<String> KEYS = List.of(CLASSES, JOBS, MACHINES);
+    private static final StoredRecord.LearnedState EMPTY = new StoredRecord.LearnedState(List.of());
+    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
+    /** What a record takes besides its hints. */
     private static final int FRAME_BYTES = 32;
 
     private final LeaderActor owner;
@@ -37,39 +40,42 @@
     private final StoreClient store;
     private final RolloutParticipant rollout;
     private final Map<String, StoredRecord.LearnedState> storedRecords = new HashMap<>();
-    private boolean writeInFlight;
-    private int next;
-    private long attemptedMicros = Long.MIN_VALUE / 2;
+    private boolean isWriteInFlight;
+    /** Index of the key to look at next. */
+    private int nextKey;
+
+    private long attemptedMicros = NEVER_MICROS;
 
     LearnedStateWriter(
-            LeaderActor owner, Settings settings, Scheduler scheduler, StoreClient state, RolloutParticipant rollout) {
+            LeaderActor owner, Settings settings, Scheduler scheduler, StoreClient store, RolloutParticipant rollout) {
         this.owner = owner;
         this.settings = settings;
         this.scheduler = scheduler;
-        this.store = state;
+        this.store = store;
         this.rollout = rollout;
     }
 
-    /** A row as an earlier leader left it. */
-    void recordObserved(String key, StoredRecord.LearnedState row) {
-        storedRecords.put(key, row);
+    /** A record as it is stored. */
+    void recordObserved(String key, StoredRecord.LearnedState record) {
+        storedRecords.put(key, record);
     }
 
-    void tick(long now) {
-        if (writeInFlight
-                || now - attemptedMicros < WRITE_INTERVAL_MICROS
+    /** Called every so often; writes at most one record. */
+    void tick(long nowMicros) {
+        if (isWriteInFlight
+                || nowMicros - attemptedMicros < WRITE_INTERVAL_MICROS
                 || !rollout.featureFlags().isEnabled(Feature.LEARNED)) {
             return;
         }
-        attemptedMicros = now;
-        List<Hint> lasting = scheduler.durableHints(now);
-        for (int tries = 0; tries < KEYS.size(); tries++) {
-            String key = KEYS.get(next);
-            next = (next + 1) % KEYS.size();
-            StoredRecord.LearnedState row = recordFor(key, lasting);
-            if (!row.equals(storedRecords.getOrDefault(key, new StoredRecord.LearnedState(List.of())))) {
-                if (scheduler.spareWriteBudget(now) >= 1) {
-                    write(key, row);
+        attemptedMicros = nowMicros;
+        List<Hint> durable = scheduler.durableHints(nowMicros);
+        for (int looked = 0; looked < KEYS.size(); looked++) {
+            String key = KEYS.get(nextKey);
+            nextKey = (nextKey + 1) % KEYS.size();
+            StoredRecord.LearnedState record = recordFor(key, durable);
+            if (!record.equals(storedRecords.getOrDefault(key, EMPTY))) {
+                if (scheduler.spareWriteBudget(nowMicros) >= 1) {
+                    write(key, record);
                 }
                 return;
             }
@@ -77,11 +83,11 @@
     }
 
     /** As much as a value takes; what is left out is learned anew. */
-    private StoredRecord.LearnedState recordFor(String key, List<Hint> lasting) {
+    private StoredRecord.LearnedState recordFor(String key, List<Hint> durable) {
         List<Hint> hints = new ArrayList<>();
         int bytes = FRAME_BYTES;
-        for (Hint hint : lasting) {
-            if (key.equals(KEYS.get(hint instanceof Hint.JobClassHint ? 0 : hint instanceof Hint.JobHint ? 1 : 2))) {
+        for (Hint hint : durable) {
+            if (key.equals(keyOf(hint))) {
                 bytes += StoreCodec.size(new StoredRecord.LearnedState(List.of(hint)));
                 if (bytes > settings.maxWritableValueBytes()) {
                     break;
@@ -92,9 +98,16 @@
         return new StoredRecord.LearnedState(List.copyOf(hints));
     }
 
-    private void write(String key, StoredRecord.LearnedState row) {
+    private static String keyOf(Hint hint) {
+        if (hint instanceof Hint.JobClassHint) {
+            return CLASSES;
+        }
+        return hint instanceof Hint.JobHint ? JOBS : MACHINES;
+    }
+
+    private void write(String key, StoredRecord.LearnedState record) {
         long fencingToken = scheduler.fencingToken();
-        writeInFlight = true;
+        isWriteInFlight = true;
         scheduler.writesSpent(1);
         store.transaction(
                 new Transaction(
@@ -103,13 +116,13 @@
                                 new Transaction.Condition(
                                         StoreKeys.FEATURE_STAGES,
                                         rollout.featureFlags().version())),
-                        List.of(new Transaction.Write(key, row, 0))),
-                owner.answer(r -> new TermMessage.LearnedStored(r, fencingToken, key, row)));
+                        List.of(new Transaction.Write(key, record, 0))),
+                owner.answer(reply -> new TermMessage.LearnedStored(reply, fencingToken, key, record)));
     }
 
-    /** Without an answer it is written again: it is the latest that counts, and only this leader writes. */
+    /** A write without an answer is repeated: the latest content counts, and only this leader writes. */
     void writeAnswered(TermMessage.LearnedStored message) {
-        writeInFlight = false;
+        isWriteInFlight = false;
         if (message.reply().ok()) {
             recordObserved(message.key(), message.row());
         }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -21,23 +21,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A term's part in the roll-out: reads who is registered and what operators ask for, and takes the next step, one at a time, on condition of
- * the token and of the row that it changes. Marks first, which former versions know too; then the features of the switches.
+ * Drives the roll-out of features during a leader's term: reads which controllers are registered and what operators request, and writes
+ * the next transition, one at a time, on condition of the fencing token and of the record that it changes. Marks come first, which former
+ * versions know too; then the features of the stages. Part of the leader's actor.
  */
 final class RolloutDriver {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    /** How often it looks: soon while something moves, rarely while nothing does. */
+    /** How often the registrations are read for some time after a transition. */
     private static final long ACTIVE_INTERVAL_MICROS = 500 * Micros.MILLISECOND;
 
+    /** How often they are read while something is left to do. */
     private static final long PENDING_INTERVAL_MICROS = 2 * Micros.SECOND;
+    /** How often they are read while nothing is. */
     private static final long QUIET_INTERVAL_MICROS = 10 * Micros.SECOND;
+
     private static final long ACTIVE_FOR_MICROS = 10 * Micros.SECOND;
     private static final long LOG_INTERVAL_MICROS = 60 * Micros.SECOND;
-    /** Conditions of a step beside those on registrations. */
+    /** Conditions of a transition beside those on registrations. */
     private static final int OWN_CONDITIONS = 3;
 
+    /** What the store takes of conditions, as a multiple of the writes that it takes. */
     private static final int CONDITIONS_PER_WRITE = 4;
 
+    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
+
     private final LeaderActor owner;
     private final Settings settings;
     private final Tuning tuning;
@@ -46,14 +54,16 @@
     private final UsersActor users;
     private final RolloutParticipant rollout;
     private final List<String> labels = new ArrayList<>();
+    /** The mark's version, 0 while there is none. */
     private long layoutVersion;
+
     private StoredRecord.Layout layout;
-    private boolean archiveExists;
-    private boolean recordsLoaded;
-    private boolean readInFlight;
-    private boolean writeInFlight;
-    private boolean pending = true;
-    private long readMicros = Long.MIN_VALUE / 2;
+    private boolean doesArchiveExist;
+    private boolean areRecordsLoaded;
+    private boolean isReadInFlight;
+    private boolean isWriteInFlight;
+    private boolean isPending = true;
+    private long readMicros = NEVER_MICROS;
     private long advancedMicros;
     private long loggedMicros;
     private String lastLogged = "";
@@ -63,14 +73,14 @@
             Settings settings,
             Tuning tuning,
             Scheduler scheduler,
-            StoreClient state,
+            StoreClient store,
             UsersActor users,
             RolloutParticipant rollout) {
         this.owner = owner;
         this.settings = settings;
         this.tuning = tuning;
         this.scheduler = scheduler;
-        this.store = state;
+        this.store = store;
         this.users = users;
         this.rollout = rollout;
         this.advancedMicros = owner.now();
@@ -78,13 +88,13 @@
         settings.siblings().forEach(sibling -> labels.add(sibling.label()));
     }
 
-    /** All that a leader reads is whole. */
+    /** All records that a leader needs are read. */
     void recordsLoaded() {
-        recordsLoaded = true;
+        areRecordsLoaded = true;
         flagsChanged();
     }
 
-    /** The scheduler writes by the switches as they are now. */
+    /** The scheduler writes by the feature stages as they are now. */
     void flagsChanged() {
         scheduler.featureFlagsChanged(
                 rollout.featureFlags().version(),
@@ -92,35 +102,43 @@
                 rollout.featureFlags().isEnabled(Feature.RETURNS));
     }
 
-    void layoutObserved(long version, StoredRecord.Layout seen) {
+    /** The mark was read or written. */
+    void layoutObserved(long version, StoredRecord.Layout observed) {
         layoutVersion = version;
-        layout = seen;
-        scheduler.layoutMarked(version, seen);
+        layout = observed;
+        scheduler.layoutMarked(version, observed);
     }
 
+    /** The archive's manifest was read. */
     void archiveObserved() {
-        archiveExists = true;
+        doesArchiveExist = true;
     }
 
     /** Called every so often. */
-    void tick(long now) {
-        long every = !pending
-                ? QUIET_INTERVAL_MICROS
-                : now - advancedMicros < ACTIVE_FOR_MICROS ? ACTIVE_INTERVAL_MICROS : PENDING_INTERVAL_MICROS;
-        if (rollout.supportsRegistration()
-                && recordsLoaded
-                && !readInFlight
-                && !writeInFlight
-                && now - readMicros >= every) {
-            readInFlight = true;
-            readMicros = now;
-            long fencingToken = scheduler.fencingToken();
-            store.list(StoreKeys.ROLLOUT, null, owner.answer(r -> new TermMessage.RosterRead(r, fencingToken)));
+    void tick(long nowMicros) {
+        boolean isBusy = isReadInFlight || isWriteInFlight;
+        if (!rollout.supportsRegistration()
+                || !areRecordsLoaded
+                || isBusy
+                || nowMicros - readMicros < readIntervalMicros(nowMicros)) {
+            return;
+        }
+        isReadInFlight = true;
+        readMicros = nowMicros;
+        long fencingToken = scheduler.fencingToken();
+        store.list(StoreKeys.ROLLOUT, null, owner.answer(reply -> new TermMessage.RosterRead(reply, fencingToken)));
+    }
+
+    private long readIntervalMicros(long nowMicros) {
+        if (!isPending) {
+            return QUIET_INTERVAL_MICROS;
         }
+        return nowMicros - advancedMicros < ACTIVE_FOR_MICROS ? ACTIVE_INTERVAL_MICROS : PENDING_INTERVAL_MICROS;
     }
 
+    /** The records of registrations and requests were read. */
     void registryRead(Reply reply) {
-        readInFlight = false;
+        isReadInFlight = false;
         if (!reply.ok()) {
             return;
         }
@@ -133,13 +151,17 @@
             LOG.error("registrations: {}", e.getMessage());
             return;
         }
-        pending = true;
+        advance(registry);
+    }
+
+    private void advance(ControllerRegistry registry) {
+        isPending = true;
         if (layout == null) {
-            if (everyoneKnows(Feature.NEEDS, registry)) {
+            if (isKnownToAll(Feature.NEEDS, registry)) {
                 markLayout(registry);
             }
-        } else if (!archiveExists && tuning.archiveEnabled()) {
-            if (everyoneKnows(Feature.HISTORY, registry)) {
+        } else if (!doesArchiveExist && tuning.archiveEnabled()) {
+            if (isKnownToAll(Feature.HISTORY, registry)) {
                 startArchive(registry);
             }
         } else {
@@ -147,20 +169,20 @@
         }
     }
 
-    private boolean everyoneKnows(Feature feature, ControllerRegistry registry) {
+    private boolean isKnownToAll(Feature feature, ControllerRegistry registry) {
         List<String> missing = registry.blockers(feature);
         logBlockers(missing.isEmpty() ? "" : feature.key() + " waits: " + String.join(", ", missing));
         return missing.isEmpty();
     }
 
-    /** What is waited for, when it changes and once a minute. */
-    private void logBlockers(String what) {
+    /** Logs what is waited for when it changes, and once a minute. */
+    private void logBlockers(String blockers) {
         long now = owner.now();
-        if (!what.isEmpty() && (!what.equals(lastLogged) || now - loggedMicros >= LOG_INTERVAL_MICROS)) {
-            LOG.info("roll-out: {}", what);
+        if (!blockers.isEmpty() && (!blockers.equals(lastLogged) || now - loggedMicros >= LOG_INTERVAL_MICROS)) {
+            LOG.info("roll-out: {}", blockers);
             loggedMicros = now;
         }
-        lastLogged = what;
+        lastLogged = blockers;
     }
 
     private List<Transaction.Condition> conditions(ControllerRegistry registry, Transaction.Condition... own) {
@@ -172,18 +194,19 @@
         return conditions;
     }
 
-    /** From the mark on, and only then, jobs that need others are accepted and names are written in short. */
+    /** From the mark on, and only then, jobs with dependencies are accepted and names are compressed. */
     private void markLayout(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
         StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_NEEDS, settings.pageTasks());
-        writeInFlight = true;
+        isWriteInFlight = true;
         store.transaction(
                 new Transaction(
                         conditions(registry, new Transaction.Condition(StoreKeys.LAYOUT, 0)),
                         List.of(new Transaction.Write(StoreKeys.LAYOUT, first, 0))),
-                owner.answer(r -> new TermMessage.LayoutMarked(r, fencingToken, first)));
+                owner.answer(reply -> new TermMessage.LayoutMarked(reply, fencingToken, first)));
     }
 
+    /** The answer to {@link #markLayout}. */
     void layoutMarked(TermMessage.LayoutMarked message) {
         writeAnswered(message.reply());
         try {
@@ -200,11 +223,10 @@
     /** The archive begins with an empty manifest, once every controller reads it. */
     private void startArchive(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
-        // The mark is written anew along with it: what a former version writes of jobs that need others has the mark's
-        // version as
-        // a condition, and may arrive minutes late.
+        // The mark is written anew along with it: what a former version writes of jobs with dependencies has the mark's
+        // version as a condition, and may arrive minutes late.
         StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_HISTORY, layout.pageTasks());
-        writeInFlight = true;
+        isWriteInFlight = true;
         store.transaction(
                 new Transaction(
                         conditions(
@@ -217,10 +239,10 @@
                                         StoreKeys.ARCHIVE_MANIFEST,
                                         Archiver.emptyManifest(fencingToken, owner.wall()),
                                         0))),
-                owner.answer(r -> new TermMessage.HistoryBegun(r, fencingToken)));
+                owner.answer(reply -> new TermMessage.HistoryBegun(reply, fencingToken)));
     }
 
-    /** Whoever wrote it, the copy of the rows tells of it. */
+    /** The answer to {@link #startArchive}. Whoever wrote the manifest, the copy of the job records tells of it. */
     void archiveStarted(TermMessage.HistoryBegun message) {
         writeAnswered(message.reply());
         if (message.reply().ok()) {
@@ -231,12 +253,12 @@
     private void advanceFeatures(ControllerRegistry registry) {
         RolloutPlan plan = RolloutPlan.create(rollout.featureFlags(), registry, tuning.rolloutEnabled());
         logBlockers(String.join("; ", plan.blockers()));
-        pending = plan.newStages() != null || !plan.blockers().isEmpty();
+        isPending = plan.newStages() != null || !plan.blockers().isEmpty();
         if (plan.newStages() == null) {
             return;
         }
         long fencingToken = scheduler.fencingToken();
-        writeInFlight = true;
+        isWriteInFlight = true;
         store.transaction(
                 new Transaction(
                         conditions(
@@ -245,10 +267,11 @@
                                         StoreKeys.FEATURE_STAGES,
                                         rollout.featureFlags().version())),
                         List.of(new Transaction.Write(StoreKeys.FEATURE_STAGES, plan.newStages(), 0))),
-                owner.answer(r -> new TermMessage.Stepped(r, fencingToken, plan.newStages(), plan.transitions())));
+                owner.answer(
+                        reply -> new TermMessage.Stepped(reply, fencingToken, plan.newStages(), plan.transitions())));
     }
 
-    /** Of an outcome that is not known the row itself tells. */
+    /** The answer to {@link #advanceFeatures}. If the outcome is not known, the record itself tells. */
     void stagesWritten(TermMessage.Stepped message) {
         writeAnswered(message.reply());
         try {
@@ -263,10 +286,10 @@
         rollout.newerVersionReported(rollout.featureFlags().version() + 1);
     }
 
-    /** The next look comes at once after a step that was taken, and after a pause where it was not. */
+    /** The next read comes at once after a transition that was written, and after a pause where it was not. */
     private void writeAnswered(Reply reply) {
-        writeInFlight = false;
+        isWriteInFlight = false;
         advancedMicros = owner.now();
-        readMicros = reply.ok() ? Long.MIN_VALUE / 2 : advancedMicros;
+        readMicros = reply.ok() ? NEVER_MICROS : advancedMicros;
     }
 }
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -18,35 +18,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The switches as this controller has them, and its registration. Does not lead before it has read them, and neither leads nor serves while
- * they name what this version does not know. Part of the leader's actor.
+ * This controller's part in the roll-out: the feature stages as it knows them, and its registration. It does not lead before it has read
+ * the stages, and neither leads nor serves while they name what this version does not support. Part of the leader's actor.
  */
 final class RolloutParticipant {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
-    /** A start waits for the first read: after an outage a claim came a quarter of a second later than the row allowed. */
+    /** A start waits for the first read: after an outage a claim came a quarter of a second later than the lease allowed. */
     private static final long FIRST_RETRY_MICROS = 100 * Micros.MILLISECOND;
 
     private static final long LOG_INTERVAL_MICROS = 30 * Micros.SECOND;
 
+    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
+
+    private static final int NOT_FOUND = 404;
+    private static final int CONFLICT = 409;
+
     private final LeaderActor owner;
     private final StoreClient store;
     private final UsersActor users;
     private final Capabilities capabilities;
     private final FeatureFlags featureFlags;
     private final ControllerRegistration registration;
-    private boolean readInFlight;
-    private long readRetryMicros = Long.MIN_VALUE / 2;
-    /** A version of the switches that somebody knows of; read if it is newer. */
+    private boolean isReadInFlight;
+    private long readRetryMicros = NEVER_MICROS;
+    /** The newest version of the stages that was reported; they are read if it is newer than what is known. */
     private long newestReportedVersion;
 
-    private boolean blocked;
-    private long loggedMicros = Long.MIN_VALUE / 2;
+    /** Whether the stages name what this version does not support. */
+    private boolean isBlocked;
+
+    private long loggedMicros = NEVER_MICROS;
 
     RolloutParticipant(
-            LeaderActor owner, Settings settings, Capabilities capabilities, StoreClient state, UsersActor users) {
+            LeaderActor owner, Settings settings, Capabilities capabilities, StoreClient store, UsersActor users) {
         this.owner = owner;
-        this.store = state;
+        this.store = store;
         this.users = users;
         this.capabilities = capabilities;
         this.featureFlags = new FeatureFlags(capabilities);
@@ -58,74 +66,75 @@
         return featureFlags;
     }
 
-    /** Whether this version takes part at all. */
+    /** Whether this version takes part in roll-outs at all. */
     boolean supportsRegistration() {
         return capabilities.supportsRegistration();
     }
 
-    /** Whether it may lead as far as the stored forms go: they are known, and this version reads all of them. */
+    /** Whether it may lead as far as the stored forms go: the stages are known, and this version supports all of them. */
     boolean mayLead() {
-        return !capabilities.supportsRegistration() || (featureFlags.isKnown() && !blocked);
+        return !capabilities.supportsRegistration() || (featureFlags.isKnown() && !isBlocked);
     }
 
-    /** What a claim has as a condition. */
+    /** The conditions of a claim of the leader lease. */
     List<Transaction.Condition> claimConditions() {
         return capabilities.supportsRegistration()
                 ? List.of(new Transaction.Condition(StoreKeys.FEATURE_STAGES, featureFlags.version()))
                 : List.of();
     }
 
-    /** A claim or a registration is refused by the switches, or a sibling's news tell of newer ones. */
+    /** A claim or a registration was refused by the stages' version, or a peer's status tells of a newer one. */
     void newerVersionReported(long version) {
         newestReportedVersion = Math.max(newestReportedVersion, version);
     }
 
-    /** The switches as the copy of the job rows, a read or an own step shows them. */
-    void flagsObserved(long version, StoredRecord.FeatureStages row) {
-        if (!featureFlags.update(version, row)) {
+    /** The stages as the copy of the job records, a read or an own transition shows them. */
+    void flagsObserved(long version, StoredRecord.FeatureStages record) {
+        if (!featureFlags.update(version, record)) {
             return;
         }
         List<String> unknown = featureFlags.unsupportedFeatures();
-        if (!unknown.isEmpty() && !blocked) {
+        if (!unknown.isEmpty() && !isBlocked) {
             LOG.error(
                     "does not serve: the deployment uses {}, which this version does not know. Start a version that does, or take it back"
                             + " with `micatide rollout back`",
                     String.join(", ", unknown));
-        } else if (unknown.isEmpty() && blocked) {
+        } else if (unknown.isEmpty() && isBlocked) {
             LOG.info("serves again: all that the deployment uses is known");
         }
-        blocked = !unknown.isEmpty();
-        users.tell(new UsersActor.Blocked(blocked));
+        isBlocked = !unknown.isEmpty();
+        users.tell(new UsersActor.Blocked(isBlocked));
         owner.switchesChanged();
     }
 
     /** Called every so often. */
-    void advance(long lease, long now) {
+    void advance(long lease, long nowMicros) {
         if (!capabilities.supportsRegistration()) {
             return;
         }
-        if ((!featureFlags.isKnown() || newestReportedVersion > featureFlags.version())
-                && !readInFlight
-                && now >= readRetryMicros) {
-            readInFlight = true;
+        if (!isReadInFlight && nowMicros >= readRetryMicros && isReadNeeded()) {
+            isReadInFlight = true;
             store.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderActor.SwitchesRead::new));
         }
-        if (blocked && now - loggedMicros >= LOG_INTERVAL_MICROS) {
-            loggedMicros = now;
+        if (isBlocked && nowMicros - loggedMicros >= LOG_INTERVAL_MICROS) {
+            loggedMicros = nowMicros;
             LOG.warn("waits, and does not serve, because of {}", String.join(", ", featureFlags.unsupportedFeatures()));
         }
-        switch (registration.nextAction(blocked ? 0 : lease, featureFlags.version(), now)) {
+        switch (registration.nextAction(isBlocked ? 0 : lease, featureFlags.version(), nowMicros)) {
             case READ -> store.read(registration.key(), owner.answer(LeaderActor.OwnRowRead::new));
-            case PUT -> {
-                Transaction put = registration.registrationTransaction();
-                store.transaction(put, owner.answer(LeaderActor.Registered::new));
-            }
+            case PUT ->
+                store.transaction(registration.registrationTransaction(), owner.answer(LeaderActor.Registered::new));
             case NOTHING -> {}
         }
     }
 
+    private boolean isReadNeeded() {
+        return !featureFlags.isKnown() || newestReportedVersion > featureFlags.version();
+    }
+
+    /** The answer to a read of the stages. */
     void flagsRead(Reply reply) {
-        readInFlight = false;
+        isReadInFlight = false;
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
@@ -133,17 +142,18 @@
                 newestReportedVersion = Math.min(newestReportedVersion, item.version());
                 return;
             }
-            if (reply.status() == 404) {
+            if (reply.status() == NOT_FOUND) {
                 flagsObserved(0, new StoredRecord.FeatureStages(Map.of()));
                 newestReportedVersion = 0;
                 return;
             }
         } catch (MalformedException e) {
-            LOG.error("switches: {}", e.getMessage());
+            LOG.error("feature stages: {}", e.getMessage());
         }
         readRetryMicros = owner.now() + (featureFlags.isKnown() ? RETRY_MICROS : FIRST_RETRY_MICROS);
     }
 
+    /** The answer to a read of this controller's own registration. */
     void ownRecordRead(Reply reply) {
         try {
             if (reply.ok()) {
@@ -153,13 +163,14 @@
         } catch (MalformedException e) {
             LOG.error("registration: {}", e.getMessage());
         }
-        if (reply.status() == 404) {
+        if (reply.status() == NOT_FOUND) {
             registration.recordRead(0);
         } else {
             registration.requestFailed(owner.now());
         }
     }
 
+    /** The answer to a put of the registration. */
     void registrationAnswered(Reply reply) {
         long now = owner.now();
         try {
@@ -167,7 +178,7 @@
                 registration.registrationStored(StoreCodec.revision(reply.body()));
                 return;
             }
-            if (reply.status() == 409 && StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
+            if (reply.status() == CONFLICT && StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
                 newerVersionReported(featureFlags.version() + 1);
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/protocol/RolloutCodec.java
+++ b/src/main/java/io/micatide/protocol/RolloutCodec.java
@@ -8,10 +8,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Rows of the roll-out and of the features that came with it. None of them has a field {@code state}, which former versions ask job rows for. */
+/**
+ * The JSON of the records of the roll-out and of the features that came with it. None of them has a field {@code state}, which former
+ * versions ask job records for.
+ */
 final class RolloutCodec {
     private RolloutCodec() {}
 
+    /** Whether the record under a key is one of these. */
     static boolean isFor(String key) {
         return key.equals(StoreKeys.FEATURE_STAGES)
                 || key.startsWith(StoreKeys.ROLLOUT)
@@ -20,44 +24,42 @@
                 || key.startsWith(StoreKeys.MACHINE_DELETIONS);
     }
 
-    static void write(JsonGenerator out, StoredRecord row) throws IOException {
-        if (row instanceof StoredRecord.FeatureStages features) {
+    /** Writes the fields of a record; one of another kind has none here. */
+    static void write(JsonGenerator out, StoredRecord record) throws IOException {
+        if (record instanceof StoredRecord.FeatureStages features) {
             out.writeObjectFieldStart("features");
             for (Map.Entry<String, String> each : new TreeMap<>(features.stages()).entrySet()) {
                 out.writeStringField(each.getKey(), each.getValue());
             }
             out.writeEndObject();
-        } else if (row instanceof StoredRecord.RegisteredController here) {
-            out.writeStringField("build", here.build());
+        } else if (record instanceof StoredRecord.RegisteredController controller) {
+            out.writeStringField("build", controller.build());
             out.writeArrayFieldStart("knows");
-            for (String name : here.knownFeatures()) {
+            for (String name : controller.knownFeatures()) {
                 out.writeString(name);
             }
             out.writeEndArray();
-            out.writeNumberField("acts", here.actingOnVersion());
-            out.writeNumberField("since", here.startedWall());
-        } else if (row instanceof StoredRecord.FeatureRequest ask) {
-            out.writeStringField("wish", ask.action().name());
-        } else if (row instanceof StoredRecord.ProvisioningFence fence) {
+            out.writeNumberField("acts", controller.actingOnVersion());
+            out.writeNumberField("since", controller.startedWall());
+        } else if (record instanceof StoredRecord.FeatureRequest request) {
+            out.writeStringField("wish", request.action().name());
+        } else if (record instanceof StoredRecord.ProvisioningFence fence) {
             out.writeNumberField("fence", fence.number());
-        } else if (row instanceof StoredRecord.MachinesToDelete returned) {
+        } else if (record instanceof StoredRecord.MachinesToDelete deletions) {
             out.writeArrayFieldStart("machines");
-            for (String name : returned.machines()) {
+            for (String name : deletions.machines()) {
                 out.writeString(name);
             }
             out.writeEndArray();
-        } else if (row instanceof StoredRecord.LearnedState learned) {
+        } else if (record instanceof StoredRecord.LearnedState learned) {
             HintCodec.write(out, learned.hints());
         }
     }
 
+    /** Reads the record under a key. */
     static StoredRecord row(String key, JsonFields in, JsonNode data) throws MalformedException {
         if (key.equals(StoreKeys.FEATURE_STAGES)) {
-            Map<String, String> stages = new TreeMap<>();
-            for (Map.Entry<String, JsonNode> feature : data.path("features").properties()) {
-                stages.put(feature.getKey(), feature.getValue().asText());
-            }
-            return new StoredRecord.FeatureStages(stages);
+            return featureStages(data);
         }
         if (key.startsWith(StoreKeys.CONTROLLERS)) {
             return new StoredRecord.RegisteredController(
@@ -67,14 +69,7 @@
                     in.count("since", 0, Long.MAX_VALUE));
         }
         if (key.startsWith(StoreKeys.FEATURE_REQUESTS)) {
-            String word = in.text("wish");
-            for (StoredRecord.RequestedAction each : StoredRecord.RequestedAction.values()) {
-                if (each.name().equals(word)) {
-                    return new StoredRecord.FeatureRequest(each);
-                }
-            }
-            // Of a later version: what this one does not understand it does not do.
-            return new StoredRecord.FeatureRequest(StoredRecord.RequestedAction.HOLD);
+            return new StoredRecord.FeatureRequest(requestedAction(in.text("wish")));
         }
         if (key.equals(StoreKeys.PROVISIONING_FENCE)) {
             return new StoredRecord.ProvisioningFence(in.count("fence", 0, Long.MAX_VALUE));
@@ -87,4 +82,22 @@
         }
         throw new MalformedException(key, "is not a key of micatide");
     }
+
+    private static StoredRecord.FeatureStages featureStages(JsonNode data) {
+        Map<String, String> stages = new TreeMap<>();
+        for (Map.Entry<String, JsonNode> feature : data.path("features").properties()) {
+            stages.put(feature.getKey(), feature.getValue().asText());
+        }
+        return new StoredRecord.FeatureStages(stages);
+    }
+
+    /** An action of a later version is read as HOLD: what this version does not understand it does not do. */
+    private static StoredRecord.RequestedAction requestedAction(String name) {
+        for (StoredRecord.RequestedAction action : StoredRecord.RequestedAction.values()) {
+            if (action.name().equals(name)) {
+                return action;
+            }
+        }
+        return StoredRecord.RequestedAction.HOLD;
+    }
 }
--- a/src/main/java/io/micatide/rollout/ControllerRegistration.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistration.java
@@ -7,70 +7,90 @@
 import java.util.List;
 
 /**
- * That this controller is there, what it can do and by which switches it acts: a row that is attached to its lease, put again whenever it
- * has a new lease or newer switches. The put has the switches and the row's own version as conditions, so one of a former life that
- * arrives late is refused. Times in microseconds.
+ * The registration of this controller: a record, attached to its lease, of what its version can do and on which version of the feature
+ * stages it acts. It is put again whenever the controller has a new lease or newer stages. The put has the stages and the record's own
+ * version as conditions, so one of a former process that arrives late is refused. One request is in flight at a time. Times in
+ * microseconds.
  */
 public final class ControllerRegistration {
-    /** What to do next; every wish but NOTHING must be followed by its outcome. */
+    /** What to do next; each one but {@link #NOTHING} must be followed by its outcome. */
     public enum Action {
+        /** Nothing for now. */
         NOTHING,
+        /** Read the record under {@link ControllerRegistration#key}. */
         READ,
+        /** Carry out {@link ControllerRegistration#registrationTransaction}. */
         PUT
     }
 
     private static final long RETRY_PAUSE_MICROS = 300 * Micros.MILLISECOND;
+    private static final long NOT_KNOWN = -1;
 
     private final String key;
     private final String build;
     private final Capabilities capabilities;
     private final long startedWall;
-    private boolean requestInFlight;
-    private long retryMicros = Long.MIN_VALUE / 2;
-    /** Of the own row; -1 before it was read. */
-    private long recordVersion = -1;
+    private boolean isRequestInFlight;
+    private long retryMicros = Long.MIN_VALUE;
+    /** Of the stored record, 0 if there is none, {@link #NOT_KNOWN} before it was read. */
+    private long recordVersion = NOT_KNOWN;
 
     private long requestedLease;
     private long requestedFlagsVersion;
+    /** What the stored record says. */
     private long registeredLease;
-    private long registeredFlagsVersion = -1;
+
+    private long registeredFlagsVersion = NOT_KNOWN;
 
     /**
+     * Makes the registration of a process that begins.
+     *
+     * @param label of this controller
      * @param build the version of this program, for operators
-     * @param sinceWall time of day at which this process began
+     * @param capabilities of this version
+     * @param startedWall time of day at which this process began
      */
-    public ControllerRegistration(String label, String build, Capabilities capabilities, long sinceWall) {
-        this.capabilities = capabilities;
+    public ControllerRegistration(String label, String build, Capabilities capabilities, long startedWall) {
         this.key = StoreKeys.controller(label);
         this.build = build;
-        this.startedWall = sinceWall;
+        this.capabilities = capabilities;
+        this.startedWall = startedWall;
     }
 
-    /** The controller's own row. */
+    /**
+     * The key of the controller's record.
+     *
+     * @return a key under {@link StoreKeys#CONTROLLERS}
+     */
     public String key() {
         return key;
     }
 
     /**
-     * @param leaseNow the lease of this controller, 0 if it has none
-     * @param actsNow version of the switches by which it acts, -1 while they are not known
+     * Chooses the next action; after one other than {@link Action#NOTHING} a request is in flight.
+     *
+     * @param lease the lease of this controller, 0 if it has none
+     * @param flagsVersion version of the feature stages on which it acts, -1 while they are not known
+     * @param nowMicros the present time
+     * @return what to do
      */
-    public Action nextAction(long leaseNow, long actsNow, long nowMicros) {
-        if (!capabilities.supportsRegistration()
-                || requestInFlight
-                || nowMicros < retryMicros
-                || leaseNow == 0
-                || actsNow < 0
-                || (leaseNow == registeredLease && actsNow == registeredFlagsVersion)) {
+    public Action nextAction(long lease, long flagsVersion, long nowMicros) {
+        boolean isUpToDate = lease == registeredLease && flagsVersion == registeredFlagsVersion;
+        boolean canRegister = capabilities.supportsRegistration() && lease != 0 && flagsVersion >= 0;
+        if (!canRegister || isUpToDate || isRequestInFlight || nowMicros < retryMicros) {
             return Action.NOTHING;
         }
-        requestInFlight = true;
-        requestedLease = leaseNow;
-        requestedFlagsVersion = actsNow;
+        isRequestInFlight = true;
+        requestedLease = lease;
+        requestedFlagsVersion = flagsVersion;
         return recordVersion < 0 ? Action.READ : Action.PUT;
     }
 
-    /** What to write after {@link Action#PUT}. */
+    /**
+     * What to write after {@link Action#PUT}.
+     *
+     * @return the transaction
+     */
     public Transaction registrationTransaction() {
         return new Transaction(
                 List.of(
@@ -83,29 +103,45 @@
                         requestedLease)));
     }
 
-    /** The own row as read, version 0 if there is none. */
+    /**
+     * Outcome of {@link Action#READ}.
+     *
+     * @param version of the record, 0 if there is none
+     */
     public void recordRead(long version) {
-        requestInFlight = false;
+        isRequestInFlight = false;
         recordVersion = version;
     }
 
+    /**
+     * Outcome of {@link Action#PUT}: it is stored.
+     *
+     * @param revision of the store, which is the record's version
+     */
     public void registrationStored(long revision) {
-        requestInFlight = false;
+        isRequestInFlight = false;
         recordVersion = revision;
         registeredLease = requestedLease;
         registeredFlagsVersion = requestedFlagsVersion;
     }
 
-    /** Refused or of unknown outcome: the row is read before the next try. */
+    /**
+     * The request was refused or its outcome is unknown: the record is read before the next try.
+     *
+     * @param nowMicros the present time
+     */
     public void outcomeUnknown(long nowMicros) {
-        requestInFlight = false;
-        recordVersion = -1;
-        retryMicros = nowMicros + RETRY_PAUSE_MICROS;
+        recordVersion = NOT_KNOWN;
+        requestFailed(nowMicros);
     }
 
-    /** Certainly not executed. */
+    /**
+     * The request was certainly not executed; it is tried again after a pause.
+     *
+     * @param nowMicros the present time
+     */
     public void requestFailed(long nowMicros) {
-        requestInFlight = false;
+        isRequestInFlight = false;
         retryMicros = nowMicros + RETRY_PAUSE_MICROS;
     }
 }
--- a/src/main/java/io/micatide/rollout/Feature.java
+++ b/src/main/java/io/micatide/rollout/Feature.java
@@ -3,64 +3,92 @@
 import java.util.List;
 
 /**
- * The changes of the stored state that this version knows. A new one is a line here, and whatever it writes has the row of the switches as a
- * condition; it may not be taken off this list while a deployment may have it above {@link FeatureStage#OFF}.
+ * A change of the stored state that this version knows. A new one is a line here, and whatever it writes has the record of the feature
+ * stages as a condition; it may not be taken off this list while a deployment may have it above {@link FeatureStage#OFF}.
  */
 public enum Feature {
-    /** Jobs that need others, machines' names in short: the mark {@code job/layout}. Older than the switches, and without a way back. */
+    /** Jobs with dependencies and compressed names of machines: the mark {@code job/layout}. Older than the stages, without a way back. */
     NEEDS("needs", true, FeatureStage.OFF, FeatureStage.CLEAN),
     /** Final states in the archive: the manifest {@code job/history}. Likewise. */
     HISTORY("history", true, FeatureStage.OFF, FeatureStage.CLEAN),
-    /** Bookings are written on condition of their own version and of a fence, so that no late write brings one back. */
+    /** Provisioning requests are written on condition of their own version and of a fence, so that no late write brings one back. */
     BOOKING_FENCE("booking-fence", false, FeatureStage.OFF, FeatureStage.READ, FeatureStage.ON),
-    /** What a leader has learned is kept in rows under {@code learned/} for one that nobody told. */
+    /** What a leader has learned is kept in records under {@code learned/} for one that received no hints. */
     LEARNED("learned", false, FeatureStage.OFF, FeatureStage.READ, FeatureStage.ON),
-    /** Machines that are given back are named in rows under {@code return/} before the cloud is asked, and no leader uses one that is. */
+    /** Machines to be deleted are named in records under {@code return/} before the cloud is asked, and no leader uses one that is. */
     RETURNS("returns", false, FeatureStage.OFF, FeatureStage.READ, FeatureStage.ON);
 
     private final String key;
-    private final boolean mark;
+    private final boolean isMark;
     private final List<FeatureStage> stages;
 
-    Feature(String key, boolean mark, FeatureStage... path) {
+    Feature(String key, boolean isMark, FeatureStage... stages) {
         this.key = key;
-        this.mark = mark;
-        this.stages = List.of(path);
+        this.isMark = isMark;
+        this.stages = List.of(stages);
     }
 
-    /** Its name in the state service and for operators. */
+    /**
+     * Its name in the store and for operators.
+     *
+     * @return the key, which never changes
+     */
     public String key() {
         return key;
     }
 
-    /** Whether a row of its own tells its stage, which versions without switches read, instead of the row of the switches. */
+    /**
+     * Whether a mark, a record of its own that versions without feature stages read as well, tells its stage.
+     *
+     * @return false if the record of the feature stages does
+     */
     public boolean isMark() {
-        return mark;
+        return isMark;
     }
 
+    /**
+     * The stages that it goes through.
+     *
+     * @return in this order
+     */
     public List<FeatureStage> stages() {
         return stages;
     }
 
-    /** The feature of that name, null if this version knows none. */
+    /**
+     * Finds a feature by its name.
+     *
+     * @param key a name, may be of a later version
+     * @return the feature, null if this version knows none of that name
+     */
     public static Feature forKey(String key) {
-        for (Feature each : values()) {
-            if (each.key.equals(key)) {
-                return each;
+        for (Feature feature : values()) {
+            if (feature.key.equals(key)) {
+                return feature;
             }
         }
         return null;
     }
 
-    /** The stage after this one, null after the last. */
+    /**
+     * The stage to which it goes forward.
+     *
+     * @param now the present stage
+     * @return the stage after it, null after the last
+     */
     public FeatureStage stageAfter(FeatureStage now) {
-        int at = stages.indexOf(now);
-        return at >= 0 && at + 1 < stages.size() ? stages.get(at + 1) : null;
+        int index = stages.indexOf(now);
+        return index >= 0 && index + 1 < stages.size() ? stages.get(index + 1) : null;
     }
 
-    /** The stage before this one; null before the first, and of what is gone for good. */
+    /**
+     * The stage to which it goes back.
+     *
+     * @param now the present stage
+     * @return the stage before it; null before the first, and of {@link FeatureStage#CLEAN}, from which there is no way back
+     */
     public FeatureStage stageBefore(FeatureStage now) {
-        int at = stages.indexOf(now);
-        return at > 0 && now != FeatureStage.CLEAN ? stages.get(at - 1) : null;
+        int index = stages.indexOf(now);
+        return index > 0 && now != FeatureStage.CLEAN ? stages.get(index - 1) : null;
     }
 }
--- a/src/main/java/io/micatide/rollout/FeatureFlags.java
+++ b/src/main/java/io/micatide/rollout/FeatureFlags.java
@@ -6,75 +6,118 @@
 import java.util.Map;
 
 /**
- * The row of the switches as this controller has it. Never goes back: of two versions that it is told, the newer one counts, in whatever
- * order they come.
+ * The stages of all features as this controller knows them. Never goes back: of two versions of the stored record that it is told, the
+ * newer one counts, in whatever order they come. One thread at a time.
  */
 public final class FeatureFlags {
+    private static final long NOT_READ = -1;
+
     private final Capabilities capabilities;
-    private long version = -1;
+    private long version = NOT_READ;
     private StoredRecord.FeatureStages record = new StoredRecord.FeatureStages(Map.of());
 
+    /**
+     * Makes flags that have not been read yet: every feature is off.
+     *
+     * @param capabilities of this version of the program
+     */
     public FeatureFlags(Capabilities capabilities) {
         this.capabilities = capabilities;
     }
 
-    /** The row as read or watched; version 0 with no stages if there is none. Returns whether that is news. */
-    public boolean update(long newVersion, StoredRecord.FeatureStages newRow) {
+    /**
+     * Takes in the stored record as it was read or watched.
+     *
+     * @param newVersion its version, 0 if there is none
+     * @param newRecord the record, without stages if there is none
+     * @return whether that is newer than what was known
+     */
+    public boolean update(long newVersion, StoredRecord.FeatureStages newRecord) {
         if (newVersion <= version) {
             return false;
         }
         version = newVersion;
-        record = newRow;
+        record = newRecord;
         return true;
     }
 
-    /** Whether it has been read at all. */
+    /**
+     * Whether the record has been read at all.
+     *
+     * @return false in a process that has just started
+     */
     public boolean isKnown() {
         return version >= 0;
     }
 
-    /** Version of the row, 0 if there is none, -1 if that is not known. What is written in a form that depends on a switch has it as a condition. */
+    /**
+     * The version of the stored record. Whatever is written in a form that depends on a feature has it as a condition.
+     *
+     * @return 0 if there is none, -1 if that is not known
+     */
     public long version() {
         return version;
     }
 
+    /**
+     * The stored record.
+     *
+     * @return without stages if there is none or it is not known
+     */
     public StoredRecord.FeatureStages record() {
         return record;
     }
 
-    /** Where a feature stands; of a mark, always OFF. */
+    /**
+     * The stage of a feature.
+     *
+     * @param feature one that is no mark; a mark is always off here
+     * @return off as well if the record has a stage that this version does not know
+     */
     public FeatureStage stage(Feature feature) {
-        FeatureStage stage = stage(record.stages().get(feature.key()));
+        FeatureStage stage = parseStage(record.stages().get(feature.key()));
         return stage == null ? FeatureStage.OFF : stage;
     }
 
-    /** Whether the new form is what counts. */
+    /**
+     * Whether the new form is what counts.
+     *
+     * @param feature one that is no mark
+     * @return whether it is at {@link FeatureStage#ON} or beyond
+     */
     public boolean isEnabled(Feature feature) {
         return stage(feature).compareTo(FeatureStage.ON) >= 0;
     }
 
-    /** Features that are in use and that this version does not know, or not at that stage: it cannot read what is stored. */
+    /**
+     * Features that are in use and that this version does not know, or not at that stage: it cannot read what is stored.
+     *
+     * @return their names with their stages, for operators
+     */
     public List<String> unsupportedFeatures() {
-        List<String> result = new ArrayList<>();
-        record.stages().forEach((name, word) -> {
-            FeatureStage stage = stage(word);
-            Feature feature = Feature.forKey(name);
-            if (stage != FeatureStage.OFF
-                    && (stage == null
-                            || !capabilities.knownFeatures().contains(feature)
-                            || !feature.stages().contains(stage))) {
-                result.add(name + " (" + word + ")");
+        List<String> unsupported = new ArrayList<>();
+        record.stages().forEach((name, stageName) -> {
+            FeatureStage stage = parseStage(stageName);
+            if (stage != FeatureStage.OFF && !isSupported(Feature.forKey(name), stage)) {
+                unsupported.add(name + " (" + stageName + ")");
             }
         });
-        return result;
+        return unsupported;
+    }
+
+    private boolean isSupported(Feature feature, FeatureStage stage) {
+        return stage != null
+                && capabilities.knownFeatures().contains(feature)
+                && feature.stages().contains(stage);
     }
 
-    private static FeatureStage stage(String word) {
-        for (FeatureStage each : FeatureStage.values()) {
-            if (each.name().equals(word)) {
-                return each;
+    /** Null of a stage that this version does not know. */
+    private static FeatureStage parseStage(String name) {
+        for (FeatureStage stage : FeatureStage.values()) {
+            if (stage.name().equals(name)) {
+                return stage;
             }
         }
-        return word == null ? FeatureStage.OFF : null;
+        return name == null ? FeatureStage.OFF : null;
     }
 }
