--- a/src/main/java/io/micatide/protocol/ArchiveCodec.java
+++ b/src/main/java/io/micatide/protocol/ArchiveCodec.java
@@ -8,7 +8,7 @@
 import java.util.Base64;
 import java.util.List;
 
-/** The rows of the archive. Runs are written as lists, since a manifest of many has to fit a small value. */
+/** The JSON of the archive's records. Runs are written as lists, since a manifest of many has to fit a small value. */
 final class ArchiveCodec {
     /** The format of the archive; a reader that does not know it must not go on. */
     private static final int FORMAT = 1;
--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /**
- * The JSON of a leader's hints to a designated standby, and of the stored rows of learned state. Compact, since hundreds change in a
+ * The JSON of a leader's hints to a designated standby, and of the stored records of learned state. Compact, since hundreds change in a
  * second: a machine is {@code ["m", name, address, incarnation, flags, image, size, …]}, a job {@code ["j", name, mean, tasks, probes]}
  * with -1 probes if it is not quarantined, a class {@code ["c", name, factor, spread]}; what begins with another letter is passed over.
  */
--- a/src/main/java/io/micatide/protocol/RawStoreCodec.java
+++ b/src/main/java/io/micatide/protocol/RawStoreCodec.java
@@ -6,16 +6,35 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The state service's messages with values as they are stored, whatever they mean: for copies that have to be exact. */
+/** The store's messages with values as they are stored, whatever they mean: for copies that have to be exact. */
 public final class RawStoreCodec {
     private RawStoreCodec() {}
 
-    /** A value as compact JSON; {@code json} null of a deletion. */
+    /**
+     * A value as it is stored.
+     *
+     * @param key the key
+     * @param json the value as compact JSON, null of a deletion
+     * @param version revision of its last change
+     */
     public record Value(String key, String json, long version) {}
 
-    /** A page of keys, or the changes since a revision in the order in which they were made. */
+    /**
+     * A page of values, or the changes since a revision in the order in which they were made.
+     *
+     * @param values those
+     * @param hasMore whether there are values after the page
+     * @param revision of the store
+     */
     public record Page(List<Value> values, boolean hasMore, long revision) {}
 
+    /**
+     * Decodes a page of values.
+     *
+     * @param body the store's answer
+     * @return values in the order of their keys
+     * @throws MalformedException it is no such answer
+     */
     public static Page page(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         List<Value> values = new ArrayList<>();
@@ -28,6 +47,13 @@
         return new Page(values, tree.path("truncated").asBoolean(), StoreCodec.revision(body));
     }
 
+    /**
+     * Decodes changes.
+     *
+     * @param body the store's answer
+     * @return changes in the order of their versions
+     * @throws MalformedException it is no such answer
+     */
     public static Page changes(byte[] body) throws MalformedException {
         List<Value> values = new ArrayList<>();
         for (JsonNode each : Json.tree(body).path("events")) {
@@ -41,7 +67,13 @@
         return new Page(values, false, StoreCodec.revision(body));
     }
 
-    /** A value read by its key. */
+    /**
+     * Decodes a value that was read by its key.
+     *
+     * @param body the store's answer
+     * @return the value
+     * @throws MalformedException it is no such answer
+     */
     public static Value value(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         return new Value(
@@ -50,7 +82,14 @@
                 tree.path("stamp").asLong());
     }
 
-    /** Puts values that must not exist yet; {@code marker} must have its version, 0 for no such condition. */
+    /**
+     * Encodes a transaction that puts values which must not exist yet.
+     *
+     * @param values what to put
+     * @param marker a key that must have its version, null for no such condition
+     * @param markerVersion the marker's version
+     * @return JSON
+     */
     public static byte[] putNew(List<Value> values, String marker, long markerVersion) {
         StringBuilder out = new StringBuilder("{\"if\":[");
         String comma = "";
@@ -82,21 +121,39 @@
         return out.append("]}").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Deletes a key that has this version. */
+    /**
+     * Encodes a transaction that deletes a key.
+     *
+     * @param key to delete
+     * @param version that it must have
+     * @return JSON
+     */
     public static byte[] delete(String key, long version) {
         return ("{\"if\":[{\"k\":\"" + key + "\",\"stamp\":" + version + "}],\"writes\":[{\"delete\":\"" + key
                         + "\"}]}")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Deletes a key that has this version and puts another. */
+    /**
+     * Encodes a transaction that deletes a key and puts another.
+     *
+     * @param key to delete
+     * @param version that it must have
+     * @param other what to put
+     * @return JSON
+     */
     public static byte[] replace(String key, long version, Value other) {
         return ("{\"if\":[{\"k\":\"" + key + "\",\"stamp\":" + version + "}],\"writes\":[{\"delete\":\"" + key
                         + "\"},{\"put\":\"" + other.key() + "\",\"data\":" + other.json() + "}]}")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A line of a file of values. */
+    /**
+     * Encodes a value as a line of a file.
+     *
+     * @param value what to encode
+     * @return JSON without a line end
+     */
     public static String jsonLine(Value value) {
         return "{\"k\":\"" + value.key() + "\",\"data\":" + value.json() + ",\"stamp\":" + value.version() + "}";
     }
--- a/src/main/java/io/micatide/snapshot/SnapshotFile.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotFile.java
@@ -30,14 +30,28 @@
 import org.apache.commons.compress.compressors.gzip.GzipCompressorOutputStream;
 
 /**
- * An image in a file: a compressed tar of parts with one value a line, then a manifest with the counts and the digest of each part, and
- * under an operator's key the manifest's MAC. Any tar reads it. Written beside its name and moved there when it is whole.
+ * The file format of an image: a compressed tar of parts with one value a line, then a manifest with the counts and the digest of each part, and
+ * under an operator's key the manifest's MAC. Any tar reads it. Written beside its name and moved there when it is complete.
  */
 public final class SnapshotFile {
-    /** What a file says of itself. */
+    /**
+     * What a file says of itself.
+     *
+     * @param revision of the store
+     * @param taken the time of day at which it was taken, as it is shown
+     * @param counts number of values by prefix
+     * @param parts number of parts
+     * @param signed whether it has a MAC
+     */
     public record Summary(long revision, String taken, Map<String, Integer> counts, int parts, boolean signed) {}
 
-    /** A file that was read whole and found sound. */
+    /**
+     * A file that was read to its end and found sound.
+     *
+     * @param summary what it says of itself
+     * @param image its values
+     * @param digest of its manifest, in hexadecimal
+     */
     public record Content(Summary summary, StoreImage image, String digest) {}
 
     private record Part(String name, int lines, String sha256) {}
@@ -53,8 +67,13 @@
     // ---- writing
 
     /**
+     * Writes a file.
+     *
+     * @param file its path, which must not exist
+     * @param image what to write
      * @param key of the MAC, null for none
      * @param taken the time of day, as it is to be shown
+     * @throws IOException the file cannot be written
      * @throws SnapshotException the file is there already
      */
     public static void write(Path file, StoreImage image, byte[] key, String taken)
@@ -140,9 +159,11 @@
     // ---- reading
 
     /**
-     * Reads all of it and checks every digest and count.
+     * Reads a file and checks every digest and count.
      *
+     * @param file its path
      * @param key of the MAC; null where none is asked for: a signed file is then read by its digests alone
+     * @return the content
      * @throws SnapshotException what is wrong, and in which part
      */
     public static Content read(Path file, byte[] key) throws SnapshotException {
@@ -158,7 +179,11 @@
     /**
      * As {@link #read(Path, byte[])}, from a stream.
      *
-     * @param file what complaints call it
+     * @param file the name that messages give it
+     * @param in the stream, which is closed
+     * @param key of the MAC, null where none is asked for
+     * @return the content
+     * @throws SnapshotException what is wrong, and in which part
      */
     public static Content read(String file, InputStream in, byte[] key) throws SnapshotException {
         Map<String, byte[]> entries = readEntries(file, in);
--- a/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
@@ -12,18 +12,21 @@
 import java.util.function.Consumer;
 
 /**
- * Writes an image into an empty state service. First a marker among the job rows, past which no controller of any version can read, so
- * that none serves half of an image; then every value on condition of the marker and of its absence; last the marker goes. A restore that was
- * interrupted is repeated with the same file: what is there already is left.
+ * Writes an image into an empty store. First a marker among the job records, past which no controller of any version can read, so that none
+ * serves half of an image; then every value on condition that the marker is there and the value is not; last the marker is removed. A
+ * restore that was interrupted is repeated with the same file: what is there already stays. One thread at a time.
  */
 public final class SnapshotRestorer {
-    /** Rows of jobs begin with {@code state}; this one does not, so it stops whoever reads. */
+    /** The marker's key. Job records begin with {@code state}; the marker does not, so it stops whoever reads. */
     static final String MARKER = StoreKeys.JOBS + "being-restored";
     /** Stays behind, so that a restore which ended without an answer may be repeated as well. */
     static final String RESTORED = "restored";
 
     private static final int MAX_ATTEMPTS = 50;
     private static final int MAX_TRANSACTION_BYTES = 40_000;
+    /** What a value takes in a transaction besides its content and its key, which stands in its condition as well. */
+    private static final int VALUE_FRAME_BYTES = 64;
+
     private static final int NO_ANSWER = 0;
 
     private final StoreCalls calls;
@@ -32,20 +35,28 @@
     private final Consumer<String> progress;
 
     /**
-     * @param mostChanges of a transaction
-     * @param mostValueBytes what a value may hold now
+     * Makes a restorer.
+     *
+     * @param calls of the store
+     * @param maxTransactionWrites what a transaction may hold of writes
+     * @param maxValueBytes what a value may hold now
+     * @param progress is told a line now and then
      */
-    public SnapshotRestorer(StoreCalls calls, int mostChanges, int mostValueBytes, Consumer<String> progress) {
+    public SnapshotRestorer(StoreCalls calls, int maxTransactionWrites, int maxValueBytes, Consumer<String> progress) {
         this.calls = calls;
-        this.maxTransactionWrites = mostChanges;
-        this.maxValueBytes = mostValueBytes;
+        this.maxTransactionWrites = maxTransactionWrites;
+        this.maxValueBytes = maxValueBytes;
         this.progress = progress;
     }
 
     /**
+     * Restores an image.
+     *
+     * @param image what to write
      * @param digest of the image's manifest, which a repetition has to have as well
-     * @param advance whether the service's revision is brought past the image's, a write for each: workers that live have seen tokens up
-     *     to there and listen to no lower one. Otherwise no machine may be left
+     * @param advance whether the store's revision is brought past the image's, a write for each: agents that run have seen fencing tokens
+     *     up to there and obey no lower one. Otherwise no machine may be left
+     * @throws SnapshotException the store is not empty, does not answer or refuses; the message says which value and why
      */
     public void restore(StoreImage image, String digest, boolean advance) throws SnapshotException {
         for (RawStoreCodec.Value value : image.values().values()) {
@@ -62,29 +73,33 @@
         if (advance) {
             marker = advanceRevision(digest, marker, image.revision());
         }
-        List<RawStoreCodec.Value> some = new ArrayList<>();
-        int bytes = 0;
+        writeAll(image, marker);
+        removeMarker(digest, marker);
+        progress.accept(image.values().size() + " values restored");
+    }
+
+    private void writeAll(StoreImage image, long marker) throws SnapshotException {
+        List<RawStoreCodec.Value> batch = new ArrayList<>();
+        int batchBytes = 0;
         int written = 0;
         List<RawStoreCodec.Value> inOrder = new ArrayList<>(image.values().values());
-        // Jobs in the order in which they were accepted: those that need others come after them.
+        // Jobs in the order in which they were accepted: those with dependencies come after these.
         inOrder.sort(Comparator.comparingLong(RawStoreCodec.Value::version).thenComparing(RawStoreCodec.Value::key));
         for (RawStoreCodec.Value value : inOrder) {
-            int size = value.json().length() + 2 * value.key().length() + 64;
-            boolean needs = value.json().contains("\"awaits\"");
-            if (!some.isEmpty()
-                    && (some.size() == maxTransactionWrites || bytes + size > MAX_TRANSACTION_BYTES || needs)) {
-                write(some, marker);
-                written += some.size();
+            int bytes = value.json().length() + 2 * value.key().length() + VALUE_FRAME_BYTES;
+            boolean isFull = batch.size() == maxTransactionWrites || batchBytes + bytes > MAX_TRANSACTION_BYTES;
+            boolean hasDependencies = value.json().contains("\"awaits\"");
+            if (!batch.isEmpty() && (isFull || hasDependencies)) {
+                write(batch, marker);
+                written += batch.size();
                 progress.accept(written + " of " + inOrder.size() + " values");
-                some.clear();
-                bytes = 0;
+                batch.clear();
+                batchBytes = 0;
             }
-            some.add(value);
-            bytes += size;
+            batch.add(value);
+            batchBytes += bytes;
         }
-        write(some, marker);
-        removeMarker(digest, marker);
-        progress.accept(inOrder.size() + " values restored");
+        write(batch, marker);
     }
 
     private static RawStoreCodec.Value marker(String digest) {
--- a/src/main/java/io/micatide/snapshot/SnapshotTaker.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotTaker.java
@@ -9,9 +9,10 @@
 import java.util.function.Consumer;
 
 /**
- * Takes an image while users go on: pages of each prefix, and after each page the changes since the first one, so that the service
- * never forgets what is still to be read. In the end the changes of all prefixes up to one revision make one cut of all of it. Rests on
- * the protocol's word that a response holds all changes: one that is younger than the cut is left out, and the one before it is there.
+ * Takes an image of the store while it serves: reads pages of each prefix, and after each page the changes since the first one, so that the
+ * store never compacts what is still to be read. In the end the changes of all prefixes up to one revision make a consistent cut of
+ * everything. Rests on the protocol's guarantee that a response holds all changes: one that is younger than the cut is left out, and the
+ * one before it is there. To be used once, by one thread.
  */
 public final class SnapshotTaker {
     private static final int PAGE_VALUES = 500;
@@ -20,18 +21,29 @@
     private final StoreCalls calls;
     private final Consumer<String> progress;
     private final TreeMap<String, RawStoreCodec.Value> values = new TreeMap<>();
-    /** Keys that went while they were read: a page that is older may still show them. */
+    /** Versions of deletions that were seen: a page that is older may still show the key. */
     private final Map<String, Long> deleted = new HashMap<>();
 
+    /** By prefix, the revision up to which its changes were read. */
     private final Map<String, Long> readRevisions = new HashMap<>();
 
-    /** @param progress is told a line now and then */
+    /**
+     * Makes a taker.
+     *
+     * @param calls of the store
+     * @param progress is told a line now and then
+     */
     public SnapshotTaker(StoreCalls calls, Consumer<String> progress) {
         this.calls = calls;
         this.progress = progress;
     }
 
-    /** @throws SnapshotException the service does not answer, or forgot changes that were needed; nothing was kept then */
+    /**
+     * Takes the image.
+     *
+     * @return everything at one revision
+     * @throws SnapshotException the store does not answer, or compacted changes that were needed; nothing was kept then
+     */
     public StoreImage take() throws SnapshotException {
         for (String prefix : StoreImage.PREFIXES) {
             readPages(prefix);
--- a/src/main/java/io/micatide/snapshot/StoreCalls.java
+++ b/src/main/java/io/micatide/snapshot/StoreCalls.java
@@ -2,12 +2,25 @@
 
 import io.micatide.net.Reply;
 
-/** Calls of the state service, one after the other, at the pace that whoever gives them keeps to. Each waits for its answer. */
+/** Blocking calls of the store, one after the other, at the pace that the implementation keeps to. */
 public interface StoreCalls {
+    /**
+     * Sends a GET and waits for its answer.
+     *
+     * @param path with its query
+     * @return the answer, or that there was none
+     */
     Reply get(String path);
 
+    /**
+     * Sends a POST and waits for its answer.
+     *
+     * @param path with its query
+     * @param body JSON
+     * @return the answer, or that there was none
+     */
     Reply post(String path, byte[] body);
 
-    /** Waits after an answer that asks for it. */
+    /** Waits for a while, after an answer that asks for a later try or none at all. */
     void pause();
 }
--- a/src/main/java/io/micatide/snapshot/StoreImage.java
+++ b/src/main/java/io/micatide/snapshot/StoreImage.java
@@ -8,12 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * Everything that micatide keeps in a state service at one revision, but for who leads and who is there: that is bound to leases.
+ * Everything that micatide keeps in a store at one revision, but for the leader and the registrations of controllers: those are bound to
+ * leases.
  *
- * @param values by key
+ * @param revision of the store
+ * @param values all values by key
  */
 public record StoreImage(long revision, SortedMap<String, RawStoreCodec.Value> values) {
-    /** One for each owner of the writes; {@link StoreKeys#LEADER} and registrations are left out: they are bound to leases. */
+    /** The prefixes of an image, one for each owner of the writes. */
     static final List<String> PREFIXES = List.of(
             StoreKeys.PROVISIONING_REQUESTS,
             StoreKeys.PROVISIONING_FENCE,
@@ -25,7 +27,11 @@
             StoreKeys.LEDGERS,
             StoreKeys.MACHINE_TYPES);
 
-    /** How many values there are of each prefix. */
+    /**
+     * How many values there are of each prefix.
+     *
+     * @return by prefix, also of those without values
+     */
     public Map<String, Integer> counts() {
         Map<String, Integer> counts = new TreeMap<>();
         for (String prefix : PREFIXES) {
