--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -211,6 +211,7 @@
         if (message instanceof LeaderMessage.JobObserved m) {
             jobObserved(m.view());
         } else if (message instanceof LeaderMessage.JobsObserved m) {
+
             jobsObserved(m.jobs());
         } else if (message instanceof LeaderMessage.LayoutObserved m) {
             rollout.layoutObserved(m.version(), m.layout());
@@ -218,6 +219,7 @@
             rollout.archiveObserved();
             archiving.manifestObserved(m.version(), m.manifest());
         } else if (message instanceof LeaderMessage.CancellationsObserved m) {
+
             cancellationsObserved(m.jobs());
         }
     }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -21,23 +21,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A term's part in the roll-out: reads who is registered and what operators ask for, and takes the next step, one at a time, on condition of
- * the token and of the row that it changes. Marks first, which former versions know too; then the features of the switches.
+ * Drives the roll-out of features during a leader's term: reads which controllers are registered and what operators request, and writes
+ * the next transition, one at a time, on condition of the fencing token and of the record that it changes. Marks come first, which former
+ * versions know too; then the features of the stages. Part of the leader's actor.
  */
 final class RolloutDriver {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    /** How often it looks: soon while something moves, rarely while nothing does. */
+    /** How often the registrations are read for some time after a transition. */
     private static final long ACTIVE_INTERVAL_MICROS = 500 * Micros.MILLISECOND;
 
+    /** How often they are read while something is left to do. */
     private static final long PENDING_INTERVAL_MICROS = 2 * Micros.SECOND;
+    /** How often they are read while nothing is. */
     private static final long QUIET_INTERVAL_MICROS = 10 * Micros.SECOND;
+
     private static final long ACTIVE_FOR_MICROS = 10 * Micros.SECOND;
     private static final long LOG_INTERVAL_MICROS = 60 * Micros.SECOND;
-    /** Conditions of a step beside those on registrations. */
+    /** Conditions of a transition beside those on registrations. */
     private static final int OWN_CONDITIONS = 3;
 
+    /** What the store takes of conditions, as a multiple of the writes that it takes. */
     private static final int CONDITIONS_PER_WRITE = 4;
 
+    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
+
     private final LeaderActor owner;
     private final Settings settings;
     private final Tuning tuning;
@@ -46,14 +54,16 @@
     private final UsersActor users;
     private final RolloutParticipant rollout;
     private final List<String> labels = new ArrayList<>();
+    /** The mark's version, 0 while there is none. */
     private long layoutVersion;
+
     private StoredRecord.Layout layout;
-    private boolean archiveExists;
-    private boolean recordsLoaded;
-    private boolean readInFlight;
-    private boolean writeInFlight;
-    private boolean pending = true;
-    private long readMicros = Long.MIN_VALUE / 2;
+    private boolean doesArchiveExist;
+    private boolean areRecordsLoaded;
+    private boolean isReadInFlight;
+    private boolean isWriteInFlight;
+    private boolean isPending = true;
+    private long readMicros = NEVER_MICROS;
     private long advancedMicros;
     private long loggedMicros;
     private String lastLogged = "";
@@ -63,14 +73,14 @@
             Settings settings,
             Tuning tuning,
             Scheduler scheduler,
-            StoreClient state,
+            StoreClient store,
             UsersActor users,
             RolloutParticipant rollout) {
         this.owner = owner;
         this.settings = settings;
         this.tuning = tuning;
         this.scheduler = scheduler;
-        this.store = state;
+        this.store = store;
         this.users = users;
         this.rollout = rollout;
         this.advancedMicros = owner.now();
@@ -78,13 +88,14 @@
         settings.siblings().forEach(sibling -> labels.add(sibling.label()));
     }
 
-    /** All that a leader reads is whole. */
+    /** All records that a leader needs are read. */
     void recordsLoaded() {
-        recordsLoaded = true;
+
+        areRecordsLoaded = true;
         flagsChanged();
     }
 
-    /** The scheduler writes by the switches as they are now. */
+    /** The scheduler writes by the feature stages as they are now. */
     void flagsChanged() {
         scheduler.featureFlagsChanged(
                 rollout.featureFlags().version(),
@@ -92,98 +103,118 @@
                 rollout.featureFlags().isEnabled(Feature.RETURNS));
     }
 
-    void layoutObserved(long version, StoredRecord.Layout seen) {
+    /** The mark was read or written. */
+    void layoutObserved(long version, StoredRecord.Layout observed) {
         layoutVersion = version;
-        layout = seen;
-        scheduler.layoutMarked(version, seen);
+        layout = observed;
+        scheduler.layoutMarked(version, observed);
     }
 
+    /** The archive's manifest was read. */
     void archiveObserved() {
-        archiveExists = true;
+
+        doesArchiveExist = true;
     }
 
     /** Called every so often. */
-    void tick(long now) {
-        long every = !pending
-                ? QUIET_INTERVAL_MICROS
-                : now - advancedMicros < ACTIVE_FOR_MICROS ? ACTIVE_INTERVAL_MICROS : PENDING_INTERVAL_MICROS;
-        if (rollout.supportsRegistration()
-                && recordsLoaded
-                && !readInFlight
-                && !writeInFlight
-                && now - readMicros >= every) {
-            readInFlight = true;
-            readMicros = now;
-            long fencingToken = scheduler.fencingToken();
-            store.list(StoreKeys.ROLLOUT, null, owner.answer(r -> new TermMessage.RolloutRecordsRead(r, fencingToken)));
+    void tick(long nowMicros) {
+        boolean isBusy = isReadInFlight || isWriteInFlight;
+        if (!rollout.supportsRegistration()
+                || !areRecordsLoaded
+                || isBusy
+                || nowMicros - readMicros < readIntervalMicros(nowMicros)) {
+
+            return;
+        }
+        isReadInFlight = true;
+        readMicros = nowMicros;
+        long fencingToken = scheduler.fencingToken();
+        store.list(
+                StoreKeys.ROLLOUT,
+                null,
+                owner.answer(reply -> new TermMessage.RolloutRecordsRead(reply, fencingToken)));
+    }
+
+    private long readIntervalMicros(long nowMicros) {
+        if (!isPending) {
+            return QUIET_INTERVAL_MICROS;
         }
+        return nowMicros - advancedMicros < ACTIVE_FOR_MICROS ? ACTIVE_INTERVAL_MICROS : PENDING_INTERVAL_MICROS;
     }
 
+    /** The records of registrations and requests were read. */
     void registryRead(Reply reply) {
-        readInFlight = false;
+
+        isReadInFlight = false;
         if (!reply.ok()) {
             return;
         }
-        ControllerRegistry roster = new ControllerRegistry(labels);
+        ControllerRegistry registry = new ControllerRegistry(labels);
         try {
             for (StoreCodec.Item item : StoreCodec.page(reply.body()).items()) {
-                roster.add(item.key(), item.row(), item.version());
+                registry.add(item.key(), item.row(), item.version());
             }
         } catch (MalformedException e) {
             LOG.error("registrations: {}", e.getMessage());
             return;
         }
-        pending = true;
+        advance(registry);
+    }
+
+    private void advance(ControllerRegistry registry) {
+        isPending = true;
         if (layout == null) {
-            if (everyoneKnows(Feature.NEEDS, roster)) {
-                markLayout(roster);
+            if (isKnownToAll(Feature.NEEDS, registry)) {
+                markLayout(registry);
             }
-        } else if (!archiveExists && tuning.archiveEnabled()) {
-            if (everyoneKnows(Feature.HISTORY, roster)) {
-                startArchive(roster);
+        } else if (!doesArchiveExist && tuning.archiveEnabled()) {
+            if (isKnownToAll(Feature.HISTORY, registry)) {
+                startArchive(registry);
             }
         } else {
-            advanceFeatures(roster);
+            advanceFeatures(registry);
         }
     }
 
-    private boolean everyoneKnows(Feature feature, ControllerRegistry roster) {
-        List<String> missing = roster.blockers(feature);
+    private boolean isKnownToAll(Feature feature, ControllerRegistry registry) {
+        List<String> missing = registry.blockers(feature);
         logBlockers(missing.isEmpty() ? "" : feature.key() + " waits: " + String.join(", ", missing));
         return missing.isEmpty();
     }
 
-    /** What is waited for, when it changes and once a minute. */
-    private void logBlockers(String what) {
+    /** Logs what is waited for when it changes, and once a minute. */
+    private void logBlockers(String blockers) {
         long now = owner.now();
-        if (!what.isEmpty() && (!what.equals(lastLogged) || now - loggedMicros >= LOG_INTERVAL_MICROS)) {
-            LOG.info("roll-out: {}", what);
+        if (!blockers.isEmpty() && (!blockers.equals(lastLogged) || now - loggedMicros >= LOG_INTERVAL_MICROS)) {
+            LOG.info("roll-out: {}", blockers);
             loggedMicros = now;
         }
-        lastLogged = what;
+        lastLogged = blockers;
     }
 
-    private List<Transaction.Condition> conditions(ControllerRegistry roster, Transaction.Condition... own) {
+    private List<Transaction.Condition> conditions(ControllerRegistry registry, Transaction.Condition... own) {
         List<Transaction.Condition> conditions =
                 new ArrayList<>(List.of(new Transaction.Condition(StoreKeys.LEADER, scheduler.fencingToken())));
         conditions.addAll(List.of(own));
-        conditions.addAll(
-                roster.registrationConditions(settings.maxTransactionWrites() * CONDITIONS_PER_WRITE - OWN_CONDITIONS));
+        conditions.addAll(registry.registrationConditions(
+                settings.maxTransactionWrites() * CONDITIONS_PER_WRITE - OWN_CONDITIONS));
         return conditions;
     }
 
-    /** From the mark on, and only then, jobs that need others are accepted and names are written in short. */
-    private void markLayout(ControllerRegistry roster) {
+    /** From the mark on, and only then, jobs with dependencies are accepted and names are compressed. */
+    private void markLayout(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
         StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_NEEDS, settings.pageTasks());
-        writeInFlight = true;
+
+        isWriteInFlight = true;
         store.transaction(
                 new Transaction(
-                        conditions(roster, new Transaction.Condition(StoreKeys.LAYOUT, 0)),
+                        conditions(registry, new Transaction.Condition(StoreKeys.LAYOUT, 0)),
                         List.of(new Transaction.Write(StoreKeys.LAYOUT, first, 0))),
-                owner.answer(r -> new TermMessage.LayoutWritten(r, fencingToken, first)));
+                owner.answer(reply -> new TermMessage.LayoutWritten(reply, fencingToken, first)));
     }
 
+    /** The answer to {@link #markLayout}. */
     void layoutMarked(TermMessage.LayoutWritten message) {
         writeAnswered(message.reply());
         try {
@@ -198,17 +229,17 @@
     }
 
     /** The archive begins with an empty manifest, once every controller reads it. */
-    private void startArchive(ControllerRegistry roster) {
+    private void startArchive(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
-        // The mark is written anew along with it: what a former version writes of jobs that need others has the mark's
-        // version as
-        // a condition, and may arrive minutes late.
+        // The mark is written anew along with it: what a former version writes of jobs with dependencies has the mark's
+        // version as a condition, and may arrive minutes late.
         StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_HISTORY, layout.pageTasks());
-        writeInFlight = true;
+
+        isWriteInFlight = true;
         store.transaction(
                 new Transaction(
                         conditions(
-                                roster,
+                                registry,
                                 new Transaction.Condition(StoreKeys.LAYOUT, layoutVersion),
                                 new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, 0)),
                         List.of(
@@ -217,10 +248,10 @@
                                         StoreKeys.ARCHIVE_MANIFEST,
                                         Archiver.emptyManifest(fencingToken, owner.wall()),
                                         0))),
-                owner.answer(r -> new TermMessage.ArchiveManifestCreated(r, fencingToken)));
+                owner.answer(reply -> new TermMessage.ArchiveManifestCreated(reply, fencingToken)));
     }
 
-    /** Whoever wrote it, the copy of the rows tells of it. */
+    /** The answer to {@link #startArchive}. Whoever wrote the manifest, the copy of the job records tells of it. */
     void archiveStarted(TermMessage.ArchiveManifestCreated message) {
         writeAnswered(message.reply());
         if (message.reply().ok()) {
@@ -228,28 +259,29 @@
         }
     }
 
-    private void advanceFeatures(ControllerRegistry roster) {
-        RolloutPlan plan = RolloutPlan.create(rollout.featureFlags(), roster, tuning.rolloutEnabled());
+    private void advanceFeatures(ControllerRegistry registry) {
+        RolloutPlan plan = RolloutPlan.create(rollout.featureFlags(), registry, tuning.rolloutEnabled());
         logBlockers(String.join("; ", plan.blockers()));
-        pending = plan.newStages() != null || !plan.blockers().isEmpty();
+        isPending = plan.newStages() != null || !plan.blockers().isEmpty();
         if (plan.newStages() == null) {
             return;
         }
         long fencingToken = scheduler.fencingToken();
-        writeInFlight = true;
+
+        isWriteInFlight = true;
         store.transaction(
                 new Transaction(
                         conditions(
-                                roster,
+                                registry,
                                 new Transaction.Condition(
                                         StoreKeys.FEATURE_STAGES,
                                         rollout.featureFlags().version())),
                         List.of(new Transaction.Write(StoreKeys.FEATURE_STAGES, plan.newStages(), 0))),
-                owner.answer(r ->
-                        new TermMessage.FeatureStagesWritten(r, fencingToken, plan.newStages(), plan.transitions())));
+                owner.answer(reply -> new TermMessage.FeatureStagesWritten(
+                        reply, fencingToken, plan.newStages(), plan.transitions())));
     }
 
-    /** Of an outcome that is not known the row itself tells. */
+    /** The answer to {@link #advanceFeatures}. If the outcome is not known, the record itself tells. */
     void stagesWritten(TermMessage.FeatureStagesWritten message) {
         writeAnswered(message.reply());
         try {
@@ -264,10 +296,11 @@
         rollout.newerVersionReported(rollout.featureFlags().version() + 1);
     }
 
-    /** The next look comes at once after a step that was taken, and after a pause where it was not. */
+    /** The next read comes at once after a transition that was written, and after a pause where it was not. */
     private void writeAnswered(Reply reply) {
-        writeInFlight = false;
+
+        isWriteInFlight = false;
         advancedMicros = owner.now();
-        readMicros = reply.ok() ? Long.MIN_VALUE / 2 : advancedMicros;
+        readMicros = reply.ok() ? NEVER_MICROS : advancedMicros;
     }
 }
--- a/src/main/java/io/micatide/protocol/ArchiveCodec.java
+++ b/src/main/java/io/micatide/protocol/ArchiveCodec.java
@@ -8,7 +8,7 @@
 import java.util.Base64;
 import java.util.List;
 
-/** The rows of the archive. Runs are written as lists, since a manifest of many has to fit a small value. */
+/** The JSON of the archive's records. Runs are written as lists, since a manifest of many has to fit a small value. */
 final class ArchiveCodec {
     /** The format of the archive; a reader that does not know it must not go on. */
     private static final int FORMAT = 1;
@@ -17,15 +17,15 @@
 
     private ArchiveCodec() {}
 
-    static void write(JsonGenerator out, StoredRecord.ArchiveManifest history) throws IOException {
+    static void write(JsonGenerator out, StoredRecord.ArchiveManifest manifest) throws IOException {
         out.writeNumberField("history", FORMAT);
-        out.writeNumberField("since", history.sinceVersion());
+        out.writeNumberField("since", manifest.sinceVersion());
         out.writeArrayFieldStart("salt");
-        out.writeNumber(history.saltA());
-        out.writeNumber(history.saltB());
+        out.writeNumber(manifest.saltA());
+        out.writeNumber(manifest.saltB());
         out.writeEndArray();
         out.writeArrayFieldStart("runs");
-        for (StoredRecord.ArchiveRun run : history.runs()) {
+        for (StoredRecord.ArchiveRun run : manifest.runs()) {
             out.writeStartArray();
             out.writeString(run.name());
             out.writeNumber(run.segments());
--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -28,9 +28,9 @@
             double losses,
             int valueBytes,
             int changes,
-            Archiver.Factory maker) {
+            Archiver.Factory factory) {
         try {
-            ArchiveScenario day = new ArchiveScenario(seed, valueBytes, changes, maker);
+            ArchiveScenario day = new ArchiveScenario(seed, valueBytes, changes, factory);
             day.network.setLossRates(losses, losses);
             day.killAfterwards = afterwards;
             day.killAt = interaction;
@@ -215,8 +215,8 @@
     /** The guard of the order of two writes: with it taken out, jobs that users were told of are lost. */
     @Test
     void rowsThatGoBeforeTheyAreArchivedAreMissed() {
-        Archiver.Factory hasty = (fencingToken, valueBytes, changes, worth, manifest, version) ->
-                new Archiver(fencingToken, valueBytes, changes, worth, manifest, version) {
+        Archiver.Factory hasty =
+                (fencingToken, limits, manifest, version) -> new Archiver(fencingToken, limits, manifest, version) {
                     @Override
                     boolean isRecordRemovable(String id, long copyOfVersion) {
                         return id.hashCode() % 4 == 0;
--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -24,7 +24,7 @@
 
 /** What a long history comes to: values, reads for a look-up, changes; and what is damaged or refused. */
 class ArchiverTest {
-    /** Values by key as the state service would hold them; carries out the steps of an archivist. */
+    /** Values by key as the state service would hold them; carries out the steps of an archiver. */
     private static final class Store {
         final TreeMap<String, StoredRecord> values = new TreeMap<>();
         final List<Archiver.ArchivableJob> rows = new ArrayList<>();
@@ -40,27 +40,27 @@
             values.put(StoreKeys.ARCHIVE_MANIFEST, manifest);
         }
 
-        void carryOut(Archiver archivist, Archiver.StoreOperation step) throws DamagedSegmentException {
-            if (step instanceof Archiver.Write write) {
-                write(archivist, write.transaction());
-            } else if (step instanceof Archiver.FindAfter find) {
-                archivist.keyFound(values.higherKey(find.key()));
-            } else if (step instanceof Archiver.ReadSegment read) {
+        void carryOut(Archiver archiver, ArchiveOperation operation) throws DamagedSegmentException {
+            if (operation instanceof ArchiveOperation.Write write) {
+                write(archiver, write.transaction());
+            } else if (operation instanceof ArchiveOperation.FindAfter find) {
+                archiver.keyFound(values.higherKey(find.key()));
+            } else if (operation instanceof ArchiveOperation.ReadSegment read) {
                 reads++;
                 try {
-                    archivist.segmentRead(read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.ArchiveSegment)
+                    archiver.segmentRead(read.key(), SegmentCodec.unpack(read.key(), (StoredRecord.ArchiveSegment)
                             values.get(read.key())));
                 } catch (DamagedSegmentException e) {
-                    archivist.segmentDamaged(read.key());
+                    archiver.segmentDamaged(read.key());
                 }
             }
         }
 
-        private void write(Archiver archivist, Transaction transaction) {
+        private void write(Archiver archiver, Transaction transaction) {
             for (Transaction.Write each : transaction.writes()) {
                 if (each.record() != null && StoreCodec.size(each.record()) > limit) {
                     refusals++;
-                    assertTrue(archivist.writeRejected());
+                    assertTrue(archiver.writeRejected());
                     return;
                 }
             }
@@ -78,17 +78,18 @@
             if (transaction.writes().get(0).record() instanceof StoredRecord.ArchiveManifest history) {
                 manifest = history;
             }
-            archivist.writeSucceeded(version);
+            archiver.writeSucceeded(version);
         }
 
         /** Until there is nothing left to do. */
-        void drain(Archiver archivist, boolean anyway) throws DamagedSegmentException {
+        void drain(Archiver archiver, Archiver.BatchPolicy policy) throws DamagedSegmentException {
             for (int idle = 0; idle < 3; ) {
-                archivist.offerCandidates(List.copyOf(rows), version, anyway);
-                Archiver.StoreOperation step = archivist.nextOperation(16);
-                idle = step == null ? idle + 1 : 0;
-                for (; step != null; step = archivist.nextOperation(16)) {
-                    carryOut(archivist, step);
+                archiver.offerCandidates(List.copyOf(rows), version, policy);
+
+                ArchiveOperation operation = archiver.nextOperation(16);
+                idle = operation == null ? idle + 1 : 0;
+                for (; operation != null; operation = archiver.nextOperation(16)) {
+                    carryOut(archiver, operation);
                 }
             }
         }
@@ -113,20 +114,19 @@
     @CsvSource({
         "20000, 16384, 9, 12, 10, 6",
         "20000, 2048, 9, 110, 10, 10",
-        "20000, 1024, 9, 300, 10, 25",
-        // As long as ids may be: some forty bytes of each cannot be packed.
+        "20000, 1024, 9, 300, 10, 25", // As long as ids may be: some forty bytes of each cannot be packed.
         "5000, 2048, 63, 400, 9, 40",
     })
     void aLongHistoryTakesFewValuesAndFewChanges(
             int jobs, int limit, int idLength, int mostValues, int mostRuns, int mostChanges)
             throws DamagedSegmentException {
         Store store = new Store(limit);
-        Archiver archivist = new Archiver(7, limit, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, new ArchiveLimits(limit, 16, 256), store.manifest, 1);
         for (int from = 0; from < jobs; from += 256) {
             for (int number = from; number < Math.min(jobs, from + 256); number++) {
                 store.rows.add(ended(number, idLength));
             }
-            store.drain(archivist, true);
+            store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
         }
         assertEquals(0, store.refusals);
         assertEquals(List.of(), store.rows);
@@ -164,12 +164,12 @@
     @CsvSource({"1500", "900", "640"})
     void limitsThatFall(int limit) throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archiver archivist = new Archiver(7, 16384, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         for (int number = 0; number < 3000; number++) {
             store.rows.add(ended(number, 9));
         }
         store.limit = limit;
-        store.drain(archivist, true);
+        store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
         assertTrue(store.refusals > 0);
         assertEquals(List.of(), store.rows);
         assertEquals(
@@ -194,13 +194,13 @@
     @Test
     void aDamagedRunStaysAsItIs() throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archiver archivist = new Archiver(7, 16384, 16, 256, store.manifest, 1);
+        Archiver archiver = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         String damaged = null;
         for (int round = 0; round < 12; round++) {
             for (int number = round * 256; number < (round + 1) * 256; number++) {
                 store.rows.add(ended(number, 9));
             }
-            store.drain(archivist, true);
+            store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
             if (round == 0) {
                 damaged = store.manifest.runs().get(0).name();
                 String key = StoreKeys.segment(damaged, 0);
@@ -220,21 +220,23 @@
         assertTrue(store.manifest.runs().size() < 9);
     }
 
-    /** What an archivist that was killed left behind goes, and nothing else does. */
+    /** What an archiver that was killed left behind goes, and nothing else does. */
     @Test
     void whatNothingNamesIsRemoved() throws DamagedSegmentException {
         Store store = new Store(16384);
-        Archiver first = new Archiver(7, 16384, 16, 256, store.manifest, 1);
+        Archiver first = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         for (int number = 0; number < 600; number++) {
             store.rows.add(ended(number, 9));
         }
-        store.drain(first, true);
+        store.drain(first, Archiver.BatchPolicy.ANY_SIZE);
         Set<String> named = Set.copyOf(store.values.keySet());
         for (String run : List.of("0-1", "6-1", "7-9", "zz-1")) {
             store.values.put(StoreKeys.segment(run, 0), new StoredRecord.ArchiveSegment("x", new byte[1]));
             store.values.put(StoreKeys.segment(run, 1), new StoredRecord.ArchiveSegment("x", new byte[1]));
         }
-        store.drain(new Archiver(8, 16384, 16, 256, store.manifest, store.version), false);
+        store.drain(
+                new Archiver(8, new ArchiveLimits(16384, 16, 256), store.manifest, store.version),
+                Archiver.BatchPolicy.FULL_BATCHES);
         assertEquals(named, store.values.keySet());
     }
 
--- a/src/test/java/io/micatide/rollout/RolloutPlanTest.java
+++ b/src/test/java/io/micatide/rollout/RolloutPlanTest.java
@@ -40,12 +40,12 @@
     }
 
     /** `a`, `b` and `c` registered: `+` knows all and acts by the present switches, `-` by former ones, `o` knows nothing, `.` is not there. */
-    private static ControllerRegistry roster(String there, String asked) {
-        ControllerRegistry roster = new ControllerRegistry(List.of("a", "b", "c"));
+    private static ControllerRegistry registry(String there, String asked) {
+        ControllerRegistry registry = new ControllerRegistry(List.of("a", "b", "c"));
         for (int i = 0; i < 3; i++) {
             char how = there.charAt(i);
             if (how != '.') {
-                roster.add(
+                registry.add(
                         StoreKeys.controller("abc".substring(i, i + 1)),
                         new StoredRecord.RegisteredController(
                                 "1",
@@ -56,11 +56,11 @@
             }
         }
         stages(asked)
-                .forEach((feature, wish) -> roster.add(
+                .forEach((feature, wish) -> registry.add(
                         StoreKeys.featureRequest(feature),
                         new StoredRecord.FeatureRequest(StoredRecord.RequestedAction.valueOf(wish)),
                         3));
-        return roster;
+        return registry;
     }
 
     /** Of the features but {@code returns}, which goes as they do and is left out for the width of the table. */
@@ -75,21 +75,22 @@
                 "                                 | +++ |               | false |",
                 "                                 | ++. |               | true  |",
                 "                                 | ++o |               | true  |",
-                "booking-fence=READ learned=READ  | ++- |               | true  |",
-                // Held back, and taken back one stage at a time, whoever leads.
+                "booking-fence=READ learned=READ  | ++- |               | true  |", // Held back, and taken back one
+                // stage at a time, whoever leads.
                 "booking-fence=READ learned=READ  | +++ | learned=HOLD  | true  | booking-fence=ON learned=READ",
                 "booking-fence=ON learned=ON      | +++ | learned=BACK  | true  | booking-fence=ON learned=READ",
                 "booking-fence=ON learned=READ    | +++ | learned=BACK  | false | booking-fence=ON learned=OFF",
                 "booking-fence=ON learned=OFF     | +++ | learned=BACK  | true  |",
                 "booking-fence=ON learned=ON      | ++- | learned=BACK  | true  |",
-                "booking-fence=ON learned=ON      | ++. | learned=BACK  | true  |",
-                // From where nobody writes it back to where nobody needs to know it: whoever is away cannot be in the
+                "booking-fence=ON learned=ON      | ++. | learned=BACK  | true  |", // From where nobody writes it back
+                // to where nobody needs to know it:
+                // whoever is away cannot be in the
                 // way.
                 "booking-fence=ON learned=READ    | ++. | learned=BACK  | true  | booking-fence=ON learned=OFF",
                 "booking-fence=ON learned=READ    | ++- | learned=BACK  | true  |",
             })
     void steps(String stages, String there, String asked, boolean forward, String next) {
-        RolloutPlan plan = RolloutPlan.create(switches(stages), roster(there, asked), forward);
+        RolloutPlan plan = RolloutPlan.create(switches(stages), registry(there, asked), forward);
         if (next == null) {
             assertNull(plan.newStages());
         } else {
@@ -111,7 +112,7 @@
     void waitsByName(String there, String told) {
         assertEquals(
                 told,
-                RolloutPlan.create(switches(""), roster(there, ""), true)
+                RolloutPlan.create(switches(""), registry(there, ""), true)
                         .blockers()
                         .get(0));
     }
@@ -121,7 +122,7 @@
     void conditions() {
         assertEquals(
                 List.of(new Transaction.Condition("rollout/here/a", 7), new Transaction.Condition("rollout/here/b", 8)),
-                roster("+++", "").registrationConditions(2));
+                registry("+++", "").registrationConditions(2));
     }
 
     /** What is in use and not known, by version, stage and name; off is nobody's concern, and an older version of the row is no news. */
--- a/src/test/java/io/micatide/standby/ElectionDelayTest.java
+++ b/src/test/java/io/micatide/standby/ElectionDelayTest.java
@@ -25,71 +25,67 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "'up:20', true, 0",
-        // One that no worker has come to asks; it waits for the answers for a moment, and longer for one that they come
+        "'up:20', true, 0", // One that no worker has come to asks; it waits for the answers for a moment, and longer
+        // for one that they come
         // to.
         "'up:20', false, 200",
         "'up:20,since:250', false, 0",
         "'up:20,word:0:SEASONED,word:1:COLD', false, 0",
         "'up:20,word:0:SEASONED:reached', false, 600",
         "'up:20,word:0:SEASONED:reached,since:250', false, 600",
-        "'up:20,word:0:SEASONED:reached,later:3,since:250', false, 0",
-        // The heirs in their order, then the others, and nobody for long.
+        "'up:20,word:0:SEASONED:reached,later:3,since:250', false, 0", // The heirs in their order, then the others, and
+        // nobody for long.
         "'up:20,heirs:me+b,copy', true, 0",
         "'up:20,heirs:b+me,copy', true, 100",
         "'up:20,heirs:b+c', true, 200",
         "'up:20,heirs:b+c', false, 400",
-        "'up:20,heirs:b+c,word:1:WARM:reached', false, 800",
-        // An heir whose copy is not whole is like the others.
-        "'up:20,heirs:me+b', true, 200",
-        // Heirs that were told long ago may be gone.
-        "'up:20,heirs:b+c,later:30', true, 0",
-        // A cold process asks; it waits for the answer for a moment, and for a warmer one for longer.
+        "'up:20,heirs:b+c,word:1:WARM:reached', false, 800", // An heir whose copy is not whole is like the others.
+        "'up:20,heirs:me+b', true, 200", // Heirs that were told long ago may be gone.
+        "'up:20,heirs:b+c,later:30', true, 0", // A cold process asks; it waits for the answer for a moment, and for a
+        // warmer one for longer.
         "'up:1', true, 200",
         "'up:1,since:250', true, 0",
         "'up:1,word:0:COLD', true, 200",
         "'up:1,word:0:COLD,word:1:COLD', true, 0",
         "'up:1,word:0:COLD,word:1:SEASONED', true, 600",
         "'up:1,word:0:WARM,since:250', true, 600",
-        "'up:1,word:0:WARM,later:3,since:250', true, 0",
-        // Not cold any more, or never was.
+        "'up:1,word:0:WARM,later:3,since:250', true, 0", // Not cold any more, or never was.
         "'up:6,word:0:WARM', true, 0",
-        "'up:1,led', true, 0",
-        // A leader that ended in order has said who goes on.
+        "'up:1,led', true, 0", // A leader that ended in order has said who goes on.
         "'up:20,heirs:me+b,copy,handed', false, 0",
         "'up:20,heirs:me+b,copy,handed,later:3', false, 200",
     })
     void waits(String events, boolean reached, int millis) {
         long now = 100 * SECOND;
-        ElectionDelay succession = new ElectionDelay("me", 2, now);
+        ElectionDelay delay = new ElectionDelay("me", 2, now);
         long since = 0;
         for (String event : events.split(",")) {
             String[] part = event.split(":");
             switch (part[0]) {
                 case "up", "later" -> now += Long.parseLong(part[1]) * SECOND;
-                case "heirs" -> succession.standbysDesignated(List.of(part[1].split("\\+")), now);
-                case "copy" -> succession.setReplicaComplete(true);
+                case "heirs" -> delay.standbysDesignated(List.of(part[1].split("\\+")), now);
+                case "copy" -> delay.setReplicaComplete(true);
                 case "word" ->
-                    succession.peerReadinessReported(
+                    delay.peerReadinessReported(
                             Integer.parseInt(part[1]), StandbyReadiness.valueOf(part[2]), part.length > 3, now);
-                case "led" -> succession.termEnded();
-                case "handed" -> succession.handoverReceived(now);
+                case "led" -> delay.termEnded();
+                case "handed" -> delay.handoverReceived(now);
                 case "since" -> since = Long.parseLong(part[1]) * Micros.MILLISECOND;
                 default -> throw new IllegalArgumentException(event);
             }
         }
-        assertEquals(millis * Micros.MILLISECOND, succession.delayMicros(since, reached, now));
+        assertEquals(millis * Micros.MILLISECOND, delay.delayMicros(since, reached, now));
     }
 
     /** A new leader that has heard nobody yet appoints nobody, and dismisses nobody either. */
     @Test
     void whoWasAppointedStaysSoOverATakeOver() {
-        ElectionDelay succession = new ElectionDelay("me", 2, SECOND);
-        succession.standbysDesignated(List.of("me"), 20 * SECOND);
-        succession.standbysDesignated(null, 22 * SECOND);
-        assertTrue(succession.isDesignated());
-        succession.standbysDesignated(null, 50 * SECOND);
-        assertFalse(succession.isDesignated());
+        ElectionDelay delay = new ElectionDelay("me", 2, SECOND);
+        delay.standbysDesignated(List.of("me"), 20 * SECOND);
+        delay.standbysDesignated(null, 22 * SECOND);
+        assertTrue(delay.isDesignated());
+        delay.standbysDesignated(null, 50 * SECOND);
+        assertFalse(delay.isDesignated());
     }
 
     private static Settings settings(double rate, String... siblings) {
@@ -130,10 +126,9 @@
     @ParameterizedTest
     @CsvSource({
         "300, 'n-3=SEASONED,n-4=SEASONED,n-1=SEASONED', 'n-3 n-1'",
-        "300, 'n-1=SEASONED,n-4=SEASONED', 'n-1 n-4'",
-        // A warm one goes first.
-        "300, 'n-3=SEASONED,n-1=WARM', 'n-1 n-3'",
-        // Zone a is the leader's own; after the other zone those that come next by their labels.
+        "300, 'n-1=SEASONED,n-4=SEASONED', 'n-1 n-4'", // A warm one goes first.
+        "300, 'n-3=SEASONED,n-1=WARM', 'n-1 n-3'", // Zone a is the leader's own; after the other zone those that come
+        // next by their labels.
         "300, 'n-4=SEASONED,n-10=SEASONED', 'n-4 n-10'",
         "30, 'n-3=SEASONED,n-1=SEASONED', 'n-3'",
         "300, 'n-3=-,n-1=SEASONED', 'n-1'",
@@ -201,20 +196,19 @@
     @ParameterizedTest
     @CsvSource({
         "'page!:10:a@3 b@9', 10, 'a@3 b@9'",
-        "'page!:10:a@3,changes:14:a@12 -b@13 c@14', 14, 'a@12 c@14'",
-        // Changes come in any order within an answer, and a row may come and go between two.
-        "'page!:10:a@3,changes:14:-b@13 b@12', 14, 'a@3'",
-        // What a later page has shown comes again, older, with the changes since the first.
+        "'page!:10:a@3,changes:14:a@12 -b@13 c@14', 14, 'a@12 c@14'", // Changes come in any order within an answer, and
+        // a row may come and go between two.
+        "'page!:10:a@3,changes:14:-b@13 b@12', 14, 'a@3'", // What a later page has shown comes again, older, with the
+        // changes since the first.
         "'page:10:a@3,page!:20:b@18,changes:21:b@12 -b@15 b@18', 21, 'a@3 b@18'",
-        "'page:10:a@3,page!:20:b@18,changes:21:-a@11', 21, 'b@18'",
-        // A state service that went back: by its revision, by a page, by a key.
-        "'page!:10:a@3,changes:9:', WENT_BACK, ''",
-        "'page:10:a@3,page!:8:b@2', WENT_BACK, ''",
-        "'page!:10:a@3,changes:30:a@25,changes:40:a@20', WENT_BACK, ''",
-        "'page!:10:a@3,changes:12:b@14', WENT_BACK, ''",
-        "'page!:10:a@3,missed', MISSED_CHANGES, ''",
-        "'page!:10:a@1 b@1 c@1 d@1 e@1 f@1 g@1 h@1', TOO_LARGE, ''",
-        // The read is not over.
+        "'page:10:a@3,page!:20:b@18,changes:21:-a@11', 21, 'b@18'", // A state service that went back: by its revision,
+        // by a page, by a key.
+        "'page!:10:a@3,changes:9:', REVISION_REGRESSED, ''",
+        "'page:10:a@3,page!:8:b@2', REVISION_REGRESSED, ''",
+        "'page!:10:a@3,changes:30:a@25,changes:40:a@20', REVISION_REGRESSED, ''",
+        "'page!:10:a@3,changes:12:b@14', REVISION_REGRESSED, ''",
+        "'page!:10:a@3,missed', CHANGES_COMPACTED, ''",
+        "'page!:10:a@1 b@1 c@1 d@1 e@1 f@1 g@1 h@1', TOO_LARGE, ''", // The read is not over.
         "'page:10:a@3', -, ''",
     })
     void copies(String steps, String outcome, String held) {
