--- a/src/main/java/io/micatide/cli/SettingsFiles.java
+++ b/src/main/java/io/micatide/cli/SettingsFiles.java
@@ -22,10 +22,8 @@
         Path file = config;
         try {
             Settings settings = SettingsReader.read(config);
-            String unkept = CancellationHorizon.violationOf(settings);
-            if (unkept != null) {
-                System.err.println(config + ": " + unkept);
-            }
+            CancellationHorizon.violationOf(settings)
+                    .ifPresent(violation -> System.err.println(config + ": " + violation));
             if (tuningFile == null) {
                 return new Loaded(settings, Tuning.defaults(settings));
             }
--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -38,7 +38,7 @@
 
     void storeRead(LeaderMessage.StoreRead message) {
         readRevision = Math.max(readRevision, message.revision());
-        horizon.hasReadStore(message.askedMicros());
+        horizon.storeRead(message.askedMicros());
     }
 
     // ---- a leader
--- a/src/main/java/io/micatide/model/CancellationDigest.java
+++ b/src/main/java/io/micatide/model/CancellationDigest.java
@@ -3,15 +3,20 @@
 import java.util.List;
 
 /**
- * What a controller says of the cancellations that it may have told users of, as of the moment at which it says so.
+ * The cancellations that a controller may have confirmed to users, as of the moment at which it sends this.
  *
- * @param controller whose word it is
- * @param uptimeMicros how long its process has lived; what a process before it told is not in it
- * @param complete whether {@code cancelled} has every job that it came to know as cancelled by a row above the revision asked for;
- *     otherwise the names are true and prove nothing
- * @param cancelled those jobs, each with the version of its row
+ * @param controller the label of the sender
+ * @param uptimeMicros how long its process has run; what an earlier process confirmed may be missing
+ * @param complete whether {@code cancelled} has every job that it knows as cancelled above the revision asked for; otherwise the jobs
+ *     named are cancelled, but there may be more
+ * @param cancelled those jobs
  */
 public record CancellationDigest(String controller, long uptimeMicros, boolean complete, List<Cancelled> cancelled) {
-    /** A job whose row says at this version that it is cancelled. */
+    /**
+     * A cancelled job.
+     *
+     * @param job its identifier
+     * @param version of the job's record that says so, a revision of the store
+     */
     public record Cancelled(String job, long version) {}
 }
--- a/src/test/java/io/micatide/election/CancellationHorizonTest.java
+++ b/src/test/java/io/micatide/election/CancellationHorizonTest.java
@@ -46,13 +46,13 @@
             100);
 
     /**
-     * Steps in seconds: {@code r100} a read that was asked for then; {@code 0@130-131/200} the first sibling's testimony, asked for at 130
-     * and heard at 131, of a process that has lived for 200 s; with {@code !} after it not whole, with {@code ?} by another label;
+     * Steps in seconds: {@code r100} a read that was asked for then; {@code 0@130-131/200} the first peer's digest, asked for at 130
+     * and received at 131, of a process that has run for 200 s; with {@code !} after it not complete, with {@code ?} by another label;
      * {@code a140} may workers be answered?
      */
     @ParameterizedTest
     @CsvSource({
-        // Nothing was ever read: no former life's word, no sibling's, is known.
+        // Nothing was ever read: what an earlier process or a peer confirmed is not known.
         "a0, n",
         "0@1-1/500 1@1-1/500 a2, n",
         // Reads count from when they were asked for, and do not go back.
@@ -60,59 +60,59 @@
         "r100 r90 a118, y",
         "r100 a119 r119 a120, ny",
         "r100 a118 a119 r118 a136 a137 a138, ynynn",
-        // All testify without a gap: for as long as they do, an outage of any length.
+        // All send digests without a gap: for as long as they do, an outage of any length.
         "r100 0@117-117/500 1@117-117/500 a135 0@135-135/520 1@135-135/520 a150 a154, yyn",
         // One of them does not.
         "r100 0@117-117/500 a118 a119, yn",
-        // From when the question left, not from when the answer came.
+        // From when the request left, not from when the answer came.
         "r100 0@101-118/500 1@101-118/500 a119 a120, yn",
-        // Started again since the last read: what its former life confirmed is not known. A read mends that.
+        // Started again since the last read: what its earlier process confirmed is not known. A read mends that.
         "r100 0@110-110/5 1@110-110/500 a118 a119, yn",
         "r100 0@110-110/5 1@110-110/500 r120 0@125-125/20 1@125-125/20 a143, y",
-        // Started again between two testimonies: all is known up to the former life's last one.
+        // Started again between two digests: all is known up to the earlier process's last one.
         "r100 0@110-110/500 1@110-110/500 0@118-118/3 1@118-118/508 a128 a129, yn",
-        // Born just before and just after the moment up to which all is known; clocks drift, so a second of some
+        // Started just before and just after the moment up to which all is known; clocks drift, so a second of some
         // minutes is not told apart.
         "r100 0@130-130/31 1@130-130/31 a131, y",
         "r100 0@130-130/29 1@130-130/31 a131, n",
         "r100 0@1100-1100/1000.5 1@1100-1100/1003 a1101, n",
-        // The answer came late: it may have been born as late as that.
+        // The answer came late: its process may have been started as late as that.
         "r100 0@105-130/31 1@105-105/500 a119 a123, yy",
         "r100 0@105-130/20 1@105-105/500 a119, n",
         // More names than fit, or another process in its place: a gap.
         "r100 0@110-110/500! 1@110-110/500 a119, n",
         "r100 0@110-110/500? 1@110-110/500 a119, n",
-        // Words that overtake each other.
+        // Digests that overtake each other.
         "r100 0@115-116/500 1@115-115/500 0@105-117/500 a133, y",
     })
-    void everyAnswerIsProved(String steps, String told) {
-        CancellationHorizon proof = new CancellationHorizon(SETTINGS);
+    void workersAreAnsweredOnlyWhileAllCancellationsAreKnown(String steps, String told) {
+        CancellationHorizon horizon = new CancellationHorizon(SETTINGS);
         StringBuilder text = new StringBuilder();
         for (String step : steps.split(" ")) {
             if (step.charAt(0) == 'r') {
-                proof.hasReadStore(micros(step.substring(1)));
+                horizon.storeRead(micros(step.substring(1)));
             } else if (step.charAt(0) == 'a') {
-                text.append(proof.mayAnswerWorkers(micros(step.substring(1))) ? 'y' : 'n');
+                text.append(horizon.mayAnswerWorkers(micros(step.substring(1))) ? 'y' : 'n');
             } else {
-                String[] word = step.substring(2).replaceAll("[!?]", "").split("[-/]");
-                int sibling = step.charAt(0) - '0';
-                proof.digestReceived(
-                        sibling,
+                String[] times = step.substring(2).replaceAll("[!?]", "").split("[-/]");
+                int peer = step.charAt(0) - '0';
+                horizon.digestReceived(
+                        peer,
                         new CancellationDigest(
-                                step.endsWith("?") ? "c9" : "c" + (sibling + 1),
-                                micros(word[2]),
+                                step.endsWith("?") ? "c9" : "c" + (peer + 1),
+                                micros(times[2]),
                                 !step.endsWith("!"),
                                 List.of()),
-                        micros(word[0]),
-                        micros(word[1]));
+                        micros(times[0]),
+                        micros(times[1]));
             }
         }
         assertEquals(told, text.toString());
     }
 
-    /** Alone there is no sibling to hear, but a former process in its own place may have told users. */
+    /** Without peers there is no digest to wait for, but an earlier process of the controller may have confirmed cancellations. */
     @Test
-    void aControllerOnItsOwnReadsOnce() {
+    void aControllerWithoutPeersNeedsOneRead() {
         Settings alone = new Settings(
                 "c0",
                 "a",
@@ -140,17 +140,17 @@
                 1,
                 100,
                 100);
-        CancellationHorizon proof = new CancellationHorizon(alone);
-        assertEquals(false, proof.mayAnswerWorkers(Micros.SECOND));
-        proof.hasReadStore(Micros.SECOND);
-        assertEquals(true, proof.mayAnswerWorkers(900 * Micros.SECOND));
+        CancellationHorizon horizon = new CancellationHorizon(alone);
+        assertEquals(false, horizon.mayAnswerWorkers(Micros.SECOND));
+        horizon.storeRead(Micros.SECOND);
+        assertEquals(true, horizon.mayAnswerWorkers(900 * Micros.SECOND));
     }
 
-    /** Settings that leave less than a take-over needs are told to the operator; a margin of a second and the drift of clocks count. */
+    /** Settings that leave less than a failover needs are reported to the operator; a margin of a second and the drift of clocks count. */
     @ParameterizedTest
     @CsvSource({"10, 30, true", "30, 55, true", "10, 15.1, true", "10, 15.0, false", "17.5, 20, false", "30, 10, false"
     })
-    void settingsThatCannotBeKeptAreTold(double lease, double cancel, boolean kept) {
+    void settingsThatCannotBeKeptAreReported(double lease, double cancel, boolean canBeKept) {
         Settings settings = new Settings(
                 "c0",
                 "a",
@@ -179,17 +179,19 @@
                 100,
                 100);
         assertEquals(
-                kept, CancellationHorizon.violationOf(settings) == null, CancellationHorizon.violationOf(settings));
+                canBeKept,
+                CancellationHorizon.violationOf(settings).isEmpty(),
+                CancellationHorizon.violationOf(settings).orElse("no violation"));
     }
 
     private static long micros(String seconds) {
         return Micros.ofSeconds(Double.parseDouble(seconds));
     }
 
-    /** What a controller names: rows above the revision asked for, whole unless something above it may be missing. */
+    /** What a controller names: jobs above the revision asked for, complete unless something above it may be missing. */
     @ParameterizedTest
     @CsvSource({
-        // c a cancellation at a revision, l all rows read as of one, n so many cancellations from one on; then the
+        // c a cancellation at a revision, l all jobs read as of one, n so many cancellations from one on; then the
         // revision asked for
         "c5 c9 c7, 6, true 2",
         "c5 c9, 9, true 0",
@@ -201,7 +203,7 @@
         "c900 n1000@1, 899, false 101",
         "c2000 c3 n999@4, 1500, false 0",
     })
-    void whatIsNamed(String steps, long revision, String told) {
+    void digestIsCompleteUnlessSomethingMayBeMissing(String steps, long revision, String told) {
         CancellationLog log = new CancellationLog();
         for (String step : steps.split(" ")) {
             String[] parts = step.substring(1).split("@");
@@ -216,7 +218,7 @@
                 }
             }
         }
-        CancellationDigest word = log.digestSince(revision, "c1", 0);
-        assertEquals(told, word.complete() + " " + word.cancelled().size());
+        CancellationDigest digest = log.digestSince(revision, "c1", 0);
+        assertEquals(told, digest.complete() + " " + digest.cancelled().size());
     }
 }
--- a/src/test/java/io/micatide/election/WorkerConnectivityTest.java
+++ b/src/test/java/io/micatide/election/WorkerConnectivityTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Reports come every 0.8 s; the fleet counts as silent after 2 s. */
+/** Heartbeats come every 0.8 s; the fleet counts as silent after 2 s. */
 class WorkerConnectivityTest {
     private static final Settings SETTINGS = new SettingsBuilder().build();
     private static final long NOW = 100 * Micros.SECOND;
@@ -20,46 +20,51 @@
     }
 
     /**
-     * Seconds ago: the term began, the last report came (-1: none), a worker strayed to a sibling (-1: none), this process
-     * stood still (-1: not); whether the state service answers.
+     * Seconds ago: the term began, the last heartbeat came (-1: none), a worker that had lost the leader came to a peer (-1: none), this
+     * process was paused (-1: not); whether the store answers.
      */
     @ParameterizedTest
     @CsvSource({
-        // Cut off from the workers, which turn to a sibling.
+        // Partitioned from the workers, which turn to a peer.
         "60, 2.5, 0.5, -1, true, true",
-        // Workers come.
+        // Heartbeats come.
         "60, 0.3, 0.5, -1, true, false",
-        // All are cut, or the machines are gone: nobody could do better.
+        // All controllers are partitioned, or the machines are gone: nobody could do better.
         "60, 20, -1, -1, true, false",
         // No machines at all.
         "60, -1, -1, -1, true, false",
-        // What strayed before the last report, or long ago, has found back or is gone.
+        // A worker that lost the leader before the last heartbeat, or long ago, has found back or is gone.
         "60, 2.5, 3, -1, true, false",
         "60, 20, 5, -1, true, false",
         // A new leader is given time to be found, also by workers that come back from it.
         "3, -1, 0.5, -1, true, false",
         "6, -1, 0.5, -1, true, true",
-        // Nobody could claim the lead.
+        // Nobody could claim leadership.
         "60, 2.5, 0.5, -1, false, false",
-        // It was we who stood still.
+        // It was this process that was paused.
         "60, 20, 0.5, 0.1, true, false",
     })
-    void givesUpOnlyForASiblingThatIsReached(
-            double began, double heard, double strayed, double stalled, boolean served, boolean givesUp) {
-        WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
-        reach.termStarted(ago(began));
+    void leaderResignsOnlyIfWorkersReachAPeer(
+            double began,
+            double heard,
+            double workerLostLeader,
+            double paused,
+            boolean isStoreConnected,
+            boolean resigns) {
+        WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, 0);
+        connectivity.termStarted(ago(began));
         if (heard >= 0) {
-            reach.heartbeatReceived(ago(heard));
+            connectivity.heartbeatReceived(ago(heard));
         }
-        reach.peerReportedWorkerLostLeader(strayed < 0 ? -1 : Micros.ofSeconds(strayed), NOW);
-        if (stalled >= 0) {
-            reach.processPaused(ago(stalled));
+        connectivity.peerReportedWorkerLostLeader(workerLostLeader < 0 ? -1 : Micros.ofSeconds(workerLostLeader), NOW);
+        if (paused >= 0) {
+            connectivity.processPaused(ago(paused));
         }
-        assertEquals(givesUp, reach.shouldResign(served, NOW));
+        assertEquals(resigns, connectivity.shouldResign(isStoreConnected, NOW));
     }
 
     /**
-     * What a follower makes of a worker: the token it knows while 7 leads, how long ago it was sent to that leader (-1: not),
+     * What a follower makes of a worker: the token it knows while 7 leads, how long ago it was redirected to that leader (-1: not),
      * and how long the leader says that it has been silent.
      */
     @ParameterizedTest
@@ -67,57 +72,57 @@
         // New, restarted, or of an earlier term: it looks for the leader.
         "0, -1, 0, 1, false, false",
         "5, -1, 0, 9, false, false",
-        // It knows the leader and yet is here; one alone may be cut off itself.
+        // It knows the leader and yet is here; one alone may be partitioned itself.
         "7, -1, 0, 1, true, false",
         "7, -1, 4, 1, true, true",
         "7, -1, 0, 3, true, true",
-        // It was sent there and is back, or is only on its way.
+        // It was redirected there and is back, or is only on its way.
         "0, 5, 4, 1, true, true",
         "0, 1, 4, 1, false, false",
     })
-    void tellsWorkersThatLostTheLeader(
-            long seen, double sentAgo, double silent, int workers, boolean stray, boolean lost) {
-        WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
+    void followerDetectsWorkersThatLostTheLeader(
+            long seen, double redirectedAgo, double silent, int workers, boolean hasLostLeader, boolean isUnreachable) {
+        WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < workers; i++) {
-            if (sentAgo >= 0) {
-                reach.heartbeatRedirected(heartbeat("i-" + i, 0, 1), 7, ago(sentAgo));
+            if (redirectedAgo >= 0) {
+                connectivity.heartbeatRedirected(heartbeat("i-" + i, 0, 1), 7, ago(redirectedAgo));
             }
-            reach.heartbeatRedirected(heartbeat("i-" + i, seen, 2), 7, NOW);
+            connectivity.heartbeatRedirected(heartbeat("i-" + i, seen, 2), 7, NOW);
         }
-        reach.leaderReportedSilence(Micros.ofSeconds(silent), NOW);
-        assertEquals(stray, reach.workerLostLeaderAgoMicros(NOW) >= 0);
-        assertEquals(lost, reach.isLeaderUnreachable(NOW));
+        connectivity.leaderReportedSilence(Micros.ofSeconds(silent), NOW);
+        assertEquals(hasLostLeader, connectivity.workerLostLeaderAgoMicros(NOW) >= 0);
+        assertEquals(isUnreachable, connectivity.isLeaderUnreachable(NOW));
     }
 
-    /** Copies of reports that came long ago arrive again: nobody has lost the leader, and none of them is a worker that is here. */
+    /** Copies of heartbeats that came long ago arrive again: no worker has lost the leader, and none of them has come here. */
     @ParameterizedTest
     @CsvSource({"1, false", "4, false"})
-    void aCopyOfAnOldReportIsNoWorkerThatCameBack(int copies, boolean lost) {
-        WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, 0);
-        for (int i = 0; i < copies; i++) {
-            reach.heartbeatRedirected(heartbeat("i-" + i, 5, 9), 7, ago(6));
+    void repeatedOldHeartbeatIsNoWorkerThatCameBack(int workers, boolean isUnreachable) {
+        WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, 0);
+        for (int i = 0; i < workers; i++) {
+            connectivity.heartbeatRedirected(heartbeat("i-" + i, 5, 9), 7, ago(6));
         }
-        for (int i = 0; i < copies; i++) {
-            reach.heartbeatRedirected(heartbeat("i-" + i, 5, 8), 7, ago(0.2));
-            reach.heartbeatRedirected(heartbeat("i-" + i, 5, 9), 7, NOW);
+        for (int i = 0; i < workers; i++) {
+            connectivity.heartbeatRedirected(heartbeat("i-" + i, 5, 8), 7, ago(0.2));
+            connectivity.heartbeatRedirected(heartbeat("i-" + i, 5, 9), 7, NOW);
         }
-        assertEquals(lost, reach.isLeaderUnreachable(NOW));
-        assertEquals(-1, reach.workerLostLeaderAgoMicros(NOW));
-        assertEquals(false, reach.isConnected(NOW));
+        assertEquals(isUnreachable, connectivity.isLeaderUnreachable(NOW));
+        assertEquals(-1, connectivity.workerLostLeaderAgoMicros(NOW));
+        assertEquals(false, connectivity.isConnected(NOW));
     }
 
     private static Heartbeat heartbeat(String machine, long seen, long sequence) {
         return new Heartbeat(machine, "x:1", "small", "a", false, 1, sequence, seen, -1, List.of());
     }
 
-    /** Seconds ago: the process began, a worker came (-1: none). */
+    /** Seconds ago: the process began, a heartbeat came (-1: none). */
     @ParameterizedTest
     @CsvSource({"60, 0.5, true", "60, 5, false", "60, -1, false", "1, -1, true"})
-    void knowsWhetherWorkersReachIt(double began, double came, boolean reached) {
-        WorkerConnectivity reach = new WorkerConnectivity(SETTINGS, ago(began));
-        if (came >= 0) {
-            reach.heartbeatRedirected(heartbeat("i-1", 0, 1), 7, ago(came));
+    void isConnectedAfterAHeartbeatAndAfterItsStart(double began, double heartbeat, boolean isConnected) {
+        WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, ago(began));
+        if (heartbeat >= 0) {
+            connectivity.heartbeatRedirected(heartbeat("i-1", 0, 1), 7, ago(heartbeat));
         }
-        assertEquals(reached, reach.isConnected(NOW));
+        assertEquals(isConnected, connectivity.isConnected(NOW));
     }
 }
