--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What controllers tell each other of cancellations, and the {@link CancellationHorizon} that rests on it. A leader's news ask for it; whatever a
- * sibling names is taken into the copy of the rows first and counted then, so nothing is proved that the term does not act on. Part of
- * the leader's actor.
+ * What controllers tell each other of cancellations, and the {@link CancellationHorizon} that rests on it. A leader's status asks for a
+ * digest. Invariant: the jobs of a digest are recorded in the job cache before the horizon counts it, so that a worker is answered only by
+ * a term that stops them. Part of the leader's actor.
  */
 final class CancellationExchange {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
@@ -23,6 +23,7 @@
     private final UsersActor users;
     private final CancellationHorizon horizon;
     private long readRevision;
+    /** Whether workers went unanswered when it was last asked, so that each change is logged once. */
     private boolean isHorizonTooOld;
 
     CancellationExchange(Settings settings, UsersActor users) {
@@ -31,32 +32,37 @@
         this.horizon = new CancellationHorizon(settings);
     }
 
-    /** Up to which the state service has been read: siblings name what came later. */
+    /** The revision up to which the store has been read: a digest names cancellations above it. */
     long readRevision() {
         return readRevision;
     }
 
+    /** The job cache holds all that the store had when the read was sent. */
     void storeRead(LeaderMessage.StoreRead message) {
         readRevision = Math.max(readRevision, message.revision());
         horizon.storeRead(message.askedMicros());
     }
 
-    // ---- a leader
+    // ---- the leader's side
 
-    /** A sibling's answer to news that left at {@code askedMicros}. */
-    void digestReceived(int sibling, CancellationDigest word, long askedMicros, long now) {
-        if (word != null) {
+    /**
+     * A peer answered the status that was sent at {@code askedMicros}; what its digest names is recorded first.
+     *
+     * @param digest null from a version that gives none
+     */
+    void digestReceived(int peer, CancellationDigest digest, long askedMicros, long now) {
+        if (digest != null) {
             users.tell(new UsersActor.TakeIn(
-                    word.cancelled(), new LeaderMessage.DigestRecorded(sibling, word, askedMicros, now)));
+                    digest.cancelled(), new LeaderMessage.DigestRecorded(peer, digest, askedMicros, now)));
         }
     }
 
-    /** What a sibling named is in the copy, and the term has been told. */
+    /** The jobs of a digest are in the job cache, and the term has been told of them. */
     void digestRecorded(LeaderMessage.DigestRecorded message) {
         if (!horizon.digestReceived(
                 message.peer(), message.digest(), message.askedMicros(), message.receivedMicros())) {
             LOG.debug(
-                    "{} leaves a gap: lived {} us, whole {}",
+                    "cancellation digest of {} leaves a gap: uptime {} us, complete: {}",
                     message.digest().controller(),
                     message.digest().uptimeMicros(),
                     message.digest().complete());
@@ -65,33 +71,33 @@
 
     /** Whether workers may be answered; logs each change. */
     boolean mayAnswerWorkers(long now) {
-        boolean may = horizon.mayAnswerWorkers(now);
-        if (may == isHorizonTooOld) {
-            isHorizonTooOld = !may;
+        boolean mayAnswer = horizon.mayAnswerWorkers(now);
+        if (mayAnswer == isHorizonTooOld) {
+            isHorizonTooOld = !mayAnswer;
             if (isHorizonTooOld) {
                 LOG.warn(
-                        "has read no cancellations for too long, and lacks the word of {}: workers are not answered any more",
+                        "cancellations unknown for too long, no digest without a gap from {}: heartbeats are not answered",
                         horizon.laggingPeers(now));
             } else {
-                LOG.info("knows of all cancellations again: workers are answered");
+                LOG.info("cancellations known again: heartbeats are answered");
             }
         }
-        return may;
+        return mayAnswer;
     }
 
-    // ---- a sibling
+    // ---- a follower's side
 
-    /** Answers a leader's news with what this controller knows beyond the leader's last read. */
-    void answerPeerStatus(Request request, PeerCodec.Answer answer, PeerCodec.News news) {
-        if (news.revision() < 0) {
+    /** Answers a leader's status, with a digest of what this controller knows beyond the leader's last read if it asks for one. */
+    void answerPeerStatus(Request request, PeerCodec.Answer answer, PeerCodec.News status) {
+        if (status.revision() < 0) {
             request.answer(200, PeerCodec.answer(answer));
         } else {
             users.tell(new UsersActor.Testify(
-                    news.revision(), word -> request.answer(200, PeerCodec.answer(answer.with(word)))));
+                    status.revision(), digest -> request.answer(200, PeerCodec.answer(answer.with(digest)))));
         }
     }
 
-    /** A sibling confirmed a cancellation; nothing rests on it, it only comes sooner than what is asked for. */
+    /** A peer confirmed cancellations. The horizon does not count this; it only arrives sooner than the next digest. */
     void peerCancellationsReceived(Request request) {
         try {
             users.tell(new UsersActor.TakeIn(PeerCodec.withdrawn(request.body()).jobs(), null));
@@ -104,10 +110,10 @@
         }
     }
 
-    /** Tells whoever leads what was confirmed here. */
-    void cancellationConfirmed(CancellationDigest.Cancelled job, String leader, PeerClients siblings) {
+    /** Tells the leader, if it is a peer, of a cancellation that was confirmed here; {@code leader} is its label or null. */
+    void cancellationConfirmed(CancellationDigest.Cancelled job, String leader, PeerClients peers) {
         if (leader != null && !leader.equals(settings.label())) {
-            siblings.sendCancellations(leader, new PeerCodec.Withdrawn(List.of(job)));
+            peers.sendCancellations(leader, new PeerCodec.Withdrawn(List.of(job)));
         }
     }
 }
--- a/src/main/java/io/micatide/controller/GracefulHandover.java
+++ b/src/main/java/io/micatide/controller/GracefulHandover.java
@@ -3,8 +3,9 @@
 import io.micatide.model.Micros;
 
 /**
- * An orderly end, step by step: the round that is under way is answered or left, an heir catches up, the lease goes back. Each step
- * has its time, so that a state service or an heir that does not answer costs no more than it. Part of the leader's actor.
+ * The steps of a graceful shutdown: the write that is under way is answered or given up, the successor catches up, the lease is released.
+ * Each step has a timeout, so that a store or a successor that does not answer delays the shutdown by no more than that. Part of the
+ * leader's actor.
  */
 final class GracefulHandover {
     private static final long WRITE_TIMEOUT_MICROS = 300 * Micros.MILLISECOND;
@@ -16,7 +17,7 @@
         COMPLETED
     }
 
-    /** Null of a controller that does not lead. */
+    /** Null if this controller does not lead. */
     private final LeaderTerm term;
 
     private final String successor;
@@ -25,41 +26,57 @@
     private Step step = Step.FINISH_WRITE;
     private long stepStartedMicros;
 
-    /** @param heir label of the one that is warm, or null */
-    GracefulHandover(LeaderTerm term, String heir, long nowMicros, Runnable tellHeir, Runnable giveBack) {
+    /**
+     * Nothing is done before the first {@link #advance}.
+     *
+     * @param term null if this controller does not lead
+     * @param successor the label of the warm standby that is to take over, null for none
+     * @param notifySuccessor asks the successor to catch up
+     * @param releaseLease ends the term and its lease; run last and once
+     */
+    GracefulHandover(
+            LeaderTerm term, String successor, long nowMicros, Runnable notifySuccessor, Runnable releaseLease) {
         this.term = term;
-        this.successor = heir;
-        this.notifySuccessor = tellHeir;
-        this.releaseLease = giveBack;
+        this.successor = successor;
+        this.notifySuccessor = notifySuccessor;
+        this.releaseLease = releaseLease;
         this.stepStartedMicros = nowMicros;
     }
 
-    /** Where workers should go from now on, or null. */
+    /** The label of the controller that workers should turn to, null for none. */
     String successor() {
         return successor;
     }
 
-    /** The lease has been given back: nothing is answered in the name of the term. */
+    /** Whether the lease has been released: nothing is answered in the name of the term. */
     boolean isCompleted() {
         return step == Step.COMPLETED;
     }
 
+    /** Takes the next step once the present one is done or has timed out. */
     void advance(long nowMicros) {
-        if (step == Step.FINISH_WRITE
-                && (term == null || !term.isWritePending() || nowMicros - stepStartedMicros >= WRITE_TIMEOUT_MICROS)) {
-            step = Step.NOTIFY_SUCCESSOR;
-            stepStartedMicros = nowMicros;
-            if (successor == null) {
-                finish();
-            } else {
-                notifySuccessor.run();
+        long stepMicros = nowMicros - stepStartedMicros;
+        if (step == Step.FINISH_WRITE) {
+            boolean isWritePending = term != null && term.isWritePending();
+            if (!isWritePending || stepMicros >= WRITE_TIMEOUT_MICROS) {
+                beginNotifying(nowMicros);
             }
-        } else if (step == Step.NOTIFY_SUCCESSOR && nowMicros - stepStartedMicros >= SUCCESSOR_TIMEOUT_MICROS) {
+        } else if (step == Step.NOTIFY_SUCCESSOR && stepMicros >= SUCCESSOR_TIMEOUT_MICROS) {
             finish();
         }
     }
 
-    /** An heir that could not catch up reads all: that is no reason to keep the lead. */
+    private void beginNotifying(long nowMicros) {
+        step = Step.NOTIFY_SUCCESSOR;
+        stepStartedMicros = nowMicros;
+        if (successor == null) {
+            finish();
+        } else {
+            notifySuccessor.run();
+        }
+    }
+
+    /** The successor has caught up or could not, in which case it reads all: no reason to go on leading. */
     void successorAnswered() {
         if (step == Step.NOTIFY_SUCCESSOR) {
             finish();
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -65,7 +65,7 @@
         StandbyActor standbyActor = tuning.standbyEnabled()
                 ? new StandbyActor(services.executor(), settings, services.store(), users, this, components.replicas())
                 : null;
-        StandbyCoordinator standby = new StandbyCoordinator(this, settings, peers, lease, standbyActor, now());
+        StandbyCoordinator standby = new StandbyCoordinator(this, settings, peers, lease, standbyActor);
         return new LeaderCollaborators(election, lease, workers, cancellations, standby, peers, rollout);
     }
 
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -14,12 +14,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What {@link LeaderElection} constraints of the state service, and what becomes of it. Part of the leader's actor. */
+/**
+ * Sends what {@link LeaderElection} asks of the store, keeps a watch on the leader record, and tells the election what came of it. Part of
+ * the leader's actor.
+ */
 final class LeaderLease {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long WATCH_RETRY_MICROS = 300 * Micros.MILLISECOND;
     private static final long RETRY_MICROS = 200 * Micros.MILLISECOND;
+    /** A claim that was not executed is repeated sooner than other requests: nobody leads meanwhile. */
+    private static final long CLAIM_RETRY_MICROS = 100 * Micros.MILLISECOND;
+
+    private static final long MALFORMED_RETRY_MICROS = Micros.SECOND;
     private static final long WATCH_TIMEOUT_MICROS = 20 * Micros.SECOND;
+    private static final long NEVER_CLAIM_MICROS = Long.MAX_VALUE;
 
     private final LeaderActor owner;
     private final String label;
@@ -27,16 +35,18 @@
     private final LeaderElection election;
     private final RolloutParticipant rollout;
     private boolean isWatching;
+    /** Changes of the leader record up to this revision have been observed. */
     private long watchRevision;
-    /** The lease that the row of this controller's former life is attached to, 0 once it is known to be none of that. */
+    /** The lease of the leader record that an earlier process of this controller wrote, 0 if there is none as far as is known. */
     private long formerLeaseId;
 
+    /** @param label of this controller, which a claim writes into the leader record */
     LeaderLease(
-            LeaderActor owner, String label, StoreClient state, LeaderElection leadership, RolloutParticipant rollout) {
+            LeaderActor owner, String label, StoreClient store, LeaderElection election, RolloutParticipant rollout) {
         this.owner = owner;
         this.label = label;
-        this.store = state;
-        this.election = leadership;
+        this.store = store;
+        this.election = election;
         this.rollout = rollout;
     }
 
@@ -45,53 +55,65 @@
         isWatching = false;
     }
 
-    /** For how long the row has been there to be claimed, or -1 if it is not. */
+    /** For how long the leader record has been claimable, or -1 if it is not. */
     long claimableForMicros(long now) {
         return election.claimableForMicros(now);
     }
 
     /**
-     * Ends the lease of this controller's former life, so that its row goes and others who are warm see it at once. Its process is
-     * gone, as for the claim of its own row; and what it had sent is fenced by the next claim either way.
+     * Ends the lease of this controller's earlier process, so that its leader record goes and warm standbys see it at once. That process is
+     * gone, as for a claim in place of its own record; and what it had sent is fenced by the next claim either way.
      */
     void endFormerLease() {
         if (formerLeaseId != 0 && formerLeaseId != election.leaseId()) {
-            LOG.info("ends the lease of its former life for others to lead");
-            store.endLease(formerLeaseId, reply -> LOG.debug("lease of the former life: {}", reply.status()));
+            LOG.info("ends the lease of its earlier process, a peer is the better leader");
+            store.endLease(formerLeaseId, reply -> LOG.debug("lease of the earlier process: {}", reply.status()));
         }
         formerLeaseId = 0;
     }
 
-    /** @param waitsMicros for how long a free row is left to others */
-    void advance(long now, long waitsMicros) {
+    /**
+     * Sends what is due.
+     *
+     * @param claimDelayMicros for how long a claimable record is left to peers
+     */
+    void advance(long now, long claimDelayMicros) {
         if (!isWatching && election.leader() != null) {
-            isWatching = true;
-            store.watch(
-                    StoreKeys.LEADER,
-                    Math.max(election.recordVersion(), watchRevision),
-                    WATCH_TIMEOUT_MICROS,
-                    owner.answer(LeaderMessage.LeaderRecordObserved::new));
+            watch();
         }
-        // Whoever does not know what is stored leads nobody, and while that is not read nobody knows.
-        switch (election.nextAction(now, rollout.mayLead() ? waitsMicros : Long.MAX_VALUE)) {
+        // A controller that does not know which formats the store holds must not lead, and none knows that before it
+        // has read it.
+        long delayMicros = rollout.mayLead() ? claimDelayMicros : NEVER_CLAIM_MICROS;
+        switch (election.nextAction(now, delayMicros)) {
             case READ_RECORD -> store.read(StoreKeys.LEADER, owner.answer(LeaderMessage.LeaderRecordRead::new));
             case GRANT_LEASE ->
                 store.grant(election.leaseMicros(), owner.answer(r -> new LeaderMessage.LeaseGranted(r, now)));
             case RENEW_LEASE ->
                 store.touch(election.leaseId(), owner.answer(r -> new LeaderMessage.LeaseRenewed(r, now)));
-            case CLAIM -> {
-                StoredRecord row = new StoredRecord.Leader(label);
-                List<Transaction.Condition> conditions = new ArrayList<>(rollout.claimConditions());
-                conditions.add(new Transaction.Condition(StoreKeys.LEADER, election.recordVersion()));
-                store.transaction(
-                        new Transaction(
-                                conditions, List.of(new Transaction.Write(StoreKeys.LEADER, row, election.leaseId()))),
-                        owner.answer(LeaderMessage.LeadershipClaimed::new));
-            }
+            case CLAIM -> claim();
             case NOTHING -> {}
         }
     }
 
+    private void watch() {
+        isWatching = true;
+        store.watch(
+                StoreKeys.LEADER,
+                Math.max(election.recordVersion(), watchRevision),
+                WATCH_TIMEOUT_MICROS,
+                owner.answer(LeaderMessage.LeaderRecordObserved::new));
+    }
+
+    private void claim() {
+        StoredRecord leader = new StoredRecord.Leader(label);
+        List<Transaction.Condition> conditions = new ArrayList<>(rollout.claimConditions());
+        conditions.add(new Transaction.Condition(StoreKeys.LEADER, election.recordVersion()));
+        store.transaction(
+                new Transaction(
+                        conditions, List.of(new Transaction.Write(StoreKeys.LEADER, leader, election.leaseId()))),
+                owner.answer(LeaderMessage.LeadershipClaimed::new));
+    }
+
     /** Handles an answer of the store about the leader record or the lease. */
     void receive(LeaderMessage.LeaseMessage message) {
         long now = owner.now();
@@ -99,11 +121,7 @@
             if (message instanceof LeaderMessage.LeaderRecordRead m) {
                 recordRead(m.reply(), now);
             } else if (message instanceof LeaderMessage.LeaseGranted m) {
-                if (m.reply().ok()) {
-                    election.leaseGranted(StoreCodec.granted(m.reply().body()), m.askedMicros());
-                } else {
-                    election.requestFailed(now, RETRY_MICROS);
-                }
+                leaseGranted(m.reply(), m.askedMicros(), now);
             } else if (message instanceof LeaderMessage.LeaseRenewed m) {
                 leaseRenewed(m.reply(), m.askedMicros(), now);
             } else if (message instanceof LeaderMessage.LeadershipClaimed m) {
@@ -112,8 +130,16 @@
                 recordObserved(m.reply());
             }
         } catch (MalformedException e) {
-            LOG.error("leader row: {}", e.getMessage());
-            election.requestFailed(now, Micros.SECOND);
+            LOG.error("malformed answer about the leader record: {}", e.getMessage());
+            election.requestFailed(now, MALFORMED_RETRY_MICROS);
+        }
+    }
+
+    private void leaseGranted(Reply reply, long askedMicros, long now) throws MalformedException {
+        if (reply.ok()) {
+            election.leaseGranted(StoreCodec.granted(reply.body()), askedMicros);
+        } else {
+            election.requestFailed(now, RETRY_MICROS);
         }
     }
 
@@ -121,9 +147,9 @@
         if (reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
             watchRevision = Math.max(watchRevision, item.version());
-            String rowOwner = ((StoredRecord.Leader) item.row()).owner();
-            formerLeaseId = label.equals(rowOwner) && !election.isLeader() ? StoreCodec.hold(reply.body()) : 0;
-            election.recordRead(rowOwner, item.version());
+            String recordOwner = ((StoredRecord.Leader) item.row()).owner();
+            formerLeaseId = label.equals(recordOwner) && !election.isLeader() ? StoreCodec.hold(reply.body()) : 0;
+            election.recordRead(recordOwner, item.version());
         } else if (reply.status() == 404) {
             election.recordRead(null, 0);
         } else {
@@ -156,7 +182,7 @@
         } else if (reply.status() == 400) {
             election.leaseExpired();
         } else if (reply.notExecuted()) {
-            election.requestFailed(now, 100 * Micros.MILLISECOND);
+            election.requestFailed(now, CLAIM_RETRY_MICROS);
         } else {
             election.claimOutcomeUnknown(now);
         }
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -24,11 +24,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a controller does from its claim until it is fenced: reads, confirms, decides, writes. Part of the leader's actor. */
+/**
+ * What a controller does while it leads: it loads the state of the deployment, lets the {@link Scheduler} decide, writes the decisions to
+ * the store and acts on them once they are confirmed. Until all is loaded the scheduler decides nothing, and heartbeats are answered only
+ * with stops of jobs that are known as cancelled. A term has one fencing token and ends for good. Part of the leader's actor.
+ */
 final class LeaderTerm {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long SUMMARY_INTERVAL_MICROS = 5 * Micros.SECOND;
-    /** Jobs, ledgers, bookings, types, machines that are given back. */
+    /** Jobs, ledgers, provisioning requests, machine types and machine deletions. */
     private static final int LOAD_STEPS = 5;
 
     private final LeaderActor owner;
@@ -41,13 +45,14 @@
     private final TermArchiving archiving;
     private final LearnedStateWriter learnedState;
     private final TermAnnouncer announcer;
-    /** How many of the {@link #LOAD_STEPS} are not yet complete; the scheduler acts once it is 0. */
+    /** How many of the {@link #LOAD_STEPS} are not yet complete; the scheduler decides once it is 0. */
     private int remainingLoadSteps = LOAD_STEPS;
 
     private long lastSummaryMicros;
     /** Jobs known as cancelled until all is loaded; from then on the scheduler has them. */
     private final Set<String> cancelledJobs = new HashSet<>();
 
+    /** A term that has yet to be started; its fencing token is the scheduler's. */
     LeaderTerm(LeaderActor owner, UsersActor users, Scheduler scheduler, TermComponents components) {
         this.owner = owner;
         this.users = users;
@@ -61,6 +66,7 @@
         this.announcer = components.announcer();
     }
 
+    /** Begins to load. */
     void start() {
         users.tell(new UsersActor.Follow(owner));
         loader.tell(new FailoverLoader.LoadRequested());
@@ -76,60 +82,71 @@
         return Math.max(fencingToken(), committer.lastRevision());
     }
 
+    /** This controller no longer leads: nothing is sent in the name of this term any more. */
     void end() {
         archiving.end();
         users.tell(new UsersActor.Unfollow());
     }
 
+    /** The revision of the leader record that this controller wrote. */
     long fencingToken() {
         return scheduler.fencingToken();
     }
 
+    /** Whether the scheduler knows all that it needs to decide. */
     boolean isLoaded() {
         return remainingLoadSteps == 0;
     }
 
+    /** The leader's lease runs at least until this time on the steady clock. */
     void leaseHeldUntil(long untilMicros) {
         scheduler.leaseHeldUntil(untilMicros);
     }
 
+    /** The process was paused and goes on. */
     void processResumed(long now) {
         scheduler.processResumed(now);
     }
 
+    /** The job cache holds all that the store had at {@code askedMicros}. */
     void storeRead(long askedMicros) {
         scheduler.storeReadAt(askedMicros);
     }
 
+    /** The stages of features are not as they were. */
     void featureStagesChanged() {
         rollout.switchesChanged();
     }
 
+    /** When this term reached the stages of its failover. */
     FailoverTimings failoverTimings() {
         return scheduler.failoverTimings();
     }
 
+    /** What a standby should know and no record holds. */
     List<Hint> hints(long now) {
         return scheduler.hints(now);
     }
 
-    /** What siblings show to users; empty until all is read. */
+    /** The progress of jobs, which peers show to users; empty until all is loaded. */
     List<JobProgress> progress() {
         return isLoaded() ? scheduler.progress() : List.of();
     }
 
     /**
-     * While something is still to be read a report renews the worker's lease and is told only what to stop of jobs that are known as
-     * cancelled: what an answer prolongs must not be one of them. The rest of what it says is taken from the next one.
+     * Handles a worker's heartbeat. Until all is loaded the answer, which renews the worker's lease, holds only stops of jobs that are
+     * known as cancelled, since they must not be prolonged; what else the heartbeat says is taken from the next one.
+     *
+     * @return the commands to the worker
      */
     List<Command> handleHeartbeat(Heartbeat heartbeat) {
         if (isLoaded()) {
             return scheduler.handleHeartbeat(heartbeat, owner.now());
         }
         List<Command> stops = new ArrayList<>();
-        for (TaskStatus line : heartbeat.tasks()) {
-            if (line.state() != TaskState.EXITED && cancelledJobs.contains(line.job())) {
-                stops.add(new Command.Stop(line.job(), line.taskIndex(), line.attempt(), 0));
+        for (TaskStatus task : heartbeat.tasks()) {
+            if (task.state() != TaskState.EXITED && cancelledJobs.contains(task.job())) {
+                stops.add(new Command.Stop(task.job(), task.taskIndex(), task.attempt(), 0));
             }
         }
         return stops;
@@ -222,9 +239,9 @@
         }
     }
 
-    // ---- what is read first
+    // ---- loading
 
-    /** Before the rest is known of them. */
+    /** May come before anything else is known of these jobs. */
     private void cancellationsObserved(List<String> jobs) {
         if (!isLoaded()) {
             cancelledJobs.addAll(jobs);
@@ -238,7 +255,7 @@
         scheduler.jobChanged(view, owner.wall(), owner.now());
     }
 
-    /** The open and the cancelled jobs by a read that began after our claim: every start of an earlier leader belongs to one of them. */
+    /** The open and the cancelled jobs, by a read that began after the claim: each task that an earlier leader started is of one of them. */
     private void jobsObserved(List<JobCache.View> jobs) {
         if (remainingLoadSteps > 0) {
             jobs.forEach(this::jobObserved);
@@ -247,16 +264,16 @@
         }
     }
 
-    private void recordsLoaded(List<StoreCodec.Item> rows) {
+    private void recordsLoaded(List<StoreCodec.Item> records) {
         long now = owner.now();
-        for (StoreCodec.Item item : rows) {
+        for (StoreCodec.Item item : records) {
             if (item.row() instanceof StoredRecord.Ledger ledger) {
                 scheduler.ledgerLoaded(item.key(), ledger, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.Provisioning booking) {
+            } else if (item.row() instanceof StoredRecord.Provisioning request) {
                 scheduler.provisioningRequestLoaded(
-                        item.key().substring(StoreKeys.PROVISIONING_REQUESTS.length()), booking, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.MachinesToDelete returned) {
-                scheduler.machineDeletionLoaded(item.key(), returned, item.version(), now);
+                        item.key().substring(StoreKeys.PROVISIONING_REQUESTS.length()), request, item.version(), now);
+            } else if (item.row() instanceof StoredRecord.MachinesToDelete deletion) {
+                scheduler.machineDeletionLoaded(item.key(), deletion, item.version(), now);
             } else if (item.row() instanceof StoredRecord.LearnedState learned) {
                 learnedState.found(item.key(), learned);
                 scheduler.hintsReceived(learned.hints(), true, now);
@@ -264,7 +281,7 @@
         }
     }
 
-    /** Bookings are written once their fence is known; nothing else waits for it. */
+    /** Provisioning requests are written once their fence is known; nothing else waits for it. */
     private void provisioningFenceRead(Reply reply) {
         try {
             if (reply.ok()) {
@@ -274,7 +291,7 @@
                 scheduler.provisioningFenceRead(0, 0);
             }
         } catch (MalformedException e) {
-            LOG.error("fence of the bookings: {}", e.getMessage());
+            LOG.error("malformed provisioning fence: {}", e.getMessage());
         }
     }
 
@@ -283,7 +300,7 @@
             long now = owner.now();
             scheduler.allRecordsLoaded(now);
             cancelledJobs.clear();
-            LOG.info("term {} rebuilt: {}", fencingToken(), scheduler.summary(now));
+            LOG.info("term {} loaded: {}", fencingToken(), scheduler.summary(now));
             rollout.loaded();
             archiving.loaded();
         }
@@ -291,7 +308,7 @@
 
     // ---- time
 
-    /** Called every so often once all is read. */
+    /** Does what is due; called every 100 ms once all is loaded. */
     void tick(long now) {
         announcer.sendDue(now);
         scheduler.tick(now);
@@ -306,6 +323,7 @@
         scheduler.takeCompletions(now).forEach(LOG::debug);
     }
 
+    /** Logs the state of the deployment every five seconds. */
     void logSummaryIfDue(long now) {
         if (now - lastSummaryMicros >= SUMMARY_INTERVAL_MICROS) {
             lastSummaryMicros = now;
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -12,20 +12,31 @@
 import java.util.List;
 
 /**
- * What this controller tells the others: a leader's news of who leads, who is to follow it and the counts that users are shown; a cold
- * one's question whether others would lead better. Part of the leader's actor.
+ * The clients of the other controllers and what is sent by them: a leader's status, hints and request for a handover, a starting
+ * controller's question for readiness, and confirmed cancellations. Peers are numbered by their places in {@link Settings#siblings()}.
+ * Part of the leader's actor.
  */
 final class PeerClients {
     private static final long STATUS_INTERVAL_MICROS = Micros.SECOND;
+    private static final long URGENT_STATUS_INTERVAL_MICROS = 250 * Micros.MILLISECOND;
     private static final long READINESS_INTERVAL_MICROS = 500 * Micros.MILLISECOND;
-    /** An heir needs one read; who has not answered by then is not waited for. */
+    /** A standby catches up with one read; one that has not answered by then is not waited for. */
     private static final long HANDOVER_TIMEOUT_MICROS = 300 * Micros.MILLISECOND;
-
-    private static final long URGENT_STATUS_INTERVAL_MICROS = 250 * Micros.MILLISECOND;
-    /** What fits a peer's request body. */
+    /** What fits the body of a request to a peer. */
     private static final int MAX_JOBS_PER_STATUS = 1_000;
 
-    /** What the news of this moment say beside the counts. */
+    private static final int CONNECTIONS_PER_PEER = 2;
+
+    /**
+     * A leader's status but for the progress of jobs.
+     *
+     * @param fencingToken of its term
+     * @param isStoreConnected whether the store answers it
+     * @param workersSilentMicros how long it has received no heartbeat
+     * @param standbys labels of the controllers that are to take over, the first one first; null if none are selected yet or ever
+     * @param featureStagesVersion the version of the stages of features that it knows
+     * @param readRevision up to which it has read the store: peers name cancellations above it
+     */
     record LeaderStatus(
             long fencingToken,
             boolean isStoreConnected,
@@ -37,83 +48,86 @@
     private final LeaderActor owner;
     private final Settings settings;
     private final List<Http> peers = new ArrayList<>();
+    /** 0 if a new term has yet to send its first status. */
     private long lastStatusMicros;
+
     private long lastUrgentStatusMicros;
+    /** 0 if nothing was asked for yet. */
     private long lastReadinessRequestMicros;
 
     PeerClients(LeaderActor owner, Settings settings, Http.Connector connector) {
         this.owner = owner;
         this.settings = settings;
-        for (Settings.Sibling sibling : settings.siblings()) {
-            peers.add(connector.to(sibling.endpoint(), 2));
+        for (Settings.Sibling peer : settings.siblings()) {
+            peers.add(connector.to(peer.endpoint(), CONNECTIONS_PER_PEER));
         }
     }
 
-    /** A new term: its news go out at once. */
+    /** A new term begins: its first status is due at once. */
     void termStarted() {
         lastStatusMicros = 0;
     }
 
+    /** Whether the regular status is due. */
     boolean isStatusDue(long now) {
         return lastStatusMicros == 0 || now - lastStatusMicros >= STATUS_INTERVAL_MICROS;
     }
 
-    void sendStatus(LeaderStatus what, List<JobProgress> jobs, long now) {
+    /** Sends the regular status to all peers, in as many parts as the progress of all jobs takes. */
+    void sendStatus(LeaderStatus status, List<JobProgress> jobs, long now) {
         lastStatusMicros = now;
         lastUrgentStatusMicros = now;
-        for (int sibling = 0; sibling < peers.size(); sibling++) {
+        for (int peer = 0; peer < peers.size(); peer++) {
             for (int from = 0; from == 0 || from < jobs.size(); from += MAX_JOBS_PER_STATUS) {
-                postStatus(
-                        sibling,
-                        what,
-                        from == 0,
-                        jobs.subList(from, Math.min(jobs.size(), from + MAX_JOBS_PER_STATUS)));
+                int to = Math.min(jobs.size(), from + MAX_JOBS_PER_STATUS);
+                postStatus(peer, status, from == 0, jobs.subList(from, to));
             }
         }
     }
 
-    /** Between two regular news, while no worker comes: do they come to a sibling? */
-    void sendUrgentStatus(LeaderStatus what, long now) {
+    /** Sends the status between two regular ones, without progress; the answers say whether workers have turned to a peer. */
+    void sendUrgentStatus(LeaderStatus status, long now) {
         if (now - lastUrgentStatusMicros >= URGENT_STATUS_INTERVAL_MICROS) {
             lastUrgentStatusMicros = now;
-            for (int sibling = 0; sibling < peers.size(); sibling++) {
-                postStatus(sibling, what, false, List.of());
+            for (int peer = 0; peer < peers.size(); peer++) {
+                postStatus(peer, status, false, List.of());
             }
         }
     }
 
-    /** While a free row is left to others: are there any? */
+    /** Asks all peers how ready they are to lead, while the leader record is left to them. */
     void requestReadiness(long now) {
         if (lastReadinessRequestMicros != 0 && now - lastReadinessRequestMicros < READINESS_INTERVAL_MICROS) {
             return;
         }
         lastReadinessRequestMicros = now;
-        for (int each = 0; each < peers.size(); each++) {
-            int sibling = each;
-            peers.get(sibling)
+        for (int i = 0; i < peers.size(); i++) {
+            int peer = i;
+            peers.get(peer)
                     .get(
                             "/standby",
                             Http.PATIENCE_MICROS,
-                            owner.answer(r -> new StandbyMessage.ReadinessAnswered(r, sibling)));
+                            owner.answer(r -> new StandbyMessage.ReadinessAnswered(r, peer)));
         }
     }
 
-    /** To the heirs that do not hold the newest picture. */
-    void sendHints(List<Integer> heirs, HintSender hints, long fencingToken) {
-        for (int heir : heirs) {
-            for (HintBatch part : hints.parts(heir)) {
-                peers.get(heir)
+    /** Sends hints to the standbys that do not hold the newest ones. */
+    void sendHints(List<Integer> standbys, HintSender hints, long fencingToken) {
+        for (int standby : standbys) {
+            for (HintBatch batch : hints.parts(standby)) {
+                peers.get(standby)
                         .post(
                                 "/hints",
-                                HintCodec.part(part),
+                                HintCodec.part(batch),
                                 Http.PATIENCE_MICROS,
-                                owner.answer(r -> new StandbyMessage.HintsAcknowledged(r, fencingToken, heir)));
+                                owner.answer(r -> new StandbyMessage.HintsAcknowledged(r, fencingToken, standby)));
             }
         }
     }
 
-    void requestHandover(int sibling, long fencingToken, long revision) {
-        peers.get(sibling)
+    /** Asks a standby to catch up to the last revision of this term and to take over. */
+    void requestHandover(int peer, long fencingToken, long revision) {
+        peers.get(peer)
                 .post(
                         "/handover",
                         PeerCodec.handOver(fencingToken, revision),
@@ -121,32 +135,34 @@
                         owner.answer(LeaderMessage.HandoverAnswered::new));
     }
 
-    /** To whoever leads, if it is a sibling: what it would otherwise learn with its next read or news. */
-    void sendCancellations(String leader, PeerCodec.Withdrawn message) {
-        for (int sibling = 0; sibling < peers.size(); sibling++) {
-            if (settings.siblings().get(sibling).label().equals(leader)) {
-                peers.get(sibling).post("/withdrawn", PeerCodec.withdrawn(message), Http.PATIENCE_MICROS, reply -> {});
+    /** Sends confirmed cancellations to the leader, if it is a peer; it would learn of them with its next read or digest. */
+    void sendCancellations(String leader, PeerCodec.Withdrawn cancellations) {
+        for (int peer = 0; peer < peers.size(); peer++) {
+            if (settings.siblings().get(peer).label().equals(leader)) {
+                peers.get(peer)
+                        .post("/withdrawn", PeerCodec.withdrawn(cancellations), Http.PATIENCE_MICROS, reply -> {});
             }
         }
     }
 
-    private void postStatus(int sibling, LeaderStatus what, boolean first, List<JobProgress> jobs) {
+    /** @param isFirst whether this part replaces the progress that was sent before, instead of adding to it */
+    private void postStatus(int peer, LeaderStatus status, boolean isFirst, List<JobProgress> jobs) {
         long askedMicros = owner.now();
-        peers.get(sibling)
+        peers.get(peer)
                 .post(
                         "/news",
                         PeerCodec.news(new PeerCodec.News(
-                                what.fencingToken(),
+                                status.fencingToken(),
                                 settings.label(),
-                                what.isStoreConnected(),
-                                what.workersSilentMicros(),
-                                what.standbys(),
-                                first,
+                                status.isStoreConnected(),
+                                status.workersSilentMicros(),
+                                status.standbys(),
+                                isFirst,
                                 jobs,
-                                what.featureStagesVersion(),
-                                what.readRevision())),
+                                status.featureStagesVersion(),
+                                status.readRevision())),
                         Http.PATIENCE_MICROS,
                         owner.answer(r ->
-                                new LeaderMessage.PeerStatusAnswered(r, what.fencingToken(), sibling, askedMicros)));
+                                new LeaderMessage.PeerStatusAnswered(r, status.fencingToken(), peer, askedMicros)));
     }
 }
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -16,18 +16,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who follows whom: a leader's heirs and what it tells them, a follower's place among them and its standby. Part of the leader's actor.
- * Without a standby it appoints nobody, says nothing of its readiness and waits as every version did.
+ * Designated standbys: which peers a leader selects and what it tells them, and on a follower whether it is designated, how ready it is to
+ * lead and how long it leaves a claimable leader record to others. Without a standby (see {@link #standby()}) this controller selects
+ * nobody, does not say how ready it is and waits as every version did. Part of the leader's actor.
  */
 final class StandbyCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final byte[] NOT_A_STANDBY = Json.error(null, "follows nothing");
+    /** What {@link HintSender#holds} takes for no answer. */
+    private static final long NONE_HELD = -1;
 
     private final LeaderActor owner;
     private final Settings settings;
     private final PeerClients peers;
     private final LeaderLease lease;
-    /** Null where the operator wants none. */
+    /** Null where the operator has switched standbys off. */
     private final StandbyActor standby;
 
     private final ElectionDelay electionDelay;
@@ -35,29 +38,29 @@
     /** Of the present term. */
     private HintSender hintSender;
 
+    /** @param standby null where the operator has switched standbys off */
     StandbyCoordinator(
-            LeaderActor owner,
-            Settings settings,
-            PeerClients siblings,
-            LeaderLease claims,
-            StandbyActor standby,
-            long now) {
+            LeaderActor owner, Settings settings, PeerClients peers, LeaderLease lease, StandbyActor standby) {
         this.owner = owner;
         this.settings = settings;
-        this.peers = siblings;
-        this.lease = claims;
+        this.peers = peers;
+        this.lease = lease;
         this.standby = standby;
         this.electionDelay =
-                new ElectionDelay(settings.label(), settings.siblings().size(), now);
+                new ElectionDelay(settings.label(), settings.siblings().size(), owner.now());
         this.selector = new StandbySelector(settings);
     }
 
-    /** Null where the operator wants none. */
+    /** The actor that replicates the leader's records, null where the operator has switched standbys off. */
     StandbyActor standby() {
         return standby;
     }
 
-    /** @param fencingToken of this controller's term, 0 if it does not lead */
+    /**
+     * Handles one message.
+     *
+     * @param fencingToken of this controller's term, 0 if it does not lead
+     */
     void receive(StandbyMessage message, long fencingToken) {
         long now = owner.now();
         if (message instanceof StandbyMessage.ReplicaStateChanged m) {
@@ -75,62 +78,67 @@
 
     // ---- a follower
 
-    /** For how long a free row is left to others; asks them if this process is cold. */
-    long claimDelayMicros(boolean reached, long now) {
+    /**
+     * For how long a claimable leader record is left to peers, in microseconds; asks them how ready they are if they may be better leaders.
+     *
+     * @param hasWorkers whether workers reach this controller
+     */
+    long claimDelayMicros(boolean hasWorkers, long now) {
         if (standby == null) {
-            return ElectionDelay.waitsOfAnyone(reached);
+            return ElectionDelay.waitsOfAnyone(hasWorkers);
         }
-        long claimable = lease.claimableForMicros(now);
-        boolean cold = electionDelay.readiness(now) == StandbyReadiness.COLD;
-        if (claimable >= 0 && (cold || !reached)) {
+        long claimableForMicros = lease.claimableForMicros(now);
+        boolean isCold = electionDelay.readiness(now) == StandbyReadiness.COLD;
+        if (claimableForMicros >= 0 && (isCold || !hasWorkers)) {
             peers.requestReadiness(now);
-            if (cold && electionDelay.warmerThere(now)) {
+            if (isCold && electionDelay.warmerThere(now)) {
                 lease.endFormerLease();
             }
         }
-        return electionDelay.waits(Math.max(0, claimable), reached, now);
+        return electionDelay.waits(Math.max(0, claimableForMicros), hasWorkers, now);
     }
 
-    /** News of who leads by the highest token. */
-    void leaderStatusReceived(PeerCodec.News news, long now) {
-        electionDelay.told(news.heirs(), now);
+    /** The controller with the highest fencing token sent its status. */
+    void leaderStatusReceived(PeerCodec.News status, long now) {
+        electionDelay.told(status.heirs(), now);
         if (standby != null) {
             standby.tell(new StandbyActor.Appointed(electionDelay.appointed()));
         }
     }
 
-    /** Whether this controller is appointed to take over. */
+    /** Whether the leader has designated this controller as a standby. */
     boolean isDesignated() {
         return electionDelay.appointed();
     }
 
-    /** Whether the leader before has just handed over to this controller. */
+    /** Whether the former leader has just handed over to this controller. */
     boolean wasHandedOver(long now) {
         return electionDelay.handedOverAt(now);
     }
 
-    /** What it says of its readiness, null for nothing. */
+    /** How ready this controller is to lead, null where the operator has switched standbys off. */
     StandbyReadiness readiness(long now) {
         return standby == null ? null : electionDelay.readiness(now);
     }
 
-    /** A sibling that answers, of whatever version, has been there for longer than this process. */
-    private void readinessAnswered(Reply reply, int sibling, long now) {
+    /** A peer that answers at all, of whatever version, has been running for longer than this process. */
+    private void readinessAnswered(Reply reply, int peer, long now) {
         if (reply.status() == 404) {
-            electionDelay.word(sibling, StandbyReadiness.SEASONED, false, now);
+            electionDelay.word(peer, StandbyReadiness.SEASONED, false, now);
         } else if (reply.status() == 0 && !reply.sent()) {
-            // Refused: most likely it has ended. It may only be out of sockets, but this is courtesy.
-            electionDelay.word(sibling, StandbyReadiness.COLD, false, now);
+            // Refused: most likely its process has ended. It may only be out of sockets, but the delay is no part of
+            // safety.
+            electionDelay.word(peer, StandbyReadiness.COLD, false, now);
         } else if (reply.ok()) {
             try {
                 PeerCodec.Answer answer = PeerCodec.answer(reply.body());
                 electionDelay.word(
-                        sibling,
+                        peer,
                         answer.readiness() == null ? StandbyReadiness.COLD : answer.readiness(),
                         answer.strayedAgoMicros() >= 0,
                         now);
             } catch (MalformedException e) {
-                LOG.error("sibling: {}", e.getMessage());
+                LOG.error("peer {}: malformed readiness: {}", peer, e.getMessage());
             }
         }
     }
@@ -143,11 +151,11 @@
         }
     }
 
-    /** A leader that ends wants this controller to catch up. */
-    private void handoverRequested(Request request, boolean leads, long now) {
+    /** A leader that shuts down asks this controller to catch up; the standby answers once it has. */
+    private void handoverRequested(Request request, boolean isLeader, long now) {
         try {
             long revision = PeerCodec.handedRevision(request.body());
-            if (standby == null || leads) {
+            if (standby == null || isLeader) {
                 request.answer(409, NOT_A_STANDBY);
             } else {
                 electionDelay.handedOver(now);
@@ -158,7 +166,7 @@
         }
     }
 
-    // ---- a leader
+    // ---- the leader
 
     /** A term of this controller begins. */
     void termStarted(long fencingToken, long now) {
@@ -167,22 +175,22 @@
         hintSender = new HintSender(fencingToken, settings.siblings().size());
     }
 
-    /** A sibling answered this term's news. */
-    void peerStatusAnswered(int sibling, PeerCodec.Answer answer, long now) {
-        selector.heard(sibling, answer.readiness(), answer.served(), now);
+    /** A peer answered this term's status. */
+    void peerStatusAnswered(int peer, PeerCodec.Answer answer, long now) {
+        selector.heard(peer, answer.readiness(), answer.served(), now);
     }
 
-    /** Whom this term's news appoint, null for nobody yet or ever. */
+    /** The labels of the standbys that this term's status designates, the first to take over first; null for none yet or ever. */
     List<String> selectStandbys(long now) {
         return standby == null ? null : selector.appoint(now);
     }
 
-    /** Place among the siblings of the heir that could lead at once, or -1. */
+    /** The first designated standby that could lead at once, by its place among the peers, or -1. */
     int firstWarmStandby(long now) {
         return selector.first(now);
     }
 
-    /** Tells the heirs what no row holds. */
+    /** Sends what no record holds to the designated standbys. */
     void sendHints(LeaderTerm term, long now) {
         if (!selector.appointed().isEmpty()) {
             hintSender.picture(term.hints(now));
@@ -190,14 +198,14 @@
         }
     }
 
-    /** An heir's answer to a part of this term's hints. */
-    private void hintsAcknowledged(int sibling, Reply reply) {
-        long held = -1;
+    /** A standby answered a batch of this term's hints with the number of the last complete set that it holds. */
+    private void hintsAcknowledged(int peer, Reply reply) {
+        long heldNumber = NONE_HELD;
         try {
-            held = reply.ok() ? HintCodec.held(reply.body()) : -1;
+            heldNumber = reply.ok() ? HintCodec.held(reply.body()) : NONE_HELD;
         } catch (MalformedException e) {
-            LOG.error("sibling: {}", e.getMessage());
+            LOG.error("peer {}: malformed answer to hints: {}", peer, e.getMessage());
         }
-        hintSender.holds(sibling, held);
+        hintSender.holds(peer, heldNumber);
     }
 }
--- a/src/main/java/io/micatide/controller/StandbyMessage.java
+++ b/src/main/java/io/micatide/controller/StandbyMessage.java
@@ -3,20 +3,20 @@
 import io.micatide.net.Reply;
 import io.micatide.net.Request;
 
-/** What concerns who follows whom. */
+/** What concerns standbys, on the leader's side and on theirs; handled by {@link StandbyCoordinator}. */
 sealed interface StandbyMessage extends LeaderMessage {
-    /** Whether this controller's copy of what a leader reads is whole. */
+    /** Whether this controller's replicas of the leader's records are complete has changed. */
     record ReplicaStateChanged(boolean isComplete) implements StandbyMessage {}
 
-    /** What a sibling says of its readiness. */
+    /** A peer answered how ready it is to lead. */
     record ReadinessAnswered(Reply reply, int peer) implements StandbyMessage {}
 
-    /** A leader that ends wants this controller to catch up. */
+    /** A leader that shuts down asks this controller to catch up and take over. */
     record HandoverRequested(Request request) implements StandbyMessage {}
 
-    /** The leader's hints for this controller. */
+    /** The leader sent hints to this controller. */
     record HintsReceived(Request request) implements StandbyMessage {}
 
-    /** An heir's answer to hints of the term with this token. */
+    /** A standby answered the hints of the term with this fencing token. */
     record HintsAcknowledged(Reply reply, long fencingToken, int peer) implements StandbyMessage {}
 }
