--- a/src/main/java/io/micatide/controller/TermAnnouncer.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -12,56 +12,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells workers of a new term instead of waiting until they come: they find a new leader only at their next report, and jobs wait for
- * every machine that their ledgers name. A greeting carries the token and no command, so it may arrive at any later time: a worker that
- * knows a higher one refuses it. Part of the leader's actor.
+ * Announces a new term to workers instead of waiting for their next heartbeat, by which they would find the new leader: jobs wait for every
+ * machine that their ledgers name. An announcement carries the fencing token and no command, so it may arrive at any later time: a worker
+ * that knows a higher token refuses it. Part of the leader's actor.
  *
- * <p>Greetings take a quarter of what the workers' reports leave of the processor, and where that does not reach all machines within a
- * report's interval there are none: workers that have lost a leader look for another one by themselves in about that time, and slower
- * greetings only made their reports wait (90% of 640 machines confirmed after 3.1 s instead of 2.2). Only after an orderly end does
- * nobody look, and all are greeted at whatever rate.
+ * <p>Announcements take a quarter of the processor time that heartbeats leave, and where that does not reach all machines within an
+ * interval of heartbeats there are none: workers that have lost a leader look for another one by themselves in about that time, and
+ * slower announcements only made their heartbeats wait (90% of 640 machines confirmed after 3.1 s instead of 2.2). Only after a graceful
+ * handover does no worker look for another leader, and all are told at whatever rate.
  */
 final class TermAnnouncer {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    /** What a greeting with its connection takes of a core, and about as much as a report with all that follows from it. */
+    /** What an announcement with its connection takes of a core; a heartbeat with all that follows from it takes about as much. */
     private static final double CORE_SECONDS_PER_ANNOUNCEMENT = 0.001;
 
     private static final double SPARE_CPU_SHARE = 0.25;
     private static final int MAX_IN_FLIGHT = 48;
-    /** In a cut a connection hangs; the machine comes by itself, or not at all. */
+    /** In a partition a connection hangs; the worker comes by itself, or not at all. */
     private static final long TIMEOUT_MICROS = Micros.SECOND;
 
+    private static final int CONNECTIONS_PER_WORKER = 1;
+
     private final LeaderActor owner;
     private final Scheduler scheduler;
     private final Http.Connector connector;
     private final Settings settings;
     private final boolean wasHandedOver;
+    /** How many announcements the processor share allows now; grows with time up to {@link #MAX_IN_FLIGHT}. */
     private double budget;
+
     private long budgetUpdatedMicros;
     private int inFlight;
 
-    /** @param handedOver whether the leader before ended in order, so that no worker looks for another one yet */
+    /** @param wasHandedOver whether the former leader shut down gracefully, so that no worker looks for another one yet */
     TermAnnouncer(
-            LeaderActor owner, Settings settings, Scheduler scheduler, Http.Connector connector, boolean handedOver) {
+            LeaderActor owner,
+            Settings settings,
+            Scheduler scheduler,
+            Http.Connector connector,
+            boolean wasHandedOver) {
         this.owner = owner;
         this.scheduler = scheduler;
         this.connector = connector;
         this.settings = settings;
-        this.wasHandedOver = handedOver;
+        this.wasHandedOver = wasHandedOver;
         this.budgetUpdatedMicros = owner.now();
     }
 
-    /** Called every so often once all is read. */
+    /** Sends as many announcements as the budget allows; called every 100 ms once all is loaded. */
     void sendDue(long now) {
-        budget = Math.min(MAX_IN_FLIGHT, budget + ratePerSecond() * Micros.toSeconds(now - budgetUpdatedMicros));
+        double elapsedSeconds = Micros.toSeconds(now - budgetUpdatedMicros);
+        budget = Math.min(MAX_IN_FLIGHT, budget + ratePerSecond() * elapsedSeconds);
         budgetUpdatedMicros = now;
-        int most = (int) Math.min(budget, MAX_IN_FLIGHT - inFlight);
-        if (most < 1) {
+        int allowed = (int) Math.min(budget, MAX_IN_FLIGHT - inFlight);
+        if (allowed < 1) {
             return;
         }
-        for (TermAnnouncement greeting : scheduler.nextAnnouncements(most)) {
+        for (TermAnnouncement announcement : scheduler.nextAnnouncements(allowed)) {
             budget--;
-            send(greeting, connector.to(greeting.address(), 1));
+            send(announcement, connector.to(announcement.address(), CONNECTIONS_PER_WORKER));
         }
     }
 
@@ -69,43 +78,58 @@
         if (wasHandedOver) {
             return settings.cores() * SPARE_CPU_SHARE / CORE_SECONDS_PER_ANNOUNCEMENT;
         }
-        double interval = Micros.toSeconds(settings.heartbeatIntervalMicros());
-        double reports = scheduler.machineCount() / interval * CORE_SECONDS_PER_ANNOUNCEMENT;
-        double most = Math.max(0, settings.cores() - reports) * SPARE_CPU_SHARE / CORE_SECONDS_PER_ANNOUNCEMENT;
-        return most * interval < scheduler.machineCount() ? 0 : most;
+        double intervalSeconds = Micros.toSeconds(settings.heartbeatIntervalMicros());
+        double coresForHeartbeats = scheduler.machineCount() / intervalSeconds * CORE_SECONDS_PER_ANNOUNCEMENT;
+        double rate =
+                Math.max(0, settings.cores() - coresForHeartbeats) * SPARE_CPU_SHARE / CORE_SECONDS_PER_ANNOUNCEMENT;
+        boolean reachesAllInTime = rate * intervalSeconds >= scheduler.machineCount();
+        return reachesAllInTime ? rate : 0;
     }
 
-    private void send(TermAnnouncement greeting, Http worker) {
+    private void send(TermAnnouncement announcement, Http worker) {
         inFlight++;
         long fencingToken = scheduler.fencingToken();
         worker.post(
                 "/commands",
-                WorkerCodec.greeting(fencingToken, greeting.incarnation()),
+                WorkerCodec.greeting(fencingToken, announcement.incarnation()),
                 TIMEOUT_MICROS,
-                owner.answer(r -> new TermMessage.AnnouncementAnswered(r, fencingToken, greeting, worker)));
+                owner.answer(r -> new TermMessage.AnnouncementAnswered(r, fencingToken, announcement, worker)));
     }
 
+    /** A worker answered, or did not within the timeout: it comes by itself. */
     void answered(TermMessage.AnnouncementAnswered message) {
         inFlight--;
-        TermAnnouncement greeting = message.announcement();
+        boolean isSentAgain = false;
         try {
             if (message.reply().ok()) {
-                scheduler.announcementAnswered(
-                        WorkerCodec.heartbeat(message.reply().body()), owner.now());
-            } else if (message.reply().status() == 409) {
                 Heartbeat heartbeat = WorkerCodec.heartbeat(message.reply().body());
-                if (heartbeat.fencingToken() <= message.fencingToken()
-                        && heartbeat.incarnation() > greeting.incarnation()) {
-                    send(
-                            new TermAnnouncement(greeting.machine(), greeting.address(), heartbeat.incarnation()),
-                            message.worker());
-                    return;
-                }
-                owner.observeFencingToken(heartbeat.fencingToken());
+                scheduler.announcementAnswered(heartbeat, owner.now());
+            } else if (message.reply().status() == 409) {
+                isSentAgain = refused(message);
             }
         } catch (MalformedException e) {
-            LOG.error("answer of {}: {}", greeting.machine(), e.getMessage());
+            LOG.error(
+                    "malformed answer of {} to an announcement: {}",
+                    message.announcement().machine(),
+                    e.getMessage());
+        }
+        if (!isSentAgain) {
+            message.worker().close();
+        }
+    }
+
+    /** The worker's incarnation is a later one than was known, which is told again, or it knows a higher fencing token. */
+    private boolean refused(TermMessage.AnnouncementAnswered message) throws MalformedException {
+        TermAnnouncement announcement = message.announcement();
+        Heartbeat heartbeat = WorkerCodec.heartbeat(message.reply().body());
+        if (heartbeat.fencingToken() <= message.fencingToken()
+                && heartbeat.incarnation() > announcement.incarnation()) {
+            send(
+                    new TermAnnouncement(announcement.machine(), announcement.address(), heartbeat.incarnation()),
+                    message.worker());
+            return true;
         }
-        message.worker().close();
+        owner.observeFencingToken(heartbeat.fencingToken());
+        return false;
     }
 }
