--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -65,7 +65,7 @@
 RolloutParticipant rollout = new RolloutParticipant(this, settings, components.capabilities(), services.store(), users);
 LeaderLease lease = new LeaderLease(this, settings.label(), services.store(), election, rollout);
 StandbyActor standbyActor = tuning.standbyEnabled() ? new StandbyActor(services.executor(), settings, services.store(), users, this, components.replicas()) : null;
-StandbyCoordinator standby = new StandbyCoordinator(this, settings, peers, lease, standbyActor, now());
+StandbyCoordinator standby = new StandbyCoordinator(this, settings, peers, lease, standbyActor);
 return new LeaderCollaborators(election, lease, workers, cancellations, standby, peers, rollout);
 }
 
@@ -138,9 +138,7 @@
 standbyMessageReceived(m);
 }
 else if(message instanceof LeaderMessage.HandoverAnswered) {
-transfer.
-successorAnswered
-();
+transfer.successorAnswered();
 }
 else if(message instanceof LeaderMessage.ShutdownRequested m) {
 transfer.shutDown(m.onCompleted());
@@ -216,8 +214,8 @@
 
 private void leaseMessageReceived(LeaderMessage.LeaseMessage message) {
 
-collaborators
-.lease().receive(message);
+
+collaborators.lease().receive(message);
 endTermIfFenced();
 advanceElection();
 }
@@ -226,24 +224,14 @@
 private void rolloutMessageReceived(LeaderMessage.RolloutMessage message) {
 RolloutParticipant rollout = collaborators.rollout();
 if(message instanceof LeaderMessage.FeatureStagesObserved m) {
-rollout.flagsObserved(m.
-version
-(),
-m
-.
-stages
-());
-}
-else if(message instanceof LeaderMessage.
-FeatureStagesRead m
-) {
+rollout.flagsObserved(m.version(), m.stages());
+}
+else if(message instanceof LeaderMessage.FeatureStagesRead m) {
 rollout.flagsRead(m.reply());
 advanceElection();
 }
 else if(message instanceof LeaderMessage.RegistrationRead m) {
-rollout.
-ownRecordRead
-(m.reply());
+rollout.ownRecordRead(m.reply());
 advanceElection();
 }
 else if(message instanceof LeaderMessage.RegistrationWritten m) {
@@ -252,12 +240,10 @@
 }
 
 
-private
-void standbyMessageReceived
-(StandbyMessage message) {
+private void standbyMessageReceived(StandbyMessage message) {
+
 
-collaborators
-.standby().receive(message, term == null ? 0 : term.fencingToken());
+collaborators.standby().receive(message, term == null ? 0 : term.fencingToken());
 advanceElection();
 }
 
@@ -301,9 +287,7 @@
 /** The store refused a write because the leader record is no longer ours. */
 void writeFenced() {
 collaborators.election().stepDown();
-collaborators.
-election
-().forgetRecord();
+collaborators.election().forgetRecord();
 endTermIfFenced();
 }
 
@@ -316,9 +300,7 @@
 
 /** A peer knows this fencing token, and the label of the leader that has it; null if it does not say. */
 void observeFencingToken(long fencingToken, String leader) {
-if(collaborators.
-election
-().observeToken(fencingToken, leader)) {
+if(collaborators.election().observeToken(fencingToken, leader)) {
 endTermIfFenced();
 }
 }
@@ -327,9 +309,7 @@
 /** The lease was renewed: the term may rely on it for longer. */
 void leaseRenewed() {
 if(term != null) {
-term.leaseHeldUntil(collaborators.
-election
-().leaseHeldUntilMicros());
+term.leaseHeldUntil(collaborators.election().leaseHeldUntilMicros());
 }
 }
 
