--- a/src/main/java/io/micatide/archive/Archiver.java
+++ b/src/main/java/io/micatide/archive/Archiver.java
@@ -22,16 +22,13 @@
  * outcome is repeated until its outcome is known.
  */
 public class Archiver {
-
     /**
      * A job whose record is final, of which no task can run and which no open job needs, as a copy of the records shows it.
      *
-     *
      * @param id the job's id
      * @param version version of its record
      * @param outcome null of a record that a late write of a former version brought back: the job is archived, the record is just deleted
      * @param dependencyRecords how many records with names of dependencies belong to it
-     *
      */
     public record ArchivableJob(String id, long version, JobOutcome outcome, int dependencyRecords) {}
 
@@ -94,14 +91,10 @@
             long fencingToken, ArchiveLimits limits, StoredRecord.ArchiveManifest manifest, long manifestVersion) {
         this.fencingToken = fencingToken;
         this.partitioner = new HashPartitioner(manifest);
-
         this.sizing = new SegmentSizing(limits.valueBytes());
-
         this.mergePolicy = new MergePolicy(limits);
-
         this.records = new JobRecordRemoval(limits.batchSize());
         this.maxTransactionWrites = limits.transactionWrites();
-
         this.manifest = manifest;
         this.manifestVersion = manifestVersion;
     }
@@ -130,7 +123,6 @@
 
     /** Guards the order of the two writes: a test that lets records go before their jobs are archived loses jobs. */
     boolean isRecordRemovable(String id, long copyOfVersion) {
-
         return records.isArchivedAt(id, copyOfVersion);
     }
 
@@ -144,9 +136,7 @@
         if (isOperationInFlight) {
             return null;
         }
-
         ArchiveOperation operation = chooseOperation(Math.min(writeBudget, maxTransactionWrites));
-
         isOperationInFlight = operation != null;
         transactionInFlight = operation instanceof ArchiveOperation.Write write ? write.transaction() : null;
         return operation;
@@ -172,7 +162,6 @@
         if (unreferenced.isEmpty() || maxWrites < 1) {
             return null;
         }
-
         return new ArchiveOperation.Write(new Transaction(List.of(leadership()), unreferenced.planDeletes(maxWrites)));
     }
 
@@ -181,16 +170,13 @@
     }
 
     private Transaction.Condition unchangedManifest() {
-
         return new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, manifestVersion);
     }
 
     private void startNextRun() {
         if (records.hasBatch()) {
-
             RunBuilder.Input input = new RunBuilder.Input(List.of(), records.takeBatch());
             startRun(sizing.segmentsForJobs(partitioner, input.archivedJobs()), input);
-
             return;
         }
         List<StoredRecord.ArchiveRun> merged = mergePolicy.selectRuns(manifest.runs(), damagedRuns);
@@ -204,7 +190,8 @@
 
     private void startRun(int segments, RunBuilder.Input input) {
         runsStarted++;
-        String name = Long.toString(fencingToken, Character.MAX_RADIX) + "-"
+        String name = Long.toString(fencingToken, Character.MAX_RADIX)
+                + "-"
                 + Integer.toString(runsStarted, Character.MAX_RADIX);
         builder = new RunBuilder(name, segments, input, partitioner);
     }
@@ -217,7 +204,6 @@
         if (unread != null) {
             return new ArchiveOperation.ReadSegment(unread);
         }
-
         if (!sizing.fits(builder.packNextSegment())) {
             restartRun();
             return continueRun(maxWrites);
@@ -255,12 +241,10 @@
     private void restartRun() {
         RunBuilder abandoned = builder;
         abandonRun();
-
         startRun(SegmentSizing.increase(abandoned.segmentCount()), abandoned.input());
     }
 
     private void abandonRun() {
-
         unreferenced.addRun(builder.name(), builder.possiblyStoredSegments());
         unreferenced.requireSweep();
         builder = null;
@@ -285,7 +269,6 @@
      * @param jobs its content
      */
     public void segmentRead(String key, List<ArchivedJob> jobs) {
-
         isOperationInFlight = false;
         if (builder != null) {
             builder.addSegment(key, jobs);
@@ -298,7 +281,6 @@
      * @param key the segment's key
      */
     public void segmentDamaged(String key) {
-
         isOperationInFlight = false;
         damagedRuns.add(key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), key.lastIndexOf('/')));
         if (builder != null) {
@@ -312,17 +294,13 @@
      * @param revision the store's revision of it, which is the version of every record that it put
      */
     public void writeSucceeded(long revision) {
-
         isOperationInFlight = false;
         StoredRecord first = firstRecordInFlight();
         if (first instanceof StoredRecord.ArchiveSegment) {
-
             builder.segmentStored();
-
         } else if (first instanceof StoredRecord.ArchiveManifest stored) {
             manifestStored(stored, revision);
         } else {
-
             transactionInFlight.writes().forEach(write -> deleted(write.key()));
         }
     }
@@ -333,14 +311,12 @@
      * @param keys those of the conditions that failed; the leader's is not among them
      */
     public void writeConflicted(Collection<String> keys) {
-
         isOperationInFlight = false;
         StoredRecord first = firstRecordInFlight();
         if (first instanceof StoredRecord.ArchiveSegment && !keys.contains(StoreKeys.ARCHIVE_MANIFEST)) {
             // An earlier try was carried out after all: nobody else uses the name.
             builder.segmentStored();
         } else if (first != null) {
-
             isManifestUncertain = true;
         } else {
             // An earlier try deleted them.
@@ -350,9 +326,7 @@
 
     /** The outcome of the operation in flight is not known, or it was certainly not carried out: it is tried again. */
     public void outcomeUnknown() {
-
         isOperationInFlight = false;
-
         isManifestUncertain |=
                 transactionInFlight != null && firstRecordInFlight() instanceof StoredRecord.ArchiveManifest;
     }
@@ -364,9 +338,7 @@
      * @param version its version
      */
     public void manifestRead(StoredRecord.ArchiveManifest stored, long version) {
-
         isOperationInFlight = false;
-
         isManifestUncertain = false;
         if (builder != null && stored.runs().stream().anyMatch(run -> run.name().equals(builder.name()))) {
             manifestStored(stored, version);
@@ -382,11 +354,9 @@
      * @return whether it will be tried in another form
      */
     public boolean writeRejected() {
-
         isOperationInFlight = false;
         StoredRecord first = firstRecordInFlight();
         if (first instanceof StoredRecord.ArchiveSegment && sizing.reduce()) {
-
             restartRun();
             return true;
         }
--- a/src/main/java/io/micatide/archive/MembershipFilters.java
+++ b/src/main/java/io/micatide/archive/MembershipFilters.java
@@ -29,7 +29,7 @@
     private final Set<String> unreadableRuns = new HashSet<>();
 
     /** Null until the first one is set. */
-    private StoredRecord.ArchiveManifest setManifest;
+    private StoredRecord.ArchiveManifest manifest;
 
     private HashPartitioner partitioner;
 
@@ -63,14 +63,13 @@
      * @param current the manifest as it is stored now
      */
     public void setManifest(StoredRecord.ArchiveManifest current) {
-        if (setManifest == null || setManifest.saltA() != current.saltA() || setManifest.saltB() != current.saltB()) {
+        if (manifest == null || manifest.saltA() != current.saltA() || manifest.saltB() != current.saltB()) {
             partitioner = new HashPartitioner(current);
         }
-        setManifest = current;
+        manifest = current;
         Set<String> names = new HashSet<>();
         current.runs().forEach(run -> names.add(run.name()));
         byRun.keySet().retainAll(names);
-
         unreadableRuns.retainAll(names);
     }
 
@@ -82,7 +81,7 @@
      */
     public List<String> candidateSegments(String id) {
         long hash = partitioner.hash(id);
-        return setManifest.runs().stream()
+        return manifest.runs().stream()
                 .filter(run -> mayContain(run, hash))
                 .map(run -> StoreKeys.segment(run.name(), HashPartitioner.segmentOf(hash, run.segments())))
                 .toList();
@@ -120,7 +119,7 @@
 
     private StoredRecord.ArchiveRun smallestIncompleteRun() {
         StoredRecord.ArchiveRun smallest = null;
-        for (StoredRecord.ArchiveRun run : setManifest.runs()) {
+        for (StoredRecord.ArchiveRun run : manifest.runs()) {
             Filter filter = byRun.get(run.name());
             if ((filter == null || !filter.isComplete())
                     && !unreadableRuns.contains(run.name())
@@ -162,7 +161,6 @@
      */
     public void segmentUnreadable(String key) {
         String run = key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), key.lastIndexOf('/'));
-
         unreadableRuns.add(run);
         byRun.remove(run);
     }
--- a/src/main/java/io/micatide/archive/SegmentCodec.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -51,7 +51,6 @@
         byte[] previousId = new byte[0];
         for (ArchivedJob job : jobs) {
             byte[] id = job.id().getBytes(StandardCharsets.UTF_8);
-
             writeId(plain, id, previousId);
             previousId = id;
         }
@@ -112,7 +111,6 @@
         }
         List<ArchivedJob> jobs = new ArrayList<>(count);
         for (String each : ids) {
-
             jobs.add(new ArchivedJob(each, outcome(in.readVarint())));
         }
         return jobs;
--- a/src/main/java/io/micatide/archive/SegmentMerger.java
+++ b/src/main/java/io/micatide/archive/SegmentMerger.java
@@ -67,7 +67,6 @@
     void addSegment(String key, List<ArchivedJob> jobs) {
         for (Source source : sources) {
             if (source.hasUnread() && key.equals(source.nextKey())) {
-
                 source.segmentsRead++;
                 source.pendingJobs.addAll(jobs);
                 return;
--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -88,7 +88,7 @@
     // ---- a follower's side
 
     /** Answers a leader's status, with a digest of what this controller knows beyond the leader's last read if it asks for one. */
-    void answerPeerStatus(Request request, PeerCodec.PeerStatus answer, PeerCodec.News status) {
+    void answerPeerStatus(Request request, PeerCodec.PeerStatus answer, PeerCodec.LeaderStatus status) {
         if (status.revision() < 0) {
             request.answer(200, PeerCodec.peerStatus(answer));
         } else {
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -136,7 +136,7 @@
     }
 
     /** Sends confirmed cancellations to the leader, if it is a peer; it would learn of them with its next read or digest. */
-    void sendCancellations(String leader, PeerCodec.Withdrawn cancellations) {
+    void sendCancellations(String leader, PeerCodec.CancellationNotice cancellations) {
         for (int peer = 0; peer < peers.size(); peer++) {
             if (settings.siblings().get(peer).label().equals(leader)) {
                 peers.get(peer)
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -390,7 +390,7 @@
                     replica.revision(),
                     catchUp.fencingToken());
         }
-        catchUp.loader().tell(new FailoverLoader.Brought(replica.prefix(), items));
+        catchUp.loader().tell(new FailoverLoader.ReplicaLoaded(replica.prefix(), items));
         replica.clear();
     }
 
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -99,7 +99,7 @@
     }
 
     /** The controller with the highest fencing token sent its status. */
-    void leaderStatusReceived(PeerCodec.News status, long now) {
+    void leaderStatusReceived(PeerCodec.LeaderStatus status, long now) {
         electionDelay.standbysDesignated(status.designatedStandbys(), now);
         if (standby != null) {
             standby.tell(new StandbyActor.DesignationChanged(electionDelay.isDesignated()));
--- a/src/main/java/io/micatide/rollout/Capabilities.java
+++ b/src/main/java/io/micatide/rollout/Capabilities.java
@@ -6,11 +6,9 @@
 /**
  * The features of the stored state that a version of the program supports. The program has {@link #ALL}; tests play other versions.
  *
- *
  * @param knownFeatures those that it reads and writes at all their stages
  * @param supportsRegistration whether it registers as a controller and reads the feature stages; versions before them do neither, and
  *     cannot read past their record
- *
  */
 public record Capabilities(List<Feature> knownFeatures, boolean supportsRegistration) {
     /** Those of this version. */
--- a/src/main/java/io/micatide/rollout/ControllerRegistration.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistration.java
@@ -52,7 +52,6 @@
      */
     public ControllerRegistration(String label, String build, Capabilities capabilities, long startedWall) {
         this.key = StoreKeys.controller(label);
-
         this.build = build;
         this.capabilities = capabilities;
         this.startedWall = startedWall;
@@ -76,13 +75,11 @@
      * @return what to do
      */
     public Action nextAction(long lease, long flagsVersion, long nowMicros) {
-
         boolean isUpToDate = lease == registeredLease && flagsVersion == registeredFlagsVersion;
         boolean canRegister = capabilities.supportsRegistration() && lease != 0 && flagsVersion >= 0;
         if (!canRegister || isUpToDate || isRequestInFlight || nowMicros < retryMicros) {
             return Action.NOTHING;
         }
-
         isRequestInFlight = true;
         requestedLease = lease;
         requestedFlagsVersion = flagsVersion;
@@ -112,7 +109,6 @@
      * @param version of the record, 0 if there is none
      */
     public void recordRead(long version) {
-
         isRequestInFlight = false;
         recordVersion = version;
     }
@@ -123,7 +119,6 @@
      * @param revision of the store, which is the record's version
      */
     public void registrationStored(long revision) {
-
         isRequestInFlight = false;
         recordVersion = revision;
         registeredLease = requestedLease;
@@ -136,9 +131,7 @@
      * @param nowMicros the present time
      */
     public void outcomeUnknown(long nowMicros) {
-
         recordVersion = NOT_KNOWN;
-
         requestFailed(nowMicros);
     }
 
@@ -148,7 +141,6 @@
      * @param nowMicros the present time
      */
     public void requestFailed(long nowMicros) {
-
         isRequestInFlight = false;
         retryMicros = nowMicros + RETRY_PAUSE_MICROS;
     }
--- a/src/main/java/io/micatide/rollout/ControllerRegistry.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistry.java
@@ -37,7 +37,6 @@
             registeredControllers.put(label, controller);
             versions.put(label, version);
         } else if (record instanceof StoredRecord.FeatureRequest request) {
-
             requests.put(key.substring(StoreKeys.FEATURE_REQUESTS.length()), request);
         }
     }
--- a/src/main/java/io/micatide/rollout/RolloutPlan.java
+++ b/src/main/java/io/micatide/rollout/RolloutPlan.java
@@ -10,11 +10,9 @@
 /**
  * The leader's next transition of features between their stages, or what it waits for. Features that may go together do.
  *
- *
  * @param newStages the stages after the transition, null if there is nothing to do now
  * @param transitions what the transition does, for the log
  * @param blockers what is in the way of features that are not where they should be, by name
- *
  */
 public record RolloutPlan(StoredRecord.FeatureStages newStages, List<String> transitions, List<String> blockers) {
     /**
@@ -35,7 +33,6 @@
                 continue;
             }
             FeatureStage now = flags.stage(feature);
-
             FeatureStage target = targetStage(feature, now, registry.requestedAction(feature), isForwardAllowed);
             if (target == null) {
                 if (registry.requestedAction(feature) == RequestedAction.HOLD && feature.stageAfter(now) != null) {
--- a/src/main/java/io/micatide/simulation/StartupBenchmark.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -168,7 +168,7 @@
         Archiver archivist = new Archiver(
                 1, new ArchiveLimits(LIMITS.maxValueBytes(), LIMITS.maxTransactionWrites(), 256), manifest, version);
         int next = 0;
-        for (Archiver.StoreOperation step = archivist.nextOperation(LIMITS.maxTransactionWrites());
+        for (ArchiveOperation step = archivist.nextOperation(LIMITS.maxTransactionWrites());
                 step != null || next < jobs;
                 step = archivist.nextOperation(LIMITS.maxTransactionWrites())) {
             if (step == null) {
--- a/src/main/java/io/micatide/standby/ElectionDelay.java
+++ b/src/main/java/io/micatide/standby/ElectionDelay.java
@@ -62,9 +62,7 @@
         this.label = label;
         this.startedMicros = nowMicros;
         this.peers = new PeerReport[siblings];
-
         for (int sibling = 0; sibling < siblings; sibling++) {
-
             peers[sibling] = new PeerReport();
         }
     }
@@ -102,10 +100,8 @@
      * @param nowMicros the present time
      */
     public void standbysDesignated(List<String> labels, long nowMicros) {
-
         hasSeenLeader = true;
         if (labels == null) {
-
             if (isDesignationExpired(nowMicros)) {
                 designatedStandbys = List.of();
             }
@@ -126,7 +122,6 @@
 
     /** This controller's term is over: it knows the deployment and is not cold. */
     public void termEnded() {
-
         hasSeenLeader = true;
     }
 
@@ -156,7 +151,6 @@
      * @param isComplete false as well of one that keeps no replica
      */
     public void setReplicaComplete(boolean isComplete) {
-
         isReplicaComplete = isComplete;
     }
 
@@ -184,12 +178,9 @@
      */
     public void peerReadinessReported(
             int sibling, StandbyReadiness readiness, boolean isReachedByAgents, long nowMicros) {
-
         PeerReport peer = peers[sibling];
         peer.reportedMicros = nowMicros;
-
         peer.isWarm = readiness != StandbyReadiness.COLD;
-
         peer.isReachedByAgents = isReachedByAgents;
     }
 
@@ -236,7 +227,6 @@
 
     /** Alone, or among others as cold, nobody waits. */
     private long coldDelayMicros(long claimableMicros, long nowMicros) {
-
         return hasWarmerPeer(nowMicros) ? COLD_DELAY_MICROS : peerAnswerDelayMicros(claimableMicros, nowMicros);
     }
 
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -56,7 +56,6 @@
         }
         removedKeys = List.copyOf(snapshot.keySet());
         changed = differing;
-
         snapshot = next;
         number++;
     }
@@ -76,7 +75,6 @@
      * @return empty if it holds this snapshot already
      */
     public List<HintBatch> batchesFor(int sibling) {
-
         long acknowledged = acknowledgedNumbers[sibling];
         if (acknowledged == number || number == 0) {
             return List.of();
--- a/src/main/java/io/micatide/standby/KeyspaceReplica.java
+++ b/src/main/java/io/micatide/standby/KeyspaceReplica.java
@@ -15,7 +15,6 @@
  * would run a task twice. One thread at a time.
  */
 public class KeyspaceReplica {
-
     /**
      * A key with its record.
      *
@@ -158,7 +157,6 @@
         estimatedBytes = 0;
         revision = 0;
         lastPageRevision = 0;
-
         complete = false;
         invalidReason = null;
     }
@@ -180,7 +178,6 @@
         }
         lastPageRevision = pageRevision;
         items.forEach(this::apply);
-
         complete = last;
     }
 
--- a/src/main/java/io/micatide/standby/ReceivedHints.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -39,7 +39,6 @@
             return completeNumber;
         }
         if (batch.number() > partialNumber) {
-
             startSnapshot(batch);
         }
         batch.gone().forEach(hints::remove);
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -98,7 +98,6 @@
             return null;
         }
         List<Integer> previous = selected;
-
         List<Integer> eligible = eligiblePeers(nowMicros);
         eligible.sort(Comparator.comparing((Integer peer) -> !previous.contains(peer))
                 .thenComparing(peer -> settings.siblings().get(peer).zone().equals(settings.zone()))
