--- a/src/main/java/io/micatide/archive/SegmentCodec.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -55,7 +55,7 @@
             previousId = id;
         }
         for (ArchivedJob job : jobs) {
-            writeVarint(plain, job.outcome().tasks() << OUTCOME_BITS | outcomeKind(job.outcome()));
+            writeVarint(plain, job.outcome().taskCount() << OUTCOME_BITS | outcomeKind(job.outcome()));
         }
         byte[] packed = deflate(plain.toByteArray());
         return new StoredRecord.ArchiveSegment(digest(key, packed), packed);
@@ -75,7 +75,7 @@
         if (outcome.state() == JobState.DONE) {
             return DONE;
         }
-        return outcome.service() ? CANCELLED_SERVICE : CANCELLED;
+        return outcome.isService() ? CANCELLED_SERVICE : CANCELLED;
     }
 
     private static JobOutcome outcome(int number) {
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -150,7 +150,7 @@
             archiver.keyFound(items.isEmpty() ? null : items.get(0).key());
         } else if (operation instanceof ArchiveOperation.ReadManifest && reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
-            archiver.manifestRead((StoredRecord.ArchiveManifest) item.row(), item.version());
+            archiver.manifestRead((StoredRecord.ArchiveManifest) item.record(), item.version());
         } else {
 
             retryAfterPause();
@@ -171,7 +171,7 @@
         if (reply.ok()) {
             archiver.writeSucceeded(StoreCodec.revision(reply.body()));
         } else if (reply.status() == CONFLICT) {
-            conflictAnswered(StoreCodec.failed(reply.body()));
+            conflictAnswered(StoreCodec.failedKeys(reply.body()));
 
         } else {
 
@@ -200,7 +200,7 @@
             if (reply.ok()) {
 
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                archiver.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) item.row()));
+                archiver.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) item.record()));
                 return;
             }
             log.error("archive segment {} is missing", key);
--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -52,7 +52,7 @@
      */
     void digestReceived(int peer, CancellationDigest digest, long askedMicros, long now) {
         if (digest != null) {
-            users.tell(new UsersActor.TakeIn(
+            users.tell(new UsersActor.CancellationsReceived(
                     digest.cancelled(), new LeaderMessage.DigestRecorded(peer, digest, askedMicros, now)));
         }
     }
@@ -92,7 +92,7 @@
         if (status.revision() < 0) {
             request.answer(200, PeerCodec.peerStatus(answer));
         } else {
-            users.tell(new UsersActor.Testify(
+            users.tell(new UsersActor.ReadCancellationDigest(
                     status.revision(),
                     digest -> request.answer(200, PeerCodec.peerStatus(answer.withCancellations(digest)))));
         }
@@ -101,7 +101,7 @@
     /** A peer confirmed cancellations. The horizon does not count this; it only arrives sooner than the next digest. */
     void peerCancellationsReceived(Request request) {
         try {
-            users.tell(new UsersActor.TakeIn(
+            users.tell(new UsersActor.CancellationsReceived(
                     PeerCodec.cancellationNotice(request.body()).jobs(), null));
             request.answer(200, Json.bytes(out -> {
                 out.writeStartObject();
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -64,8 +64,8 @@
 
     /** Must be called on the loop. */
     public void start() {
-        users.tell(new UsersActor.BelongsTo(leader));
-        users.tell(new UsersActor.Load());
+        users.tell(new UsersActor.AttachLeaderActor(leader));
+        users.tell(new UsersActor.LoadJobs());
         leader.tell(new LeaderMessage.LeaseTickDue());
         leader.tell(new LeaderMessage.TickDue());
     }
@@ -79,7 +79,7 @@
                 request.answer(405, WRONG_METHOD);
             }
         } else {
-            users.tell(new UsersActor.Ask(request));
+            users.tell(new UsersActor.RequestReceived(request));
         }
     }
 
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -141,7 +141,7 @@
     private void machineTypesRead(ReadDue request, Reply reply) throws MalformedException {
         if (reply.ok()) {
             List<MachineType> types =
-                    ((StoredRecord.MachineTypes) StoreCodec.item(reply.body()).row()).types();
+                    ((StoredRecord.MachineTypes) StoreCodec.item(reply.body()).record()).types();
             leader.tell(new TermMessage.MachineTypesLoaded(fencingToken, types));
         } else if (reply.status() != 404) {
             tellLater(request, RETRY_MICROS);
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -41,7 +41,8 @@
         this.lastMessageMicros = now();
         ArchiverActor archiver = new ArchiverActor(
                 services.executor(),
-                new ArchiveLimits(settings.maxWritableValueBytes(), settings.maxTransactionWrites(), tuning.archiveBatchSize()),
+                new ArchiveLimits(
+                        settings.maxWritableValueBytes(), settings.maxTransactionWrites(), tuning.archiveBatchSize()),
                 components.archivers(),
                 services.store(),
                 this);
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -137,7 +137,7 @@
 
     private void leaseGranted(Reply reply, long askedMicros, long now) throws MalformedException {
         if (reply.ok()) {
-            election.leaseGranted(StoreCodec.granted(reply.body()), askedMicros);
+            election.leaseGranted(StoreCodec.grantedLeaseId(reply.body()), askedMicros);
         } else {
             election.requestFailed(now, RETRY_MICROS);
         }
@@ -147,8 +147,9 @@
         if (reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
             watchRevision = Math.max(watchRevision, item.version());
-            String recordOwner = ((StoredRecord.Leader) item.row()).owner();
-            formerLeaseId = label.equals(recordOwner) && !election.isLeader() ? StoreCodec.hold(reply.body()) : 0;
+            String recordOwner = ((StoredRecord.Leader) item.record()).owner();
+            formerLeaseId =
+                    label.equals(recordOwner) && !election.isLeader() ? StoreCodec.attachedLeaseId(reply.body()) : 0;
             election.recordRead(recordOwner, item.version());
         } else if (reply.status() == 404) {
             election.recordRead(null, 0);
@@ -175,7 +176,7 @@
             election.leadershipAcquired(fencingToken);
             owner.startTerm(fencingToken, now);
         } else if (reply.status() == 409) {
-            if (StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
+            if (StoreCodec.failedKeys(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
                 rollout.newerVersionReported(rollout.featureFlags().version() + 1);
             }
             election.claimRejected();
@@ -195,8 +196,8 @@
             for (StoreCodec.Item item : changes.items()) {
                 if (item.version() >= election.recordVersion()) {
                     election.recordObserved(
-                            item.row() instanceof StoredRecord.Leader row ? row.owner() : null,
-                            item.row() == null ? 0 : item.version());
+                            item.record() instanceof StoredRecord.Leader row ? row.owner() : null,
+                            item.record() == null ? 0 : item.version());
                 }
             }
             watchRevision = Math.max(watchRevision, changes.revision());
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -68,13 +68,13 @@
 
     /** Begins to load. */
     void start() {
-        users.tell(new UsersActor.Follow(owner));
+        users.tell(new UsersActor.SubscribeLeader(owner));
         loader.tell(new FailoverLoader.LoadRequested());
     }
 
     /** Whether the outcome of a write is still to come. */
     boolean isWritePending() {
-        return committer.writing();
+        return committer.isWriteInFlight();
     }
 
     /** The latest revision that this term is known to have written, its claim included. */
@@ -85,7 +85,7 @@
     /** This controller no longer leads: nothing is sent in the name of this term any more. */
     void end() {
         archiving.endTerm();
-        users.tell(new UsersActor.Unfollow());
+        users.tell(new UsersActor.UnsubscribeLeader());
     }
 
     /** The revision of the leader record that this controller wrote. */
@@ -175,25 +175,25 @@
 
     private void commitMessageReceived(TermMessage.CommitMessage message) {
         if (message instanceof TermMessage.WriteBatchAnswered m) {
-            committer.answered(m);
+            committer.writeAnswered(m);
         } else if (message instanceof TermMessage.UnresolvedKeyRead m) {
-            committer.keyRead(m);
+            committer.unresolvedKeyRead(m);
         } else if (message instanceof TermMessage.ReadBackDue) {
-            committer.readBack();
+            committer.readNextUnresolvedKey();
         } else if (message instanceof TermMessage.ConflictingKeyRead m) {
-            committer.refusedRead(m);
+            committer.conflictedKeyRead(m);
         } else if (message instanceof TermMessage.ConflictingKeyReadDue m) {
-            committer.readRefused(m.key());
+            committer.readConflictedKey(m.key());
         }
     }
 
     private void cloudMessageReceived(TermMessage.CloudMessage message) {
         if (message instanceof TermMessage.CloudCallAnswered m) {
-            cloud.answered(m);
+            cloud.handleAnswer(m);
         } else if (message instanceof TermMessage.MachinesListed m) {
-            cloud.listRead(m);
+            cloud.handleListPage(m);
         } else if (message instanceof TermMessage.MachineTypesWritten m) {
-            cloud.typesStored(m.reply());
+            cloud.machineTypesStored(m.reply());
         }
     }
 
@@ -201,7 +201,7 @@
         if (message instanceof TermMessage.RecordsLoaded m) {
             recordsLoaded(m.records());
         } else if (message instanceof TermMessage.MachineTypesLoaded m) {
-            cloud.typesLoaded(m.types(), owner.now());
+            cloud.machineTypesLoaded(m.types(), owner.now());
         } else if (message instanceof TermMessage.ReceivedHintsLoaded m) {
             scheduler.hintsReceived(m.hints(), false, owner.now());
         } else if (message instanceof TermMessage.ProvisioningFenceRead m) {
@@ -269,14 +269,14 @@
     private void recordsLoaded(List<StoreCodec.Item> records) {
         long now = owner.now();
         for (StoreCodec.Item item : records) {
-            if (item.row() instanceof StoredRecord.Ledger ledger) {
+            if (item.record() instanceof StoredRecord.Ledger ledger) {
                 scheduler.ledgerLoaded(item.key(), ledger, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.Provisioning request) {
+            } else if (item.record() instanceof StoredRecord.Provisioning request) {
                 scheduler.provisioningRequestLoaded(
                         item.key().substring(StoreKeys.PROVISIONING_REQUESTS.length()), request, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.MachinesToDelete deletion) {
+            } else if (item.record() instanceof StoredRecord.MachinesToDelete deletion) {
                 scheduler.machineDeletionLoaded(item.key(), deletion, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.LearnedState learned) {
+            } else if (item.record() instanceof StoredRecord.LearnedState learned) {
                 learnedState.recordObserved(item.key(), learned);
                 scheduler.hintsReceived(learned.hints(), true, now);
             }
@@ -288,7 +288,8 @@
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                scheduler.provisioningFenceRead(item.version(), ((StoredRecord.ProvisioningFence) item.row()).number());
+                scheduler.provisioningFenceRead(
+                        item.version(), ((StoredRecord.ProvisioningFence) item.record()).number());
             } else if (reply.status() == 404) {
                 scheduler.provisioningFenceRead(0, 0);
             }
@@ -314,12 +315,12 @@
     void tick(long now) {
         announcer.sendDue(now);
         scheduler.tick(now);
-        committer.next(now);
+        committer.writeNextBatch(now);
         rollout.tick(now);
         archiving.tick(now);
         learnedState.tick(now);
         for (CloudCall call : scheduler.cloudCalls(now)) {
-            cloud.call(call, now);
+            cloud.send(call, now);
         }
         scheduler.takeNotices().forEach(LOG::info);
         scheduler.takeCompletions(now).forEach(LOG::debug);
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -89,7 +89,7 @@
         int bytes = FRAME_BYTES;
         for (Hint hint : durable) {
             if (key.equals(keyOf(hint))) {
-                bytes += StoreCodec.size(new StoredRecord.LearnedState(List.of(hint)));
+                bytes += StoreCodec.encodedBytes(new StoredRecord.LearnedState(List.of(hint)));
                 if (bytes > settings.maxWritableValueBytes()) {
                     break;
                 }
--- a/src/main/java/io/micatide/controller/PeerExchange.java
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -73,7 +73,7 @@
         }
         List<JobProgress> jobs = term.progress();
         if (term.isLoaded()) {
-            users.tell(new UsersActor.Progress(true, jobs));
+            users.tell(new UsersActor.ProgressReported(true, jobs));
         }
         collaborators.peers().sendStatus(currentStatus(term, now), jobs, now);
         if (term.isLoaded()) {
@@ -139,7 +139,7 @@
             store.reach().peerServed(now);
         }
         if (owner.term() == null && isOfLatestTerm) {
-            users.tell(new UsersActor.Progress(status.replacesProgress(), status.jobs()));
+            users.tell(new UsersActor.ProgressReported(status.replacesProgress(), status.jobs()));
             collaborators.standby().leaderStatusReceived(status, now);
         }
     }
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -103,7 +103,7 @@
             LOG.info("serves again: all that the deployment uses is known");
         }
         isBlocked = !unknown.isEmpty();
-        users.tell(new UsersActor.Blocked(isBlocked));
+        users.tell(new UsersActor.IncompatibleStoreChanged(isBlocked));
         owner.featureStagesChanged();
     }
 
@@ -141,7 +141,7 @@
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                flagsObserved(item.version(), (StoredRecord.FeatureStages) item.row());
+                flagsObserved(item.version(), (StoredRecord.FeatureStages) item.record());
                 newestReportedVersion = Math.min(newestReportedVersion, item.version());
                 return;
             }
@@ -181,7 +181,8 @@
                 registration.registrationStored(StoreCodec.revision(reply.body()));
                 return;
             }
-            if (reply.status() == CONFLICT && StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
+            if (reply.status() == CONFLICT
+                    && StoreCodec.failedKeys(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
                 newerVersionReported(featureFlags.version() + 1);
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -215,7 +215,7 @@
                 readChanges(replica, now);
             }
         }
-        users.tell(new UsersActor.KeepUp());
+        users.tell(new UsersActor.RefreshRequested());
         if (now - loggedMicros >= LOG_INTERVAL_MICROS) {
             loggedMicros = now;
             logState(now);
@@ -277,7 +277,7 @@
 
     private static List<KeyspaceReplica.Entry> entriesOf(StoreCodec.Items items) {
         List<KeyspaceReplica.Entry> result = new ArrayList<>(items.items().size());
-        items.items().forEach(item -> result.add(new KeyspaceReplica.Entry(item.key(), item.row(), item.version())));
+        items.items().forEach(item -> result.add(new KeyspaceReplica.Entry(item.key(), item.record(), item.version())));
         return result;
     }
 
@@ -409,7 +409,7 @@
             request.answer(CONFLICT, NOT_FOLLOWING);
             return;
         }
-        users.tell(new UsersActor.KeepUp());
+        users.tell(new UsersActor.RefreshRequested());
         KeyspaceReplica ledgers = replicas.get(0);
         long asked = generation;
         store.changes(
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -77,7 +77,7 @@
         long fencingToken = scheduler.fencingToken();
         if (nowMicros - searchedMicros >= SEARCH_INTERVAL_MICROS) {
             searchedMicros = nowMicros;
-            users.tell(new UsersActor.FindEnded(fencingToken));
+            users.tell(new UsersActor.FindArchivableJobs(fencingToken));
         }
         archiver.tell(new ArchiverActor.WriteBudget(fencingToken, scheduler.spareWriteBudget(nowMicros)));
     }
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -46,7 +46,7 @@
         Map<String, Resources> asked = new HashMap<>();
         List<QueuedJob> result = new ArrayList<>();
         Map<Job, DeadlineFeasibility.Entry> entries = new HashMap<>();
-        for (DeadlineFeasibility.Entry entry : decide(nowMicros)) {
+        for (DeadlineFeasibility.Entry entry : assessDeadlines(nowMicros)) {
             entries.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
@@ -68,7 +68,7 @@
                         job,
                         waiting,
                         guaranteed,
-                        entry == null || entry.onTime,
+                        entry == null || entry.feasible,
                         entry == null ? job.readyMicros : entry.latestStartMicros()));
             }
         }
@@ -92,12 +92,12 @@
      * What can be on time: first within each team's limit, since room beyond it helps none of the team's jobs, then
      * with all processors.
      */
-    private List<DeadlineFeasibility.Entry> decide(long nowMicros) {
-        double cpus = arrayCpus(nowMicros);
+    private List<DeadlineFeasibility.Entry> assessDeadlines(long nowMicros) {
+        double cpus = cpusForFiniteJobs(nowMicros);
         Map<String, List<DeadlineFeasibility.Entry>> perTeam = new LinkedHashMap<>();
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         List<DeadlineFeasibility.Entry> lowest = new ArrayList<>();
-        for (DeadlineFeasibility.Entry entry : arrays(nowMicros)) {
+        for (DeadlineFeasibility.Entry entry : finiteJobs(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // It gets what is left: a large job of a rare class would count for more than many of the others.
                 lowest.add(entry);
@@ -110,17 +110,17 @@
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
             double most = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, (double) team.maxCpus());
-            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, most, nowMicros)) {
-                (entry.onTime ? possible : result).add(entry);
+            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.markFeasible(entries, most, nowMicros)) {
+                (entry.feasible ? possible : result).add(entry);
             }
         });
-        result.addAll(DeadlineFeasibility.decide(possible, cpus, nowMicros));
-        result.addAll(DeadlineFeasibility.decide(lowest, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.markFeasible(possible, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.markFeasible(lowest, cpus, nowMicros));
         return result;
     }
 
     /** What is left of every job that ends. */
-    List<DeadlineFeasibility.Entry> arrays(long nowMicros) {
+    List<DeadlineFeasibility.Entry> finiteJobs(long nowMicros) {
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
@@ -131,7 +131,7 @@
                         * (waiting + 0.5 * (job.unfinishedCount() - waiting));
                 long slowest = runTimes.slowestMicros(job);
                 result.add(new DeadlineFeasibility.Entry(
-                        job, work, slowest, due(job, slowest, nowMicros), weight(job.spec.jobClass())));
+                        job, work, slowest, dueMicros(job, slowest, nowMicros), weight(job.spec.jobClass())));
             }
         }
         return result;
@@ -143,11 +143,11 @@
         for (Settings.Objective objective : settings.objectives()) {
             aims += jobClass.equals(objective.jobClass()) ? 1 : 0;
         }
-        return aims / (double) Math.max(1, ledgers.countOf(jobClass));
+        return aims / (double) Math.max(1, ledgers.jobsSeenOfClass(jobClass));
     }
 
     /** Processors, in thousandths, that are there for work that ends. */
-    double arrayCpus(long nowMicros) {
+    double cpusForFiniteJobs(long nowMicros) {
         double cpus = 0;
         for (Machine machine : fleet.machines()) {
             if (machine.capacity() != null
@@ -163,7 +163,7 @@
     }
 
     /** The earliest time at which users expect the job and that it can still reach. */
-    private long due(Job job, long length, long nowMicros) {
+    private long dueMicros(Job job, long length, long nowMicros) {
         JobSpec spec = job.spec;
         long reachable = nowMicros + length;
         long due = Long.MAX_VALUE;
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -146,17 +146,17 @@
         if (!least.fitsIn(machine.freeCapacity())) {
             filled.add(machine);
         }
-        unschedulable.useChanged();
+        unschedulable.usageChanged();
     }
 
     /** Tasks were taken from a machine: what did not fit may fit now. */
     void capacityFreed() {
-        unschedulable.roomFreed();
+        unschedulable.capacityFreed();
     }
 
     /** Something was placed or stopped: what could not be freed may be free to take now. */
     void usageChanged() {
-        unschedulable.useChanged();
+        unschedulable.usageChanged();
     }
 
     /**
@@ -218,7 +218,7 @@
             return;
         }
         for (Job job = next(machine, nowMicros); job != null; job = next(machine, nowMicros)) {
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -397,7 +397,7 @@
             if (machine == null) {
                 return;
             }
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -432,7 +432,7 @@
             }
         }
         if (best != null && !each.fitsIn(best.freeCapacity())) {
-            evict(job, preemption.victims(job, best, true), nowMicros);
+            evict(job, preemption.selectVictims(job, best, true), nowMicros);
         }
         return best;
     }
@@ -464,7 +464,7 @@
                 if (job.placeableCount() == 0 || !teamAllows(job)) {
                     return;
                 }
-                scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+                scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
         if (job.failedMachines.isEmpty()
@@ -524,7 +524,7 @@
             }
         }
         if (options.isEmpty() && candidates.size() == withRoom.size() && job.failedMachines.isEmpty()) {
-            unschedulable.findsNothing(queued);
+            unschedulable.markPreemptionFutile(queued);
         }
         options.sort(Comparator.comparing((Option option) -> !option.image()).thenComparing(Option::loss));
         for (boolean progress = true; progress && left > 0; ) {
@@ -532,14 +532,14 @@
             for (Option option : options) {
                 Machine machine = option.machine();
                 List<Placement> victims = left > 0 && zoneAllows(job, machine)
-                        ? preemption.victims(job, machine, queued.guaranteed())
+                        ? preemption.selectVictims(job, machine, queued.guaranteed())
                         : null;
                 if (job.pendingCount() == 0 || !teamAllows(job)) {
                     return;
                 }
                 if (victims != null) {
                     evict(job, victims, nowMicros);
-                    scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+                    scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
                     left--;
                     progress = true;
                 }
@@ -608,7 +608,7 @@
                 }
                 return;
             }
-            scheduler.place(job, index, machine, nowMicros);
+            scheduler.placeTask(job, index, machine, nowMicros);
         }
     }
 
@@ -678,7 +678,7 @@
                 }
             }
             if (there != null) {
-                evict(job, preemption.victims(job, there, true), nowMicros);
+                evict(job, preemption.selectVictims(job, there, true), nowMicros);
                 return there;
             }
             if (without == null) {
@@ -698,7 +698,7 @@
         if (job.capacityAwaitedUntilMicros > nowMicros) {
             return;
         }
-        for (Machine machine : suitable(job, CapacityRequest.Source.SAVING, nowMicros)) {
+        for (Machine machine : suitable(job, CapacityRequest.Source.CHECKPOINTABLE, nowMicros)) {
             if (zone != null && !zone.equals(machine.zone)) {
                 continue;
             }
@@ -719,7 +719,7 @@
                     job.capacityAwaitedUntilMicros = Math.max(
                             job.capacityAwaitedUntilMicros,
                             nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
-                    scheduler.stopToSave(victim, nowMicros);
+                    scheduler.stopWithCheckpoint(victim, nowMicros);
                 }
                 return;
             }
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -55,7 +55,7 @@
     /** Where machines can be rented. */
     record Offer(String type, String zone, boolean spot) {}
 
-    private static final long CLAIM_PATIENCE_MICROS = 10 * Micros.SECOND;
+    private static final long CLAIM_TIMEOUT_MICROS = 10 * Micros.SECOND;
 
     private final Settings settings;
     private final long fencingToken;
@@ -67,8 +67,8 @@
     private final Set<String> outcomeUnknown = new HashSet<>();
 
     final Map<String, Request> requests = new LinkedHashMap<>();
-    private final Map<Offer, Long> refusedUntil = new HashMap<>();
-    private final Map<Offer, Long> refusals = new HashMap<>();
+    private final Map<Offer, Long> backedOffUntil = new HashMap<>();
+    private final Map<Offer, Long> retryPauses = new HashMap<>();
 
     ProvisioningRequests(Settings settings, long fencingToken) {
         this.settings = settings;
@@ -167,25 +167,25 @@
     }
 
     boolean isBackedOff(Offer offer, long nowMicros) {
-        return refusedUntil.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
+        return backedOffUntil.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
     }
 
     /** No capacity: asks again after a pause that grows while the answer stays the same. */
-    void noCapacity(Request booking, long nowMicros) {
+    void recordNoCapacity(Request booking, long nowMicros) {
         Offer offer = new Offer(booking.type, booking.zone, booking.spot);
-        long pause = Math.min(30 * Micros.SECOND, refusals.getOrDefault(offer, 4 * Micros.SECOND) * 2);
-        refusals.put(offer, pause);
-        refusedUntil.put(offer, nowMicros + pause);
+        long pause = Math.min(30 * Micros.SECOND, retryPauses.getOrDefault(offer, 4 * Micros.SECOND) * 2);
+        retryPauses.put(offer, pause);
+        backedOffUntil.put(offer, nowMicros + pause);
         booking.state = State.DONE;
     }
 
-    void answered(Request booking, int rented, long nowMicros) {
+    void recordAnswer(Request booking, int rented, long nowMicros) {
         booking.state = State.DONE;
         Offer offer = new Offer(booking.type, booking.zone, booking.spot);
         if (rented < booking.count) {
-            refusedUntil.put(offer, nowMicros + 8 * Micros.SECOND);
+            backedOffUntil.put(offer, nowMicros + 8 * Micros.SECOND);
         } else {
-            refusals.remove(offer);
+            retryPauses.remove(offer);
         }
     }
 
@@ -195,7 +195,7 @@
     }
 
     /** The list was asked for at {@code askedMicros}: it is at most twice the lag older than that. */
-    void listed(long askedMicros) {
+    void settleUnknownRequests(long askedMicros) {
         for (Request booking : requests.values()) {
             if (booking.state == State.UNKNOWN
                     && askedMicros - booking.sinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND) {
@@ -211,7 +211,7 @@
             Request booking = each.next();
             if (booking.state == State.CLAIMED
                     && !booking.recorded
-                    && nowMicros - booking.sinceMicros > CLAIM_PATIENCE_MICROS
+                    && nowMicros - booking.sinceMicros > CLAIM_TIMEOUT_MICROS
                     && !booking.writing) {
                 booking.state = State.DONE;
             }
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -34,7 +34,8 @@
             PlacementPlanner planner = new PlacementPlanner(s, its, fleet, ledgers, times);
             planners.add(planner);
             machine = fleet.getOrAdd("i-1", 0);
-            job = ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
+            job = ledgers.addJob(
+                    SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
             return planner;
         });
     }
@@ -54,10 +55,10 @@
     }
 
     private String after(BiConsumer<Scheduler, Placement> what) {
-        scheduler.place(job, job.nextPendingTask(), machine, 0);
+        scheduler.placeTask(job, job.nextPendingTask(), machine, 0);
         Placement placement = machine.placements.get(0);
         blocked().full(EquivalenceClass.of(job.spec));
-        blocked().findsNothing(queued());
+        blocked().markPreemptionFutile(queued());
         blocked().room(job, true, new HashMap<>());
         what.accept(scheduler, placement);
         return remembered();
@@ -67,7 +68,7 @@
     void whatCouldMatterIsForgotten() {
         Map<String, BiConsumer<Scheduler, Placement>> events = Map.of(
                 "nothing", (s, placement) -> {},
-                "placed", (s, placement) -> s.place(job, job.nextPendingTask(), machine, 0),
+                "placed", (s, placement) -> s.placeTask(job, job.nextPendingTask(), machine, 0),
                 "stopped", (s, placement) -> s.stop(placement, 0, 0),
                 "removed", (s, placement) -> s.remove(placement));
         Map<String, String> expected = Map.of(
@@ -87,7 +88,7 @@
     @Test
     void othersAreNotBlocked() {
         blocked().full(EquivalenceClass.of(job.spec));
-        blocked().findsNothing(queued());
+        blocked().markPreemptionFutile(queued());
         blocked().room(job, true, new HashMap<>());
         assertEquals(false, blocked().findNothing(new JobQueue.QueuedJob(job, 1, false, true, 0)));
         assertEquals(null, blocked().room(job, false));
--- a/src/test/java/io/micatide/simulation/FailoverScenario.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -357,7 +357,7 @@
                 .forEach(
                         (key, value) -> stored.put(key, value.version() + " " + SimulatedCluster.recordOf(key, value)));
         Map<String, String> copied = new TreeMap<>();
-        rows.forEach(row -> copied.put(row.key(), row.version() + " " + row.row()));
+        rows.forEach(row -> copied.put(row.key(), row.version() + " " + row.record()));
         if (!stored.equals(copied) && cluster.leaderLabel().equals("c" + number)) {
             otherViolations.add(
                     "the copy of " + prefix + " on c" + number + " is " + copied + " and the store has " + stored);
