--- a/src/test/java/io/micatide/rollout/RolloutPlanTest.java
+++ b/src/test/java/io/micatide/rollout/RolloutPlanTest.java
@@ -28,7 +28,7 @@
         return result;
     }
 
-    private static FeatureFlags switches(String text) {
+    private static FeatureFlags flags(String text) {
         FeatureFlags switches = new FeatureFlags(Capabilities.ALL);
         Map<String, String> stages = stages(text);
         // As far as the others are at most.
@@ -88,8 +88,8 @@
                 "booking-fence=ON learned=READ    | ++. | learned=BACK  | true  | booking-fence=ON learned=OFF",
                 "booking-fence=ON learned=READ    | ++- | learned=BACK  | true  |",
             })
-    void steps(String stages, String there, String asked, boolean forward, String next) {
-        RolloutPlan plan = RolloutPlan.create(switches(stages), registry(there, asked), forward);
+    void plansTheNextTransition(String stages, String there, String asked, boolean forward, String next) {
+        RolloutPlan plan = RolloutPlan.create(flags(stages), registry(there, asked), forward);
         if (next == null) {
             assertNull(plan.newStages());
         } else {
@@ -108,17 +108,17 @@
                 "+o+|booking-fence waits to go to READ: b (1) does not know it",
                 "-++|booking-fence waits to go to READ: a has not taken in the last step",
             })
-    void waitsByName(String there, String told) {
+    void namesBlockers(String there, String told) {
         assertEquals(
                 told,
-                RolloutPlan.create(switches(""), registry(there, ""), true)
+                RolloutPlan.create(flags(""), registry(there, ""), true)
                         .blockers()
                         .get(0));
     }
 
     /** A step names as many registrations as a transaction has room for. */
     @Test
-    void conditions() {
+    void limitsRegistrationConditions() {
         assertEquals(
                 List.of(new Transaction.Condition("rollout/here/a", 7), new Transaction.Condition("rollout/here/b", 8)),
                 registry("+++", "").registrationConditions(2));
@@ -126,7 +126,7 @@
 
     /** What is in use and not known, by version, stage and name; off is nobody's concern, and an older version of the row is no news. */
     @Test
-    void unknownFeatures() {
+    void namesUnsupportedFeatures() {
         FeatureFlags former = new FeatureFlags(Capabilities.without(Feature.LEARNED));
         assertFalse(former.isKnown());
         assertTrue(former.update(
@@ -143,7 +143,7 @@
 
     /** One put for each lease and for each step, on condition of the switches and of the row as it was read. */
     @Test
-    void registers() {
+    void registersOnceForEachLeaseAndTransition() {
         ControllerRegistration mine = new ControllerRegistration("a", "1", Capabilities.ALL, 5);
         assertEquals(ControllerRegistration.Action.NOTHING, mine.nextAction(0, 40, 0), "no lease to attach it to");
         assertEquals(ControllerRegistration.Action.NOTHING, mine.nextAction(3, -1, 0), "the switches are not known");
--- a/src/test/java/io/micatide/simulation/RolloutScenario.java
+++ b/src/test/java/io/micatide/simulation/RolloutScenario.java
@@ -105,7 +105,7 @@
     }
 
     /** What an operator asks for, NONE to take it back. */
-    void ask(Feature feature, StoredRecord.RequestedAction wish) {
+    void requestAction(Feature feature, StoredRecord.RequestedAction wish) {
         String key = StoreKeys.featureRequest(feature.key());
         SimulatedStore.Value there = day.deployment.state.values().get(key);
         String body = "{\"if\":[{\"k\":\"" + key + "\",\"stamp\":" + (there == null ? 0 : there.stamp())
@@ -119,7 +119,7 @@
                             && !(now != null
                                     && SimulatedCluster.row(key, now) instanceof StoredRecord.FeatureRequest ask
                                     && ask.action() == wish)) {
-                        day.deployment.user.later(() -> ask(feature, wish), Micros.SECOND);
+                        day.deployment.user.later(() -> requestAction(feature, wish), Micros.SECOND);
                     }
                 });
     }
--- a/src/test/java/io/micatide/simulation/RolloutTest.java
+++ b/src/test/java/io/micatide/simulation/RolloutTest.java
@@ -48,7 +48,7 @@
                 day.failBriefly();
             }
             if (second == 12 && day.random.nextInt(3) == 0) {
-                roll.ask(
+                roll.requestAction(
                         asked,
                         day.random.nextBoolean()
                                 ? StoredRecord.RequestedAction.BACK
@@ -58,7 +58,7 @@
         }
         day.killAtInteraction(0);
         day.deployment.network.losses(0, 0);
-        roll.ask(asked, StoredRecord.RequestedAction.NONE);
+        roll.requestAction(asked, StoredRecord.RequestedAction.NONE);
         for (int i = 0; i < controllers; i++) {
             day.replace(i, Capabilities.ALL, 500 * Micros.MILLISECOND);
             day.time.run(300 * Micros.MILLISECOND);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void drawnRollsBreakNoRule() {
+    void randomRolloutsBreakNoInvariant() {
         for (int seed = FIRST; seed < FIRST + DAYS; seed++) {
             RolloutScenario roll = play(begin(seed));
             assertEquals(List.of(), roll.verdict(), "seed " + seed + " " + roll.day.deployment.log());
@@ -81,7 +81,7 @@
     /** Nothing moves while one controller cannot do it, by name in the roster; the last one in place, all is on within seconds. */
     @ParameterizedTest
     @CsvSource({"3", "5"})
-    void theLastOneSwitchesItOn(int controllers) {
+    void featuresTurnOnOnceTheLastControllerKnowsThem(int controllers) {
         RolloutScenario roll = new RolloutScenario(7, controllers, Capabilities.LEGACY);
         FailoverScenario day = roll.day;
         for (int i = 0; i < controllers - 1; i++) {
@@ -102,7 +102,7 @@
     /** A version that does not know what is on serves nobody and never leads, with switches or from before them; the others go on. */
     @ParameterizedTest
     @CsvSource({"1", "0"})
-    void aFormerVersionIsShutOut(int version) {
+    void unsupportedVersionNeitherServesNorLeads(int version) {
         RolloutScenario roll = new RolloutScenario(5, 3, Capabilities.ALL);
         FailoverScenario day = roll.day;
         day.users.submit("batch", 6, 2);
@@ -120,7 +120,7 @@
 
     /** Taken back by an operator, a feature is off in the end, and a version that does not know it serves again. */
     @Test
-    void takenBackAFormerVersionServes() {
+    void formerVersionServesAfterAFeatureIsTakenBack() {
         RolloutScenario roll = new RolloutScenario(6, 3, Capabilities.ALL);
         FailoverScenario day = roll.day;
         day.time.run(12 * Micros.SECOND);
@@ -128,7 +128,7 @@
         day.time.run(5 * Micros.SECOND);
         assertEquals(List.of(1, 2), roll.healthy());
         // It cannot register, so nothing moves forward; back goes all the same once it is not there.
-        roll.ask(Feature.LEARNED, StoredRecord.RequestedAction.BACK);
+        roll.requestAction(Feature.LEARNED, StoredRecord.RequestedAction.BACK);
         day.replace(0, Capabilities.ALL, 100 * Micros.MILLISECOND);
         day.time.run(30 * Micros.SECOND);
         assertEquals(FeatureStage.OFF, roll.stage(Feature.LEARNED));
@@ -146,7 +146,7 @@
      * arrives minutes late, writes nothing by switches that are not those in force: claims, registrations, fenced bookings, what is learned.
      */
     @Test
-    void whatDependsOnTheSwitchesHasThemAsACondition() {
+    void writesThatDependOnStagesHaveThemAsACondition() {
         Map<String, Integer> seen = new TreeMap<>();
         for (int seed = 0; seed < 12; seed++) {
             RolloutScenario roll = new RolloutScenario(seed, 3, Capabilities.ALL);
@@ -192,7 +192,7 @@
      */
     @ParameterizedTest
     @CsvSource({"3", "20"})
-    void askingIsBounded(int controllers) {
+    void requestsAreBounded(int controllers) {
         RolloutScenario roll = new RolloutScenario(9, controllers, Capabilities.ALL);
         int[] registered = {0};
         long[] refusedMicros = {0};
@@ -218,7 +218,7 @@
     /** Each request of a roll-out's first seconds is the last one of its controller, which is back with its version or a former one. */
     @ParameterizedTest
     @CsvSource({"3, 2", "5, 2", "3, 1", "3, 0"})
-    void aStepThatIsCutShortAnywhere(int controllers, int back) {
+    void recoversFromATransitionCutShortAnywhere(int controllers, int back) {
         for (int at = 1; at <= 100; at++) {
             RolloutScenario roll = new RolloutScenario(at, controllers, Capabilities.ALL);
             FailoverScenario day = roll.day;
