--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -34,9 +34,9 @@
             day.network.losses(losses, losses);
             day.killAfterwards = afterwards;
             day.killAt = interaction;
-            day.busy(30);
-            day.settle();
-            day.checkStored();
+            day.users.busy(30);
+            day.users.settle();
+            new StoredJobs(day).check();
             List<String> broken = new ArrayList<>(day.broken);
             if (interaction > 0 && interaction <= 380 && day.kills == 0) {
                 broken.add("nothing was killed");
@@ -58,7 +58,7 @@
         "200, 0.01, 2048, 5",
         "200, 0.05, 2048, 5",
     })
-    void recoversWhereverItIsKilled(int seeds, double losses, int valueBytes, int changes) {
+    void recoversFromAKillAtARandomInteraction(int seeds, double losses, int valueBytes, int changes) {
         // Outside CI: -Dhistory.seeds=100000.
         List<String> broken = IntStream.range(0, Integer.getInteger("history.seeds", seeds))
                 .parallel()
@@ -93,25 +93,25 @@
      * whose user must not hear of it, and one of a new job, which must run. Such a write may arrive minutes after its sender ended.
      */
     @Test
-    void lateRowsOfAFormerVersion() throws Exception {
+    void lateWritesOfAFormerVersionStartNoArchivedJob() throws Exception {
         for (int seed = 0; seed < 10; seed++) {
             ArchiveScenario day = new ArchiveScenario(seed, 16384, 16, Archiver::new);
-            day.busy(20);
-            day.settle();
-            ArchiveScenario.Job old = day.jobs.values().stream()
+            day.users.busy(20);
+            day.users.settle();
+            ArchiveUsers.Job old = day.users.jobs.values().stream()
                     .filter(job -> "done".equals(job.end) && !day.state.values().containsKey("job/" + job.id))
                     .findFirst()
                     .orElseThrow();
-            ArchiveScenario.Job fresh = day.describe("wk-new" + seed);
+            ArchiveUsers.Job fresh = day.users.describe("wk-new" + seed);
             fresh.accepted = true;
-            day.writeAsFormerVersion(old);
-            day.writeAsFormerVersion(fresh);
+            new StoredJobs(day).writeAsFormerVersion(old);
+            new StoredJobs(day).writeAsFormerVersion(fresh);
             day.time.run(200 * Micros.MILLISECOND);
-            day.poll(old);
-            day.poll(fresh);
-            day.trySubmit(old);
+            day.users.poll(old);
+            day.users.poll(fresh);
+            day.users.trySubmit(old);
             day.time.run(20 * Micros.SECOND);
-            day.settle();
+            day.users.settle();
             assertEquals(List.of(), day.broken, "seed " + seed);
             assertEquals("done", fresh.end);
             assertFalse(day.state.values().containsKey("job/" + old.id), "its row goes again");
@@ -120,21 +120,21 @@
 
     /** What earlier landings left in rows is taken in, and told as before, also to who submits it again or needs it. */
     @Test
-    void rowsOfEarlierLandingsAreTakenIn() throws Exception {
+    void archivesRecordsFromBeforeTheArchive() throws Exception {
         ArchiveScenario day = new ArchiveScenario(3, 2048, 5, Archiver::new);
         for (int i = 0; i < 400; i++) {
-            ArchiveScenario.Job job = day.describe(String.format("wk-old%04d", i));
+            ArchiveUsers.Job job = day.users.describe(String.format("wk-old%04d", i));
             job.accepted = true;
             job.end = i % 3 == 0 ? "withdrawn" : "done";
             job.cancelAsked = i % 3 == 0;
-            day.presetEnded(job);
+            new StoredJobs(day).presetEnded(job);
         }
-        day.busy(20);
+        day.users.busy(20);
         day.time.run(60 * Micros.SECOND);
-        ArchiveScenario.Job after = day.submit(1, 5, List.of("wk-old0001", "wk-old0002"));
-        ArchiveScenario.Job never = day.submit(1, 5, List.of("wk-old0003"));
-        day.settle();
-        day.checkStored();
+        ArchiveUsers.Job after = day.users.submit(1, 5, List.of("wk-old0001", "wk-old0002"));
+        ArchiveUsers.Job never = day.users.submit(1, 5, List.of("wk-old0003"));
+        day.users.settle();
+        new StoredJobs(day).check();
         assertEquals(List.of(), day.broken);
         assertEquals("done", after.end);
         assertEquals("withdrawn", never.end);
@@ -142,22 +142,22 @@
 
     /** A value that is not what was written is answered 503, never 404, and the jobs beside it are answered as before. */
     @Test
-    void aDamagedValueIsNotAnUnknownJob() throws Exception {
+    void damagedSegmentIsNotAnUnknownJob() throws Exception {
         ArchiveScenario day = new ArchiveScenario(5, 16384, 16, Archiver::new);
-        day.busy(30);
-        day.settle();
+        day.users.busy(30);
+        day.users.settle();
         List<String> segments = day.state.values().keySet().stream()
                 .filter(key -> key.startsWith(StoreKeys.ARCHIVE_SEGMENTS))
                 .toList();
-        day.damage(segments.get(0));
+        new StoredJobs(day).damage(segments.get(0));
         for (int i = 0; i < 3; i++) {
             day.kill(i, 1);
         }
         day.time.run(15 * Micros.SECOND);
         int unavailable = 0;
         int told = 0;
-        for (ArchiveScenario.Job job : List.copyOf(day.jobs.values())) {
-            int status = day.status(job);
+        for (ArchiveUsers.Job job : List.copyOf(day.users.jobs.values())) {
+            int status = day.users.status(job);
             assertTrue(status == 200 || status == 503, job.id + " " + status);
             unavailable += status == 503 ? 1 : 0;
             told += status == 200 ? 1 : 0;
@@ -177,16 +177,16 @@
                     Random random = new Random(seed);
                     day.network.losses(0.01, 0.005);
                     for (int round = 0; round < 8; round++) {
-                        day.busy(6);
+                        day.users.busy(6);
                         for (int i = 0; i < 3; i++) {
                             if (random.nextInt(3) == 0) {
                                 day.kill(i, 1 + random.nextInt(4));
                             }
                         }
                     }
-                    day.settle();
+                    day.users.settle();
                     try {
-                        day.checkStored();
+                        new StoredJobs(day).check();
                     } catch (Exception e) {
                         throw new IllegalStateException(e);
                     }
@@ -199,13 +199,13 @@
 
     /** One seed, one day: otherwise a failure found could not be looked at again. */
     @Test
-    void aSeedIsADay() {
+    void sameSeedGivesTheSameDay() {
         List<Integer> first = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ArchiveScenario day = new ArchiveScenario(7, 2048, 5, Archiver::new);
             day.network.losses(0.02, 0.02);
             day.killAt = 400;
-            day.busy(30);
+            day.users.busy(30);
             first.add(day.interactions);
             first.add((int) day.state.changeCount());
         }
@@ -214,7 +214,7 @@
 
     /** The guard of the order of two writes: with it taken out, jobs that users were told of are lost. */
     @Test
-    void rowsThatGoBeforeTheyAreArchivedAreMissed() {
+    void deletingRecordsBeforeTheyAreArchivedLosesJobs() {
         Archiver.Factory hasty =
                 (fencingToken, limits, manifest, version) -> new Archiver(fencingToken, limits, manifest, version) {
                     @Override
--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -117,7 +117,7 @@
         // As long as ids may be: some forty bytes of each cannot be packed.
         "5000, 2048, 63, 400, 9, 40",
     })
-    void aLongHistoryTakesFewValuesAndFewChanges(
+    void longHistoryTakesFewValuesAndFewWrites(
             int jobs, int limit, int idLength, int mostValues, int mostRuns, int mostChanges)
             throws DamagedSegmentException {
         Store store = new Store(limit);
@@ -162,7 +162,7 @@
     /** The limit of a value falls below what was planned with: what does not fit is packed again, in more values. */
     @ParameterizedTest
     @CsvSource({"1500", "900", "640"})
-    void limitsThatFall(int limit) throws DamagedSegmentException {
+    void repacksSegmentsWhenLimitsFall(int limit) throws DamagedSegmentException {
         Store store = new Store(16384);
         Archiver archiver = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         for (int number = 0; number < 3000; number++) {
@@ -192,7 +192,7 @@
 
     /** A damaged run is never merged, so nothing of it is lost that could still be mended; the others go on. */
     @Test
-    void aDamagedRunStaysAsItIs() throws DamagedSegmentException {
+    void damagedRunIsNeverMerged() throws DamagedSegmentException {
         Store store = new Store(16384);
         Archiver archiver = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         String damaged = null;
@@ -222,7 +222,7 @@
 
     /** What an archiver that was killed left behind goes, and nothing else does. */
     @Test
-    void whatNothingNamesIsRemoved() throws DamagedSegmentException {
+    void removesSegmentsThatTheManifestDoesNotName() throws DamagedSegmentException {
         Store store = new Store(16384);
         Archiver first = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         for (int number = 0; number < 600; number++) {
@@ -242,7 +242,7 @@
 
     /** A packed segment with any byte changed, or read under another key, is told from a sound one. */
     @Test
-    void damageIsAlwaysSeen() throws DamagedSegmentException {
+    void detectsAnyDamagedByte() throws DamagedSegmentException {
         List<ArchivedJob> jobs = new ArrayList<>();
         for (int number = 0; number < 200; number++) {
             jobs.add(new ArchivedJob(String.format("wk-%06d", number * 31), outcome(number)));
--- a/src/test/java/io/micatide/archive/SnapshotTest.java
+++ b/src/test/java/io/micatide/archive/SnapshotTest.java
@@ -100,11 +100,11 @@
     @CsvSource({"1, 0", "2, 0", "3, 0.05", "4, 0.05", "5, 0.2"})
     void anImageIsOfOneRevision(int seed, double losses) throws SnapshotException {
         ArchiveScenario day = new ArchiveScenario(seed, 2048, 5, Archiver::new);
-        day.busy(20);
+        day.users.busy(20);
         Map<Long, Map<String, String>> then = new TreeMap<>();
         day.state.afterEachChange(revision -> then.put(revision, stored(day.state)));
         day.network.losses(losses, 0);
-        day.later(40);
+        day.users.later(40);
         Calls calls = new Calls(day);
         calls.page = 2;
         calls.gapMicros = 700 * Micros.MILLISECOND;
@@ -122,9 +122,9 @@
     @CsvSource({"1, true", "2, false"})
     void aRestoredServiceAnswersAsTheFirst(int seed, boolean advance, @TempDir Path folder) throws Exception {
         ArchiveScenario first = new ArchiveScenario(seed, 2048, 5, Archiver::new);
-        first.busy(30);
-        first.settle();
-        first.checkStored();
+        first.users.busy(30);
+        first.users.settle();
+        new StoredJobs(first).check();
         Path file = folder.resolve("a.snapshot");
         SnapshotFile.write(file, new SnapshotTaker(new Calls(first), line -> {}).take(), KEY, "then");
         SnapshotFile.Content content = SnapshotFile.read(file, KEY);
@@ -136,9 +136,9 @@
         assertEquals(stored(first.state), stored(second.state));
         assertEquals(advance, second.state.revision() > content.image().revision());
         second.goesOnAs(first);
-        second.busy(20);
-        second.settle();
-        second.checkStored();
+        second.users.busy(20);
+        second.users.settle();
+        new StoredJobs(second).check();
         assertEquals(java.util.List.of(), first.broken);
         assertEquals(java.util.List.of(), second.broken);
     }
@@ -147,8 +147,8 @@
     @Test
     void aRestoreMayBeKilledAnywhere() throws Exception {
         ArchiveScenario first = new ArchiveScenario(9, 2048, 5, Archiver::new);
-        first.busy(15);
-        first.settle();
+        first.users.busy(15);
+        first.users.settle();
         StoreImage image = new SnapshotTaker(new Calls(first), line -> {}).take();
         for (int kill = 1; kill < 60; kill++) {
             ArchiveScenario second = ArchiveScenario.withoutControllers(kill, 2048, 5);
@@ -177,7 +177,7 @@
     @Test
     void aServiceThatHoldsSomethingIsNotTouched() throws Exception {
         ArchiveScenario day = new ArchiveScenario(1, 2048, 5, Archiver::new);
-        day.busy(10);
+        day.users.busy(10);
         StoreImage image = new SnapshotTaker(new Calls(day), line -> {}).take();
         Map<String, String> before = stored(day.state);
         SnapshotException e = assertThrows(SnapshotException.class, () -> {
