--- a/src/main/java/io/micatide/controller/Actor.java
+++ b/src/main/java/io/micatide/controller/Actor.java
@@ -6,25 +6,30 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Owns its state; everything that happens to it is a message, taken one at a time from the event loop. */
+/**
+ * Owns its state, which only its own messages change, handled one at a time on the {@link ActorExecutor}.
+ *
+ * @param <M> its messages
+ */
 abstract class Actor<M> {
     protected final Logger log = LoggerFactory.getLogger(getClass());
     private final ActorExecutor executor;
 
-    Actor(ActorExecutor loop) {
-        this.executor = loop;
+    Actor(ActorExecutor executor) {
+        this.executor = executor;
     }
 
-    /** The loop's steady clock. */
+    /** The executor's steady clock, in microseconds; never 0. */
     final long now() {
         return executor.now();
     }
 
-    /** The loop's time of day. */
+    /** The executor's time of day, in microseconds since 1970. */
     final long wall() {
         return executor.wall();
     }
 
+    /** Sends a message, which is handled after those sent before. An exception in its handling is logged and ends nothing. */
     final void tell(M message) {
         executor.execute(() -> {
             try {
@@ -35,14 +40,16 @@
         });
     }
 
+    /** Sends a message after a delay. */
     final void tellLater(M message, long delayMicros) {
         executor.executeLater(() -> tell(message), delayMicros);
     }
 
-    /** Turns an answer from outside into a message to this actor. */
+    /** A callback that turns the answer to a request into a message to this actor. */
     final Consumer<Reply> answer(Function<Reply, M> message) {
         return reply -> tell(message.apply(reply));
     }
 
+    /** Handles one message, on the executor. */
     protected abstract void receive(M message);
 }
--- a/src/main/java/io/micatide/controller/ActorExecutor.java
+++ b/src/main/java/io/micatide/controller/ActorExecutor.java
@@ -1,15 +1,33 @@
 package io.micatide.controller;
 
-/** What runs a controller's actors, one message at a time, and its clocks. Times in microseconds. */
+/** Runs the actors of a controller, one message at a time, and has its clocks. Times are in microseconds. */
 public interface ActorExecutor {
-    /** Runs it after what was given before. May be called from any thread. */
-    void execute(Runnable what);
+    /**
+     * Runs a task after those that were given before. May be called from any thread.
+     *
+     * @param task to run once
+     */
+    void execute(Runnable task);
 
-    void executeLater(Runnable what, long delayMicros);
+    /**
+     * Runs a task after a delay.
+     *
+     * @param task to run once
+     * @param delayMicros how long to wait at least
+     */
+    void executeLater(Runnable task, long delayMicros);
 
-    /** A steady clock; never 0. */
+    /**
+     * The steady clock, for delays and timeouts.
+     *
+     * @return microseconds since some time; never 0
+     */
     long now();
 
-    /** The time of day. */
+    /**
+     * The time of day, for what other controllers have to understand.
+     *
+     * @return microseconds since 1970
+     */
     long wall();
 }
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** The actors of one controller on one loop, whatever carries their requests. */
+/** The actors of one controller on one executor, whatever carries their requests. All methods must be called on the executor. */
 public final class Controller {
     private static final byte[] NO_SUCH_PATH = Json.error(null, "no such path");
     private static final byte[] WRONG_METHOD = Json.error(null, "method not allowed");
@@ -21,7 +21,14 @@
     private final UsersActor users;
     private final LeaderActor leader;
 
-    /** A controller with the standard components. */
+    /**
+     * A controller with the standard components.
+     *
+     * @param settings of this controller
+     * @param tuning of this controller
+     * @param executor runs all actors of this controller, one message at a time
+     * @param connector opens connections to the store, the cloud provider, peers and workers
+     */
     public Controller(Settings settings, Tuning tuning, ActorExecutor executor, Http.Connector connector) {
         this(settings, tuning, executor, connector, ControllerComponents.standard());
     }
@@ -29,6 +36,8 @@
     /**
      * A controller with components of the caller's choice.
      *
+     * @param settings of this controller
+     * @param tuning of this controller
      * @param executor runs all actors of this controller, one message at a time
      * @param connector opens connections to the store, the cloud provider, peers and workers
      * @param components the replaceable parts
@@ -47,22 +56,35 @@
                 new ControllerServices(settings, tuning, executor, store, cloud, connector), users, components);
     }
 
-    /** How this controller's term began, null if it does not lead. For rehearsals; on the loop. */
+    /**
+     * When this controller's term reached the stages of its failover; for simulations.
+     *
+     * @return null if this controller does not lead
+     */
     public FailoverTimings failoverTimings() {
         return leader.failoverTimings();
     }
 
-    /** Whether it is appointed to take over. For rehearsals; on the loop. */
+    /**
+     * Whether the leader has designated this controller to take over; for simulations.
+     *
+     * @return whether it was designated by the last status of a leader
+     */
     public boolean isDesignatedStandby() {
         return leader.isDesignatedStandby();
     }
 
-    /** Sees what a standby's copies bring to each take-over on this controller. */
-    public void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> each) {
-        leader.observeReplicaRecords(each);
+    /**
+     * Shows an observer what the standby's replicas bring to each failover to this controller; for simulations. Standbys have to be switched
+     * on.
+     *
+     * @param observer called with the prefix and the records of each replica that is used
+     */
+    public void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> observer) {
+        leader.observeReplicaRecords(observer);
     }
 
-    /** Must be called on the loop. */
+    /** Begins to read the store and to take part in the election. */
     public void start() {
         users.tell(new UsersActor.BelongsTo(leader));
         users.tell(new UsersActor.Load());
@@ -70,7 +92,11 @@
         leader.tell(new LeaderMessage.TickDue());
     }
 
-    /** A request of a user, of the load balancer or of a worker. */
+    /**
+     * Handles a request of a user, of the load balancer or of a worker.
+     *
+     * @param request to be answered, now or later
+     */
     public void handleRequest(Request request) {
         if (request.path().equals("/v1/report")) {
             if (request.method().equals("POST")) {
@@ -83,12 +109,20 @@
         }
     }
 
-    /** Ends in order: hands the lead over if it has it; {@code done} on the loop once others can go on. */
-    public void shutDown(Runnable done) {
-        leader.tell(new LeaderMessage.ShutdownRequested(done));
+    /**
+     * Shuts down gracefully: hands leadership over if it has it.
+     *
+     * @param onCompleted run on the executor once others can go on without this controller
+     */
+    public void shutDown(Runnable onCompleted) {
+        leader.tell(new LeaderMessage.ShutdownRequested(onCompleted));
     }
 
-    /** A request of a sibling. */
+    /**
+     * Handles a request of a peer.
+     *
+     * @param request to be answered, now or later
+     */
     public void handlePeerRequest(Request request) {
         if (request.path().equals("/news") && request.method().equals("POST")) {
             leader.tell(new LeaderMessage.PeerStatusReceived(request));
--- a/src/main/java/io/micatide/controller/ControllerServer.java
+++ b/src/main/java/io/micatide/controller/ControllerServer.java
@@ -17,12 +17,20 @@
 public final class ControllerServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerServer.class);
 
+    private static final int MIN_CONNECTIONS = 10;
+
     private final Settings settings;
     private final EventLoopGroup eventLoopGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Controller controller;
     private final EventLoop eventLoop;
     private volatile String bindFailure;
 
+    /**
+     * A controller that has yet to be started.
+     *
+     * @param settings with the addresses to bind
+     * @param tuning of the controller
+     */
     public ControllerServer(Settings settings, Tuning tuning) {
         this.settings = settings;
         this.eventLoop = eventLoopGroup.next();
@@ -30,23 +38,26 @@
                 settings,
                 tuning,
                 new NettyActorExecutor(eventLoop),
-                (endpoint, most) -> new HttpClient(eventLoop, endpoint, most));
+                (endpoint, maxConnections) -> new HttpClient(eventLoop, endpoint, maxConnections));
     }
 
     /**
-     * Binds both addresses; fails if one cannot be had. All of it happens on the event loop, so that the calling thread
+     * Binds both addresses and starts the controller. All of it happens on the event loop, so that the calling thread
      * has nothing to load or to read while the loop works: on the bench a controller has ended inside the C library's
      * read when both did (docs/questions.md).
+     *
+     * @throws InterruptedException if the calling thread is interrupted while it waits
+     * @throws IllegalStateException if an address cannot be bound, which the message names
      */
     public void start() throws InterruptedException {
         CountDownLatch bound = new CountDownLatch(2);
         eventLoop.execute(() -> {
-            int most = Math.max(10, settings.maxConnections() * 8 / 10);
+            int maxConnections = Math.max(MIN_CONNECTIONS, settings.maxConnections() * 8 / 10);
             controller.start();
-            bind(new HttpServer(controller::handleRequest, most), settings.bind(), bound);
-            bind(new HttpServer(controller::handlePeerRequest, most), settings.peerBind(), bound);
+            bind(new HttpServer(controller::handleRequest, maxConnections), settings.bind(), bound);
+            bind(new HttpServer(controller::handlePeerRequest, maxConnections), settings.peerBind(), bound);
             LOG.info(
-                    "{} in {} serves on {}, siblings on {}, reads layout {}",
+                    "{} in {} serves on {}, peers on {}, reads layout {}",
                     settings.label(),
                     settings.zone(),
                     settings.bind(),
@@ -69,18 +80,25 @@
     }
 
     /**
-     * Ends in order, as an operator's stop asks for: the lead is handed over and nothing new is answered. Returns once others can go
-     * on, or after {@code mostMicros}.
+     * Shuts down gracefully, as an operator's stop asks for: leadership is handed over and nothing new is answered. Returns once others
+     * can go on, or after the timeout.
+     *
+     * @param timeoutMicros how long to wait at most
+     * @throws InterruptedException if the calling thread is interrupted while it waits
      */
-    public void shutDown(long mostMicros) throws InterruptedException {
-        CountDownLatch done = new CountDownLatch(1);
-        eventLoop.execute(() -> controller.shutDown(done::countDown));
-        if (!done.await(mostMicros, TimeUnit.MICROSECONDS)) {
-            LOG.warn("ends without an answer of the state service: the lease runs out by itself");
+    public void shutDown(long timeoutMicros) throws InterruptedException {
+        CountDownLatch completed = new CountDownLatch(1);
+        eventLoop.execute(() -> controller.shutDown(completed::countDown));
+        if (!completed.await(timeoutMicros, TimeUnit.MICROSECONDS)) {
+            LOG.warn("shut down without an answer of the store: the lease expires by itself");
         }
     }
 
-    /** Waits until the node is closed. */
+    /**
+     * Waits until the server is closed.
+     *
+     * @throws InterruptedException if the calling thread is interrupted while it waits
+     */
     public void awaitTermination() throws InterruptedException {
         eventLoopGroup.terminationFuture().await();
     }
--- a/src/main/java/io/micatide/controller/NettyActorExecutor.java
+++ b/src/main/java/io/micatide/controller/NettyActorExecutor.java
@@ -3,22 +3,27 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** A loop that sockets share, with this machine's clocks. */
+/** Runs actors on an event loop that they share with sockets, by this machine's clocks. */
 public final class NettyActorExecutor implements ActorExecutor {
     private final EventLoop loop;
 
+    /**
+     * An executor for the actors of one controller.
+     *
+     * @param loop that also carries the controller's sockets
+     */
     public NettyActorExecutor(EventLoop loop) {
         this.loop = loop;
     }
 
     @Override
-    public void execute(Runnable what) {
-        loop.execute(what);
+    public void execute(Runnable task) {
+        loop.execute(task);
     }
 
     @Override
-    public void executeLater(Runnable what, long delayMicros) {
-        loop.schedule(what, delayMicros, TimeUnit.MICROSECONDS);
+    public void executeLater(Runnable task, long delayMicros) {
+        loop.schedule(task, delayMicros, TimeUnit.MICROSECONDS);
     }
 
     @Override
