--- a/src/test/java/io/micatide/archive/ArchiveUsers.java
+++ b/src/test/java/io/micatide/archive/ArchiveUsers.java
@@ -134,7 +134,7 @@
             } else if (reply.status() == 400 || reply.status() == 422) {
                 day.broken.add((before ? "forgotten " : "refused ") + job.id + " " + reply.status());
             } else {
-                process.later(() -> trySubmit(job), Micros.SECOND);
+                process.executeLater(() -> trySubmit(job), Micros.SECOND);
             }
         });
     }
@@ -149,7 +149,7 @@
             } else if (reply.status() == 404 && accepted) {
                 day.broken.add("forgotten by abort " + job.id);
             } else if (reply.status() != 404) {
-                process.later(() -> cancel(job), Micros.SECOND);
+                process.executeLater(() -> cancel(job), Micros.SECOND);
             }
         });
     }
@@ -229,7 +229,7 @@
                 }
                 Job job = submit(1 + day.random.nextInt(2), 1 + day.random.nextInt(12), needs);
                 if (day.random.nextInt(5) == 0) {
-                    process.later(() -> cancel(job), day.random.nextInt(4_000) * Micros.MILLISECOND);
+                    process.executeLater(() -> cancel(job), day.random.nextInt(4_000) * Micros.MILLISECOND);
                 }
             }
             List<Job> all = List.copyOf(jobs.values());
@@ -247,11 +247,11 @@
     /** Users submit, cancel and poll for so many seconds while somebody else lets time pass. */
     void later(int seconds) {
         for (int second = 0; second < seconds; second++) {
-            process.later(
+            process.executeLater(
                     () -> {
                         Job job = submit(1, 1 + day.random.nextInt(12), List.of());
                         if (day.random.nextInt(4) == 0) {
-                            process.later(() -> cancel(job), day.random.nextInt(3_000) * Micros.MILLISECOND);
+                            process.executeLater(() -> cancel(job), day.random.nextInt(3_000) * Micros.MILLISECOND);
                         }
                         submit(1, 2, List.of(job.id));
                         List<Job> all = List.copyOf(jobs.values());
@@ -263,7 +263,7 @@
 
     /** Until every job is over and told, then once more by every controller. */
     void settle() {
-        day.network.losses(0, 0);
+        day.network.setLossRates(0, 0);
         day.killAt = 0;
         for (int i = 0; i < 60 && jobs.values().stream().anyMatch(job -> job.end == null); i++) {
             jobs.values().stream().filter(job -> job.end == null).forEach(this::poll);
--- a/src/test/java/io/micatide/archive/StoredJobs.java
+++ b/src/test/java/io/micatide/archive/StoredJobs.java
@@ -76,7 +76,7 @@
     private StoredRecord row(String key) throws MalformedException {
         SimulatedStore.Value value = store.values().get(key);
         return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + new String(value.json(), StandardCharsets.UTF_8)
-                                + ",\"stamp\":" + value.stamp() + "}")
+                                + ",\"stamp\":" + value.version() + "}")
                         .getBytes(StandardCharsets.UTF_8))
                 .row();
     }
