--- a/src/main/java/io/micatide/archive/SegmentCodec.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -50,14 +50,14 @@
             before = id;
         }
         for (ArchivedJob job : jobs) {
-            number(plain, job.outcome().tasks() << OUTCOME_BITS | kind(job.outcome()));
+            number(plain, job.outcome().taskCount() << OUTCOME_BITS | kind(job.outcome()));
         }
         byte[] packed = deflated(plain.toByteArray());
         return new StoredRecord.ArchiveSegment(digest(key, packed), packed);
     }
 
     private static int kind(JobOutcome outcome) {
-        return outcome.state() == JobState.DONE ? DONE : outcome.service() ? CANCELLED_SERVICE : CANCELLED;
+        return outcome.state() == JobState.DONE ? DONE : outcome.isService() ? CANCELLED_SERVICE : CANCELLED;
     }
 
     /**
--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -126,9 +126,9 @@
         StoreCodec.Item item = item(calls, StoreKeys.FEATURE_STAGES);
         switches.seen(
                 item.version(),
-                item.row() == null
+                item.record() == null
                         ? new StoredRecord.FeatureStages(Map.of())
-                        : (StoredRecord.FeatureStages) item.row());
+                        : (StoredRecord.FeatureStages) item.record());
         return switches;
     }
 
@@ -142,10 +142,10 @@
         for (StoreCodec.Item item : StoreCodec.page(get(calls, "/store?starts=" + StoreKeys.ROLLOUT + "&most=1000")
                         .body())
                 .items()) {
-            roster.add(item.key(), item.row(), item.version());
+            roster.add(item.key(), item.record(), item.version());
         }
         StoreCodec.Item leader = item(calls, StoreKeys.LEADER);
-        String leads = leader.row() == null ? "" : ((StoredRecord.Leader) leader.row()).owner();
+        String leads = leader.record() == null ? "" : ((StoredRecord.Leader) leader.record()).owner();
         for (String label : labels) {
             StoredRecord.RegisteredController here = roster.here().get(label);
             out.println(label + (label.equals(leads) ? ", leads" : "") + ": "
@@ -160,8 +160,8 @@
                                             ? ""
                                             : ", has not taken in the last step")));
         }
-        boolean needs = item(calls, StoreKeys.LAYOUT).row() != null;
-        boolean history = item(calls, StoreKeys.ARCHIVE_MANIFEST).row() != null;
+        boolean needs = item(calls, StoreKeys.LAYOUT).record() != null;
+        boolean history = item(calls, StoreKeys.ARCHIVE_MANIFEST).record() != null;
         for (Feature feature : Feature.values()) {
             FeatureStage stage = feature == Feature.NEEDS
                     ? marked(needs)
@@ -190,7 +190,7 @@
         String key = StoreKeys.featureRequest(name);
         for (int tries = 0; tries < TRIES; tries++) {
             StoreCodec.Item there = item(calls, key);
-            if (there.row() instanceof StoredRecord.FeatureRequest ask && ask.action() == wish) {
+            if (there.record() instanceof StoredRecord.FeatureRequest ask && ask.action() == wish) {
                 return;
             }
             byte[] body = StoreCodec.transaction(new Transaction(
--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -28,54 +28,54 @@
     sealed interface Message {}
 
     /** Questions from now on are about this manifest. */
-    record Manifest(StoredRecord.ArchiveManifest manifest) implements Message {}
+    record ManifestChanged(StoredRecord.ArchiveManifest manifest) implements Message {}
 
     /** Asks for a job by the last manifest told; {@code then} is called on the event loop, once. */
-    record Find(String id, Consumer<Found> then) implements Message {}
+    record FindJob(String id, Consumer<LookupResult> then) implements Message {}
 
     record SegmentRead(Reply reply, String key) implements Message {}
 
     record FilterDue() implements Message {}
 
     /** What is known of a job by the manifest that was current when it was asked for. */
-    sealed interface Found {}
+    sealed interface LookupResult {}
 
     /** It is over. */
-    record Archived(JobOutcome outcome) implements Found {}
+    record Archived(JobOutcome outcome) implements LookupResult {}
 
     /** The archive does not hold it. */
-    record Nowhere() implements Found {}
+    record NotArchived() implements LookupResult {}
 
     /** A segment is gone: runs were merged, and a fresh copy of the rows knows the manifest that says so. */
-    record Moved() implements Found {}
+    record ManifestOutdated() implements LookupResult {}
 
     /** The state service does not answer, there is too much to read, or a segment is damaged. */
-    record Unavailable() implements Found {}
+    record Unavailable() implements LookupResult {}
 
     /** How a question goes on; several segments may hold an id by what the filters know. */
-    private static final class Question {
+    private static final class PendingLookup {
         final String id;
-        final Consumer<Found> then;
-        int unread;
-        Found worst = new Nowhere();
+        final Consumer<LookupResult> then;
+        int unreadSegments;
+        LookupResult result = new NotArchived();
 
-        Question(String id, Consumer<Found> then) {
+        PendingLookup(String id, Consumer<LookupResult> then) {
             this.id = id;
             this.then = then;
         }
     }
 
-    private static final int MOST_READS = 40;
-    private static final int CACHED = 8_192;
+    private static final int MAX_READS_IN_FLIGHT = 40;
+    private static final int MAX_CACHED_OUTCOMES = 8_192;
     /** What all filters may take of the heap: 3 million jobs. */
-    private static final long FILTER_BYTES = 4 << 20;
+    private static final long MAX_FILTER_BYTES = 4 << 20;
 
     private static final long FILTER_PAUSE_MICROS = 50 * Micros.MILLISECOND;
     private static final long RETRY_MICROS = Micros.SECOND;
 
-    private final StoreClient state;
-    private final Map<String, List<Question>> reading = new HashMap<>();
-    private final Set<String> damaged = new HashSet<>();
+    private final StoreClient store;
+    private final Map<String, List<PendingLookup>> lookupsBySegment = new HashMap<>();
+    private final Set<String> damagedSegments = new HashSet<>();
     private MembershipFilters filters;
     private Cache<String, JobOutcome> cache;
     private String filterKey;
@@ -83,28 +83,28 @@
 
     ArchiveReader(ActorExecutor loop, StoreClient state) {
         super(loop);
-        this.state = state;
+        this.store = state;
     }
 
     @Override
     protected void receive(Message message) {
-        if (message instanceof Find m) {
-            find(m);
+        if (message instanceof FindJob m) {
+            findJob(m);
         } else if (message instanceof SegmentRead m) {
-            read(m);
-        } else if (message instanceof Manifest m) {
-            manifest(m.manifest());
+            segmentRead(m);
+        } else if (message instanceof ManifestChanged m) {
+            manifestChanged(m.manifest());
         } else if (message instanceof FilterDue) {
             filterDue = false;
             buildFilters();
         }
     }
 
-    private void manifest(StoredRecord.ArchiveManifest manifest) {
+    private void manifestChanged(StoredRecord.ArchiveManifest manifest) {
         if (filters == null) {
-            filters = new MembershipFilters(FILTER_BYTES);
+            filters = new MembershipFilters(MAX_FILTER_BYTES);
             cache = CacheBuilder.newBuilder()
-                    .maximumSize(CACHED)
+                    .maximumSize(MAX_CACHED_OUTCOMES)
                     .concurrencyLevel(1)
                     .build();
             log.info("there is an archive of {} runs", manifest.runs().size());
@@ -113,9 +113,9 @@
         buildFilters();
     }
 
-    private void find(Find message) {
+    private void findJob(FindJob message) {
         if (filters == null) {
-            message.then().accept(new Nowhere());
+            message.then().accept(new NotArchived());
             return;
         }
         JobOutcome known = cache.getIfPresent(message.id());
@@ -125,86 +125,88 @@
         }
         List<String> keys = filters.candidates(message.id());
         if (keys.isEmpty()) {
-            message.then().accept(new Nowhere());
+            message.then().accept(new NotArchived());
             return;
         }
-        long added = keys.stream().filter(key -> !reading.containsKey(key)).count();
-        if (reading.size() + added > MOST_READS) {
+        long added =
+                keys.stream().filter(key -> !lookupsBySegment.containsKey(key)).count();
+        if (lookupsBySegment.size() + added > MAX_READS_IN_FLIGHT) {
             message.then().accept(new Unavailable());
             return;
         }
-        Question question = new Question(message.id(), message.then());
-        question.unread = keys.size();
+        PendingLookup question = new PendingLookup(message.id(), message.then());
+        question.unreadSegments = keys.size();
         for (String key : keys) {
-            List<Question> waiting = reading.get(key);
+            List<PendingLookup> waiting = lookupsBySegment.get(key);
             if (waiting == null) {
-                reading.put(key, new ArrayList<>(List.of(question)));
-                state.read(key, answer(r -> new SegmentRead(r, key)));
+                lookupsBySegment.put(key, new ArrayList<>(List.of(question)));
+                store.read(key, answer(r -> new SegmentRead(r, key)));
             } else {
                 waiting.add(question);
             }
         }
     }
 
-    private void read(SegmentRead message) {
+    private void segmentRead(SegmentRead message) {
         String key = message.key();
-        List<Question> waiting = reading.remove(key);
+        List<PendingLookup> waiting = lookupsBySegment.remove(key);
         Reply reply = message.reply();
         StoredRecord.ArchiveSegment segment = null;
-        Found failure = new Unavailable();
+        LookupResult failure = new Unavailable();
         try {
             if (reply.ok()) {
                 segment = (StoredRecord.ArchiveSegment)
-                        StoreCodec.item(reply.body()).row();
+                        StoreCodec.item(reply.body()).record();
             } else if (reply.status() == 404) {
-                failure = new Moved();
+                failure = new ManifestOutdated();
             }
             if (key.equals(filterKey)) {
                 filterRead(key, segment);
             }
             if (waiting != null) {
-                for (Question question : waiting) {
-                    told(question, segment == null ? failure : found(key, segment, question.id));
+                for (PendingLookup question : waiting) {
+                    segmentAnswered(question, segment == null ? failure : findInSegment(key, segment, question.id));
                 }
             }
             return;
         } catch (MalformedException e) {
-            damaged(key, key + ": " + e.getMessage());
+            damagedSegments(key, key + ": " + e.getMessage());
         } catch (DamagedSegmentException e) {
-            damaged(key, e.getMessage());
+            damagedSegments(key, e.getMessage());
         }
         if (key.equals(filterKey)) {
             filterKey = null;
             buildFilters();
         }
         if (waiting != null) {
-            waiting.forEach(question -> told(question, new Unavailable()));
+            waiting.forEach(question -> segmentAnswered(question, new Unavailable()));
         }
     }
 
-    private Found found(String key, StoredRecord.ArchiveSegment segment, String id) throws DamagedSegmentException {
+    private LookupResult findInSegment(String key, StoredRecord.ArchiveSegment segment, String id)
+            throws DamagedSegmentException {
         JobOutcome outcome = SegmentCodec.find(key, segment, id);
         if (outcome == null) {
-            return new Nowhere();
+            return new NotArchived();
         }
         cache.put(id, outcome);
         return new Archived(outcome);
     }
 
     /** One answer per question: found anywhere it is found, and it is nowhere only if every segment said so. */
-    private void told(Question question, Found found) {
-        question.unread--;
-        if ((question.worst instanceof Nowhere && !(found instanceof Nowhere)) || found instanceof Archived) {
-            question.worst = question.worst instanceof Archived ? question.worst : found;
+    private void segmentAnswered(PendingLookup question, LookupResult found) {
+        question.unreadSegments--;
+        if ((question.result instanceof NotArchived && !(found instanceof NotArchived)) || found instanceof Archived) {
+            question.result = question.result instanceof Archived ? question.result : found;
         }
-        if (question.unread == 0) {
-            question.then.accept(question.worst);
+        if (question.unreadSegments == 0) {
+            question.then.accept(question.result);
         }
     }
 
-    private void damaged(String key, String what) {
+    private void damagedSegments(String key, String what) {
         filters.unreadable(key);
-        if (damaged.add(key)) {
+        if (damagedSegments.add(key)) {
             log.error("damaged segment of the archive, jobs in it are answered 503: {}", what);
         }
     }
@@ -219,16 +221,16 @@
         if (wanted == null) {
             return;
         }
-        if (!state.idle() || reading.containsKey(wanted)) {
-            later(FILTER_PAUSE_MICROS);
+        if (!store.idle() || lookupsBySegment.containsKey(wanted)) {
+            scheduleFilterBuild(FILTER_PAUSE_MICROS);
             return;
         }
         filterKey = wanted;
-        reading.put(wanted, new ArrayList<>());
-        state.read(wanted, answer(r -> new SegmentRead(r, wanted)));
+        lookupsBySegment.put(wanted, new ArrayList<>());
+        store.read(wanted, answer(r -> new SegmentRead(r, wanted)));
     }
 
-    private void later(long micros) {
+    private void scheduleFilterBuild(long micros) {
         filterDue = true;
         tellLater(new FilterDue(), micros);
     }
@@ -237,10 +239,10 @@
         filterKey = null;
         if (segment != null) {
             filters.read(key, SegmentCodec.unpack(key, segment));
-            later(FILTER_PAUSE_MICROS);
+            scheduleFilterBuild(FILTER_PAUSE_MICROS);
         } else {
             // Gone with its run, which the next manifest tells, or not to be had now.
-            later(RETRY_MICROS);
+            scheduleFilterBuild(RETRY_MICROS);
         }
     }
 }
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -127,7 +127,7 @@
             archivist.listed(items.isEmpty() ? null : items.get(0).key());
         } else if (step instanceof Archiver.ReadManifest && reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
-            archivist.manifestRead((StoredRecord.ArchiveManifest) item.row(), item.version());
+            archivist.manifestRead((StoredRecord.ArchiveManifest) item.record(), item.version());
         } else {
             resumesMicros = now() + PAUSE_MICROS;
             archivist.repeat();
@@ -138,7 +138,7 @@
         if (reply.ok()) {
             archivist.written(StoreCodec.revision(reply.body()));
         } else if (reply.status() == 409) {
-            List<String> failed = StoreCodec.failed(reply.body());
+            List<String> failed = StoreCodec.failedKeys(reply.body());
             if (failed.contains(StoreKeys.LEADER)) {
                 // Fenced; the leader finds out by itself.
                 resumesMicros = now() + PAUSE_MICROS;
@@ -162,7 +162,7 @@
         try {
             if (reply.ok()) {
                 archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
-                        StoreCodec.item(reply.body()).row()));
+                        StoreCodec.item(reply.body()).record()));
                 return;
             }
             log.error("archive: {} is missing", key);
--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -46,8 +46,8 @@
     /** A sibling's answer to news that left at {@code askedMicros}. */
     void heard(int sibling, CancellationDigest word, long askedMicros, long now) {
         if (word != null) {
-            users.tell(
-                    new UsersActor.TakeIn(word.cancelled(), new LeaderActor.TakenIn(sibling, word, askedMicros, now)));
+            users.tell(new UsersActor.CancellationsReceived(
+                    word.cancelled(), new LeaderActor.TakenIn(sibling, word, askedMicros, now)));
         }
     }
 
@@ -85,7 +85,7 @@
         if (news.revision() < 0) {
             request.answer(200, PeerCodec.answer(answer));
         } else {
-            users.tell(new UsersActor.Testify(
+            users.tell(new UsersActor.ReadCancellationDigest(
                     news.revision(), word -> request.answer(200, PeerCodec.answer(answer.with(word)))));
         }
     }
@@ -93,7 +93,8 @@
     /** A sibling confirmed a cancellation; nothing rests on it, it only comes sooner than what is asked for. */
     void takeWithdrawn(Request request) {
         try {
-            users.tell(new UsersActor.TakeIn(PeerCodec.withdrawn(request.body()).jobs(), null));
+            users.tell(new UsersActor.CancellationsReceived(
+                    PeerCodec.withdrawn(request.body()).jobs(), null));
             request.answer(200, Json.bytes(out -> {
                 out.writeStartObject();
                 out.writeEndObject();
--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -23,22 +23,22 @@
 
     private final UsersActor owner;
     private final Settings settings;
-    private final StoreClient state;
-    private final JobCache directory;
-    private final JobCacheRefresher rows;
-    private LeaderActor own;
+    private final StoreClient store;
+    private final JobCache jobCache;
+    private final JobCacheRefresher refresher;
+    private LeaderActor leaderActor;
 
     Cancellations(UsersActor owner, Settings settings, StoreClient state, JobCache directory, JobCacheRefresher rows) {
         this.owner = owner;
         this.settings = settings;
-        this.state = state;
-        this.directory = directory;
-        this.rows = rows;
+        this.store = state;
+        this.jobCache = directory;
+        this.refresher = rows;
     }
 
     /** Who tells the leader what is confirmed here. */
-    void belongsTo(LeaderActor told) {
-        own = told;
+    void attachLeaderActor(LeaderActor told) {
+        leaderActor = told;
     }
 
     void cancel(Request request, String id, int tries) {
@@ -46,53 +46,53 @@
             request.answer(404, UsersActor.NO_SUCH_JOB);
             return;
         }
-        JobCache.Entry entry = directory.get(id);
-        if (entry == null || (tries > 0 && !directory.state(id).isFinal())) {
-            rows.whenFresh(
+        JobCache.Entry entry = jobCache.get(id);
+        if (entry == null || (tries > 0 && !jobCache.state(id).isFinal())) {
+            refresher.afterRefresh(
                     request,
                     () -> owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
                         @Override
-                        public void inCopy() {
-                            tryCancel(request, id, tries);
+                        public void foundInCache() {
+                            writeCancellation(request, id, tries);
                         }
 
                         @Override
-                        public void nowhere() {
+                        public void notFound() {
                             request.answer(404, UsersActor.NO_SUCH_JOB);
                         }
                     }));
         } else {
-            tryCancel(request, id, tries);
+            writeCancellation(request, id, tries);
         }
     }
 
-    private void tryCancel(Request request, String id, int tries) {
-        JobCache.Entry entry = directory.get(id);
-        if (directory.state(id).isFinal()) {
+    private void writeCancellation(Request request, String id, int tries) {
+        JobCache.Entry entry = jobCache.get(id);
+        if (jobCache.state(id).isFinal()) {
             request.answer(200, JobCodec.accepted(id, owner.standing(entry)));
             return;
         }
-        StoredRecord.JobRecord row = cancelledRow(entry);
+        StoredRecord.JobRecord row = cancelledRecord(entry);
         Transaction put = new Transaction(
                 List.of(new Transaction.Condition(StoreKeys.job(id), entry.version())),
                 List.of(new Transaction.Write(StoreKeys.job(id), row, 0)));
-        state.transaction(put, owner.answer(r -> new UsersActor.Cancelled(r, request, row, id, tries)));
+        store.transaction(put, owner.answer(r -> new UsersActor.CancellationWritten(r, request, row, id, tries)));
     }
 
     /**
      * The description stays: a leader that finds tasks of the job has to know what they take of their team's limit. What was
      * accepted under a larger limit of the state service keeps only that.
      */
-    private StoredRecord.JobRecord cancelledRow(JobCache.Entry entry) {
+    private StoredRecord.JobRecord cancelledRecord(JobCache.Entry entry) {
         StoredRecord.JobRecord open = entry.record();
-        boolean checked = directory.archiveManifest() != null;
+        boolean checked = jobCache.archiveManifest() != null;
         StoredRecord.JobRecord whole = new StoredRecord.JobRecord(
                         JobState.CANCELLED,
                         open.spec().withDependencies(List.of()),
                         open.submittedWall(),
                         open.taskCount())
                 .withCheckedAgainstArchive(checked);
-        return StoreCodec.size(whole) <= settings.maxWritableValueBytes()
+        return StoreCodec.encodedBytes(whole) <= settings.maxWritableValueBytes()
                 ? whole
                 : new StoredRecord.JobRecord(
                                 JobState.CANCELLED,
@@ -102,14 +102,14 @@
                         .withCheckedAgainstArchive(checked);
     }
 
-    void cancelled(UsersActor.Cancelled message) {
+    void cancellationWritten(UsersActor.CancellationWritten message) {
         Reply reply = message.reply();
         String id = message.id();
         if (reply.ok()) {
             try {
                 long version = StoreCodec.revision(reply.body());
-                rows.apply(id, message.row(), version);
-                own.tell(new LeaderActor.Confirmed(new CancellationDigest.Cancelled(id, version)));
+                refresher.apply(id, message.row(), version);
+                leaderActor.tell(new LeaderActor.Confirmed(new CancellationDigest.Cancelled(id, version)));
                 message.request().answer(200, JobCodec.accepted(id, JobCodec.Standing.CANCELLED));
                 return;
             } catch (MalformedException e) {
@@ -119,7 +119,7 @@
         if (reply.status() == 409 && message.tries() < 3) {
             cancel(message.request(), id, message.tries() + 1);
         } else {
-            owner.notWritten(message.request(), reply);
+            owner.answerWriteFailure(message.request(), reply);
         }
     }
 }
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -85,7 +85,7 @@
 
     private void typesKnown(List<MachineType> types, long now) {
         scheduler.machineTypesChanged(types, now);
-        users.tell(new UsersActor.TypesKnown(types));
+        users.tell(new UsersActor.MachineTypesChanged(types));
         if (!types.equals(storedTypes)) {
             storedTypes = types;
             long fencingToken = scheduler.fencingToken();
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -67,8 +67,8 @@
 
     /** Must be called on the loop. */
     public void start() {
-        users.tell(new UsersActor.BelongsTo(leader));
-        users.tell(new UsersActor.Load());
+        users.tell(new UsersActor.AttachLeaderActor(leader));
+        users.tell(new UsersActor.LoadJobs());
         leader.tell(new LeaderActor.LeaseTick());
         leader.tell(new LeaderActor.Tick());
     }
@@ -82,7 +82,7 @@
                 request.answer(405, WRONG_METHOD);
             }
         } else {
-            users.tell(new UsersActor.Ask(request));
+            users.tell(new UsersActor.RequestReceived(request));
         }
     }
 
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -119,7 +119,7 @@
     private void types(Read asked, Reply reply) throws MalformedException {
         if (reply.ok()) {
             List<MachineType> types =
-                    ((StoredRecord.MachineTypes) StoreCodec.item(reply.body()).row()).types();
+                    ((StoredRecord.MachineTypes) StoreCodec.item(reply.body()).record()).types();
             leader.tell(new TermMessage.TypesLoaded(fencingToken, types));
         } else if (reply.status() != 404) {
             tellLater(asked, RETRY_MICROS);
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -29,41 +29,41 @@
  */
 final class JobCacheRefresher {
     /** What to do with a question once the copy is fresh. */
-    private record Question(Request request, Runnable fresh) {}
+    private record WaitingRequest(Request request, Runnable continuation) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
-    private static final long DOUBTS_MICROS = Micros.SECOND;
+    private static final long VERIFICATION_RETRY_MICROS = Micros.SECOND;
     /** What one look at what may be archived gives at most. */
-    private static final int MOST_ENDED = 5_000;
+    private static final int MAX_ARCHIVABLE_JOBS = 5_000;
 
-    private static final int MOST_WAITING = 400;
+    private static final int MAX_WAITING_REQUESTS = 400;
 
     private final UsersActor owner;
-    private final StoreClient state;
-    private final ArchiveReader history;
-    private final JobCache directory;
+    private final StoreClient store;
+    private final ArchiveReader archiveReader;
+    private final JobCache jobCache;
     private final long refreshEveryMicros;
-    private final List<Question> arriving = new ArrayList<>();
-    private List<Question> asking = List.of();
-    private final Set<String> doubts = new HashSet<>();
+    private final List<WaitingRequest> nextQuestions = new ArrayList<>();
+    private List<WaitingRequest> inFlightQuestions = List.of();
+    private final Set<String> verificationsInFlight = new HashSet<>();
     /** Is told of the switches, of each read and of cancellations, whether it leads or not. */
-    private LeaderActor own;
+    private LeaderActor leaderActor;
 
-    private LeaderActor leader;
-    private boolean followPending;
-    private long followMicros;
-    private boolean loaded;
-    private boolean refreshing;
-    private boolean refreshTimer;
-    private boolean keepUp;
+    private LeaderActor subscribedLeader;
+    private boolean snapshotPending;
+    private long subscribedMicros;
+    private boolean isLoaded;
+    private boolean refreshInFlight;
+    private boolean refreshScheduled;
+    private boolean refreshRequested;
     private long refreshedMicros;
 
     JobCacheRefresher(
             UsersActor owner, Settings settings, StoreClient state, ArchiveReader history, JobCache directory) {
         this.owner = owner;
-        this.state = state;
-        this.history = history;
-        this.directory = directory;
+        this.store = state;
+        this.archiveReader = history;
+        this.jobCache = directory;
         // All controllers together take about a third of the requests for this.
         this.refreshEveryMicros = Math.max(
                 50 * Micros.MILLISECOND,
@@ -71,65 +71,65 @@
     }
 
     /** Whether the copy has been read whole. */
-    boolean loaded() {
-        return loaded;
+    boolean isLoaded() {
+        return isLoaded;
     }
 
-    void belongsTo(LeaderActor told) {
-        own = told;
+    void attachLeaderActor(LeaderActor told) {
+        leaderActor = told;
     }
 
     /** The leader on this controller wants every change from now on. What the copy knows as cancelled may be stopped at once. */
-    void follow(LeaderActor newLeader) {
-        leader = newLeader;
-        followPending = true;
-        followMicros = owner.now();
-        List<String> cancelled = directory.openAndCancelled().stream()
+    void subscribeLeader(LeaderActor newLeader) {
+        subscribedLeader = newLeader;
+        snapshotPending = true;
+        subscribedMicros = owner.now();
+        List<String> cancelled = jobCache.openAndCancelled().stream()
                 .filter(job -> job.state() == JobState.CANCELLED)
                 .map(JobCache.View::id)
                 .toList();
-        leader.tell(new LeaderActor.CancelledKnown(cancelled));
+        subscribedLeader.tell(new LeaderActor.CancelledKnown(cancelled));
         refresh();
     }
 
     /** Jobs that a sibling knows as cancelled; {@code then} is told to the leader's actor after what follows from them. */
-    void takeIn(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then) {
-        jobs.forEach(job -> changed(directory.markCancelled(job.job(), job.version())));
+    void cancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then) {
+        jobs.forEach(job -> changed(jobCache.markCancelled(job.job(), job.version())));
         if (then != null) {
-            own.tell(then);
+            leaderActor.tell(then);
         }
     }
 
-    void unfollow() {
-        leader = null;
+    void unsubscribeLeader() {
+        subscribedLeader = null;
     }
 
     /** A standby on this controller wants the copy fresh though nobody asks. */
-    void keepUp() {
-        keepUp = true;
+    void refreshRequested() {
+        refreshRequested = true;
         refresh();
     }
 
     void refreshDue() {
-        refreshTimer = false;
+        refreshScheduled = false;
         refresh();
     }
 
     void readPage(String after) {
-        state.list(StoreKeys.JOBS, after, owner.answer(r -> new UsersActor.PageRead(r, after)));
+        store.list(StoreKeys.JOBS, after, owner.answer(r -> new UsersActor.JobPageRead(r, after)));
     }
 
-    void pageRead(UsersActor.PageRead message) {
+    void pageRead(UsersActor.JobPageRead message) {
         Reply reply = message.reply();
         if (!reply.ok()) {
             // The same page: with as many rows as use up the rate, a read that began anew would never end.
-            owner.tellLater(new UsersActor.PageDue(message.after()), 300 * Micros.MILLISECOND);
+            owner.tellLater(new UsersActor.JobPageDue(message.after()), 300 * Micros.MILLISECOND);
             return;
         }
         try {
             StoreCodec.Items page = StoreCodec.page(reply.body());
             if (message.after() == null) {
-                directory.restartAt(page.revision());
+                jobCache.beginFullRead(page.revision());
             }
             String last = null;
             for (StoreCodec.Item item : page.items()) {
@@ -139,76 +139,78 @@
             if (page.more()) {
                 readPage(last);
             } else {
-                loaded = true;
-                directory.allRead();
-                settleDoubts();
-                LOG.info("job rows loaded, {} open", directory.open().size());
+                isLoaded = true;
+                jobCache.finishFullRead();
+                verifyRecords();
+                LOG.info("job rows loaded, {} open", jobCache.openJobs().size());
                 refresh();
             }
         } catch (MalformedException e) {
             LOG.error("job rows: {}", e.getMessage());
-            owner.tellLater(new UsersActor.Load(), Micros.SECOND);
+            owner.tellLater(new UsersActor.LoadJobs(), Micros.SECOND);
         }
     }
 
     private void apply(StoreCodec.Item item) {
         String name = item.key().substring(StoreKeys.JOBS.length());
-        if (item.row() == null) {
+        if (item.record() == null) {
             if (name.indexOf('/') < 0) {
-                directory.removed(name, item.version());
-                owner.over(name);
+                jobCache.remove(name, item.version());
+                owner.forgetProgress(name);
             }
-        } else if (item.row() instanceof StoredRecord.ArchiveManifest manifest) {
-            historyKnown(item.version(), manifest);
-        } else if (item.row() instanceof StoredRecord.FeatureStages features) {
-            own.tell(new LeaderActor.SwitchesSeen(item.version(), features));
-        } else if (item.row() instanceof StoredRecord.JobRecord row) {
+        } else if (item.record() instanceof StoredRecord.ArchiveManifest manifest) {
+            archiveManifestRead(item.version(), manifest);
+        } else if (item.record() instanceof StoredRecord.FeatureStages features) {
+            leaderActor.tell(new LeaderActor.SwitchesSeen(item.version(), features));
+        } else if (item.record() instanceof StoredRecord.JobRecord row) {
             apply(name, row, item.version());
-        } else if (item.row() instanceof StoredRecord.FurtherDependencies needs) {
+        } else if (item.record() instanceof StoredRecord.FurtherDependencies needs) {
             int slash = name.indexOf('/');
-            changed(directory.applyDependencies(
+            changed(jobCache.applyDependencies(
                     name.substring(0, slash),
                     Integer.parseInt(name.substring(name.lastIndexOf('/') + 1)),
                     needs.names()));
-        } else if (item.row() instanceof StoredRecord.Layout layout) {
-            layoutKnown(item.version(), layout);
+        } else if (item.record() instanceof StoredRecord.Layout layout) {
+            layoutMarked(item.version(), layout);
         }
     }
 
-    private void historyKnown(long version, StoredRecord.ArchiveManifest manifest) {
-        directory.archiveManifestRead(version, manifest);
-        history.tell(new ArchiveReader.Manifest(manifest));
-        if (leader != null) {
-            leader.tell(new LeaderActor.HistorySeen(version, manifest));
+    private void archiveManifestRead(long version, StoredRecord.ArchiveManifest manifest) {
+        jobCache.archiveManifestRead(version, manifest);
+        archiveReader.tell(new ArchiveReader.ManifestChanged(manifest));
+        if (subscribedLeader != null) {
+            subscribedLeader.tell(new LeaderActor.HistorySeen(version, manifest));
         }
     }
 
-    void layoutKnown(long version, StoredRecord.Layout layout) {
-        directory.layoutMarked(version, layout);
-        if (leader != null) {
-            leader.tell(new LeaderActor.LayoutSeen(version, layout));
+    void layoutMarked(long version, StoredRecord.Layout layout) {
+        jobCache.layoutMarked(version, layout);
+        if (subscribedLeader != null) {
+            subscribedLeader.tell(new LeaderActor.LayoutSeen(version, layout));
         }
     }
 
     void apply(String id, StoredRecord.JobRecord row, long version) {
-        changed(directory.apply(id, row, version));
+        changed(jobCache.apply(id, row, version));
     }
 
     private void changed(List<String> ids) {
         for (String changed : ids) {
-            if (directory.state(changed).isFinal()) {
-                owner.over(changed);
+            if (jobCache.state(changed).isFinal()) {
+                owner.forgetProgress(changed);
             }
-            if (leader != null && !followPending) {
-                leader.tell(new LeaderActor.JobSeen(directory.view(changed)));
-            } else if (leader != null && directory.state(changed) == JobState.CANCELLED) {
-                leader.tell(new LeaderActor.CancelledKnown(List.of(changed)));
+            if (subscribedLeader != null && !snapshotPending) {
+                subscribedLeader.tell(new LeaderActor.JobSeen(jobCache.view(changed)));
+            } else if (subscribedLeader != null && jobCache.state(changed) == JobState.CANCELLED) {
+                subscribedLeader.tell(new LeaderActor.CancelledKnown(List.of(changed)));
             }
         }
     }
 
     void refresh() {
-        if (!loaded || refreshing || (arriving.isEmpty() && leader == null && !keepUp)) {
+        if (!isLoaded
+                || refreshInFlight
+                || (nextQuestions.isEmpty() && subscribedLeader == null && !refreshRequested)) {
             return;
         }
         long now = owner.now();
@@ -216,25 +218,25 @@
         // A new leader's first read does not wait. Its next ones do: in an outage that began with its claim it asked
         // again as fast as it was
         // answered, and above the rate, where the answer is its own, without end.
-        if (wait > 0 && !(followPending && refreshedMicros < followMicros)) {
-            if (!refreshTimer) {
-                refreshTimer = true;
+        if (wait > 0 && !(snapshotPending && refreshedMicros < subscribedMicros)) {
+            if (!refreshScheduled) {
+                refreshScheduled = true;
                 owner.tellLater(new UsersActor.RefreshDue(), wait);
             }
             return;
         }
         refreshedMicros = now;
-        refreshing = true;
-        keepUp = false;
-        asking = new ArrayList<>(arriving);
-        arriving.clear();
-        state.changes(StoreKeys.JOBS, directory.revision(), owner.answer(r -> new UsersActor.ChangesRead(r, now)));
+        refreshInFlight = true;
+        refreshRequested = false;
+        inFlightQuestions = new ArrayList<>(nextQuestions);
+        nextQuestions.clear();
+        store.changes(StoreKeys.JOBS, jobCache.revision(), owner.answer(r -> new UsersActor.ChangesRead(r, now)));
     }
 
     void changesRead(UsersActor.ChangesRead message) {
-        refreshing = false;
-        List<Question> asked = asking;
-        asking = List.of();
+        refreshInFlight = false;
+        List<WaitingRequest> asked = inFlightQuestions;
+        inFlightQuestions = List.of();
         Reply reply = message.reply();
         boolean fresh = false;
         if (reply.ok()) {
@@ -244,90 +246,93 @@
                 changes.items().stream()
                         .sorted(Comparator.comparingLong(StoreCodec.Item::version))
                         .forEach(this::apply);
-                directory.advanceTo(changes.revision());
-                settleDoubts();
+                jobCache.advanceTo(changes.revision());
+                verifyRecords();
                 fresh = true;
             } catch (MalformedException e) {
                 LOG.error("changes of jobs: {}", e.getMessage());
             }
         } else if (reply.status() == 410) {
-            loaded = false;
-            owner.tell(new UsersActor.Load());
+            isLoaded = false;
+            owner.tell(new UsersActor.LoadJobs());
         }
         if (fresh) {
-            if (leader != null) {
+            if (subscribedLeader != null) {
                 // A read that was under way at the claim may lack a job whose ledger the leader before wrote after it:
                 // with the job
                 // unknown its ledger was taken for a left-over, and its tasks were started once more.
-                if (followPending && message.askedMicros() >= followMicros) {
-                    followPending = false;
-                    if (directory.layoutVersion() > 0) {
-                        leader.tell(new LeaderActor.LayoutSeen(directory.layoutVersion(), directory.layout()));
+                if (snapshotPending && message.askedMicros() >= subscribedMicros) {
+                    snapshotPending = false;
+                    if (jobCache.layoutVersion() > 0) {
+                        subscribedLeader.tell(new LeaderActor.LayoutSeen(jobCache.layoutVersion(), jobCache.layout()));
                     }
-                    if (directory.archiveManifest() != null) {
-                        leader.tell(
-                                new LeaderActor.HistorySeen(directory.archiveVersion(), directory.archiveManifest()));
+                    if (jobCache.archiveManifest() != null) {
+                        subscribedLeader.tell(
+                                new LeaderActor.HistorySeen(jobCache.archiveVersion(), jobCache.archiveManifest()));
                     }
-                    leader.tell(new LeaderActor.JobsSeen(directory.openAndCancelled()));
+                    subscribedLeader.tell(new LeaderActor.JobsSeen(jobCache.openAndCancelled()));
                 }
             }
-            own.tell(new LeaderActor.StateFresh(message.askedMicros(), directory.revision()));
-            asked.forEach(question -> question.fresh().run());
+            leaderActor.tell(new LeaderActor.StateFresh(message.askedMicros(), jobCache.revision()));
+            asked.forEach(question -> question.continuation().run());
         } else {
-            asked.forEach(question -> owner.unavailable(question.request()));
+            asked.forEach(question -> owner.answerUnavailable(question.request()));
         }
         refresh();
     }
 
-    void whenFresh(Request request, Runnable then) {
-        if (arriving.size() >= MOST_WAITING) {
+    void afterRefresh(Request request, Runnable then) {
+        if (nextQuestions.size() >= MAX_WAITING_REQUESTS) {
             request.answer(429, UsersActor.BUSY, 2);
             return;
         }
-        arriving.add(new Question(request, then));
+        nextQuestions.add(new WaitingRequest(request, then));
         refresh();
     }
 
     /** Rows of a former version may be of jobs that were archived long ago: nothing of them is told or started before that is known. */
-    void settleDoubts() {
-        for (JobCache.Entry entry : directory.unverified()) {
-            if (doubts.add(entry.id())) {
-                history.tell(new ArchiveReader.Find(
-                        entry.id(), found -> owner.tell(new UsersActor.DoubtSettled(entry.id(), found))));
+    void verifyRecords() {
+        for (JobCache.Entry entry : jobCache.unverified()) {
+            if (verificationsInFlight.add(entry.id())) {
+                archiveReader.tell(new ArchiveReader.FindJob(
+                        entry.id(), found -> owner.tell(new UsersActor.RecordVerified(entry.id(), found))));
             }
         }
     }
 
-    void doubtSettled(UsersActor.DoubtSettled message) {
-        doubts.remove(message.id());
+    void recordVerified(UsersActor.RecordVerified message) {
+        verificationsInFlight.remove(message.id());
         if (message.found() instanceof ArchiveReader.Archived) {
             LOG.warn("{} has a row again although it is archived: a former version wrote it; it will go", message.id());
-            directory.markStale(message.id());
-        } else if (message.found() instanceof ArchiveReader.Nowhere) {
-            changed(directory.markVerified(message.id()));
+            jobCache.markStale(message.id());
+        } else if (message.found() instanceof ArchiveReader.NotArchived) {
+            changed(jobCache.markVerified(message.id()));
         } else {
-            owner.tellLater(new UsersActor.DoubtsDue(), DOUBTS_MICROS);
+            owner.tellLater(new UsersActor.VerificationDue(), VERIFICATION_RETRY_MICROS);
         }
     }
 
-    void findEnded(long fencingToken) {
-        if (leader == null
-                || !loaded
-                || (directory.ended().isEmpty() && directory.staleRecords().isEmpty())) {
+    void findArchivableJobs(long fencingToken) {
+        if (subscribedLeader == null
+                || !isLoaded
+                || (jobCache.endedJobs().isEmpty() && jobCache.staleRecords().isEmpty())) {
             return;
         }
-        Set<String> needed = directory.dependencies();
+        Set<String> needed = jobCache.dependencies();
         List<Archiver.Ended> result = new ArrayList<>();
-        for (JobCache.Entry entry : directory.ended()) {
-            if (result.size() >= MOST_ENDED) {
+        for (JobCache.Entry entry : jobCache.endedJobs()) {
+            if (result.size() >= MAX_ARCHIVABLE_JOBS) {
                 break;
             }
             if (!needed.contains(entry.id())) {
                 result.add(new Archiver.Ended(
-                        entry.id(), entry.version(), JobOutcome.of(entry.record()), directory.furtherRows(entry.id())));
+                        entry.id(),
+                        entry.version(),
+                        JobOutcome.of(entry.record()),
+                        jobCache.furtherDependencyRecords(entry.id())));
             }
         }
-        directory.staleRecords().forEach((id, version) -> result.add(new Archiver.Ended(id, version, null, 0)));
-        leader.tell(new TermMessage.EndedFound(fencingToken, result, directory.archiveVersion()));
+        jobCache.staleRecords().forEach((id, version) -> result.add(new Archiver.Ended(id, version, null, 0)));
+        subscribedLeader.tell(new TermMessage.EndedFound(fencingToken, result, jobCache.archiveVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/JobLookup.java
+++ b/src/main/java/io/micatide/controller/JobLookup.java
@@ -5,10 +5,10 @@
 /** Where a job is. */
 interface JobLookup {
     /** The copy holds it. */
-    void inCopy();
+    void foundInCache();
 
-    void archived(JobOutcome outcome);
+    void foundInArchive(JobOutcome outcome);
 
     /** It was never accepted, as far as the copy is fresh. */
-    void nowhere();
+    void notFound();
 }
--- a/src/main/java/io/micatide/controller/KnownJobReply.java
+++ b/src/main/java/io/micatide/controller/KnownJobReply.java
@@ -17,13 +17,13 @@
     }
 
     @Override
-    public void inCopy() {
+    public void foundInCache() {
         request.answer(
-                200, JobCodec.accepted(id, owner.standing(owner.directory().get(id))));
+                200, JobCodec.accepted(id, owner.standing(owner.jobCache().get(id))));
     }
 
     @Override
-    public void archived(JobOutcome outcome) {
+    public void foundInArchive(JobOutcome outcome) {
         request.answer(200, JobCodec.accepted(id, owner.standing(outcome)));
     }
 }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -389,7 +389,7 @@
         if (siblings.newsDue(now)) {
             List<JobProgress> jobs = term.progress();
             if (term.loaded()) {
-                users.tell(new UsersActor.Progress(true, jobs));
+                users.tell(new UsersActor.ProgressReported(true, jobs));
             }
             siblings.news(newsOf(now), jobs, now);
             if (term.loaded()) {
@@ -475,7 +475,7 @@
                 state.reach().peerServed(now);
             }
             if (term == null && news.fencingToken() == leadership.highestFencingToken()) {
-                users.tell(new UsersActor.Progress(news.first(), news.jobs()));
+                users.tell(new UsersActor.ProgressReported(news.first(), news.jobs()));
                 following.told(news, now);
             }
             testimonies.answer(request, ownAnswer(now), news);
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -100,7 +100,7 @@
                 rowRead(m.reply(), now);
             } else if (message instanceof LeaderActor.Granted m) {
                 if (m.reply().ok()) {
-                    leadership.leaseGranted(StoreCodec.granted(m.reply().body()), m.askedMicros());
+                    leadership.leaseGranted(StoreCodec.grantedLeaseId(m.reply().body()), m.askedMicros());
                 } else {
                     leadership.requestFailed(now, PAUSE_MICROS);
                 }
@@ -121,8 +121,9 @@
         if (reply.ok()) {
             StoreCodec.Item item = StoreCodec.item(reply.body());
             watchFrom = Math.max(watchFrom, item.version());
-            String rowOwner = ((StoredRecord.Leader) item.row()).owner();
-            formerLease = label.equals(rowOwner) && !leadership.isLeader() ? StoreCodec.hold(reply.body()) : 0;
+            String rowOwner = ((StoredRecord.Leader) item.record()).owner();
+            formerLease =
+                    label.equals(rowOwner) && !leadership.isLeader() ? StoreCodec.attachedLeaseId(reply.body()) : 0;
             leadership.rowRead(rowOwner, item.version());
         } else if (reply.status() == 404) {
             leadership.rowRead(null, 0);
@@ -149,7 +150,7 @@
             leadership.leadershipAcquired(fencingToken);
             owner.begin(fencingToken, now);
         } else if (reply.status() == 409) {
-            if (StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
+            if (StoreCodec.failedKeys(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
                 rollout.newerThere(rollout.switches().version() + 1);
             }
             leadership.claimRejected();
@@ -169,8 +170,8 @@
             for (StoreCodec.Item item : changes.items()) {
                 if (item.version() >= leadership.rowVersion()) {
                     leadership.rowObserved(
-                            item.row() instanceof StoredRecord.Leader row ? row.owner() : null,
-                            item.row() == null ? 0 : item.version());
+                            item.record() instanceof StoredRecord.Leader row ? row.owner() : null,
+                            item.record() == null ? 0 : item.version());
                 }
             }
             watchFrom = Math.max(watchFrom, changes.revision());
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -72,13 +72,13 @@
     }
 
     void begin() {
-        users.tell(new UsersActor.Follow(owner));
+        users.tell(new UsersActor.SubscribeLeader(owner));
         takeOver.tell(new FailoverLoader.Begin());
     }
 
     /** Whether the outcome of a write is still to come. */
     boolean writing() {
-        return rounds.writing();
+        return rounds.isWriteInFlight();
     }
 
     /** The latest revision that this term is known to have written, its claim included. */
@@ -88,7 +88,7 @@
 
     void end() {
         archiving.end();
-        users.tell(new UsersActor.Unfollow());
+        users.tell(new UsersActor.UnsubscribeLeader());
     }
 
     long fencingToken() {
@@ -156,15 +156,15 @@
 
     void receive(TermMessage message) {
         if (message instanceof TermMessage.RoundAnswered m) {
-            rounds.answered(m);
+            rounds.writeAnswered(m);
         } else if (message instanceof TermMessage.KeyRead m) {
-            rounds.keyRead(m);
+            rounds.unresolvedKeyRead(m);
         } else if (message instanceof TermMessage.ReadBackDue) {
-            rounds.readBack();
+            rounds.readNextUnresolvedKey();
         } else if (message instanceof TermMessage.RefusedRead m) {
-            rounds.refusedRead(m);
+            rounds.conflictedKeyRead(m);
         } else if (message instanceof TermMessage.RefusedDue m) {
-            rounds.readRefused(m.key());
+            rounds.readConflictedKey(m.key());
         } else if (message instanceof TermMessage.CloudAnswered m) {
             cloud.answered(m);
         } else if (message instanceof TermMessage.ListRead m) {
@@ -228,14 +228,14 @@
     private void rowsLoaded(List<StoreCodec.Item> rows) {
         long now = owner.now();
         for (StoreCodec.Item item : rows) {
-            if (item.row() instanceof StoredRecord.Ledger ledger) {
+            if (item.record() instanceof StoredRecord.Ledger ledger) {
                 scheduler.ledgerLoaded(item.key(), ledger, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.Provisioning booking) {
+            } else if (item.record() instanceof StoredRecord.Provisioning booking) {
                 scheduler.provisioningRequestLoaded(
                         item.key().substring(StoreKeys.PROVISIONING_REQUESTS.length()), booking, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.MachinesToDelete returned) {
+            } else if (item.record() instanceof StoredRecord.MachinesToDelete returned) {
                 scheduler.machineDeletionLoaded(item.key(), returned, item.version(), now);
-            } else if (item.row() instanceof StoredRecord.LearnedState learned) {
+            } else if (item.record() instanceof StoredRecord.LearnedState learned) {
                 learning.found(item.key(), learned);
                 scheduler.hintsReceived(learned.hints(), true, now);
             }
@@ -247,7 +247,8 @@
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                scheduler.provisioningFenceRead(item.version(), ((StoredRecord.ProvisioningFence) item.row()).number());
+                scheduler.provisioningFenceRead(
+                        item.version(), ((StoredRecord.ProvisioningFence) item.record()).number());
             } else if (reply.status() == 404) {
                 scheduler.provisioningFenceRead(0, 0);
             }
@@ -273,7 +274,7 @@
     void tick(long now) {
         greeter.next(now);
         scheduler.tick(now);
-        rounds.next(now);
+        rounds.writeNextBatch(now);
         steps.tick(now);
         archiving.tick(now);
         learning.tick(now);
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -80,7 +80,7 @@
         int bytes = FRAME_BYTES;
         for (Hint hint : lasting) {
             if (key.equals(KEYS.get(hint instanceof Hint.JobClassHint ? 0 : hint instanceof Hint.JobHint ? 1 : 2))) {
-                bytes += StoreCodec.size(new StoredRecord.LearnedState(List.of(hint)));
+                bytes += StoreCodec.encodedBytes(new StoredRecord.LearnedState(List.of(hint)));
                 if (bytes > settings.maxWritableValueBytes()) {
                     break;
                 }
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -22,23 +22,23 @@
 
     private final LeaderActor owner;
     private final Scheduler scheduler;
-    private final StoreClient state;
+    private final StoreClient store;
     private final UsersActor users;
-    private PendingReads unread = new PendingReads(List.of());
-    private boolean rateRefused;
-    private boolean writing;
+    private PendingReads unresolvedKeys = new PendingReads(List.of());
+    private boolean rateLimitLogged;
+    private boolean isWriteInFlight;
     private long lastRevision;
 
     LedgerCommitter(LeaderActor owner, Scheduler scheduler, StoreClient state, UsersActor users) {
         this.owner = owner;
         this.scheduler = scheduler;
-        this.state = state;
+        this.store = state;
         this.users = users;
     }
 
     /** Whether the outcome of a round is still to come. */
-    boolean writing() {
-        return writing;
+    boolean isWriteInFlight() {
+        return isWriteInFlight;
     }
 
     /** Revision of the last round that was confirmed, 0 before. */
@@ -46,88 +46,88 @@
         return lastRevision;
     }
 
-    void next(long now) {
+    void writeNextBatch(long now) {
         Transaction round = scheduler.nextWriteBatch(now, owner.wall());
         if (round != null) {
             long fencingToken = scheduler.fencingToken();
-            writing = true;
-            state.transaction(round, owner.answer(r -> new TermMessage.RoundAnswered(r, fencingToken, round)));
+            isWriteInFlight = true;
+            store.transaction(round, owner.answer(r -> new TermMessage.RoundAnswered(r, fencingToken, round)));
         }
     }
 
-    void answered(TermMessage.RoundAnswered message) {
+    void writeAnswered(TermMessage.RoundAnswered message) {
         long now = owner.now();
         Reply reply = message.reply();
-        writing = false;
+        isWriteInFlight = false;
         try {
             if (reply.ok()) {
                 lastRevision = StoreCodec.revision(reply.body());
                 scheduler.writeConfirmed(lastRevision, now);
-                tellEnded();
+                publishEndedJobs();
                 if (!owner.ending()) {
-                    next(now);
+                    writeNextBatch(now);
                 }
                 return;
             }
             if (reply.notExecuted()) {
-                if (reply.status() == 429 && !rateRefused) {
-                    rateRefused = true;
+                if (reply.status() == 429 && !rateLimitLogged) {
+                    rateLimitLogged = true;
                     LOG.info("a round was above the rate of the state service: tried again");
                 }
                 scheduler.writeNotExecuted(now);
                 return;
             }
             if (reply.status() == 400) {
-                logRefused(reply, message.round());
+                logRejectedTransaction(reply, message.round());
                 scheduler.writeRejected(now);
                 return;
             }
             if (reply.status() == 409) {
-                refused(StoreCodec.failed(reply.body()), now);
+                writeConflicted(StoreCodec.failedKeys(reply.body()), now);
                 return;
             }
         } catch (MalformedException e) {
             LOG.error("transaction answer: {}", e.getMessage());
         }
         LOG.warn("round of unknown outcome ({}): reading back", reply.status());
-        unread = new PendingReads(scheduler.unresolvedWriteKeys());
-        readBack();
+        unresolvedKeys = new PendingReads(scheduler.unresolvedWriteKeys());
+        readNextUnresolvedKey();
     }
 
     /** Most likely a user has cancelled a job meanwhile: the rest of the round goes out again at once. */
-    private void refused(List<String> failed, long now) {
+    private void writeConflicted(List<String> failed, long now) {
         if (failed.contains(StoreKeys.LEADER)) {
             LOG.info("a write was refused: fenced");
             owner.fenced();
             return;
         }
         LOG.debug("round refused for {}", failed);
-        scheduler.writeConflicted(failed, now).forEach(this::readRefused);
+        scheduler.writeConflicted(failed, now).forEach(this::readConflictedKey);
         if (!owner.ending()) {
-            next(now);
+            writeNextBatch(now);
         }
     }
 
-    void readRefused(String key) {
+    void readConflictedKey(String key) {
         long fencingToken = scheduler.fencingToken();
-        state.read(key, owner.answer(r -> new TermMessage.RefusedRead(r, fencingToken, key)));
+        store.read(key, owner.answer(r -> new TermMessage.RefusedRead(r, fencingToken, key)));
     }
 
-    void refusedRead(TermMessage.RefusedRead message) {
-        if (takeIn(message.key(), message.reply())) {
+    void conflictedKeyRead(TermMessage.RefusedRead message) {
+        if (applyReadBack(message.key(), message.reply())) {
             scheduler.keyReadBack(message.key(), owner.now());
-            tellEnded();
+            publishEndedJobs();
         } else {
             owner.tellLater(new TermMessage.RefusedDue(message.fencingToken(), message.key()), RETRY_MICROS);
         }
     }
 
-    private void logRefused(Reply reply, Transaction round) {
+    private void logRejectedTransaction(Reply reply, Transaction round) {
         StringBuilder text = new StringBuilder();
         for (Transaction.Write write : round.writes()) {
             text.append(' ')
                     .append(write.key())
-                    .append(write.record() == null ? " deleted" : " " + StoreCodec.size(write.record()));
+                    .append(write.record() == null ? " deleted" : " " + StoreCodec.encodedBytes(write.record()));
         }
         LOG.warn(
                 "the state service takes no such transaction: {}; {} conditions, {} changes, bytes of each:{}",
@@ -138,46 +138,47 @@
     }
 
     /** Jobs may wait for what a round has ended: they need not wait for the next read of the changes as well. */
-    private void tellEnded() {
+    private void publishEndedJobs() {
         scheduler
                 .takeEndedJobs()
-                .forEach(each -> users.tell(new UsersActor.Stored(each.id(), each.record(), each.version())));
+                .forEach(each -> users.tell(new UsersActor.JobEnded(each.id(), each.record(), each.version())));
     }
 
-    void readBack() {
-        if (unread.isFinished()) {
+    void readNextUnresolvedKey() {
+        if (unresolvedKeys.isFinished()) {
             scheduler.writeResolved(owner.now());
-            tellEnded();
+            publishEndedJobs();
             return;
         }
-        String key = unread.next();
+        String key = unresolvedKeys.next();
         if (key != null) {
             long fencingToken = scheduler.fencingToken();
-            state.read(key, owner.answer(r -> new TermMessage.KeyRead(r, fencingToken, key)));
+            store.read(key, owner.answer(r -> new TermMessage.KeyRead(r, fencingToken, key)));
         }
     }
 
-    void keyRead(TermMessage.KeyRead message) {
-        if (takeIn(message.key(), message.reply())) {
-            unread.keyRead();
-            readBack();
+    void unresolvedKeyRead(TermMessage.KeyRead message) {
+        if (applyReadBack(message.key(), message.reply())) {
+            unresolvedKeys.keyRead();
+            readNextUnresolvedKey();
         } else {
-            unread.keyFailed();
+            unresolvedKeys.keyFailed();
             owner.tellLater(new TermMessage.ReadBackDue(message.fencingToken()), RETRY_MICROS);
         }
     }
 
     /** What a key holds now; false if the state service did not say. */
-    private boolean takeIn(String key, Reply reply) {
+    private boolean applyReadBack(String key, Reply reply) {
         try {
             if (Scheduler.isCloudRecord(key) && (reply.ok() || reply.status() == 404)) {
                 StoreCodec.Item item = reply.ok() ? StoreCodec.item(reply.body()) : null;
-                scheduler.cloudRecordReadBack(key, item == null ? null : item.row(), item == null ? 0 : item.version());
+                scheduler.cloudRecordReadBack(
+                        key, item == null ? null : item.record(), item == null ? 0 : item.version());
             } else if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                if (item.row() instanceof StoredRecord.Ledger ledger) {
+                if (item.record() instanceof StoredRecord.Ledger ledger) {
                     scheduler.ledgerReadBack(item.key(), ledger, item.version());
-                } else if (item.row() instanceof StoredRecord.JobRecord row) {
+                } else if (item.record() instanceof StoredRecord.JobRecord row) {
                     scheduler.jobReadBack(
                             item.key().substring(StoreKeys.JOBS.length()), row, item.version(), owner.now());
                 }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -121,7 +121,7 @@
         ControllerRegistry roster = new ControllerRegistry(labels);
         try {
             for (StoreCodec.Item item : StoreCodec.page(reply.body()).items()) {
-                roster.add(item.key(), item.row(), item.version());
+                roster.add(item.key(), item.record(), item.version());
             }
         } catch (MalformedException e) {
             LOG.error("registrations: {}", e.getMessage());
@@ -182,7 +182,7 @@
         try {
             if (message.reply().ok()) {
                 LOG.info("all {} controllers read layout {}: marked", labels.size(), Settings.LAYOUT_NEEDS);
-                users.tell(new UsersActor.LayoutKnown(
+                users.tell(new UsersActor.LayoutMarked(
                         StoreCodec.revision(message.reply().body()), message.layout()));
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -94,7 +94,7 @@
             LOG.info("serves again: all that the deployment uses is known");
         }
         blocked = !unknown.isEmpty();
-        users.tell(new UsersActor.Blocked(blocked));
+        users.tell(new UsersActor.IncompatibleStoreChanged(blocked));
         owner.switchesChanged();
     }
 
@@ -126,7 +126,7 @@
         try {
             if (reply.ok()) {
                 StoreCodec.Item item = StoreCodec.item(reply.body());
-                seen(item.version(), (StoredRecord.FeatureStages) item.row());
+                seen(item.version(), (StoredRecord.FeatureStages) item.record());
                 heardOf = Math.min(heardOf, item.version());
                 return;
             }
@@ -164,7 +164,7 @@
                 registration.registered(StoreCodec.revision(reply.body()));
                 return;
             }
-            if (reply.status() == 409 && StoreCodec.failed(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
+            if (reply.status() == 409 && StoreCodec.failedKeys(reply.body()).contains(StoreKeys.FEATURE_STAGES)) {
                 newerThere(switches.version() + 1);
             }
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -180,7 +180,7 @@
                 state.changes(copy.prefix(), copy.revision(), answer(r -> new ChangesRead(r, of, copy, now)));
             }
         }
-        users.tell(new UsersActor.KeepUp());
+        users.tell(new UsersActor.RefreshRequested());
         if (now - saidMicros >= SAID_MICROS) {
             saidMicros = now;
             log.info(
@@ -227,7 +227,7 @@
 
     private static List<KeyspaceReplica.Entry> entries(StoreCodec.Items items) {
         List<KeyspaceReplica.Entry> result = new ArrayList<>(items.items().size());
-        items.items().forEach(item -> result.add(new KeyspaceReplica.Entry(item.key(), item.row(), item.version())));
+        items.items().forEach(item -> result.add(new KeyspaceReplica.Entry(item.key(), item.record(), item.version())));
         return result;
     }
 
@@ -345,7 +345,7 @@
             request.answer(409, NOT_WARM);
             return;
         }
-        users.tell(new UsersActor.KeepUp());
+        users.tell(new UsersActor.RefreshRequested());
         KeyspaceReplica ledgers = copies.get(0);
         long of = life;
         state.changes(
--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -30,13 +30,13 @@
     /**
      * A submission of a job that was neither in the copy nor in the archive.
      *
-     * @param historyVersion the manifest by which it was not archived, 0 for none
-     * @param tries how often it was refused for a change of the archive or of the mark
+     * @param archiveVersion the manifest by which it was not archived, 0 for none
+     * @param conflicts how often it was refused for a change of the archive or of the mark
      */
-    record Submission(Request request, JobSpec spec, long historyVersion, int tries) {}
+    record Submission(Request request, JobSpec spec, long archiveVersion, int conflicts) {}
 
     /** A submission whose needs are looked up in the archive, one after the other. */
-    record Needs(Submission submission, List<String> left, Map<String, JobOutcome> archived) {}
+    record DependencyLookup(Submission submission, List<String> remaining, Map<String, JobOutcome> archived) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
     private static final byte[] UPGRADING =
@@ -45,10 +45,10 @@
 
     private final UsersActor owner;
     private final Settings settings;
-    private final StoreClient state;
-    private final ArchiveReader history;
-    private final JobCache directory;
-    private final JobCacheRefresher rows;
+    private final StoreClient store;
+    private final ArchiveReader archiveReader;
+    private final JobCache jobCache;
+    private final JobCacheRefresher refresher;
 
     Submissions(
             UsersActor owner,
@@ -59,10 +59,10 @@
             JobCacheRefresher rows) {
         this.owner = owner;
         this.settings = settings;
-        this.state = state;
-        this.history = history;
-        this.directory = directory;
-        this.rows = rows;
+        this.store = state;
+        this.archiveReader = history;
+        this.jobCache = directory;
+        this.refresher = rows;
     }
 
     void submit(Request request) {
@@ -79,8 +79,8 @@
     }
 
     private void submit(Request request, JsonNode body, String id, int tries) {
-        if (directory.get(id) != null) {
-            answerKnown(request, id);
+        if (jobCache.get(id) != null) {
+            answerExistingJob(request, id);
             return;
         }
         JobSpec spec;
@@ -90,24 +90,26 @@
             refuse(request, id, 400, Json.error(e.field(), e.getMessage()));
             return;
         }
-        if (owner.types().isEmpty()) {
+        if (owner.machineTypes().isEmpty()) {
             refuse(request, id, 503, Json.error(null, "the machine types are not known yet"));
             return;
         }
-        String refusal = JobAdmission.refusal(spec, settings.teams(), settings.zones(), owner.types());
+        String refusal = JobAdmission.refusal(spec, settings.teams(), settings.zones(), owner.machineTypes());
         if (refusal != null) {
             refuse(request, id, 422, Json.error(null, refusal));
             return;
         }
         // The copy may be old, and may get newer while the archive is asked: what is written holds only by the manifest
         // that was asked.
-        long version = directory.archiveVersion();
+        long version = jobCache.archiveVersion();
         owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
             @Override
-            public void nowhere() {
+            public void notFound() {
                 Submission submission = new Submission(request, spec, version, tries);
                 if (spec.dependencies().isEmpty()) {
-                    put(submission, new StoredRecord.JobRecord(JobState.OPEN, spec, owner.wall(), spec.taskCount()));
+                    writeJob(
+                            submission,
+                            new StoredRecord.JobRecord(JobState.OPEN, spec, owner.wall(), spec.taskCount()));
                 } else {
                     submitDependent(submission);
                 }
@@ -122,37 +124,38 @@
     private void submitDependent(Submission submission) {
         Request request = submission.request();
         JobSpec spec = submission.spec();
-        DependencyAdmission admission = DependencyAdmission.of(spec, directory);
+        DependencyAdmission admission = DependencyAdmission.evaluate(spec, jobCache);
         if (admission instanceof DependencyAdmission.Accepted accepted) {
-            put(submission, accepted.row(owner.wall()));
+            writeJob(submission, accepted.toRecord(owner.wall()));
             return;
         }
-        rows.whenFresh(request, () -> {
-            if (directory.get(spec.id()) != null) {
-                request.answer(200, JobCodec.accepted(spec.id(), owner.standing(directory.get(spec.id()))));
+        refresher.afterRefresh(request, () -> {
+            if (jobCache.get(spec.id()) != null) {
+                request.answer(200, JobCodec.accepted(spec.id(), owner.standing(jobCache.get(spec.id()))));
                 return;
             }
             List<String> left = new ArrayList<>();
             for (String need : spec.dependencies()) {
-                if (directory.archiveManifest() != null && directory.get(need) == null) {
+                if (jobCache.archiveManifest() != null && jobCache.get(need) == null) {
                     left.add(need);
                 }
             }
-            lookUpNeeds(new Needs(submission, left, new HashMap<>()));
+            lookUpNextDependency(new DependencyLookup(submission, left, new HashMap<>()));
         });
     }
 
-    private void lookUpNeeds(Needs needs) {
-        if (!needs.left().isEmpty()) {
-            String next = needs.left().remove(needs.left().size() - 1);
-            history.tell(
-                    new ArchiveReader.Find(next, found -> owner.tell(new UsersActor.NeedLocated(needs, next, found))));
+    private void lookUpNextDependency(DependencyLookup needs) {
+        if (!needs.remaining().isEmpty()) {
+            String next = needs.remaining().remove(needs.remaining().size() - 1);
+            archiveReader.tell(new ArchiveReader.FindJob(
+                    next, found -> owner.tell(new UsersActor.DependencyLocated(needs, next, found))));
             return;
         }
         Request request = needs.submission().request();
-        DependencyAdmission now = DependencyAdmission.of(needs.submission().spec(), directory, needs.archived());
+        DependencyAdmission now =
+                DependencyAdmission.evaluate(needs.submission().spec(), jobCache, needs.archived());
         if (now instanceof DependencyAdmission.Accepted accepted) {
-            put(needs.submission(), accepted.row(owner.wall()));
+            writeJob(needs.submission(), accepted.toRecord(owner.wall()));
         } else if (now instanceof DependencyAdmission.Refused refused) {
             request.answer(422, Json.error("awaits", refused.reason()));
         } else {
@@ -160,117 +163,118 @@
         }
     }
 
-    void needLocated(UsersActor.NeedLocated message) {
-        Needs needs = message.needs();
+    void dependencyLocated(UsersActor.DependencyLocated message) {
+        DependencyLookup needs = message.needs();
         if (message.found() instanceof ArchiveReader.Archived archived) {
             needs.archived().put(message.id(), archived.outcome());
-            lookUpNeeds(needs);
-        } else if (message.found() instanceof ArchiveReader.Nowhere) {
-            lookUpNeeds(needs);
-        } else if (message.found() instanceof ArchiveReader.Moved) {
-            again(needs.submission());
+            lookUpNextDependency(needs);
+        } else if (message.found() instanceof ArchiveReader.NotArchived) {
+            lookUpNextDependency(needs);
+        } else if (message.found() instanceof ArchiveReader.ManifestOutdated) {
+            retry(needs.submission());
         } else {
             needs.submission().request().answer(503, UsersActor.UNAVAILABLE, 1);
         }
     }
 
-    private void put(Submission submission, StoredRecord.JobRecord unchecked) {
+    private void writeJob(Submission submission, StoredRecord.JobRecord unchecked) {
         Request request = submission.request();
         String id = submission.spec().id();
-        StoredRecord.JobRecord row = unchecked.withCheckedAgainstArchive(submission.historyVersion() > 0);
+        StoredRecord.JobRecord row = unchecked.withCheckedAgainstArchive(submission.archiveVersion() > 0);
         // Should the archive change meanwhile, or should this arrive minutes late, it is refused.
         List<Transaction.Condition> conditions = new ArrayList<>(List.of(
                 new Transaction.Condition(StoreKeys.job(id), 0),
-                new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, submission.historyVersion())));
+                new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, submission.archiveVersion())));
         if (row.spec() != null && !row.spec().dependencies().isEmpty()) {
             // A leader of the former version would start it at once.
-            conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, directory.layoutVersion()));
+            conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, jobCache.layoutVersion()));
         }
         // What the state service would refuse each time is refused here, or the user would try again for nothing.
-        List<Transaction.Write> rows = StoreCodec.jobRows(id, row, settings.maxWritableValueBytes());
+        List<Transaction.Write> rows = StoreCodec.jobRecordWrites(id, row, settings.maxWritableValueBytes());
         if (rows == null) {
             refuse(request, id, 400, Json.error("body", "body: is too long to be kept"));
         } else if (rows.size() > settings.maxTransactionWrites()) {
             refuse(request, id, 400, Json.error("awaits", "awaits: more names than can be kept with the job"));
         } else {
-            state.transaction(
-                    new Transaction(conditions, rows), owner.answer(r -> new UsersActor.Submitted(r, submission, row)));
+            store.transaction(
+                    new Transaction(conditions, rows),
+                    owner.answer(r -> new UsersActor.SubmissionWritten(r, submission, row)));
         }
     }
 
     /** A job that was accepted before gets 200 whatever this copy of it says. */
     private void refuse(Request request, String id, int status, byte[] json) {
-        rows.whenFresh(
+        refresher.afterRefresh(
                 request,
                 () -> owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
                     @Override
-                    public void nowhere() {
+                    public void notFound() {
                         request.answer(status, json, status == 503 ? 1 : 0);
                     }
                 }));
     }
 
-    void submitted(UsersActor.Submitted message) {
+    void submissionWritten(UsersActor.SubmissionWritten message) {
         String id = message.submission().spec().id();
         Request request = message.submission().request();
         Reply reply = message.reply();
         if (reply.ok()) {
             try {
-                rows.apply(id, message.row(), StoreCodec.revision(reply.body()));
-                request.answer(201, JobCodec.accepted(id, owner.standing(directory.get(id))));
+                refresher.apply(id, message.row(), StoreCodec.revision(reply.body()));
+                request.answer(201, JobCodec.accepted(id, owner.standing(jobCache.get(id))));
                 return;
             } catch (MalformedException e) {
                 LOG.error("transaction answer: {}", e.getMessage());
             }
         }
         if (reply.status() == 409) {
-            refusedPut(message);
+            writeConflicted(message);
         } else {
-            owner.notWritten(request, reply);
+            owner.answerWriteFailure(request, reply);
         }
     }
 
     /** It is known by now, or the archive or the mark changed since the copy was read: then it is looked at again. */
-    private void refusedPut(UsersActor.Submitted message) {
+    private void writeConflicted(UsersActor.SubmissionWritten message) {
         Submission submission = message.submission();
         String id = submission.spec().id();
         try {
-            if (!StoreCodec.failed(message.reply().body()).contains(StoreKeys.job(id))) {
-                again(submission);
+            if (!StoreCodec.failedKeys(message.reply().body()).contains(StoreKeys.job(id))) {
+                retry(submission);
                 return;
             }
         } catch (MalformedException e) {
             LOG.error("transaction answer: {}", e.getMessage());
         }
-        answerKnown(submission.request(), id);
+        answerExistingJob(submission.request(), id);
     }
 
-    private void again(Submission submission) {
+    private void retry(Submission submission) {
         Request request = submission.request();
-        if (submission.tries() >= UsersActor.MOST_TRIES) {
+        if (submission.conflicts() >= UsersActor.MAX_ATTEMPTS) {
             request.answer(503, UsersActor.UNAVAILABLE, 1);
             return;
         }
         try {
             JsonNode body = Json.tree(request.body());
-            rows.whenFresh(
-                    request, () -> submit(request, body, submission.spec().id(), submission.tries() + 1));
+            refresher.afterRefresh(
+                    request, () -> submit(request, body, submission.spec().id(), submission.conflicts() + 1));
         } catch (MalformedException e) {
             request.answer(400, Json.error(e.field(), e.getMessage()));
         }
     }
 
-    private void answerKnown(Request request, String id) {
-        JobCache.Entry known = directory.get(id);
-        if (known != null && directory.state(id).isFinal()) {
+    private void answerExistingJob(Request request, String id) {
+        JobCache.Entry known = jobCache.get(id);
+        if (known != null && jobCache.state(id).isFinal()) {
             request.answer(200, JobCodec.accepted(id, owner.standing(known)));
             return;
         }
-        rows.whenFresh(
+        refresher.afterRefresh(
                 request,
                 () -> owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
                     @Override
-                    public void nowhere() {
+                    public void notFound() {
                         request.answer(503, UsersActor.UNAVAILABLE, 1);
                     }
                 }));
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -69,7 +69,7 @@
         long fencingToken = scheduler.fencingToken();
         if (now - endedAskedMicros >= ENDED_MICROS) {
             endedAskedMicros = now;
-            users.tell(new UsersActor.FindEnded(fencingToken));
+            users.tell(new UsersActor.FindArchivableJobs(fencingToken));
         }
         archivist.tell(new ArchiverActor.Spare(fencingToken, scheduler.spareWriteBudget(now)));
     }
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -34,77 +34,80 @@
 final class UsersActor extends Actor<UsersActor.Message> {
     sealed interface Message {}
 
-    record Load() implements Message {}
+    record LoadJobs() implements Message {}
 
-    record Ask(Request request) implements Message {}
+    record RequestReceived(Request request) implements Message {}
 
     record RefreshDue() implements Message {}
 
     /** A page of the full read; {@code after} null for the first. */
-    record PageRead(Reply reply, String after) implements Message {}
+    record JobPageRead(Reply reply, String after) implements Message {}
 
-    record PageDue(String after) implements Message {}
+    record JobPageDue(String after) implements Message {}
 
     record ChangesRead(Reply reply, long askedMicros) implements Message {}
 
-    record Submitted(Reply reply, Submissions.Submission submission, StoredRecord.JobRecord row) implements Message {}
+    record SubmissionWritten(Reply reply, Submissions.Submission submission, StoredRecord.JobRecord row)
+            implements Message {}
 
-    record Cancelled(Reply reply, Request request, StoredRecord.JobRecord row, String id, int tries)
+    record CancellationWritten(Reply reply, Request request, StoredRecord.JobRecord row, String id, int tries)
             implements Message {}
 
     /** What the archive says of a job that the copy does not hold. */
-    record Located(Request request, String id, int tries, ArchiveReader.Found found, JobLookup then)
+    record JobLocated(Request request, String id, int tries, ArchiveReader.LookupResult found, JobLookup then)
             implements Message {}
 
     /** What the archive says of one of the jobs that a submission needs. */
-    record NeedLocated(Submissions.Needs needs, String id, ArchiveReader.Found found) implements Message {}
+    record DependencyLocated(Submissions.DependencyLookup needs, String id, ArchiveReader.LookupResult found)
+            implements Message {}
 
     /** What the archive says of a job whose row a former version wrote. */
-    record DoubtSettled(String id, ArchiveReader.Found found) implements Message {}
+    record RecordVerified(String id, ArchiveReader.LookupResult found) implements Message {}
 
-    record DoubtsDue() implements Message {}
+    record VerificationDue() implements Message {}
 
     /** The leader on this controller wants to know what may be archived. */
-    record FindEnded(long fencingToken) implements Message {}
+    record FindArchivableJobs(long fencingToken) implements Message {}
 
     /** The leader on this controller wants every change from now on, beginning with all open jobs. */
-    record Follow(LeaderActor leader) implements Message {}
+    record SubscribeLeader(LeaderActor leader) implements Message {}
 
-    record Unfollow() implements Message {}
+    record UnsubscribeLeader() implements Message {}
 
-    record Progress(boolean first, List<JobProgress> jobs) implements Message {}
+    record ProgressReported(boolean first, List<JobProgress> jobs) implements Message {}
 
-    record TypesKnown(List<MachineType> types) implements Message {}
+    record MachineTypesChanged(List<MachineType> types) implements Message {}
 
-    record TypesRead(Reply reply) implements Message {}
+    record StoredMachineTypesRead(Reply reply) implements Message {}
 
-    record TypesAnswered(Reply reply) implements Message {}
+    record CloudMachineTypesRead(Reply reply) implements Message {}
 
     /** This controller follows the leader: the copy is kept fresh though nobody asks. */
-    record KeepUp() implements Message {}
+    record RefreshRequested() implements Message {}
 
     /** Whether what is stored is of a form that this version does not know. */
-    record Blocked(boolean now) implements Message {}
+    record IncompatibleStoreChanged(boolean now) implements Message {}
 
     /** Who is told of the switches, of each read and of cancellations, whether it leads or not. */
-    record BelongsTo(LeaderActor leader) implements Message {}
+    record AttachLeaderActor(LeaderActor leader) implements Message {}
 
     /** What do users of this controller know of cancellations by rows above this revision? */
-    record Testify(long revision, Consumer<CancellationDigest> then) implements Message {}
+    record ReadCancellationDigest(long revision, Consumer<CancellationDigest> then) implements Message {}
 
     /** A sibling knows these jobs as cancelled; {@code then}, if any, is told to the leader's actor once they are taken in. */
-    record TakeIn(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then) implements Message {}
+    record CancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderActor.Message then)
+            implements Message {}
 
     /** This process ends: users are sent to the others. */
     record Closing() implements Message {}
 
     /** A final row that the leader on this controller knows to be stored. */
-    record Stored(String id, StoredRecord.JobRecord row, long version) implements Message {}
+    record JobEnded(String id, StoredRecord.JobRecord row, long version) implements Message {}
 
-    record LayoutKnown(long version, StoredRecord.Layout layout) implements Message {}
+    record LayoutMarked(long version, StoredRecord.Layout layout) implements Message {}
 
     /** How often a question that met a change of the archive is tried again before its user is asked to come back. */
-    static final int MOST_TRIES = 4;
+    static final int MAX_ATTEMPTS = 4;
 
     static final byte[] UNAVAILABLE = Json.error(null, "the state service does not answer");
     private static final byte[] BLOCKED =
@@ -118,14 +121,14 @@
 
     private final String label;
     private final long startedMicros;
-    private final StoreClient state;
+    private final StoreClient store;
     private final CloudClient cloud;
-    private final JobCache directory = new JobCache();
+    private final JobCache jobCache = new JobCache();
     private Map<String, JobProgress> progress = new HashMap<>();
-    private List<MachineType> types = List.of();
+    private List<MachineType> machineTypes = List.of();
     private final ApiDescription description;
-    private final ArchiveReader history;
-    private final JobCacheRefresher rows;
+    private final ArchiveReader archiveReader;
+    private final JobCacheRefresher refresher;
     private final Submissions submissions;
     private final Cancellations cancellations;
     private boolean typesAsked;
@@ -138,79 +141,79 @@
         super(loop);
         this.label = settings.label();
         this.startedMicros = now();
-        this.state = state;
+        this.store = state;
         this.cloud = cloud;
         this.description = description;
-        this.history = new ArchiveReader(loop, state);
-        this.rows = new JobCacheRefresher(this, settings, state, history, directory);
-        this.submissions = new Submissions(this, settings, state, history, directory, rows);
-        this.cancellations = new Cancellations(this, settings, state, directory, rows);
+        this.archiveReader = new ArchiveReader(loop, state);
+        this.refresher = new JobCacheRefresher(this, settings, state, archiveReader, jobCache);
+        this.submissions = new Submissions(this, settings, state, archiveReader, jobCache, refresher);
+        this.cancellations = new Cancellations(this, settings, state, jobCache, refresher);
     }
 
     @Override
     protected void receive(Message message) {
-        if (message instanceof Ask m) {
-            ask(m.request());
+        if (message instanceof RequestReceived m) {
+            handleRequest(m.request());
         } else if (message instanceof ChangesRead m) {
-            rows.changesRead(m);
+            refresher.changesRead(m);
         } else if (message instanceof RefreshDue) {
-            rows.refreshDue();
-        } else if (message instanceof Submitted m) {
-            submissions.submitted(m);
-        } else if (message instanceof Cancelled m) {
-            cancellations.cancelled(m);
-        } else if (message instanceof Located m) {
-            located(m);
-        } else if (message instanceof NeedLocated m) {
-            submissions.needLocated(m);
-        } else if (message instanceof FindEnded m) {
-            rows.findEnded(m.fencingToken());
-        } else if (message instanceof DoubtSettled m) {
-            rows.doubtSettled(m);
-        } else if (message instanceof DoubtsDue) {
-            rows.settleDoubts();
-        } else if (message instanceof Load) {
-            rows.readPage(null);
+            refresher.refreshDue();
+        } else if (message instanceof SubmissionWritten m) {
+            submissions.submissionWritten(m);
+        } else if (message instanceof CancellationWritten m) {
+            cancellations.cancellationWritten(m);
+        } else if (message instanceof JobLocated m) {
+            jobLocated(m);
+        } else if (message instanceof DependencyLocated m) {
+            submissions.dependencyLocated(m);
+        } else if (message instanceof FindArchivableJobs m) {
+            refresher.findArchivableJobs(m.fencingToken());
+        } else if (message instanceof RecordVerified m) {
+            refresher.recordVerified(m);
+        } else if (message instanceof VerificationDue) {
+            refresher.verifyRecords();
+        } else if (message instanceof LoadJobs) {
+            refresher.readPage(null);
             if (!typesAsked) {
                 // Once: it repeats by itself until the types are known.
                 typesAsked = true;
-                state.read(StoreKeys.MACHINE_TYPES, answer(TypesRead::new));
+                store.read(StoreKeys.MACHINE_TYPES, answer(StoredMachineTypesRead::new));
             }
-        } else if (message instanceof PageRead m) {
-            rows.pageRead(m);
-        } else if (message instanceof PageDue m) {
-            rows.readPage(m.after());
-        } else if (message instanceof Progress m) {
+        } else if (message instanceof JobPageRead m) {
+            refresher.pageRead(m);
+        } else if (message instanceof JobPageDue m) {
+            refresher.readPage(m.after());
+        } else if (message instanceof ProgressReported m) {
             if (m.first()) {
                 progress = new HashMap<>();
             }
             m.jobs().forEach(job -> progress.put(job.id(), job));
-        } else if (message instanceof Follow m) {
-            rows.follow(m.leader());
-        } else if (message instanceof Unfollow) {
-            rows.unfollow();
-        } else if (message instanceof KeepUp) {
-            rows.keepUp();
-        } else if (message instanceof Blocked m) {
+        } else if (message instanceof SubscribeLeader m) {
+            refresher.subscribeLeader(m.leader());
+        } else if (message instanceof UnsubscribeLeader) {
+            refresher.unsubscribeLeader();
+        } else if (message instanceof RefreshRequested) {
+            refresher.refreshRequested();
+        } else if (message instanceof IncompatibleStoreChanged m) {
             blocked = m.now();
-        } else if (message instanceof BelongsTo m) {
-            rows.belongsTo(m.leader());
-            cancellations.belongsTo(m.leader());
-        } else if (message instanceof Testify m) {
-            m.then().accept(directory.cancellationLog().digestSince(m.revision(), label, now() - startedMicros));
-        } else if (message instanceof TakeIn m) {
-            rows.takeIn(m.jobs(), m.then());
+        } else if (message instanceof AttachLeaderActor m) {
+            refresher.attachLeaderActor(m.leader());
+            cancellations.attachLeaderActor(m.leader());
+        } else if (message instanceof ReadCancellationDigest m) {
+            m.then().accept(jobCache.cancellationLog().digestSince(m.revision(), label, now() - startedMicros));
+        } else if (message instanceof CancellationsReceived m) {
+            refresher.cancellationsReceived(m.jobs(), m.then());
         } else if (message instanceof Closing) {
             closing = true;
-        } else if (message instanceof Stored m) {
-            rows.apply(m.id(), m.row(), m.version());
-        } else if (message instanceof LayoutKnown m) {
-            rows.layoutKnown(m.version(), m.layout());
-        } else if (message instanceof TypesKnown m) {
-            types = m.types();
-        } else if (message instanceof TypesRead m) {
+        } else if (message instanceof JobEnded m) {
+            refresher.apply(m.id(), m.row(), m.version());
+        } else if (message instanceof LayoutMarked m) {
+            refresher.layoutMarked(m.version(), m.layout());
+        } else if (message instanceof MachineTypesChanged m) {
+            machineTypes = m.types();
+        } else if (message instanceof StoredMachineTypesRead m) {
             typesRead(m.reply());
-        } else if (message instanceof TypesAnswered m) {
+        } else if (message instanceof CloudMachineTypesRead m) {
             typesAnswered(m.reply());
         }
     }
@@ -218,73 +221,73 @@
     // ---- machine types
 
     private void typesRead(Reply reply) {
-        if (!types.isEmpty()) {
+        if (!machineTypes.isEmpty()) {
             return;
         }
         if (reply.ok()) {
             try {
-                types = ((StoredRecord.MachineTypes)
-                                StoreCodec.item(reply.body()).row())
+                machineTypes = ((StoredRecord.MachineTypes)
+                                StoreCodec.item(reply.body()).record())
                         .types();
                 return;
             } catch (MalformedException e) {
                 log.error("stored machine types: {}", e.getMessage());
             }
         }
-        cloud.types(answer(TypesAnswered::new));
+        cloud.types(answer(CloudMachineTypesRead::new));
     }
 
     private void typesAnswered(Reply reply) {
-        if (!types.isEmpty()) {
+        if (!machineTypes.isEmpty()) {
             return;
         }
         if (reply.ok()) {
             try {
-                types = CloudCodec.types(reply.body());
+                machineTypes = CloudCodec.types(reply.body());
                 return;
             } catch (MalformedException e) {
                 log.error("machine types: {}", e.getMessage());
             }
         }
         // Another controller may have stored them meanwhile.
-        tellLater(new TypesRead(new Reply(0, new byte[0], false)), 2 * Micros.SECOND);
+        tellLater(new StoredMachineTypesRead(new Reply(0, new byte[0], false)), 2 * Micros.SECOND);
     }
 
     // ---- what its parts ask of it
 
-    JobCache directory() {
-        return directory;
+    JobCache jobCache() {
+        return jobCache;
     }
 
-    List<MachineType> types() {
-        return types;
+    List<MachineType> machineTypes() {
+        return machineTypes;
     }
 
     /** A job is over or archived: its counts are not shown any more. */
-    void over(String id) {
+    void forgetProgress(String id) {
         progress.remove(id);
     }
 
     /** No answer of the state service; the user is sent away only if another controller can do better. */
-    void unavailable(Request request) {
-        if (state.reach().isPartitionedAlone(now())) {
+    void answerUnavailable(Request request) {
+        if (store.reach().isPartitionedAlone(now())) {
             request.answerAndClose(503, UNAVAILABLE, 1);
         } else {
             request.answer(503, UNAVAILABLE, 1);
         }
     }
 
-    void notWritten(Request request, Reply reply) {
+    void answerWriteFailure(Request request, Reply reply) {
         if (reply.status() == 429) {
             request.answer(429, BUSY, 1);
         } else {
-            unavailable(request);
+            answerUnavailable(request);
         }
     }
 
     // ---- users
 
-    private void ask(Request request) {
+    private void handleRequest(Request request) {
         if (closing) {
             request.answerAndClose(503, ENDING, 1);
             return;
@@ -301,9 +304,9 @@
         if (path.equals("/healthz")) {
             if (!request.method().equals("GET")) {
                 request.answer(405, WRONG_METHOD);
-            } else if (state.reach().isPartitionedAlone(now())) {
+            } else if (store.reach().isPartitionedAlone(now())) {
                 request.answer(503, UNAVAILABLE, 1);
-            } else if (rows.loaded() && !types.isEmpty()) {
+            } else if (refresher.isLoaded() && !machineTypes.isEmpty()) {
                 request.answer(200, "{\"status\":\"ok\"}".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             } else {
                 request.answer(503, STARTING, 1);
@@ -324,7 +327,7 @@
                 String id = rest.substring(0, rest.length() - 6);
                 route(request, "POST", () -> cancellations.cancel(request, id, 0));
             } else if (rest.indexOf('/') < 0 && !rest.isEmpty()) {
-                route(request, "GET", () -> poll(request, rest));
+                route(request, "GET", () -> handleStatus(request, rest));
             } else {
                 request.answer(404, NO_SUCH_PATH);
             }
@@ -336,41 +339,41 @@
     private void route(Request request, String method, Runnable then) {
         if (!request.method().equals(method)) {
             request.answer(405, WRONG_METHOD);
-        } else if (!rows.loaded()) {
+        } else if (!refresher.isLoaded()) {
             request.answer(503, STARTING, 1);
         } else {
             then.run();
         }
     }
 
-    private void poll(Request request, String id) {
-        JobCache.Entry entry = directory.get(id);
-        if (entry != null && directory.state(id).isFinal()) {
+    private void handleStatus(Request request, String id) {
+        JobCache.Entry entry = jobCache.get(id);
+        if (entry != null && jobCache.state(id).isFinal()) {
             tellStatus(request, entry);
         } else if (!JobCodec.isId(id)) {
             request.answer(404, NO_SUCH_JOB);
         } else {
-            rows.whenFresh(
+            refresher.afterRefresh(
                     request,
                     () -> locate(request, id, 0, new JobLookup() {
                         @Override
-                        public void inCopy() {
-                            tellStatus(request, directory.get(id));
+                        public void foundInCache() {
+                            tellStatus(request, jobCache.get(id));
                         }
 
                         @Override
-                        public void archived(JobOutcome outcome) {
+                        public void foundInArchive(JobOutcome outcome) {
                             request.answer(
                                     200,
                                     JobCodec.status(
                                             id,
                                             standing(outcome),
-                                            outcome.state() == JobState.DONE ? outcome.tasks() : 0,
+                                            outcome.state() == JobState.DONE ? outcome.taskCount() : 0,
                                             0));
                         }
 
                         @Override
-                        public void nowhere() {
+                        public void notFound() {
                             request.answer(404, NO_SUCH_JOB);
                         }
                     }));
@@ -384,25 +387,26 @@
      * after the question, it was not accepted before it.
      */
     void locate(Request request, String id, int tries, JobLookup then) {
-        if (directory.get(id) != null) {
-            then.inCopy();
-        } else if (directory.isUnverified(id)) {
+        if (jobCache.get(id) != null) {
+            then.foundInCache();
+        } else if (jobCache.isUnverified(id)) {
             request.answer(503, UNAVAILABLE, 1);
-        } else if (directory.archiveManifest() == null) {
-            then.nowhere();
+        } else if (jobCache.archiveManifest() == null) {
+            then.notFound();
         } else {
-            history.tell(new ArchiveReader.Find(id, found -> tell(new Located(request, id, tries, found, then))));
+            archiveReader.tell(
+                    new ArchiveReader.FindJob(id, found -> tell(new JobLocated(request, id, tries, found, then))));
         }
     }
 
-    private void located(Located message) {
+    private void jobLocated(JobLocated message) {
         Request request = message.request();
         if (message.found() instanceof ArchiveReader.Archived archived) {
-            message.then().archived(archived.outcome());
-        } else if (message.found() instanceof ArchiveReader.Nowhere) {
-            message.then().nowhere();
-        } else if (message.found() instanceof ArchiveReader.Moved && message.tries() < MOST_TRIES) {
-            rows.whenFresh(request, () -> locate(request, message.id(), message.tries() + 1, message.then()));
+            message.then().foundInArchive(archived.outcome());
+        } else if (message.found() instanceof ArchiveReader.NotArchived) {
+            message.then().notFound();
+        } else if (message.found() instanceof ArchiveReader.ManifestOutdated && message.tries() < MAX_ATTEMPTS) {
+            refresher.afterRefresh(request, () -> locate(request, message.id(), message.tries() + 1, message.then()));
         } else {
             request.answer(503, UNAVAILABLE, 1);
         }
@@ -414,7 +418,7 @@
 
     private void tellStatus(Request request, JobCache.Entry entry) {
         JobProgress counts = progress.get(entry.id());
-        JobState state = directory.state(entry.id());
+        JobState state = jobCache.state(entry.id());
         boolean done = state == JobState.DONE;
         request.answer(
                 200,
@@ -427,7 +431,7 @@
 
     Standing standing(JobCache.Entry entry) {
         JobProgress counts = progress.get(entry.id());
-        return switch (directory.state(entry.id())) {
+        return switch (jobCache.state(entry.id())) {
             case DONE -> Standing.DONE;
             case CANCELLED -> Standing.CANCELLED;
             case OPEN -> counts != null && counts.runningTasks() > 0 ? Standing.RUNNING : Standing.QUEUED;
--- a/src/main/java/io/micatide/jobs/DependencyAdmission.java
+++ b/src/main/java/io/micatide/jobs/DependencyAdmission.java
@@ -11,10 +11,10 @@
 
 /** Whether a job that needs others can be accepted, as far as one copy of the job rows tells. */
 public sealed interface DependencyAdmission {
-    /** It may be stored as {@code stored} with this state. */
-    record Accepted(JobState state, JobSpec stored, int tasks) implements DependencyAdmission {
-        public StoredRecord.JobRecord row(long submittedWall) {
-            return new StoredRecord.JobRecord(state, stored, submittedWall, tasks);
+    /** It may be stored as {@code spec} with this state. */
+    record Accepted(JobState state, JobSpec spec, int taskCount) implements DependencyAdmission {
+        public StoredRecord.JobRecord toRecord(long submittedWall) {
+            return new StoredRecord.JobRecord(state, spec, submittedWall, taskCount);
         }
     }
 
@@ -22,21 +22,21 @@
     record Refused(String reason) implements DependencyAdmission {}
 
     /** A controller of a former version may be about, which would start it at once. */
-    record NotYet() implements DependencyAdmission {}
+    record Deferred() implements DependencyAdmission {}
 
-    static DependencyAdmission of(JobSpec spec, JobCache directory) {
-        return of(spec, directory, Map.of());
+    static DependencyAdmission evaluate(JobSpec spec, JobCache directory) {
+        return evaluate(spec, directory, Map.of());
     }
 
     /** @param archived what the archive says of the needed jobs that the copy does not hold */
-    static DependencyAdmission of(JobSpec spec, JobCache directory, Map<String, JobOutcome> archived) {
+    static DependencyAdmission evaluate(JobSpec spec, JobCache directory, Map<String, JobOutcome> archived) {
         List<String> left = new ArrayList<>();
         boolean withdrawn = false;
         for (String need : spec.dependencies()) {
             JobCache.Entry entry = directory.get(need);
             JobOutcome outcome = entry == null ? archived.get(need) : null;
             if (outcome != null) {
-                if (outcome.service()) {
+                if (outcome.isService()) {
                     return new Refused("awaits: " + need + " is a service and never done");
                 }
                 withdrawn |= outcome.state() == JobState.CANCELLED;
@@ -63,7 +63,7 @@
             return new Accepted(JobState.OPEN, spec.withDependencies(List.of()), spec.taskCount());
         }
         return directory.layoutVersion() == 0
-                ? new NotYet()
+                ? new Deferred()
                 : new Accepted(JobState.OPEN, spec.withDependencies(left), spec.taskCount());
     }
 }
--- a/src/main/java/io/micatide/jobs/DependencyGraph.java
+++ b/src/main/java/io/micatide/jobs/DependencyGraph.java
@@ -18,7 +18,7 @@
  */
 final class DependencyGraph {
     /** What each waiting job still needs. */
-    private final Map<String, Set<String>> missing = new HashMap<>();
+    private final Map<String, Set<String>> unfinishedDependencies = new HashMap<>();
 
     private final Map<String, List<String>> dependents = new HashMap<>();
     /** Open by their own row, but something that they need was cancelled. */
@@ -28,13 +28,13 @@
 
     /** How the jobs that are needed stand. */
     @FunctionalInterface
-    interface Ends {
+    interface FinalRecords {
         /** The row of a job that ended, or null while it has not. */
         StoredRecord.JobRecord of(String id);
     }
 
     boolean hasUnfinishedDependencies(String id) {
-        return missing.containsKey(id);
+        return unfinishedDependencies.containsKey(id);
     }
 
     boolean isCancelledByDependency(String id) {
@@ -46,43 +46,43 @@
     }
 
     /** An open job was seen for the first time; returns what is withdrawn with it: itself and whoever waited for it. */
-    List<String> opened(String id, List<String> needs, Ends ends) {
+    List<String> jobOpened(String id, List<String> needs, FinalRecords ends) {
         Set<String> left = new HashSet<>();
         for (String need : needs) {
             StoredRecord.JobRecord end = ends.of(need);
             if (isCancelledByDependency.contains(need) || (end != null && end.state() == JobState.CANCELLED)) {
                 isCancelledByDependency.add(id);
-                return cancelled(id);
+                return jobCancelled(id);
             }
             if (end == null) {
                 left.add(need);
             } else {
-                done(id, end);
+                dependencyCompleted(id, end);
             }
         }
         if (!left.isEmpty()) {
-            missing.put(id, left);
+            unfinishedDependencies.put(id, left);
             left.forEach(need ->
                     dependents.computeIfAbsent(need, k -> new ArrayList<>(2)).add(id));
         }
         return List.of();
     }
 
-    private void done(String id, StoredRecord.JobRecord end) {
+    private void dependencyCompleted(String id, StoredRecord.JobRecord end) {
         readyWall.merge(id, end.endedWall(), Math::max);
     }
 
     /** Returns the jobs that wait for nothing any more. */
-    List<String> completed(String id, StoredRecord.JobRecord row) {
+    List<String> jobCompleted(String id, StoredRecord.JobRecord row) {
         List<String> ready = new ArrayList<>();
         List<String> after = dependents.remove(id);
         if (after != null) {
             for (String each : after) {
-                Set<String> left = missing.get(each);
+                Set<String> left = unfinishedDependencies.get(each);
                 if (left != null && left.remove(id)) {
-                    done(each, row);
+                    dependencyCompleted(each, row);
                     if (left.isEmpty()) {
-                        missing.remove(each);
+                        unfinishedDependencies.remove(each);
                         ready.add(each);
                     }
                 }
@@ -92,14 +92,14 @@
     }
 
     /** Returns all jobs that need this one, directly or through others. */
-    List<String> cancelled(String id) {
+    List<String> jobCancelled(String id) {
         List<String> result = new ArrayList<>();
         Deque<String> todo = new ArrayDeque<>(List.of(id));
         while (!todo.isEmpty()) {
             List<String> after = dependents.remove(todo.poll());
             if (after != null) {
                 for (String each : after) {
-                    if (missing.remove(each) != null && isCancelledByDependency.add(each)) {
+                    if (unfinishedDependencies.remove(each) != null && isCancelledByDependency.add(each)) {
                         result.add(each);
                         todo.add(each);
                     }
@@ -110,8 +110,8 @@
     }
 
     /** The job's own row ended it. */
-    void ended(String id) {
-        missing.remove(id);
+    void jobEnded(String id) {
+        unfinishedDependencies.remove(id);
         isCancelledByDependency.remove(id);
         readyWall.remove(id);
     }
--- a/src/main/java/io/micatide/jobs/JobCache.java
+++ b/src/main/java/io/micatide/jobs/JobCache.java
@@ -40,17 +40,17 @@
             long readyWall) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
-    private final Map<String, Entry> open = new HashMap<>();
+    private final Map<String, Entry> openJobs = new HashMap<>();
     /** Jobs that are over and still have their rows, in the order in which that was seen. */
-    private final Map<String, Entry> ended = new LinkedHashMap<>();
+    private final Map<String, Entry> endedJobs = new LinkedHashMap<>();
 
     private final DependencyGraph dependencies = new DependencyGraph();
     /** Rows that came before all their names, and names that came before their rows; empty between two reads. */
     private final Map<String, Entry> incomplete = new HashMap<>();
 
-    private final Map<String, Map<Integer, List<String>>> pieces = new HashMap<>();
+    private final Map<String, Map<Integer, List<String>>> furtherDependencies = new HashMap<>();
     /** How many rows of names belong to a job; they go with its row. */
-    private final Map<String, Integer> furtherRows = new HashMap<>();
+    private final Map<String, Integer> furtherDependencyRecords = new HashMap<>();
     /** Rows that may be of archived jobs: a late write of a former version brought them back. Nothing is told or started of them. */
     private final Map<String, Entry> unverified = new LinkedHashMap<>();
     /** What was found to be archived although it has a row, with the row's version. */
@@ -58,7 +58,7 @@
 
     private final CancellationLog cancellationLog = new CancellationLog();
     /** What the full read under way has shown, null between two. */
-    private Set<String> seen;
+    private Set<String> keysSeenInFullRead;
 
     private long revision;
     private long layoutVersion;
@@ -75,23 +75,23 @@
         revision = Math.max(revision, newRevision);
     }
 
-    /** Starts over from the revision of the first page of a full read; what is known stays known until {@link #allRead}. */
-    public void restartAt(long newRevision) {
+    /** Starts over from the revision of the first page of a full read; what is known stays known until {@link #finishFullRead}. */
+    public void beginFullRead(long newRevision) {
         revision = newRevision;
-        seen = new HashSet<>();
+        keysSeenInFullRead = new HashSet<>();
     }
 
     /** The full read is over: what it did not show and is not younger has been archived meanwhile. */
-    public void allRead() {
+    public void finishFullRead() {
         List<String> gone = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            if (!seen.contains(entry.id()) && entry.version() <= revision) {
+            if (!keysSeenInFullRead.contains(entry.id()) && entry.version() <= revision) {
                 gone.add(entry.id());
             }
         }
-        seen = null;
-        gone.forEach(id -> removed(id, revision));
-        cancellationLog.allReadAt(revision);
+        keysSeenInFullRead = null;
+        gone.forEach(id -> remove(id, revision));
+        cancellationLog.fullReadFinished(revision);
     }
 
     /** What this copy has come to know as cancelled, also of jobs that it does not hold any more. */
@@ -124,24 +124,24 @@
         return entries.get(id);
     }
 
-    public Collection<Entry> open() {
-        return open.values();
+    public Collection<Entry> openJobs() {
+        return openJobs.values();
     }
 
     /** Jobs that are over and still have their rows, the longest known first. */
-    public Collection<Entry> ended() {
-        return ended.values();
+    public Collection<Entry> endedJobs() {
+        return endedJobs.values();
     }
 
     /** How many rows of names belong to a job. */
-    public int furtherRows(String id) {
-        return furtherRows.getOrDefault(id, 0);
+    public int furtherDependencyRecords(String id) {
+        return furtherDependencyRecords.getOrDefault(id, 0);
     }
 
     /** The jobs that rows of open jobs name: none of them may lose its own. */
     public Set<String> dependencies() {
         Set<String> names = new HashSet<>();
-        open.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
+        openJobs.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
         incomplete.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
         return names;
     }
@@ -213,11 +213,11 @@
 
     /** Applies further names of a job; returns what {@link #apply} does once its row and all of them are there. */
     public List<String> applyDependencies(String id, int piece, List<String> names) {
-        furtherRows.merge(id, piece, Math::max);
+        furtherDependencyRecords.merge(id, piece, Math::max);
         if (entries.containsKey(id)) {
             return List.of();
         }
-        pieces.computeIfAbsent(id, k -> new TreeMap<>()).put(piece, names);
+        furtherDependencies.computeIfAbsent(id, k -> new TreeMap<>()).put(piece, names);
         Entry row = incomplete.get(id);
         return row == null ? List.of() : apply(id, row.record(), row.version());
     }
@@ -227,7 +227,7 @@
         if (row.furtherDependencyRecords() == 0 || row.state().isFinal()) {
             return row;
         }
-        Map<Integer, List<String>> further = pieces.getOrDefault(id, Map.of());
+        Map<Integer, List<String>> further = furtherDependencies.getOrDefault(id, Map.of());
         if (further.size() < row.furtherDependencyRecords()) {
             incomplete.put(id, new Entry(id, row, version));
             return null;
@@ -239,8 +239,8 @@
 
     /** Applies a row unless a newer one is known; returns the jobs that stand otherwise than before, itself first. */
     public List<String> apply(String id, StoredRecord.JobRecord stored, long version) {
-        if (seen != null) {
-            seen.add(id);
+        if (keysSeenInFullRead != null) {
+            keysSeenInFullRead.add(id);
         }
         Entry known = entries.get(id);
         if ((known != null && known.version() >= version) || staleRecords.getOrDefault(id, 0L) >= version) {
@@ -250,7 +250,7 @@
             unverified.merge(id, new Entry(id, stored, version), (a, b) -> a.version() > b.version() ? a : b);
             return List.of();
         }
-        return applySound(id, stored, version);
+        return applyVerified(id, stored, version);
     }
 
     /** Of a former version, which does not ask the archive; whoever writes a row now says that it did. */
@@ -260,14 +260,14 @@
                 && version > (archiveManifest.sinceVersion() == 0 ? archiveVersion : archiveManifest.sinceVersion());
     }
 
-    private List<String> applySound(String id, StoredRecord.JobRecord stored, long version) {
+    private List<String> applyVerified(String id, StoredRecord.JobRecord stored, long version) {
         Entry known = entries.get(id);
         StoredRecord.JobRecord row = complete(id, stored, version);
         if (row == null) {
             return List.of();
         }
         incomplete.remove(id);
-        pieces.remove(id);
+        furtherDependencies.remove(id);
         // Whoever wrote a later row knew the job; the look-up of the earlier one may still be under way.
         unverified.remove(id);
         Entry entry = new Entry(id, row, version);
@@ -277,29 +277,30 @@
             if (row.state() == JobState.CANCELLED) {
                 cancellationLog.add(id, version);
             }
-            open.remove(id);
-            ended.put(id, entry);
-            dependencies.ended(id);
-            changed.addAll(row.state() == JobState.DONE ? dependencies.completed(id, row) : dependencies.cancelled(id));
+            openJobs.remove(id);
+            endedJobs.put(id, entry);
+            dependencies.jobEnded(id);
+            changed.addAll(
+                    row.state() == JobState.DONE ? dependencies.jobCompleted(id, row) : dependencies.jobCancelled(id));
         } else {
-            open.put(id, entry);
+            openJobs.put(id, entry);
             if (known == null) {
-                changed.addAll(dependencies.opened(id, row.spec().dependencies(), this::end));
+                changed.addAll(dependencies.jobOpened(id, row.spec().dependencies(), this::end));
             }
         }
         return changed;
     }
 
     /** A row went, by the change of this revision: its job is archived. */
-    public void removed(String id, long version) {
+    public void remove(String id, long version) {
         Entry entry = entries.get(id);
         if (entry != null && entry.version() <= version) {
             entries.remove(id);
-            open.remove(id);
-            ended.remove(id);
-            dependencies.ended(id);
-            furtherRows.remove(id);
-            pieces.remove(id);
+            openJobs.remove(id);
+            endedJobs.remove(id);
+            dependencies.jobEnded(id);
+            furtherDependencyRecords.remove(id);
+            furtherDependencies.remove(id);
         }
         incomplete.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
         unverified.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
@@ -320,7 +321,7 @@
     /** Not archived: a job like any other; returns what {@link #apply} does. */
     public List<String> markVerified(String id) {
         Entry entry = unverified.remove(id);
-        return entry == null ? List.of() : applySound(id, entry.record(), entry.version());
+        return entry == null ? List.of() : applyVerified(id, entry.record(), entry.version());
     }
 
     /** Archived long ago: the row is to go, and nothing of it is ever told or started. */
--- a/src/main/java/io/micatide/net/StoreClient.java
+++ b/src/main/java/io/micatide/net/StoreClient.java
@@ -83,7 +83,7 @@
 
     /** Leases are not paced: losing the lead costs more than the requests. */
     public void grant(long ttlMicros, Consumer<Reply> then) {
-        http.post("/grants", StoreCodec.grant(ttlMicros), Http.PATIENCE_MICROS, noting(then));
+        http.post("/grants", StoreCodec.leaseRequest(ttlMicros), Http.PATIENCE_MICROS, noting(then));
     }
 
     public void touch(long lease, Consumer<Reply> then) {
--- a/src/main/java/io/micatide/protocol/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -28,7 +28,7 @@
     static MachineType type(JsonFields in) throws MalformedException {
         return new MachineType(
                 in.text("label"),
-                StoreCodec.size(in),
+                StoreCodec.encodedBytes(in),
                 in.has("localGb") ? in.amount("localGb") : 0,
                 in.has("pullGbPerS") ? in.amount("pullGbPerS") : 0,
                 in.amount("hourly"),
--- a/src/main/java/io/micatide/protocol/StoreCodec.java
+++ b/src/main/java/io/micatide/protocol/StoreCodec.java
@@ -21,8 +21,8 @@
 
     private StoreCodec() {}
 
-    /** A key with its row; {@code row} is null if the key does not exist or was deleted. */
-    public record Item(String key, StoredRecord row, long version) {}
+    /** A key with its row; {@code record} is null if the key does not exist or was deleted. */
+    public record Item(String key, StoredRecord record, long version) {}
 
     /** A page of keys, or the changes since a revision. */
     public record Items(List<Item> items, boolean more, long revision) {}
@@ -127,13 +127,14 @@
     /**
      * A new job's rows: its own and, for names that it has no room for, further ones. Null if the job itself does not fit.
      */
-    public static List<Transaction.Write> jobRows(String id, StoredRecord.JobRecord row, int mostBytes) {
+    public static List<Transaction.Write> jobRecordWrites(String id, StoredRecord.JobRecord row, int mostBytes) {
         List<Transaction.Write> rows = new ArrayList<>();
-        if (size(row) <= mostBytes) {
+        if (encodedBytes(row) <= mostBytes) {
             rows.add(new Transaction.Write(StoreKeys.job(id), row, 0));
             return rows;
         }
-        int left = row.spec() == null ? -1 : mostBytes - FURTHER_BYTES - size(row.withDependencies(List.of(), 0));
+        int left =
+                row.spec() == null ? -1 : mostBytes - FURTHER_BYTES - encodedBytes(row.withDependencies(List.of(), 0));
         if (left < 0) {
             return null;
         }
@@ -155,11 +156,11 @@
     }
 
     /** What a row takes of the limit of a value. */
-    public static int size(StoredRecord row) {
+    public static int encodedBytes(StoredRecord row) {
         return Json.bytes(out -> write(out, row)).length;
     }
 
-    private static StoredRecord row(String key, JsonNode data) throws MalformedException {
+    private static StoredRecord readRecord(String key, JsonNode data) throws MalformedException {
         JsonFields in = new JsonFields(data, key);
         if (key.equals(StoreKeys.LEADER)) {
             return new StoredRecord.Leader(in.text("owner"));
@@ -226,7 +227,7 @@
         return new JsonFields(Json.tree(body), "").count("ledger", 0, Long.MAX_VALUE);
     }
 
-    public static List<String> failed(byte[] body) throws MalformedException {
+    public static List<String> failedKeys(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         return new JsonFields(tree, "").has("failed") ? new JsonFields(tree, "").texts("failed") : List.of();
     }
@@ -235,11 +236,11 @@
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
         String key = in.text("k");
-        return new Item(key, row(key, tree.get("data")), in.count("stamp", 1, Long.MAX_VALUE));
+        return new Item(key, readRecord(key, tree.get("data")), in.count("stamp", 1, Long.MAX_VALUE));
     }
 
     /** The lease that a key which was read is attached to, 0 for none. */
-    public static long hold(byte[] body) throws MalformedException {
+    public static long attachedLeaseId(byte[] body) throws MalformedException {
         return Json.tree(body).path("hold").asLong(0);
     }
 
@@ -249,8 +250,8 @@
         List<Item> items = new ArrayList<>();
         for (JsonNode each : tree.path("items")) {
             String key = each.path("k").asText();
-            items.add(
-                    new Item(key, row(key, each.get("data")), each.path("stamp").asLong()));
+            items.add(new Item(
+                    key, readRecord(key, each.get("data")), each.path("stamp").asLong()));
         }
         return new Items(items, tree.path("truncated").asBoolean(), in.count("ledger", 0, Long.MAX_VALUE));
     }
@@ -264,13 +265,13 @@
             String key = each.path(put ? "put" : "delete").asText();
             items.add(new Item(
                     key,
-                    put ? row(key, each.get("data")) : null,
+                    put ? readRecord(key, each.get("data")) : null,
                     each.path("stamp").asLong()));
         }
         return new Items(items, false, in.count("ledger", 0, Long.MAX_VALUE));
     }
 
-    public static byte[] grant(long ttlMicros) {
+    public static byte[] leaseRequest(long ttlMicros) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("ttlMs", ttlMicros / Micros.MILLISECOND);
@@ -278,11 +279,11 @@
         });
     }
 
-    public static long granted(byte[] body) throws MalformedException {
+    public static long grantedLeaseId(byte[] body) throws MalformedException {
         return new JsonFields(Json.tree(body), "").count("hold", 1, Long.MAX_VALUE);
     }
 
-    static Resources size(JsonFields in) throws MalformedException {
+    static Resources encodedBytes(JsonFields in) throws MalformedException {
         return Resources.of(in.amount("cpus"), in.has("cards") ? in.amount("cards") : 0, in.amount("memGb"));
     }
 }
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -72,7 +72,8 @@
     }
 
     /** What a round writes of one job; {@code machines} is the set that the new ledger names. */
-    record JobWrite(Job job, boolean last, Set<String> machines, List<Integer> pages, Map<Integer, BitSet> done) {}
+    record JobWrite(
+            Job job, boolean endsJob, Set<String> machines, List<Integer> pages, Map<Integer, BitSet> finishedTasks) {}
 
     /** One transaction and what it means. {@code provisioningRequests} are the rentals written along with it. */
     record WriteBatch(
@@ -85,7 +86,7 @@
         return jobs.values();
     }
 
-    int countOf(String jobClass) {
+    int jobsSeenOfClass(String jobClass) {
         return seenOfClass.count(jobClass);
     }
 
@@ -93,7 +94,7 @@
         return jobs.get(id);
     }
 
-    Job add(JobSpec spec, long version, long submittedWall, long submittedMicros, long readyMicros) {
+    Job addJob(JobSpec spec, long version, long submittedWall, long submittedMicros, long readyMicros) {
         Job job = new Job(spec, version, submittedWall, submittedMicros, readyMicros);
         seenOfClass.add(spec.jobClass());
         jobs.put(spec.id(), job);
@@ -112,7 +113,7 @@
     }
 
     /** Takes over a ledger value of an earlier leader; false if it belongs to no job that is known. */
-    boolean load(String key, StoredRecord.Ledger ledger, long version) {
+    boolean loadLedger(String key, StoredRecord.Ledger ledger, long version) {
         Job job = jobs.get(jobOf(key));
         if (job == null) {
             return false;
@@ -163,7 +164,7 @@
         dirty.putIfAbsent(job.id(), job);
     }
 
-    void taskFinished(Job job, int index, long nowMicros) {
+    void markTaskFinished(Job job, int index, long nowMicros) {
         if (job.markFinished(index)) {
             job.dirtyPages.set(index / pageTasks);
             markDirty(job, nowMicros);
@@ -255,7 +256,7 @@
     }
 
     /** Whether a job with waiting tasks is on as many machines as its ledger can name. */
-    boolean isFull(Job job) {
+    boolean isMachineListFull(Job job) {
         return job.pendingCount() > 0 && bytes(mustName(job)) > nameBytes() - 16;
     }
 
@@ -269,7 +270,7 @@
 
     /** Says which further machines a job's ledger should name. */
     @FunctionalInterface
-    interface Likely {
+    interface CandidateMachineSource {
         List<String> machines(Job job, int most);
     }
 
@@ -285,7 +286,7 @@
             List<ProvisioningRequests.Request> bookings,
             List<Transaction.Write> extra,
             List<Transaction.Condition> extraConditions,
-            Likely likely) {
+            CandidateMachineSource likely) {
         List<Transaction.Condition> conditions = new ArrayList<>(extraConditions);
         List<Transaction.Write> writes = new ArrayList<>(extra);
         conditions.add(new Transaction.Condition(StoreKeys.LEADER, fencingToken));
@@ -397,14 +398,14 @@
             List<Transaction.Write> writes,
             int most,
             int mostBytes,
-            Likely likely,
+            CandidateMachineSource likely,
             long wallMicros) {
         if (job.allFinished() || job.cancelled) {
             return lastPart(job, conditions, writes, most, wallMicros);
         }
         Set<String> machines = mustName(job);
         int room = settings.maxWritableValueBytes() - LEDGER_BYTES;
-        BitSet first = TaskRanges.within(
+        BitSet first = TaskRanges.truncateToLength(
                 job.finishedTasks,
                 job.recordedTasks,
                 0,
@@ -447,7 +448,8 @@
         for (int page : List.copyOf(pages)) {
             BitSet bits = page == 0
                     ? first
-                    : TaskRanges.within(job.finishedTasks, job.recordedTasks, page * size, (page + 1) * size, room);
+                    : TaskRanges.truncateToLength(
+                            job.finishedTasks, job.recordedTasks, page * size, (page + 1) * size, room);
             String text = bits == null ? "" : TaskRanges.format(bits, page * size, (page + 1) * size);
             if (bits == null
                     || (page > 0 && bytes + text.length() > MOST_BYTES / 2)
@@ -549,14 +551,14 @@
         for (JobWrite part : round.jobWrites()) {
             Job job = part.job();
             job.writeInFlight = false;
-            if (part.last()) {
+            if (part.endsJob()) {
                 jobs.remove(job.id());
                 dirty.remove(job.id());
                 continue;
             }
             for (int page : part.pages()) {
                 job.pageVersions.put(page, revision);
-                job.recordedTasks.or(part.done().get(page));
+                job.recordedTasks.or(part.finishedTasks().get(page));
             }
             if (part.pages().contains(0)) {
                 job.ledgerMachines = new HashSet<>(part.machines());
@@ -605,7 +607,7 @@
     }
 
     /** A value as read back after a round without a certain outcome; {@code ledger} null if there is none. */
-    void readBack(String key, StoredRecord.Ledger ledger, long version) {
+    void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version) {
         Job job = jobs.get(jobOf(key));
         int page = pageOf(key);
         if (job == null) {
@@ -691,7 +693,7 @@
         }
     }
 
-    void drop(Job job) {
+    void removeJob(Job job) {
         jobs.remove(job.id());
         dirty.remove(job.id());
     }
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -143,7 +143,7 @@
         for (Settings.Objective objective : settings.objectives()) {
             aims += jobClass.equals(objective.jobClass()) ? 1 : 0;
         }
-        return aims / (double) Math.max(1, ledgers.countOf(jobClass));
+        return aims / (double) Math.max(1, ledgers.jobsSeenOfClass(jobClass));
     }
 
     /** Processors, in thousandths, that are there for work that ends. */
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -136,7 +136,7 @@
         ledgers.cancelledBeforeStart(id);
         if (row.state() == JobState.OPEN) {
             if (job == null) {
-                ledgers.add(
+                ledgers.addJob(
                         row.spec(),
                         view.version(),
                         row.submittedWall(),
@@ -153,7 +153,7 @@
                 cancel(job, nowMicros);
             } else if (!job.writeInFlight) {
                 // Only a leader writes this, so it was our own write whose answer is still to come or was lost.
-                ledgers.drop(job);
+                ledgers.removeJob(job);
             }
         }
     }
@@ -187,7 +187,7 @@
         if (ledgers.get(id) == null) {
             cancelledBefore(id, nowMicros);
         }
-        if (!ledgers.load(key, ledger, version)) {
+        if (!ledgers.loadLedger(key, ledger, version)) {
             extraWrites.add(new Transaction.Write(key, null, 0));
         }
     }
@@ -489,7 +489,7 @@
         if (row == null) {
             return null;
         }
-        Job job = ledgers.add(row.spec(), 0, row.submittedWall(), nowMicros, nowMicros);
+        Job job = ledgers.addJob(row.spec(), 0, row.submittedWall(), nowMicros, nowMicros);
         job.cancelled = true;
         return job;
     }
@@ -505,10 +505,10 @@
                 if (job.spec.kind() == JobKind.GANG) {
                     // A gang completes together, so one report tells of all, also of those that are lost now.
                     for (int index = 0; index < job.spec.taskCount(); index++) {
-                        ledgers.taskFinished(job, index, nowMicros);
+                        ledgers.markTaskFinished(job, index, nowMicros);
                     }
                 } else {
-                    ledgers.taskFinished(job, line.taskIndex(), nowMicros);
+                    ledgers.markTaskFinished(job, line.taskIndex(), nowMicros);
                 }
                 for (Placement other : List.copyOf(job.liveAttempts.getOrDefault(line.taskIndex(), List.of()))) {
                     if (other != placement) {
@@ -924,7 +924,7 @@
             }
         }
         for (JobLedgers.JobWrite part : round.jobWrites()) {
-            if (part.last() && !part.job().cancelled) {
+            if (part.endsJob() && !part.job().cancelled) {
                 completed.add(part.job());
             }
         }
@@ -1022,14 +1022,14 @@
     }
 
     public void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version) {
-        ledgers.readBack(key, ledger, version);
+        ledgers.ledgerReadBack(key, ledger, version);
     }
 
     /** A job row as read back: our own completion of it, a cancellation, or still open. */
     public void jobReadBack(String id, StoredRecord.JobRecord row, long version, long nowMicros) {
         Job job = ledgers.get(id);
         if (job != null && row.state() == JobState.DONE) {
-            ledgers.drop(job);
+            ledgers.removeJob(job);
             takeEndedJobs.add(new EndedJob(id, row, version));
         } else if (job != null && row.state() == JobState.CANCELLED && !job.cancelled) {
             cancel(job, nowMicros);
--- a/src/main/java/io/micatide/scheduler/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -54,7 +54,7 @@
     }
 
     private void count(Job job) {
-        full += ledgers.isFull(job) ? 1 : 0;
+        full += ledgers.isMachineListFull(job) ? 1 : 0;
         suspect += job.quarantined ? 1 : 0;
         waiting += job.pendingCount();
         unsettled += job.hasUnreconciledMachines() ? 1 : 0;
--- a/src/main/java/io/micatide/simulation/SimulatedCluster.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCluster.java
@@ -229,7 +229,7 @@
             return StoreCodec.item(("{\"k\":\"" + key + "\",\"stamp\":" + value.stamp() + ",\"data\":"
                                     + new String(value.json(), StandardCharsets.UTF_8) + "}")
                             .getBytes(StandardCharsets.UTF_8))
-                    .row();
+                    .record();
         } catch (MalformedException e) {
             throw new IllegalStateException(key, e);
         }
--- a/src/main/java/io/micatide/simulation/StartupBenchmark.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -200,7 +200,7 @@
             String value = "{\"k\":\"" + key + "\",\"data\":"
                     + new String(state.values().get(key).json(), StandardCharsets.UTF_8) + ",\"stamp\":1}";
             archivist.segment(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment)
-                    StoreCodec.item(value.getBytes(StandardCharsets.UTF_8)).row()));
+                    StoreCodec.item(value.getBytes(StandardCharsets.UTF_8)).record()));
         } catch (MalformedException | DamagedSegmentException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
@@ -159,7 +159,7 @@
             return;
         }
         try {
-            if (reply.status() == 409 && !StoreCodec.failed(reply.body()).contains(MARKER)) {
+            if (reply.status() == 409 && !StoreCodec.failedKeys(reply.body()).contains(MARKER)) {
                 oneByOne(values, marker);
                 return;
             }
--- a/src/main/java/io/micatide/store/PendingReads.java
+++ b/src/main/java/io/micatide/store/PendingReads.java
@@ -9,36 +9,36 @@
  * state service once ran out of memory here: each failed read asked for two more.
  */
 public final class PendingReads {
-    private final Deque<String> unread;
-    private boolean asking;
+    private final Deque<String> unreadKeys;
+    private boolean readInFlight;
 
     public PendingReads(Collection<String> keys) {
-        unread = new ArrayDeque<>(keys);
+        unreadKeys = new ArrayDeque<>(keys);
     }
 
     /** The key to read now, or null while a read is under way or everything is read. */
     public String next() {
-        if (asking || unread.isEmpty()) {
+        if (readInFlight || unreadKeys.isEmpty()) {
             return null;
         }
-        asking = true;
-        return unread.peekFirst();
+        readInFlight = true;
+        return unreadKeys.peekFirst();
     }
 
     /** The answer to the read that is under way was taken in. */
     public void keyRead() {
-        if (asking) {
-            asking = false;
-            unread.removeFirst();
+        if (readInFlight) {
+            readInFlight = false;
+            unreadKeys.removeFirst();
         }
     }
 
     /** The read that is under way failed; the same key is next, after a pause that the caller makes. */
     public void keyFailed() {
-        asking = false;
+        readInFlight = false;
     }
 
     public boolean isFinished() {
-        return unread.isEmpty();
+        return unreadKeys.isEmpty();
     }
 }
--- a/src/main/java/io/micatide/store/TaskRanges.java
+++ b/src/main/java/io/micatide/store/TaskRanges.java
@@ -30,7 +30,7 @@
      * if it cannot even tell {@code kept}, which has to stay. Whole runs are taken in order; of a run that does not fit what
      * is kept remains.
      */
-    public static BitSet within(BitSet bits, BitSet kept, int from, int to, int mostChars) {
+    public static BitSet truncateToLength(BitSet bits, BitSet kept, int from, int to, int mostChars) {
         BitSet all = bits.get(0, to);
         all.clear(0, Math.min(from, to));
         if (format(all, from, to).length() <= mostChars) {
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -597,6 +597,6 @@
         return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + new String(value.json(), StandardCharsets.UTF_8)
                                 + ",\"stamp\":" + value.stamp() + "}")
                         .getBytes(StandardCharsets.UTF_8))
-                .row();
+                .record();
     }
 }
--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -58,7 +58,7 @@
 
         private void write(Archiver archivist, Transaction transaction) {
             for (Transaction.Write each : transaction.writes()) {
-                if (each.record() != null && StoreCodec.size(each.record()) > limit) {
+                if (each.record() != null && StoreCodec.encodedBytes(each.record()) > limit) {
                     refusals++;
                     assertTrue(archivist.refused());
                     return;
--- a/src/test/java/io/micatide/election/CancellationHorizonTest.java
+++ b/src/test/java/io/micatide/election/CancellationHorizonTest.java
@@ -208,7 +208,7 @@
             long number = Long.parseLong(parts[0]);
             switch (step.charAt(0)) {
                 case 'c' -> log.add("wk-1", number);
-                case 'l' -> log.allReadAt(number);
+                case 'l' -> log.fullReadFinished(number);
                 default -> {
                     for (long each = 0; each < number; each++) {
                         log.add("wk-" + each, Long.parseLong(parts[1]) + each);
--- a/src/test/java/io/micatide/protocol/CodecTest.java
+++ b/src/test/java/io/micatide/protocol/CodecTest.java
@@ -126,7 +126,7 @@
                         com.fasterxml.jackson.databind.JsonNode.class)
                 .toString();
         StoreCodec.Item item = StoreCodec.item(json("{'k':'job/wk-1','data':" + data + ",'stamp':9}"));
-        assertEquals(row, item.row());
+        assertEquals(row, item.record());
     }
 
     @ParameterizedTest
--- a/src/test/java/io/micatide/protocol/StoredFormatTest.java
+++ b/src/test/java/io/micatide/protocol/StoredFormatTest.java
@@ -63,7 +63,7 @@
     void rowsOfProduction(String key, String data) throws MalformedException {
         StoreCodec.Item item = StoreCodec.item(json("{'k':'" + key + "','data':" + data + ",'stamp':9}"));
         byte[] again = StoreCodec.transaction(new Transaction(
-                List.of(new Transaction.Condition(key, 9)), List.of(new Transaction.Write(key, item.row(), 0))));
+                List.of(new Transaction.Condition(key, 9)), List.of(new Transaction.Write(key, item.record(), 0))));
         assertEquals(
                 "{'if':[{'k':'" + key + "','stamp':9}],'writes':[{'put':'" + key + "','data':" + data + "}]}",
                 new String(again, StandardCharsets.UTF_8).replace('"', '\''));
@@ -73,7 +73,7 @@
     void aRowOfProductionMeansWhatItMeant() throws MalformedException {
         StoreCodec.Item item = StoreCodec.item(json("{'k':'job/wk-1','data':{'state':'OPEN','tasks':16,'submitted':7,"
                 + "'spec':" + SPEC + "},'stamp':9}"));
-        JobSpec spec = ((StoredRecord.JobRecord) item.row()).spec();
+        JobSpec spec = ((StoredRecord.JobRecord) item.record()).spec();
         assertEquals(
                 new JobSpec(
                         "wk-1",
@@ -95,7 +95,7 @@
                         0,
                         90_000_000),
                 spec);
-        assertEquals(JobState.OPEN, ((StoredRecord.JobRecord) item.row()).state());
+        assertEquals(JobState.OPEN, ((StoredRecord.JobRecord) item.record()).state());
     }
 
     /** A list of any length is kept whole, in as many rows as it takes, none above the limit. */
@@ -138,11 +138,11 @@
                         needs),
                 7,
                 16);
-        List<Transaction.Write> writes = StoreCodec.jobRows("wk-x", row, limit);
+        List<Transaction.Write> writes = StoreCodec.jobRecordWrites("wk-x", row, limit);
         assertEquals(rows, writes.size());
         JobCache directory = new JobCache();
         for (Transaction.Write write : writes) {
-            assertTrue(StoreCodec.size(write.record()) <= limit, write.key());
+            assertTrue(StoreCodec.encodedBytes(write.record()) <= limit, write.key());
             if (write.record() instanceof StoredRecord.FurtherDependencies further) {
                 directory.applyDependencies(
                         "wk-x", Integer.parseInt(write.key().substring("job/wk-x/needs/".length())), further.names());
@@ -151,7 +151,7 @@
             }
         }
         assertEquals(row, directory.get("wk-x").record());
-        assertNull(StoreCodec.jobRows("wk-x", row, 200), "the job itself has to fit");
+        assertNull(StoreCodec.jobRecordWrites("wk-x", row, 200), "the job itself has to fit");
     }
 
     @Test
--- a/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
@@ -146,15 +146,16 @@
                         JobState.OPEN, SchedulerHarness.job("s", JobKind.SERVICE, "blue", Priority.NORMAL, 2, 0), 0, 2),
                 50);
         directory.layoutMarked(marked ? 7 : 0, new StoredRecord.Layout(2, 2048));
-        DependencyAdmission said = DependencyAdmission.of(spec("x", List.of(needs.split("&"))), directory);
+        DependencyAdmission said = DependencyAdmission.evaluate(spec("x", List.of(needs.split("&"))), directory);
         String text = said instanceof DependencyAdmission.Accepted accepted
                 ? accepted.state() + " "
-                        + (accepted.stored() == null
+                        + (accepted.spec() == null
                                 ? 0
-                                : accepted.stored().dependencies().size())
+                                : accepted.spec().dependencies().size())
                 : said.getClass().getSimpleName();
         assertEquals(outcome, text);
-        assertInstanceOf(DependencyAdmission.Refused.class, DependencyAdmission.of(spec("x", List.of("s")), directory));
+        assertInstanceOf(
+                DependencyAdmission.Refused.class, DependencyAdmission.evaluate(spec("x", List.of("s")), directory));
     }
 
     /**
@@ -175,7 +176,7 @@
         RuntimeEstimator runTimes = new RuntimeEstimator();
         JobLedgers ledgers = new JobLedgers(settings, 5);
         DagInheritance pipelines = new DagInheritance(ledgers, runTimes);
-        Job first = ledgers.add(SchedulerHarness.job("a", JobKind.ARRAY, "blue", own, 2, 5), 1, 0, 0, 0);
+        Job first = ledgers.addJob(SchedulerHarness.job("a", JobKind.ARRAY, "blue", own, 2, 5), 1, 0, 0, 0);
         long version = 1;
         for (String step : rows.split(" ")) {
             String[] parts = step.split("<");
--- a/src/test/java/io/micatide/scheduler/JobLedgersTest.java
+++ b/src/test/java/io/micatide/scheduler/JobLedgersTest.java
@@ -41,9 +41,9 @@
         Settings settings = new SchedulerHarness(1, 0, bytes, 16).settings;
         JobLedgers ledgers = new JobLedgers(settings, 5);
         JobSpec spec = SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5);
-        Job job = ledgers.add(spec, 7, 0, 0, 0);
+        Job job = ledgers.addJob(spec, 7, 0, 0, 0);
         for (int i = 0; i < tasks - 1; i += step) {
-            ledgers.taskFinished(job, i, 0);
+            ledgers.markTaskFinished(job, i, 0);
         }
         Map<String, StoredRecord.Ledger> stored = new HashMap<>();
         int rounds = 0;
@@ -65,7 +65,7 @@
             for (Transaction.Write write : round.transaction().writes()) {
                 StoredRecord.Ledger ledger = (StoredRecord.Ledger) write.record();
                 assertTrue(ledger.finishedTasks().length() < settings.maxValueBytes() * 5 / 8, write.key());
-                assertTrue(StoreCodec.size(ledger) <= bytes, write.key());
+                assertTrue(StoreCodec.encodedBytes(ledger) <= bytes, write.key());
                 sum += ledger.finishedTasks().length() + 200;
                 stored.put(write.key(), ledger);
             }
@@ -86,8 +86,8 @@
                     "recorded: " + job.recordedTasks.cardinality());
         }
         JobLedgers next = new JobLedgers(settings, 900);
-        Job found = next.add(spec, 7, 0, 0, 0);
-        stored.forEach((key, ledger) -> assertTrue(next.load(key, ledger, 1)));
+        Job found = next.addJob(spec, 7, 0, 0, 0);
+        stored.forEach((key, ledger) -> assertTrue(next.loadLedger(key, ledger, 1)));
         assertEquals(job.recordedTasks, found.finishedTasks);
     }
 
@@ -111,8 +111,8 @@
         Settings settings = new SchedulerHarness(1, 0, 2048, ops).settings;
         JobLedgers ledgers = new JobLedgers(settings, 900);
         ledgers.layoutMarked(dense ? 44 : 0, ledgers.pageTasks());
-        Job job =
-                ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5), 7, 0, 0, 0);
+        Job job = ledgers.addJob(
+                SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5), 7, 0, 0, 0);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
             names.add(String.format("i-%06d", i));
@@ -123,7 +123,7 @@
         }
         int size = settings.pageTasks();
         for (int page = 0; page * size < tasks; page++) {
-            assertTrue(ledgers.load(
+            assertTrue(ledgers.loadLedger(
                     StoreKeys.ledger("wk-1", page),
                     new StoredRecord.Ledger(
                             page == 0 ? names : List.of(),
@@ -143,7 +143,7 @@
                 ledgers.markDirty(job, now);
             }
             if (second < 200) {
-                ledgers.taskFinished(job, (second * 7919) % tasks, now);
+                ledgers.markTaskFinished(job, (second * 7919) % tasks, now);
             }
             JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
                     now,
@@ -162,7 +162,7 @@
             assertTrue(round.transaction().writes().size() <= ops);
             assertTrue(round.transaction().conditions().size() <= 4 * ops);
             for (Transaction.Write write : round.transaction().writes()) {
-                assertTrue(StoreCodec.size(write.record()) <= 2048, write.key());
+                assertTrue(StoreCodec.encodedBytes(write.record()) <= 2048, write.key());
                 if (write.key().equals(StoreKeys.ledger("wk-1", 0))) {
                     assertTrue(((StoredRecord.Ledger) write.record()).machines().containsAll(job.unreconciledMachines));
                     // Names in short are written on condition that everybody reads them.
@@ -179,7 +179,7 @@
         }
         assertTrue(idle >= 20, "it is written again and again: " + written);
         for (int i = 0; i < tasks; i++) {
-            ledgers.taskFinished(job, i, 500 * Micros.SECOND);
+            ledgers.markTaskFinished(job, i, 500 * Micros.SECOND);
         }
         JobLedgers.WriteBatch last = ledgers.nextWriteBatch(
                 510 * Micros.SECOND,
@@ -207,8 +207,8 @@
     void namesNoMoreMachinesThanFit(int bytes, int most, int apart, boolean dense) {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, bytes, 5).settings, 900);
         ledgers.layoutMarked(dense ? 44 : 0, ledgers.pageTasks());
-        Job job =
-                ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 5000, 5), 7, 0, 0, 0);
+        Job job = ledgers.addJob(
+                SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 5000, 5), 7, 0, 0, 0);
         int used = 0;
         for (int i = 0; i < 1000; i++) {
             Machine machine = new Machine(String.format("i-%06d", i * apart), 0);
@@ -220,7 +220,7 @@
         assertEquals(most, used);
         JobLedgers.WriteBatch round =
                 ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertTrue(StoreCodec.size(round.transaction().writes().get(0).record()) <= bytes);
+        assertTrue(StoreCodec.encodedBytes(round.transaction().writes().get(0).record()) <= bytes);
     }
 
     /** What the state service refuses holds up neither the other jobs nor, after a pause, its own. */
@@ -228,9 +228,9 @@
     void aRefusedRoundHoldsUpNobodyElse() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
         Job first =
-                ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
+                ledgers.addJob(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
         Job second =
-                ledgers.add(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 8, 0, 0, 0);
+                ledgers.addJob(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 8, 0, 0, 0);
         ledgers.recordMachine(first, new Machine("i-1", 0), 0);
         JobLedgers.WriteBatch round =
                 ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
@@ -260,7 +260,7 @@
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
         List<Job> jobs = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
-            jobs.add(ledgers.add(
+            jobs.add(ledgers.addJob(
                     SchedulerHarness.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0));
             ledgers.recordMachine(jobs.get(i - 1), new Machine("i-1", 0), 0);
         }
@@ -290,14 +290,14 @@
     void finishedTasksLeaveTheRateToWhatStarts() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, 2048, 5).settings, 900);
         for (int i = 0; i < 8; i++) {
-            ledgers.taskFinished(
-                    ledgers.add(
+            ledgers.markTaskFinished(
+                    ledgers.addJob(
                             SchedulerHarness.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0),
                     3,
                     0);
         }
         Job starting =
-                ledgers.add(SchedulerHarness.job("wk-8", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
+                ledgers.addJob(SchedulerHarness.job("wk-8", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
         ledgers.recordMachine(starting, new Machine("i-1", 0), 0);
         long now = 5 * Micros.SECOND;
         JobLedgers.WriteBatch round =
@@ -321,11 +321,11 @@
     void theMarkKeepsTheSizeOfPages() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
         ledgers.layoutMarked(44, 256);
-        Job job =
-                ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1000, 5), 7, 0, 0, 0);
-        ledgers.load(StoreKeys.ledger("wk-1", 2), new StoredRecord.Ledger(List.of(), 0, "0-9", true), 5);
+        Job job = ledgers.addJob(
+                SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1000, 5), 7, 0, 0, 0);
+        ledgers.loadLedger(StoreKeys.ledger("wk-1", 2), new StoredRecord.Ledger(List.of(), 0, "0-9", true), 5);
         assertEquals("512-521", TaskRanges.format(job.finishedTasks, 0, 1000));
-        ledgers.taskFinished(job, 600, 0);
+        ledgers.markTaskFinished(job, 600, 0);
         JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
                 5 * Micros.SECOND, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
         assertEquals(
--- a/src/test/java/io/micatide/scheduler/SchedulerHarness.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -386,7 +386,7 @@
                     .path("data");
             return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + data + ",\"stamp\":" + at + "}")
                             .getBytes(StandardCharsets.UTF_8))
-                    .row();
+                    .record();
         } catch (MalformedException e) {
             throw new IllegalStateException(key + ": " + e.getMessage(), e);
         }
@@ -653,7 +653,7 @@
     private boolean breaksLimits(Transaction round) {
         boolean breaks = round.writes().size() > opsLimit || round.conditions().size() > 4 * opsLimit;
         for (Transaction.Write write : round.writes()) {
-            breaks |= write.record() != null && StoreCodec.size(write.record()) > valueLimit;
+            breaks |= write.record() != null && StoreCodec.encodedBytes(write.record()) > valueLimit;
         }
         return breaks;
     }
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -34,7 +34,8 @@
             PlacementPlanner planner = new PlacementPlanner(s, its, fleet, ledgers, times);
             planners.add(planner);
             machine = fleet.getOrAdd("i-1", 0);
-            job = ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
+            job = ledgers.addJob(
+                    SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
             return planner;
         });
     }
--- a/src/test/java/io/micatide/simulation/FailoverScenario.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -353,7 +353,7 @@
                 .subMap(prefix, prefix + Character.MAX_VALUE)
                 .forEach((key, value) -> stored.put(key, value.stamp() + " " + SimulatedCluster.row(key, value)));
         Map<String, String> copied = new TreeMap<>();
-        rows.forEach(row -> copied.put(row.key(), row.version() + " " + row.row()));
+        rows.forEach(row -> copied.put(row.key(), row.version() + " " + row.record()));
         if (!stored.equals(copied) && deployment.owner().equals("c" + number)) {
             wrong.add("the copy of " + prefix + " on c" + number + " is " + copied + " and the store has " + stored);
         }
