--- a/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
@@ -127,7 +127,7 @@
     @CsvSource({
         // rows before, mark seen, needs, outcome
         "a, true, a, OPEN 1",
-        "a, false, a, NotYet",
+        "a, false, a, Deferred",
         "a +a, false, a, OPEN 0",
         "a b +a, true, a&b, OPEN 1",
         "a b, true, a&b, OPEN 2",
