--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -6,7 +6,7 @@
 import io.micatide.model.JobState;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
-import io.micatide.store.MachineNameCodec;
+import io.micatide.scheduler.WriteBatch.JobWrite;
 import io.micatide.store.StoreKeys;
 import io.micatide.store.StoredRecord;
 import io.micatide.store.TaskRanges;
@@ -21,246 +21,209 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
+import java.util.Optional;
 import java.util.Set;
 
 /**
- * The ledgers of all open jobs and the rounds that write them.
+ * The open jobs of a term, their ledgers and the batches that write them.
  *
  * <p>A write whose answer was lost may be applied minutes later. So every value is written on condition that it is as
- * we last knew it, and a machine counts as recorded only if it is so by every outcome that the last write can have.
+ * it was last known, and a machine counts as recorded only if it is so by every outcome that the last write can have.
+ *
+ * <p>A job whose write is in flight is in no other batch until the outcome is told: by {@link #writeConfirmed}, by
+ * {@link #writeConflicted} with {@link #keyReadBack}, or by {@link #writeResolved} once its values were read back.
  */
 final class JobLedgers {
     /** Longest time that finished tasks of a job wait to be recorded together. */
-    private static final long GATHER_MICROS = Micros.SECOND;
-
-    private static final int MOST_BYTES = 40_000;
-    /** What a ledger value takes besides names and ranges. */
-    private static final int LEDGER_BYTES = 64;
-    /** What one name takes besides its letters. */
-    private static final int NAME_BYTES = 3;
-    /** More than a name takes in short beside others, even with thousands of machines between them. */
-    private static final int DENSE_NAME_BYTES = 5;
-
-    private static final long REFUSED_PAUSE_MICROS = 5 * Micros.SECOND;
+    private static final long MAX_GATHER_MICROS = Micros.SECOND;
+    /** How long a job is not written after the store rejected a transaction with it. */
+    private static final long REJECTED_BACKOFF_MICROS = 5 * Micros.SECOND;
 
     private final Settings settings;
     private final long fencingToken;
+    private final LedgerFormat format;
+    private final LedgerMachines ledgerMachines;
+    private final LedgerPages ledgerPages;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, Job> dirty = new LinkedHashMap<>();
+    private final Map<String, Job> dirtyJobs = new LinkedHashMap<>();
     /** How many jobs of each class this leader has seen. */
-    private final Multiset<String> seenOfClass = HashMultiset.create();
+    private final Multiset<String> jobsSeenOfClass = HashMultiset.create();
+
+    private final DependencyCancellations dependencyCancellations = new DependencyCancellations();
+    private final ConflictedKeys conflictedKeys = new ConflictedKeys();
+    /** Jobs that wait for the reconciliation of a machine after a failover, by machine. */
+    private final Map<String, List<Job>> jobsAwaitingMachine = new HashMap<>();
 
-    private long layoutVersion;
-    private boolean checked;
-    /** By the settings, until the mark says with what size the stored pages were written. */
-    private int pageTasks;
-    /** Jobs whose rows still say open although something that they need was cancelled, with the rows' versions. */
-    private final Map<String, Withdrawal> withdrawals = new LinkedHashMap<>();
+    private boolean checkedAgainstArchive;
 
-    /** Jobs by the machines that hold them up after a take-over. */
-    private final Map<String, List<Job>> unsettledOn = new HashMap<>();
-    /** Keys for which a round was refused and that are still to be read back, by their jobs. */
-    private final Map<String, Set<String>> unknownKeys = new HashMap<>();
+    /** What a batch writes first: what other jobs wait for, then what starts or ends a job, then finished tasks. */
+    private enum WritePriority {
+        UNBLOCKS_DEPENDENTS,
+        STARTS_OR_ENDS,
+        FINISHED_TASKS;
 
-    /** A row to close. That the job is withdrawn follows from the others' rows, so this is for whoever reads only rows. */
-    private record Withdrawal(String id, long version, StoredRecord.JobRecord row) {}
+        private static final List<WritePriority> ORDER = List.of(values());
+
+        static WritePriority of(Job job) {
+            if (job.hasDependents && job.allFinished() && !job.cancelled) {
+                return UNBLOCKS_DEPENDENTS;
+            }
+            return !job.machinesToRecord.isEmpty() || job.allFinished() || job.cancelled
+                    ? STARTS_OR_ENDS
+                    : FINISHED_TASKS;
+        }
+    }
 
     JobLedgers(Settings settings, long fencingToken) {
         this.settings = settings;
         this.fencingToken = fencingToken;
-        this.pageTasks = settings.pageTasks();
+        this.format = new LedgerFormat(settings);
+        this.ledgerMachines = new LedgerMachines(format);
+        this.ledgerPages = new LedgerPages(format, ledgerMachines);
     }
 
-    /** What a round writes of one job; {@code machines} is the set that the new ledger names. */
-    record JobWrite(
-            Job job, boolean endsJob, Set<String> machines, List<Integer> pages, Map<Integer, BitSet> finishedTasks) {}
-
-    /** One transaction and what it means. {@code provisioningRequests} are the rentals written along with it. */
-    record WriteBatch(
-            Transaction transaction,
-            List<JobWrite> jobWrites,
-            List<ProvisioningRequests.Request> provisioningRequests,
-            List<String> withdrawals) {}
+    // ---- open jobs
 
+    /** The open jobs in the order in which they were added. */
     Collection<Job> jobs() {
         return jobs.values();
     }
 
     int jobsSeenOfClass(String jobClass) {
-        return seenOfClass.count(jobClass);
+        return jobsSeenOfClass.count(jobClass);
     }
 
+    /** The open job of this id, or null. */
     Job get(String id) {
         return jobs.get(id);
     }
 
+    /**
+     * Adds an open job.
+     *
+     * @param version of its stored record
+     * @param submittedWall time of day of its submission
+     * @param submittedMicros the same on the steady clock
+     * @param readyMicros from when its times count, on the steady clock
+     */
     Job addJob(JobSpec spec, long version, long submittedWall, long submittedMicros, long readyMicros) {
         Job job = new Job(spec, version, submittedWall, submittedMicros, readyMicros);
-        seenOfClass.add(spec.jobClass());
+        jobsSeenOfClass.add(spec.jobClass());
         jobs.put(spec.id(), job);
         return job;
     }
 
-    static String jobOf(String ledgerKey) {
-        String rest = ledgerKey.substring(StoreKeys.LEDGERS.length());
-        int slash = rest.indexOf('/');
-        return slash < 0 ? rest : rest.substring(0, slash);
+    /** The job is over by its stored record: nothing more is written of it. */
+    void removeJob(Job job) {
+        jobs.remove(job.id());
+        dirtyJobs.remove(job.id());
+    }
+
+    /** Whether nothing of an ended job is left to do: no task of it can run, no ledger of it is stored. */
+    boolean mayBeArchived(String id) {
+        return !jobs.containsKey(id) && !dependencyCancellations.contains(id);
+    }
+
+    /** There is an archive: records say that their writers know it. */
+    void archiveEnabled() {
+        checkedAgainstArchive = true;
     }
 
-    private static int pageOf(String ledgerKey) {
-        int slash = ledgerKey.indexOf('/', StoreKeys.LEDGERS.length());
-        return slash < 0 ? 0 : Integer.parseInt(ledgerKey.substring(slash + 1));
+    /** The job's record is to be closed, since a dependency was cancelled; {@code record} as it is stored now. */
+    void cancelBeforeStart(String id, StoredRecord.JobRecord record, long version) {
+        dependencyCancellations.add(id, record, version);
     }
 
+    /** The job's record needs no closing, or not any more. */
+    void cancelledBeforeStart(String id) {
+        dependencyCancellations.remove(id);
+    }
+
+    // ---- ledgers of an earlier leader
+
     /** Takes over a ledger value of an earlier leader; false if it belongs to no job that is known. */
     boolean loadLedger(String key, StoredRecord.Ledger ledger, long version) {
-        Job job = jobs.get(jobOf(key));
+        Job job = jobs.get(StoreKeys.jobIdOf(key));
         if (job == null) {
             return false;
         }
-        int page = pageOf(key);
+        int page = StoreKeys.ledgerPageOf(key);
         adopt(job, page, ledger, version);
         if (page == 0) {
             job.unreconciledMachines.addAll(ledger.machines());
-            ledger.machines()
-                    .forEach(machine -> unsettledOn
-                            .computeIfAbsent(machine, k -> new ArrayList<>())
-                            .add(job));
+            for (String machine : ledger.machines()) {
+                jobsAwaitingMachine
+                        .computeIfAbsent(machine, name -> new ArrayList<>())
+                        .add(job);
+            }
         }
         return true;
     }
 
+    private void adopt(Job job, int page, StoredRecord.Ledger ledger, long version) {
+        job.pageVersions.put(page, version);
+        BitSet finished = new BitSet();
+        TaskRanges.parseInto(ledger.finishedTasks(), page * format.pageTasks(), finished);
+        job.adoptRecorded(finished);
+        if (page == 0) {
+            job.ledgerMachines = new HashSet<>(ledger.machines());
+            job.gangAttempt = Math.max(job.gangAttempt, ledger.gangAttempt());
+        }
+    }
+
     /**
-     * Nothing that an earlier leader sent can appear on this machine any more. Returns the open jobs that it was the last to hold up. Asking
-     * every job for every machine took a million looks in the seconds after a take-over of a thousand machines.
+     * Nothing that an earlier leader sent can appear on this machine any more. Returns the open jobs that waited for
+     * this machine last. Asking every job for every machine took a million look-ups in the seconds after a failover of
+     * a thousand machines.
      */
     List<Job> reconcileMachine(String machine) {
-        List<Job> result = new ArrayList<>();
-        for (Job job : Objects.requireNonNullElse(unsettledOn.remove(machine), List.<Job>of())) {
+        List<Job> reconciled = new ArrayList<>();
+        for (Job job : Objects.requireNonNullElse(jobsAwaitingMachine.remove(machine), List.<Job>of())) {
             if (job.unreconciledMachines.remove(machine)
                     && !job.hasUnreconciledMachines()
                     && jobs.get(job.id()) == job) {
-                result.add(job);
+                reconciled.add(job);
             }
         }
-        return result;
+        return reconciled;
     }
 
-    private void adopt(Job job, int page, StoredRecord.Ledger ledger, long version) {
-        job.pageVersions.put(page, version);
-        BitSet done = new BitSet();
-        TaskRanges.parseInto(ledger.finishedTasks(), page * pageTasks, done);
-        job.adoptRecorded(done);
-        if (page == 0) {
-            job.ledgerMachines = new HashSet<>(ledger.machines());
-            job.gangAttempt = Math.max(job.gangAttempt, ledger.gangAttempt());
-        }
-    }
+    // ---- what has to be written
 
     void markDirty(Job job, long nowMicros) {
         if (job.dirtySinceMicros < 0) {
             job.dirtySinceMicros = nowMicros;
         }
-        dirty.putIfAbsent(job.id(), job);
+        dirtyJobs.putIfAbsent(job.id(), job);
     }
 
     void markTaskFinished(Job job, int index, long nowMicros) {
         if (job.markFinished(index)) {
-            job.dirtyPages.set(index / pageTasks);
+            job.dirtyPages.set(index / format.pageTasks());
             markDirty(job, nowMicros);
         }
     }
 
-    /** What is written of a job that went with one that it needs; {@code row} as it is stored now. */
-    void cancelBeforeStart(String id, StoredRecord.JobRecord row, long version) {
-        withdrawals.put(id, new Withdrawal(id, version, row));
-    }
-
-    void cancelledBeforeStart(String id) {
-        withdrawals.remove(id);
-    }
-
-    /** Whether nothing of a job that is over is left to do: no task of it can run, no ledger of it is stored. */
-    boolean mayBeArchived(String id) {
-        return !jobs.containsKey(id) && !withdrawals.containsKey(id);
-    }
-
-    /** There is an archive: rows say that their writers know it. */
-    void archiveEnabled() {
-        checked = true;
-    }
-
-    /** The mark that every controller reads names in short: a condition of each round that writes them so. */
-    void layoutMarked(long version, int tasksOfAPage) {
-        layoutVersion = version;
-        pageTasks = tasksOfAPage;
+    /** The layout record was read: see {@link LedgerFormat#layoutMarked}. */
+    void layoutMarked(long version, int tasksOfPage) {
+        format.layoutMarked(version, tasksOfPage);
     }
 
     int pageTasks() {
-        return pageTasks;
-    }
-
-    private boolean dense() {
-        return layoutVersion > 0;
+        return format.pageTasks();
     }
 
-    private int bytes(Collection<String> names) {
-        if (dense()) {
-            return MachineNameCodec.compressedBytes(names);
-        }
-        int bytes = 0;
-        for (String name : names) {
-            bytes += name.length() + NAME_BYTES;
-        }
-        return bytes;
-    }
-
-    /** The part of the first page that names machines. Finished ranges have the rest, and what the names leave. */
-    private int nameBytes() {
-        return (settings.maxWritableValueBytes() - LEDGER_BYTES) * 5 / 8;
-    }
-
-    /** Machines that the ledger must name whatever else it says. */
-    private static Set<String> mustName(Job job) {
-        Set<String> machines = new HashSet<>(job.machinesToRecord);
-        machines.addAll(job.unreconciledMachines);
-        machines.addAll(job.liveMachines.elementSet());
-        return machines;
-    }
-
-    /**
-     * Whether the job may be placed on one more machine. No name is ever dropped to make a ledger fit: take-overs rest on
-     * them. So a job uses no more machines than its ledger can name.
-     */
+    /** Whether the job may be placed on the machine: its ledger names it or has room for its name. */
     boolean mayRecordMachine(Job job, Machine machine, long nowMicros) {
-        if (job.ledgerMachines.contains(machine.name) || job.machinesToRecord.contains(machine.name)) {
-            return true;
-        }
-        if (nowMicros < job.ledgerFullUntilMicros) {
-            return false;
-        }
-        int each = dense() ? DENSE_NAME_BYTES : machine.name.length() + NAME_BYTES;
-        int most = nameBytes() - each;
-        int upperBound = job.machinesToRecord.size()
-                + job.unreconciledMachines.size()
-                + job.liveMachines.elementSet().size();
-        if (upperBound * each <= most) {
-            return true;
-        }
-        // Exactly, once per plan; what is added meanwhile is counted as if it stood alone.
-        if (job.ledgerNameBytesMicros != nowMicros) {
-            job.ledgerNameBytesMicros = nowMicros;
-            job.ledgerNameBytes = bytes(mustName(job)) - each * job.machinesToRecord.size();
-        }
-        return job.ledgerNameBytes + each * job.machinesToRecord.size() <= most;
+        return ledgerMachines.hasRoomFor(job, machine, nowMicros);
     }
 
     /** Whether a job with waiting tasks is on as many machines as its ledger can name. */
     boolean isMachineListFull(Job job) {
-        return job.pendingCount() > 0 && bytes(mustName(job)) > nameBytes() - 16;
+        return ledgerMachines.isFull(job);
     }
 
-    /** Starts wait for this: the ledger must name the machine before anything can land on it. */
+    /** Starts wait for this: the ledger must name the machine before a task can be started on it. */
     void recordMachine(Job job, Machine machine, long nowMicros) {
         if (!job.ledgerMachines.contains(machine.name)) {
             job.machinesToRecord.add(machine.name);
@@ -268,351 +231,175 @@
         }
     }
 
-    /** Says which further machines a job's ledger should name. */
-    @FunctionalInterface
-    interface CandidateMachineSource {
-        List<String> machines(Job job, int most);
-    }
+    // ---- the next batch
 
     /**
-     * The next round, or null if nothing is worth writing; {@code mostWrites} is what the rate leaves for what starts or ends
-     * a job, {@code mostLater} what it leaves for the rest: finished tasks can wait at their workers.
+     * The next batch, or empty if nothing is worth writing. Its jobs are in flight until the outcome is told.
+     *
+     * @param wallMicros the time of day, which the records of completed jobs keep
+     * @param limits what the write rate of the store leaves
+     * @param additionalWrites what is written along with the jobs
+     * @param candidates names machines in advance, so that later starts need not wait for a write
      */
-    WriteBatch nextWriteBatch(
+    Optional<WriteBatch> nextWriteBatch(
             long nowMicros,
             long wallMicros,
-            int mostWrites,
-            int mostLater,
-            List<ProvisioningRequests.Request> bookings,
-            List<Transaction.Write> extra,
-            List<Transaction.Condition> extraConditions,
-            CandidateMachineSource likely) {
-        List<Transaction.Condition> conditions = new ArrayList<>(extraConditions);
-        List<Transaction.Write> writes = new ArrayList<>(extra);
-        conditions.add(new Transaction.Condition(StoreKeys.LEADER, fencingToken));
-        int most = Math.min(mostWrites, settings.maxTransactionWrites());
-        int bytes = extra.size() * 200;
-        List<JobWrite> parts = new ArrayList<>();
-        // Whatever else made it dirty, a cancelled job stays open here and its ledger in the store until nothing
-        // of
-        // it can be on a machine.
-        // It once went with the next round that came for a finished task or a needed machine: what went on on a hung or
-        // cut-off machine
-        // counted for no team any more, neither here nor for the next leader, and teams at their limits started too
-        // much (quota).
-        dirty.values().removeIf(job -> job.cancelled && job.mayBeRunning());
-        List<Job> candidates = List.copyOf(dirty.values());
-        for (int pass = 0; pass <= LAST_PASS; pass++) {
-            for (Job job : candidates) {
-                int due = pass(job);
-                if (job.writeInFlight
-                        || due != pass
-                        || nowMicros < job.nextWriteMicros
-                        || (due == LAST_PASS && nowMicros - job.dirtySinceMicros < GATHER_MICROS)) {
-                    continue;
-                }
-                int before = writes.size();
-                JobWrite part = part(
-                        job,
-                        conditions,
-                        writes,
-                        due == LAST_PASS ? mostLater : most,
-                        MOST_BYTES - bytes,
-                        likely,
-                        wallMicros);
-                if (part == null) {
+            WriteBatch.Limits limits,
+            WriteBatch.AdditionalWrites additionalWrites,
+            LedgerPages.CandidateMachineSource candidates) {
+        // Whatever else made it dirty, a cancelled job stays open here and its ledger in the store until nothing of it
+        // can be on a machine. It once went with the next batch that came for a finished task or a machine to record:
+        // what went on on a hung or partitioned machine counted for no team any more, neither here nor for the next
+        // leader, and teams at their limits started too much (quota).
+        dirtyJobs.values().removeIf(job -> job.cancelled && job.mayBeRunning());
+        int maxWrites = Math.min(limits.maxWrites(), settings.maxTransactionWrites());
+        WriteBatchBuilder batch = new WriteBatchBuilder(fencingToken, additionalWrites);
+        List<Job> waiting = List.copyOf(dirtyJobs.values());
+        for (WritePriority priority : WritePriority.ORDER) {
+            for (Job job : waiting) {
+                if (WritePriority.of(job) != priority || !isDue(job, priority, nowMicros)) {
                     continue;
                 }
-                parts.add(part);
-                for (Transaction.Write write : writes.subList(before, writes.size())) {
-                    bytes += sizeOf(write);
+                if (job.allFinished() || job.cancelled) {
+                    addJobEnd(batch, job, maxWrites, wallMicros);
+                } else {
+                    boolean deferrable = priority == WritePriority.FINISHED_TASKS;
+                    addLedger(batch, job, deferrable ? limits.maxDeferrableWrites() : maxWrites, candidates);
                 }
             }
         }
-        List<String> closed = closeWithdrawn(conditions, writes, mostLater);
-        if (writes.isEmpty()) {
-            return null;
-        }
-        for (JobWrite part : parts) {
-            part.job().writeInFlight = true;
-            part.job().ledgerMachines.retainAll(part.machines());
-            dirty.remove(part.job().id());
+        dependencyCancellations.addTo(
+                batch, limits.maxDeferrableWrites(), checkedAgainstArchive, conflictedKeys::containsKeyOf);
+        if (batch.isEmpty()) {
+            return Optional.empty();
         }
-        if (dense()
-                && writes.stream()
-                        .anyMatch(write ->
-                                write.record() instanceof StoredRecord.Ledger ledger && ledger.compressedNames())) {
-            conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, layoutVersion));
-        }
-        return new WriteBatch(new Transaction(conditions, writes), parts, bookings, closed);
+        batch.jobWrites().forEach(this::beginWrite);
+        return Optional.of(batch.build(format.layoutVersion()));
     }
 
-    private static final int LAST_PASS = 2;
-
-    /** Which jobs are written first: what others wait for, then what starts or ends something, then finished tasks. */
-    private static int pass(Job job) {
-        if (job.hasDependents && job.allFinished() && !job.cancelled) {
-            return 0;
-        }
-        return !job.machinesToRecord.isEmpty() || job.allFinished() || job.cancelled ? 1 : LAST_PASS;
+    private static boolean isDue(Job job, WritePriority priority, long nowMicros) {
+        return !job.writeInFlight
+                && nowMicros >= job.nextWriteMicros
+                && (priority != WritePriority.FINISHED_TASKS || nowMicros - job.dirtySinceMicros >= MAX_GATHER_MICROS);
     }
 
-    private List<String> closeWithdrawn(
-            List<Transaction.Condition> conditions, List<Transaction.Write> writes, int most) {
-        List<String> closed = new ArrayList<>();
-        for (Withdrawal each : withdrawals.values()) {
-            if (writes.size() >= most) {
-                break;
-            }
-            if (unknownKeys.containsKey(each.id())) {
-                continue;
-            }
-            conditions.add(new Transaction.Condition(StoreKeys.job(each.id()), each.version()));
-            // It never started, so nobody has to know what its tasks take.
-            writes.add(new Transaction.Write(
-                    StoreKeys.job(each.id()),
-                    new StoredRecord.JobRecord(
-                                    JobState.CANCELLED,
-                                    null,
-                                    each.row().submittedWall(),
-                                    each.row().taskCount())
-                            .withCheckedAgainstArchive(checked),
-                    0));
-            closed.add(each.id());
-        }
-        return closed;
-    }
-
-    private static int sizeOf(Transaction.Write write) {
-        if (write.record() instanceof StoredRecord.Ledger ledger) {
-            return 200
-                    + ledger.finishedTasks().length()
-                    + 16 * ledger.machines().size();
-        }
-        return 300;
-    }
-
-    private JobWrite part(
-            Job job,
-            List<Transaction.Condition> conditions,
-            List<Transaction.Write> writes,
-            int most,
-            int mostBytes,
-            CandidateMachineSource likely,
-            long wallMicros) {
-        if (job.allFinished() || job.cancelled) {
-            return lastPart(job, conditions, writes, most, wallMicros);
-        }
-        Set<String> machines = mustName(job);
-        int room = settings.maxWritableValueBytes() - LEDGER_BYTES;
-        BitSet first = TaskRanges.truncateToLength(
-                job.finishedTasks,
-                job.recordedTasks,
-                0,
-                pageTasks,
-                room - Math.max(bytes(machines), Math.min(nameBytes(), room / 4)));
-        if (first != null && writes.size() >= most) {
-            // Known before its machines are named: with hundreds of jobs to write, naming thousands for each of those
-            // that a full round leaves over took most of a leader's processor.
-            return null;
-        }
-        List<Integer> pages = new ArrayList<>();
-        if (first != null) {
-            addLikely(
-                    machines,
-                    likely.machines(job, nameBytes() / (dense() ? 2 : 8)),
-                    Math.min(
-                            nameBytes(),
-                            room - TaskRanges.format(first, 0, pageTasks).length()));
-            pages.add(0);
-        } else {
-            // What an earlier leader wrote under a larger limit no longer fits. It gets smaller as machines settle and
-            // tasks
-            // end; until then further machines cannot be named.
-            machines = new HashSet<>(job.ledgerMachines);
-            job.ledgerFull |= !job.machinesToRecord.isEmpty();
-        }
-        for (int page = job.dirtyPages.nextSetBit(1); page >= 0; page = job.dirtyPages.nextSetBit(page + 1)) {
-            pages.add(page);
-        }
-        while (pages.size() > most - writes.size() && pages.size() > 1) {
-            pages.remove(pages.size() - 1);
-        }
-        if (pages.isEmpty() || writes.size() + pages.size() > most) {
-            return null;
-        }
-        int size = pageTasks;
-        Map<Integer, BitSet> done = new HashMap<>();
-        List<Transaction.Write> own = new ArrayList<>();
-        int bytes = 0;
-        for (int page : List.copyOf(pages)) {
-            BitSet bits = page == 0
-                    ? first
-                    : TaskRanges.truncateToLength(
-                            job.finishedTasks, job.recordedTasks, page * size, (page + 1) * size, room);
-            String text = bits == null ? "" : TaskRanges.format(bits, page * size, (page + 1) * size);
-            if (bits == null
-                    || (page > 0 && bytes + text.length() > MOST_BYTES / 2)
-                    || nothingNew(job, page, bits, machines)) {
-                // A job in many pieces fills a transaction by itself; the rest of it goes with the next round. What has
-                // no room in a value stays with the workers, who report it until it is recorded.
-                pages.remove(Integer.valueOf(page));
-                continue;
-            }
-            done.put(page, bits);
-            own.add(new Transaction.Write(
-                    StoreKeys.ledger(job.id(), page),
-                    new StoredRecord.Ledger(
-                            page == 0 ? List.copyOf(machines) : List.of(),
-                            page == 0 ? job.gangAttempt : 0,
-                            text,
-                            page == 0 && dense()),
-                    0));
-            bytes += sizeOf(own.get(own.size() - 1));
-        }
-        if (pages.isEmpty()) {
-            dirty.remove(job.id());
+    private void addLedger(
+            WriteBatchBuilder batch, Job job, int maxWrites, LedgerPages.CandidateMachineSource candidates) {
+        LedgerPages.Composition pages = ledgerPages.compose(job, maxWrites - batch.writeCount(), candidates);
+        if (pages instanceof LedgerPages.Unchanged) {
+            dirtyJobs.remove(job.id());
             job.dirtySinceMicros = -1;
-            return null;
+        } else if (pages instanceof LedgerPages.Update update && batch.hasRoomFor(update.estimatedBytes())) {
+            batch.addLedgerUpdate(update);
         }
-        if (bytes > mostBytes && !writes.isEmpty()) {
-            return null;
-        }
-        // Without this a write that arrives after the job's end would bring its ledger back: both are absent then.
-        conditions.add(new Transaction.Condition(StoreKeys.job(job.id()), job.version));
-        for (int page : pages) {
-            conditions.add(new Transaction.Condition(
-                    StoreKeys.ledger(job.id(), page), job.pageVersions.getOrDefault(page, 0L)));
-        }
-        writes.addAll(own);
-        return new JobWrite(job, false, machines, pages, done);
-    }
-
-    private void addLikely(Set<String> machines, List<String> likely, int mostBytes) {
-        int bytes = bytes(machines);
-        for (String name : likely) {
-            if (!machines.contains(name)) {
-                bytes += dense() ? DENSE_NAME_BYTES : name.length() + NAME_BYTES;
-                if (bytes > mostBytes) {
-                    return;
-                }
-                machines.add(name);
-            }
-        }
-    }
-
-    /** Whether the page would say only what it says already; not so of the first before it was ever written. */
-    private static boolean nothingNew(Job job, int page, BitSet bits, Set<String> machines) {
-        BitSet news = (BitSet) bits.clone();
-        news.andNot(job.recordedTasks);
-        return news.isEmpty()
-                && (page > 0
-                        || (job.pageVersions.containsKey(0)
-                                && job.machinesToRecord.isEmpty()
-                                && job.ledgerMachines.equals(machines)));
     }
 
     /** Completion, and the end of a cancelled job once nothing of it can be on a machine. */
-    private JobWrite lastPart(
-            Job job,
-            List<Transaction.Condition> conditions,
-            List<Transaction.Write> writes,
-            int most,
-            long wallMicros) {
+    private void addJobEnd(WriteBatchBuilder batch, Job job, int maxWrites, long wallMicros) {
         List<Integer> pages = new ArrayList<>(job.pageVersions.keySet());
         while (pages.size() + 1 > settings.maxTransactionWrites()) {
             // What is left over is removed by the leader that finds it without an open job.
             pages.remove(pages.size() - 1);
         }
-        if (writes.size() + pages.size() + 1 > Math.max(most, writes.isEmpty() ? pages.size() + 1 : 0)) {
-            return null;
+        // A batch of its own may take as many writes as the job needs, or it would never end.
+        if (!batch.isEmpty() && batch.writeCount() + pages.size() + 1 > maxWrites) {
+            return;
         }
-        if (!job.cancelled) {
-            conditions.add(new Transaction.Condition(StoreKeys.job(job.id()), job.version));
-            writes.add(new Transaction.Write(
-                    StoreKeys.job(job.id()),
-                    new StoredRecord.JobRecord(
-                            JobState.DONE, null, job.submittedWall, job.spec.taskCount(), wallMicros, 0, checked),
-                    0));
-        } else if (pages.isEmpty()) {
+        if (job.cancelled && pages.isEmpty()) {
             jobs.remove(job.id());
-            return null;
-        }
-        for (int page : pages) {
-            conditions.add(new Transaction.Condition(StoreKeys.ledger(job.id(), page), job.pageVersions.get(page)));
-            writes.add(new Transaction.Write(StoreKeys.ledger(job.id(), page), null, 0));
+            return;
         }
-        return new JobWrite(job, true, Set.of(), pages, Map.of());
+        batch.addJobEnd(
+                new JobWrite(job, true, Set.of(), pages, Map.of()), job.cancelled ? null : doneRecord(job, wallMicros));
+    }
+
+    private StoredRecord.JobRecord doneRecord(Job job, long wallMicros) {
+        return new StoredRecord.JobRecord(
+                JobState.DONE, null, job.submittedWall, job.spec.taskCount(), wallMicros, 0, checkedAgainstArchive);
+    }
+
+    /** Until the outcome is known, only what both the old and the new ledger name counts as recorded. */
+    private void beginWrite(JobWrite write) {
+        write.job().writeInFlight = true;
+        write.job().ledgerMachines.retainAll(write.machines());
+        dirtyJobs.remove(write.job().id());
     }
 
-    /** The round is in the state service: machines are recorded, finishes may be forgotten, starts may go out. */
-    void writeConfirmed(WriteBatch round, long revision, long nowMicros) {
-        round.withdrawals().forEach(withdrawals::remove);
-        for (JobWrite part : round.jobWrites()) {
-            Job job = part.job();
+    // ---- outcomes
+
+    /** The batch is in the store: machines are recorded, workers may forget finished tasks, starts may go out. */
+    void writeConfirmed(WriteBatch batch, long revision, long nowMicros) {
+        batch.cancelledByDependency().forEach(dependencyCancellations::remove);
+        for (JobWrite write : batch.jobWrites()) {
+            Job job = write.job();
             job.writeInFlight = false;
-            if (part.endsJob()) {
-                jobs.remove(job.id());
-                dirty.remove(job.id());
+            if (write.endsJob()) {
+                removeJob(job);
                 continue;
             }
-            for (int page : part.pages()) {
+            for (int page : write.pages()) {
                 job.pageVersions.put(page, revision);
-                job.recordedTasks.or(part.finishedTasks().get(page));
+                job.recordedTasks.or(write.finishedTasks().get(page));
             }
-            if (part.pages().contains(0)) {
-                job.ledgerMachines = new HashSet<>(part.machines());
+            if (write.pages().contains(0)) {
+                job.ledgerMachines = new HashSet<>(write.machines());
             }
-            settleAfterWrite(job, nowMicros);
+            applyRecordedState(job, nowMicros);
         }
     }
 
-    private void settleAfterWrite(Job job, long nowMicros) {
+    /** Releases the starts whose machines are recorded, and finds out what is still to be written. */
+    private void applyRecordedState(Job job, long nowMicros) {
         job.machinesToRecord.removeAll(job.ledgerMachines);
-        for (List<Placement> list : job.liveAttempts.values()) {
-            for (Placement placement : list) {
-                if (placement.phase == Placement.Phase.AWAITING_LEDGER) {
-                    if (job.ledgerMachines.contains(placement.machine.name)) {
-                        placement.transitionTo(Placement.Phase.READY);
-                    } else {
-                        job.machinesToRecord.add(placement.machine.name);
-                    }
-                }
+        for (List<Placement> attempts : job.liveAttempts.values()) {
+            for (Placement placement : attempts) {
+                releaseIfRecorded(job, placement);
             }
         }
         job.dirtyPages.clear();
         job.dirtySinceMicros = -1;
-        int size = pageTasks;
+        int pageTasks = format.pageTasks();
         BitSet unrecorded = (BitSet) job.finishedTasks.clone();
         unrecorded.andNot(job.recordedTasks);
-        for (int i = unrecorded.nextSetBit(0); i >= 0; i = unrecorded.nextSetBit((i / size + 1) * size)) {
-            job.dirtyPages.set(i / size);
+        for (int i = unrecorded.nextSetBit(0); i >= 0; i = unrecorded.nextSetBit((i / pageTasks + 1) * pageTasks)) {
+            job.dirtyPages.set(i / pageTasks);
         }
         if (!job.dirtyPages.isEmpty() || !job.machinesToRecord.isEmpty() || job.allFinished() || job.cancelled) {
             markDirty(job, nowMicros);
         }
     }
 
+    private static void releaseIfRecorded(Job job, Placement placement) {
+        if (placement.phase != Placement.Phase.AWAITING_LEDGER) {
+            return;
+        }
+        if (job.ledgerMachines.contains(placement.machine.name)) {
+            placement.transitionTo(Placement.Phase.READY);
+        } else {
+            job.machinesToRecord.add(placement.machine.name);
+        }
+    }
+
     /** The keys whose values must be read before their jobs are written again: the outcome is not known. */
-    List<String> unresolvedKeys(WriteBatch round) {
+    List<String> unresolvedKeys(WriteBatch batch) {
         List<String> keys = new ArrayList<>();
-        for (Transaction.Condition compare : round.transaction().conditions()) {
-            if (!compare.key().equals(StoreKeys.LEADER)
-                    && !compare.key().equals(StoreKeys.LAYOUT)
-                    && !compare.key().equals(StoreKeys.FEATURE_STAGES)) {
-                keys.add(compare.key());
+        for (Transaction.Condition condition : batch.transaction().conditions()) {
+            if (!condition.key().equals(StoreKeys.LEADER)
+                    && !condition.key().equals(StoreKeys.LAYOUT)
+                    && !condition.key().equals(StoreKeys.FEATURE_STAGES)) {
+                keys.add(condition.key());
             }
         }
         return keys;
     }
 
-    /** A value as read back after a round without a certain outcome; {@code ledger} null if there is none. */
+    /** A value as read back after a write without a certain outcome; {@code ledger} null if there is none. */
     void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version) {
-        Job job = jobs.get(jobOf(key));
-        int page = pageOf(key);
+        Job job = jobs.get(StoreKeys.jobIdOf(key));
         if (job == null) {
             return;
         }
+        int page = StoreKeys.ledgerPageOf(key);
         if (ledger == null) {
             job.pageVersions.remove(page);
             if (page == 0) {
@@ -624,77 +411,63 @@
     }
 
     /**
-     * The state service does not take what the round writes, most likely since its limits fell: its jobs go on without
-     * being written for a while, so that neither the others nor the lead depend on them.
+     * The store does not take what the batch writes, most likely since its limits fell: its jobs go on without being
+     * written for a while, so that neither the other jobs nor the leader's lease depend on them.
      */
-    void writeRejected(WriteBatch round, long nowMicros) {
-        for (JobWrite part : round.jobWrites()) {
-            part.job().nextWriteMicros = nowMicros + REFUSED_PAUSE_MICROS;
-            part.job().ledgerFull |= !part.job().machinesToRecord.isEmpty();
+    void writeRejected(WriteBatch batch, long nowMicros) {
+        for (JobWrite write : batch.jobWrites()) {
+            write.job().nextWriteMicros = nowMicros + REJECTED_BACKOFF_MICROS;
+            write.job().ledgerFull |= !write.job().machinesToRecord.isEmpty();
         }
-        round.withdrawals().forEach(withdrawals::remove);
+        batch.cancelledByDependency().forEach(dependencyCancellations::remove);
     }
 
-    /** Every value of the round was read back: its jobs may be written again. */
-    void writeResolved(WriteBatch round, long nowMicros) {
-        for (JobWrite part : round.jobWrites()) {
-            writeResolved(part.job(), nowMicros);
+    /** Every value of the batch was read back, or none was written: its jobs may be written again. */
+    void writeResolved(WriteBatch batch, long nowMicros) {
+        for (JobWrite write : batch.jobWrites()) {
+            writeResolved(write.job(), nowMicros);
         }
     }
 
     private void writeResolved(Job job, long nowMicros) {
         job.writeInFlight = false;
         if (jobs.containsKey(job.id())) {
-            settleAfterWrite(job, nowMicros);
+            applyRecordedState(job, nowMicros);
             markDirty(job, nowMicros);
         }
     }
 
     /**
-     * The round was certainly not executed, since these keys are not as we knew them; whatever else it names still is. The others of its
-     * jobs may be written again at once, without those that the keys belong to.
+     * The batch was certainly not executed, since these keys are not as they were known; whatever else it names still
+     * is. The others of its jobs may be written again at once, without those that the keys belong to.
      *
      * @return the keys to be read back, each to be followed by {@link #keyReadBack}
      */
-    List<String> writeConflicted(WriteBatch round, Collection<String> failed, long nowMicros) {
-        Set<String> keys = new LinkedHashSet<>(unresolvedKeys(round));
-        keys.retainAll(failed);
-        Set<String> held = new HashSet<>();
+    List<String> writeConflicted(WriteBatch batch, Collection<String> failedKeys, long nowMicros) {
+        Set<String> keys = new LinkedHashSet<>(unresolvedKeys(batch));
+        keys.retainAll(failedKeys);
+        Set<String> conflictedJobs = new HashSet<>();
         for (String key : keys) {
-            if (Scheduler.isCloudRecord(key)) {
-                continue;
+            if (!Scheduler.isCloudRecord(key)) {
+                conflictedJobs.add(StoreKeys.jobIdOf(key));
+                conflictedKeys.add(key);
             }
-            String id = jobOfKey(key);
-            held.add(id);
-            unknownKeys.computeIfAbsent(id, k -> new HashSet<>()).add(key);
         }
-        for (JobWrite part : round.jobWrites()) {
-            if (!held.contains(part.job().id())) {
-                writeResolved(part.job(), nowMicros);
+        for (JobWrite write : batch.jobWrites()) {
+            if (!conflictedJobs.contains(write.job().id())) {
+                writeResolved(write.job(), nowMicros);
             }
         }
         return List.copyOf(keys);
     }
 
-    private static String jobOfKey(String key) {
-        return key.startsWith(StoreKeys.LEDGERS) ? jobOf(key) : key.substring(StoreKeys.JOBS.length());
-    }
-
-    /** A key that a round was refused for has been read back; its job is written again when all of them are. */
+    /** A key that a batch was refused for has been read back; its job is written again when all of them are. */
     void keyReadBack(String key, long nowMicros) {
-        String id = jobOfKey(key);
-        Set<String> unknown = unknownKeys.get(id);
-        if (unknown != null && unknown.remove(key) && unknown.isEmpty()) {
-            unknownKeys.remove(id);
-            Job job = jobs.get(id);
+        if (conflictedKeys.remove(key)) {
+            Job job = jobs.get(StoreKeys.jobIdOf(key));
             if (job != null) {
                 writeResolved(job, nowMicros);
             }
         }
     }
-
-    void removeJob(Job job) {
-        jobs.remove(job.id());
-        dirty.remove(job.id());
-    }
 }
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -62,7 +62,7 @@
 
     private long attemptCounter;
     private long switchesVersion;
-    private JobLedgers.WriteBatch inFlight;
+    private WriteBatch inFlight;
     private double writeTokens;
     /** What one transaction may change; less once the state service has refused one. */
     private int mostOps;
@@ -182,7 +182,7 @@
      * be stopped and count for their team until then. Of completed jobs only further pages can be left.
      */
     public void ledgerLoaded(String key, StoredRecord.Ledger ledger, long version, long nowMicros) {
-        String id = JobLedgers.jobOf(key);
+        String id = StoreKeys.jobIdOf(key);
         ledgersFound = true;
         if (ledgers.get(id) == null) {
             cancelledBefore(id, nowMicros);
@@ -894,15 +894,13 @@
         // hold, as before, it came to two where that is five, and finished tasks took what starts then waited for.
         int later = (int) Math.max(0, Math.min(mostOps, writeTokens - rate / 2));
         planner.beginWriteBatch(nowMicros);
-        JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
-                nowMicros,
-                wallMicros,
-                most,
-                later,
-                bookings,
-                writes,
-                conditions,
-                (job, likely) -> planner.candidateMachines(job, likely, nowMicros));
+        WriteBatch round = ledgers.nextWriteBatch(
+                        nowMicros,
+                        wallMicros,
+                        new WriteBatch.Limits(most, later),
+                        new WriteBatch.AdditionalWrites(bookings, writes, conditions),
+                        (job, likely) -> planner.candidateMachines(job, likely, nowMicros))
+                .orElse(null);
         if (round == null) {
             given.forEach(returns::notWritten);
             return null;
@@ -914,7 +912,7 @@
     }
 
     public void writeConfirmed(long revision, long nowMicros) {
-        JobLedgers.WriteBatch round = inFlight;
+        WriteBatch round = inFlight;
         inFlight = null;
         for (Transaction.Write write : round.transaction().writes()) {
             if (MachineDeletions.owns(write.key())) {
@@ -923,7 +921,7 @@
                 extraWrites.remove(write);
             }
         }
-        for (JobLedgers.JobWrite part : round.jobWrites()) {
+        for (WriteBatch.JobWrite part : round.jobWrites()) {
             if (part.endsJob() && !part.job().cancelled) {
                 completed.add(part.job());
             }
@@ -955,7 +953,7 @@
 
     /** The service will never take this transaction. */
     public void writeRejected(long nowMicros) {
-        JobLedgers.WriteBatch round = inFlight;
+        WriteBatch round = inFlight;
         if (round.transaction().writes().size() > FEWEST_OPS) {
             mostOps = Math.max(FEWEST_OPS, round.transaction().writes().size() / 2);
         }
@@ -972,7 +970,7 @@
      * @return the keys to be read back, each to be followed by {@link #keyReadBack}
      */
     public List<String> writeConflicted(List<String> failed, long nowMicros) {
-        JobLedgers.WriteBatch round = inFlight;
+        WriteBatch round = inFlight;
         inFlight = null;
         for (ProvisioningRequests.Request booking : round.provisioningRequests()) {
             booking.writing = false;
@@ -1009,7 +1007,7 @@
         return ProvisioningRequests.owns(key) || MachineDeletions.owns(key);
     }
 
-    private static List<Transaction.Write> returnsOf(JobLedgers.WriteBatch round) {
+    private static List<Transaction.Write> returnsOf(WriteBatch round) {
         return round.transaction().writes().stream()
                 .filter(write -> MachineDeletions.owns(write.key()))
                 .toList();
@@ -1051,7 +1049,7 @@
     }
 
     public void writeResolved(long nowMicros) {
-        JobLedgers.WriteBatch round = inFlight;
+        WriteBatch round = inFlight;
         inFlight = null;
         for (ProvisioningRequests.Request booking : round.provisioningRequests()) {
             booking.writing = false;
--- a/src/test/java/io/micatide/scheduler/JobLedgersTest.java
+++ b/src/test/java/io/micatide/scheduler/JobLedgersTest.java
@@ -24,7 +24,27 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class JobLedgersTest {
-    /** Every n-th task of a job is finished: its rounds keep the limits, and the next leader reads back the same. */
+    /** The next batch, or null if nothing is to be written; {@code candidates} may be named in advance. */
+    private static WriteBatch nextBatch(
+            JobLedgers ledgers, long nowMicros, int maxWrites, int maxDeferrableWrites, List<String> candidates) {
+        return ledgers.nextWriteBatch(
+                        nowMicros,
+                        nowMicros,
+                        new WriteBatch.Limits(maxWrites, maxDeferrableWrites),
+                        WriteBatch.AdditionalWrites.NONE,
+                        (job, max) -> candidates)
+                .orElse(null);
+    }
+
+    private static List<Job> jobsOf(WriteBatch batch) {
+        return batch.jobWrites().stream().map(WriteBatch.JobWrite::job).toList();
+    }
+
+    private static Job addJob(JobLedgers ledgers, String id, int tasks) {
+        return ledgers.addJob(SchedulerHarness.job(id, JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5), 7, 0, 0, 0);
+    }
+
+    /** Every n-th task of a job is finished: its batches keep the limits, and the next leader reads back the same. */
     @ParameterizedTest
     @CsvSource({
         "10, 1, 16384",
@@ -46,23 +66,16 @@
             ledgers.markTaskFinished(job, i, 0);
         }
         Map<String, StoredRecord.Ledger> stored = new HashMap<>();
-        int rounds = 0;
+        int batches = 0;
         for (long now = 10 * Micros.SECOND; ; now += 10 * Micros.SECOND) {
-            JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
-                    now,
-                    now,
-                    settings.maxTransactionWrites(),
-                    settings.maxTransactionWrites(),
-                    List.of(),
-                    List.of(),
-                    List.of(),
-                    (any, most) -> List.of());
-            if (round == null) {
+            WriteBatch batch = nextBatch(
+                    ledgers, now, settings.maxTransactionWrites(), settings.maxTransactionWrites(), List.of());
+            if (batch == null) {
                 break;
             }
-            assertTrue(++rounds < 200, "it never ends");
+            assertTrue(++batches < 200, "it never ends");
             int sum = 0;
-            for (Transaction.Write write : round.transaction().writes()) {
+            for (Transaction.Write write : batch.transaction().writes()) {
                 StoredRecord.Ledger ledger = (StoredRecord.Ledger) write.record();
                 assertTrue(ledger.finishedTasks().length() < settings.maxValueBytes() * 5 / 8, write.key());
                 assertTrue(StoreCodec.encodedBytes(ledger) <= bytes, write.key());
@@ -70,9 +83,9 @@
                 stored.put(write.key(), ledger);
             }
             assertTrue(sum < 60_000, "a transaction of " + sum + " bytes");
-            assertTrue(round.transaction().writes().size() <= settings.maxTransactionWrites());
-            assertTrue(round.transaction().conditions().size() <= 4 * settings.maxTransactionWrites());
-            ledgers.writeConfirmed(round, 100 + rounds, now);
+            assertTrue(batch.transaction().writes().size() <= settings.maxTransactionWrites());
+            assertTrue(batch.transaction().conditions().size() <= 4 * settings.maxTransactionWrites());
+            ledgers.writeConfirmed(batch, 100 + batches, now);
         }
         BitSet recorded = (BitSet) job.recordedTasks.clone();
         recorded.andNot(job.finishedTasks);
@@ -92,13 +105,13 @@
     }
 
     /**
-     * A take-over after the limits fell, of a job whose ledger an earlier leader wrote under the larger ones: more machines
-     * than fit now, finished tasks in pieces. No machine is dropped before it settles, no round is larger than the new limits
+     * A failover after the limits fell, of a job whose ledger an earlier leader wrote under the larger ones: more machines
+     * than fit now, finished tasks in pieces. No machine is dropped before it is reconciled, no batch is larger than the new limits
      * allow, nothing is written again and again, and in the end all is recorded or over.
      */
     @ParameterizedTest
     @CsvSource({
-        // tasks, every n-th finished before, machines in the old ledger, changes in a transaction, names in short
+        // tasks, every n-th finished before, machines in the old ledger, changes in a transaction, compressed names
         "350, 2, 250, 5, false",
         "3000, 2, 219, 5, false",
         "100000, 3, 40, 5, false",
@@ -107,12 +120,11 @@
         "3000, 2, 500, 5, true",
         "100000, 3, 40, 5, true",
     })
-    void ledgersOfLargerLimits(int tasks, int step, int machines, int ops, boolean dense) {
+    void ledgersWrittenUnderLargerLimitsAreTakenOver(int tasks, int step, int machines, int ops, boolean compressed) {
         Settings settings = new SchedulerHarness(1, 0, 2048, ops).settings;
         JobLedgers ledgers = new JobLedgers(settings, 900);
-        ledgers.layoutMarked(dense ? 44 : 0, ledgers.pageTasks());
-        Job job = ledgers.addJob(
-                SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5), 7, 0, 0, 0);
+        ledgers.layoutMarked(compressed ? 44 : 0, ledgers.pageTasks());
+        Job job = addJob(ledgers, "wk-1", tasks);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < machines; i++) {
             names.add(String.format("i-%06d", i));
@@ -136,7 +148,7 @@
         int idle = 0;
         for (int second = 1; second < 400 && idle < 20; second++) {
             long now = second * Micros.SECOND;
-            // Machines settle one after the other, and tasks end here and there.
+            // Machines are reconciled one after the other, and tasks end here and there.
             if (second % 2 == 0 && !job.unreconciledMachines.isEmpty()) {
                 job.unreconciledMachines.remove(
                         job.unreconciledMachines.iterator().next());
@@ -145,34 +157,27 @@
             if (second < 200) {
                 ledgers.markTaskFinished(job, (second * 7919) % tasks, now);
             }
-            JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
-                    now,
-                    now,
-                    settings.maxTransactionWrites(),
-                    settings.maxTransactionWrites() - 2,
-                    List.of(),
-                    List.of(),
-                    List.of(),
-                    (any, most) -> names);
-            idle = round == null ? idle + 1 : 0;
-            if (round == null) {
+            WriteBatch batch = nextBatch(
+                    ledgers, now, settings.maxTransactionWrites(), settings.maxTransactionWrites() - 2, names);
+            idle = batch == null ? idle + 1 : 0;
+            if (batch == null) {
                 continue;
             }
             written++;
-            assertTrue(round.transaction().writes().size() <= ops);
-            assertTrue(round.transaction().conditions().size() <= 4 * ops);
-            for (Transaction.Write write : round.transaction().writes()) {
+            assertTrue(batch.transaction().writes().size() <= ops);
+            assertTrue(batch.transaction().conditions().size() <= 4 * ops);
+            for (Transaction.Write write : batch.transaction().writes()) {
                 assertTrue(StoreCodec.encodedBytes(write.record()) <= 2048, write.key());
                 if (write.key().equals(StoreKeys.ledger("wk-1", 0))) {
                     assertTrue(((StoredRecord.Ledger) write.record()).machines().containsAll(job.unreconciledMachines));
-                    // Names in short are written on condition that everybody reads them.
-                    assertEquals(dense, ((StoredRecord.Ledger) write.record()).compressedNames());
+                    // Compressed names are written on condition that every controller reads them.
+                    assertEquals(compressed, ((StoredRecord.Ledger) write.record()).compressedNames());
                     assertEquals(
-                            dense,
-                            round.transaction().conditions().contains(new Transaction.Condition(StoreKeys.LAYOUT, 44)));
+                            compressed,
+                            batch.transaction().conditions().contains(new Transaction.Condition(StoreKeys.LAYOUT, 44)));
                 }
             }
-            ledgers.writeConfirmed(round, 1000 + second, now);
+            ledgers.writeConfirmed(batch, 1000 + second, now);
             BitSet kept = (BitSet) before.clone();
             kept.andNot(job.recordedTasks);
             assertTrue(kept.isEmpty(), "what was recorded is kept");
@@ -181,15 +186,7 @@
         for (int i = 0; i < tasks; i++) {
             ledgers.markTaskFinished(job, i, 500 * Micros.SECOND);
         }
-        JobLedgers.WriteBatch last = ledgers.nextWriteBatch(
-                510 * Micros.SECOND,
-                510 * Micros.SECOND,
-                ops,
-                ops,
-                List.of(),
-                List.of(),
-                List.of(),
-                (any, most) -> List.of());
+        WriteBatch last = nextBatch(ledgers, 510 * Micros.SECOND, ops, ops, List.of());
         assertTrue(last.transaction().writes().get(0).record() instanceof StoredRecord.JobRecord row
                 && row.state() == JobState.DONE);
         assertTrue(last.transaction().writes().size() <= ops);
@@ -204,11 +201,10 @@
         "2048, 615, 2, true",
         "2048, 248, 1000, true"
     })
-    void namesNoMoreMachinesThanFit(int bytes, int most, int apart, boolean dense) {
+    void aJobUsesNoMoreMachinesThanItsLedgerCanName(int bytes, int most, int apart, boolean compressed) {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, bytes, 5).settings, 900);
-        ledgers.layoutMarked(dense ? 44 : 0, ledgers.pageTasks());
-        Job job = ledgers.addJob(
-                SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 5000, 5), 7, 0, 0, 0);
+        ledgers.layoutMarked(compressed ? 44 : 0, ledgers.pageTasks());
+        Job job = addJob(ledgers, "wk-1", 5000);
         int used = 0;
         for (int i = 0; i < 1000; i++) {
             Machine machine = new Machine(String.format("i-%06d", i * apart), 0);
@@ -218,118 +214,83 @@
             }
         }
         assertEquals(most, used);
-        JobLedgers.WriteBatch round =
-                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertTrue(StoreCodec.encodedBytes(round.transaction().writes().get(0).record()) <= bytes);
+        WriteBatch batch = nextBatch(ledgers, 0, 5, 5, List.of());
+        assertTrue(StoreCodec.encodedBytes(batch.transaction().writes().get(0).record()) <= bytes);
     }
 
-    /** What the state service refuses holds up neither the other jobs nor, after a pause, its own. */
+    /** What the store rejects delays neither the other jobs nor, after a backoff, its own. */
     @Test
-    void aRefusedRoundHoldsUpNobodyElse() {
+    void aRejectedBatchDelaysNoOtherJob() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
-        Job first =
-                ledgers.addJob(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
-        Job second =
-                ledgers.addJob(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 8, 0, 0, 0);
+        Job first = addJob(ledgers, "wk-1", 10);
+        Job second = addJob(ledgers, "wk-2", 10);
         ledgers.recordMachine(first, new Machine("i-1", 0), 0);
-        JobLedgers.WriteBatch round =
-                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        ledgers.writeRejected(round, 0);
-        ledgers.writeResolved(round, 0);
+        WriteBatch batch = nextBatch(ledgers, 0, 5, 5, List.of());
+        ledgers.writeRejected(batch, 0);
+        ledgers.writeResolved(batch, 0);
         ledgers.recordMachine(second, new Machine("i-1", 0), 0);
-        JobLedgers.WriteBatch next =
-                ledgers.nextWriteBatch(100, 100, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertEquals(
-                List.of(second),
-                next.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
+        WriteBatch next = nextBatch(ledgers, 100, 5, 5, List.of());
+        assertEquals(List.of(second), jobsOf(next));
         assertTrue(first.ledgerFull, "what waits for that write is given back");
-        JobLedgers.WriteBatch later = ledgers.nextWriteBatch(
-                20 * Micros.SECOND, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertEquals(
-                List.of(first),
-                later.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
+        WriteBatch later = nextBatch(ledgers, 20 * Micros.SECOND, 5, 5, List.of());
+        assertEquals(List.of(first), jobsOf(later));
     }
 
     /**
-     * A round that a cancellation refuses goes out again at once without that job, and only the key that was refused is read. Before, five
-     * rounds a second were refused whole after a restart of all controllers, and reading their keys used up the state service's rate.
+     * A batch that conflicts with a cancellation is sent again at once without that job, and only the key in conflict is read.
+     * Before, five batches a second were refused whole after a restart of all controllers, and reading their keys used up the
+     * store's request rate.
      */
     @ParameterizedTest
     @CsvSource({"job/wk-2", "ledger/wk-2"})
-    void aJobThatARoundIsRefusedForHoldsUpNobodyElse(String refused) {
+    void aConflictingJobDelaysNoOtherJob(String conflictingKey) {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
         List<Job> jobs = new ArrayList<>();
         for (int i = 1; i <= 3; i++) {
-            jobs.add(ledgers.addJob(
-                    SchedulerHarness.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0));
+            jobs.add(addJob(ledgers, "wk-" + i, 10));
             ledgers.recordMachine(jobs.get(i - 1), new Machine("i-1", 0), 0);
         }
-        JobLedgers.WriteBatch round =
-                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertEquals(
-                jobs, round.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
-        assertEquals(List.of(refused), ledgers.writeConflicted(round, List.of(refused), 0));
-        JobLedgers.WriteBatch next =
-                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertEquals(
-                List.of(jobs.get(0), jobs.get(2)),
-                next.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
+        WriteBatch batch = nextBatch(ledgers, 0, 5, 5, List.of());
+        assertEquals(jobs, jobsOf(batch));
+        assertEquals(List.of(conflictingKey), ledgers.writeConflicted(batch, List.of(conflictingKey), 0));
+        WriteBatch next = nextBatch(ledgers, 0, 5, 5, List.of());
+        assertEquals(List.of(jobs.get(0), jobs.get(2)), jobsOf(next));
         ledgers.writeConfirmed(next, 1000, 0);
-        assertEquals(
-                null, ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of()));
-        ledgers.keyReadBack(refused, 0);
-        JobLedgers.WriteBatch later =
-                ledgers.nextWriteBatch(0, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertEquals(
-                List.of(jobs.get(1)),
-                later.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
+        assertEquals(null, nextBatch(ledgers, 0, 5, 5, List.of()));
+        ledgers.keyReadBack(conflictingKey, 0);
+        WriteBatch later = nextBatch(ledgers, 0, 5, 5, List.of());
+        assertEquals(List.of(jobs.get(1)), jobsOf(later));
     }
 
     /** Finished tasks wait at their workers while the rate is short; what starts or ends a job is written all the same. */
     @Test
-    void finishedTasksLeaveTheRateToWhatStarts() {
+    void finishedTasksLeaveTheWriteRateToStarts() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, 2048, 5).settings, 900);
         for (int i = 0; i < 8; i++) {
-            ledgers.markTaskFinished(
-                    ledgers.addJob(
-                            SchedulerHarness.job("wk-" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0),
-                    3,
-                    0);
+            ledgers.markTaskFinished(addJob(ledgers, "wk-" + i, 10), 3, 0);
         }
-        Job starting =
-                ledgers.addJob(SchedulerHarness.job("wk-8", JobKind.ARRAY, "blue", Priority.NORMAL, 10, 5), 7, 0, 0, 0);
+        Job starting = addJob(ledgers, "wk-8", 10);
         ledgers.recordMachine(starting, new Machine("i-1", 0), 0);
         long now = 5 * Micros.SECOND;
-        JobLedgers.WriteBatch round =
-                ledgers.nextWriteBatch(now, 0, 4, 0, List.of(), List.of(), List.of(), (any, likely) -> List.of());
-        assertEquals(
-                List.of(starting),
-                round.jobWrites().stream().map(JobLedgers.JobWrite::job).toList());
-        ledgers.writeConfirmed(round, 1000, now);
-        assertEquals(
-                null,
-                ledgers.nextWriteBatch(now, 0, 4, 0, List.of(), List.of(), List.of(), (any, likely) -> List.of()));
-        assertEquals(
-                3,
-                ledgers.nextWriteBatch(now, 0, 4, 3, List.of(), List.of(), List.of(), (any, likely) -> List.of())
-                        .jobWrites()
-                        .size());
+        WriteBatch batch = nextBatch(ledgers, now, 4, 0, List.of());
+        assertEquals(List.of(starting), jobsOf(batch));
+        ledgers.writeConfirmed(batch, 1000, now);
+        assertEquals(null, nextBatch(ledgers, now, 4, 0, List.of()));
+        assertEquals(3, nextBatch(ledgers, now, 4, 3, List.of()).jobWrites().size());
     }
 
     /** Pages that were written under one limit are read with their own size, also where the settings name another since. */
     @Test
-    void theMarkKeepsTheSizeOfPages() {
+    void theLayoutRecordKeepsThePageSize() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
         ledgers.layoutMarked(44, 256);
-        Job job = ledgers.addJob(
-                SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1000, 5), 7, 0, 0, 0);
+        Job job = addJob(ledgers, "wk-1", 1000);
         ledgers.loadLedger(StoreKeys.ledger("wk-1", 2), new StoredRecord.Ledger(List.of(), 0, "0-9", true), 5);
         assertEquals("512-521", TaskRanges.format(job.finishedTasks, 0, 1000));
         ledgers.markTaskFinished(job, 600, 0);
-        JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
-                5 * Micros.SECOND, 0, 5, 5, List.of(), List.of(), List.of(), (any, likely) -> List.of());
+        WriteBatch batch = nextBatch(ledgers, 5 * Micros.SECOND, 5, 5, List.of());
         assertEquals(
                 "0-9,88",
-                ((StoredRecord.Ledger) round.transaction().writes().get(1).record()).finishedTasks());
+                ((StoredRecord.Ledger) batch.transaction().writes().get(1).record()).finishedTasks());
     }
 }
