--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -1,9 +1,6 @@
 package io.micatide.scheduler;
 
-import com.google.common.collect.HashMultiset;
-import com.google.common.collect.Multiset;
 import io.micatide.model.JobSpec;
-import io.micatide.model.JobState;
 import io.micatide.model.Micros;
 import io.micatide.model.Settings;
 import io.micatide.scheduler.WriteBatch.JobWrite;
@@ -16,7 +13,6 @@
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -34,63 +30,35 @@
  * {@link #writeConflicted} with {@link #keyReadBack}, or by {@link #writeResolved} once its values were read back.
  */
 final class JobLedgers {
-    /** Longest time that finished tasks of a job wait to be recorded together. */
-    private static final long MAX_GATHER_MICROS = Micros.SECOND;
     /** How long a job is not written after the store rejected a transaction with it. */
     private static final long REJECTED_BACKOFF_MICROS = 5 * Micros.SECOND;
 
-    private final Settings settings;
     private final long fencingToken;
     private final LedgerFormat format;
     private final LedgerMachines ledgerMachines;
-    private final LedgerPages ledgerPages;
-    private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, Job> dirtyJobs = new LinkedHashMap<>();
-    /** How many jobs of each class this leader has seen. */
-    private final Multiset<String> jobsSeenOfClass = HashMultiset.create();
-
+    private final WriteBatchPlanner planner;
+    private final OpenJobs jobs = new OpenJobs();
     private final DependencyCancellations dependencyCancellations = new DependencyCancellations();
     private final ConflictedKeys conflictedKeys = new ConflictedKeys();
     /** Jobs that wait for the reconciliation of a machine after a failover, by machine. */
     private final Map<String, List<Job>> jobsAwaitingMachine = new HashMap<>();
 
-    private boolean checkedAgainstArchive;
-
-    /** What a batch writes first: what other jobs wait for, then what starts or ends a job, then finished tasks. */
-    private enum WritePriority {
-        UNBLOCKS_DEPENDENTS,
-        STARTS_OR_ENDS,
-        FINISHED_TASKS;
-
-        private static final List<WritePriority> ORDER = List.of(values());
-
-        static WritePriority of(Job job) {
-            if (job.hasDependents && job.allFinished() && !job.cancelled) {
-                return UNBLOCKS_DEPENDENTS;
-            }
-            return !job.machinesToRecord.isEmpty() || job.allFinished() || job.cancelled
-                    ? STARTS_OR_ENDS
-                    : FINISHED_TASKS;
-        }
-    }
-
     JobLedgers(Settings settings, long fencingToken) {
-        this.settings = settings;
         this.fencingToken = fencingToken;
         this.format = new LedgerFormat(settings);
         this.ledgerMachines = new LedgerMachines(format);
-        this.ledgerPages = new LedgerPages(format, ledgerMachines);
+        this.planner = new WriteBatchPlanner(settings, jobs, new LedgerPages(format, ledgerMachines));
     }
 
     // ---- open jobs
 
     /** The open jobs in the order in which they were added. */
     Collection<Job> jobs() {
-        return jobs.values();
+        return jobs.all();
     }
 
     int jobsSeenOfClass(String jobClass) {
-        return jobsSeenOfClass.count(jobClass);
+        return jobs.seenOfClass(jobClass);
     }
 
     /** The open job of this id, or null. */
@@ -98,35 +66,24 @@
         return jobs.get(id);
     }
 
-    /**
-     * Adds an open job.
-     *
-     * @param version of its stored record
-     * @param submittedWall time of day of its submission
-     * @param submittedMicros the same on the steady clock
-     * @param readyMicros from when its times count, on the steady clock
-     */
+    /** Adds an open job: see {@link OpenJobs#add}. */
     Job addJob(JobSpec spec, long version, long submittedWall, long submittedMicros, long readyMicros) {
-        Job job = new Job(spec, version, submittedWall, submittedMicros, readyMicros);
-        jobsSeenOfClass.add(spec.jobClass());
-        jobs.put(spec.id(), job);
-        return job;
+        return jobs.add(spec, version, submittedWall, submittedMicros, readyMicros);
     }
 
     /** The job is over by its stored record: nothing more is written of it. */
     void removeJob(Job job) {
-        jobs.remove(job.id());
-        dirtyJobs.remove(job.id());
+        jobs.remove(job);
     }
 
     /** Whether nothing of an ended job is left to do: no task of it can run, no ledger of it is stored. */
     boolean mayBeArchived(String id) {
-        return !jobs.containsKey(id) && !dependencyCancellations.contains(id);
+        return !jobs.contains(id) && !dependencyCancellations.contains(id);
     }
 
     /** There is an archive: records say that their writers know it. */
     void archiveEnabled() {
-        checkedAgainstArchive = true;
+        planner.archiveEnabled();
     }
 
     /** The job's record is to be closed, since a dependency was cancelled; {@code record} as it is stored now. */
@@ -191,10 +148,7 @@
     // ---- what has to be written
 
     void markDirty(Job job, long nowMicros) {
-        if (job.dirtySinceMicros < 0) {
-            job.dirtySinceMicros = nowMicros;
-        }
-        dirtyJobs.putIfAbsent(job.id(), job);
+        jobs.markDirty(job, nowMicros);
     }
 
     void markTaskFinished(Job job, int index, long nowMicros) {
@@ -247,29 +201,10 @@
             WriteBatch.Limits limits,
             WriteBatch.AdditionalWrites additionalWrites,
             LedgerPages.CandidateMachineSource candidates) {
-        // Whatever else made it dirty, a cancelled job stays open here and its ledger in the store until nothing of it
-        // can be on a machine. It once went with the next batch that came for a finished task or a machine to record:
-        // what went on on a hung or partitioned machine counted for no team any more, neither here nor for the next
-        // leader, and teams at their limits started too much (quota).
-        dirtyJobs.values().removeIf(job -> job.cancelled && job.mayBeRunning());
-        int maxWrites = Math.min(limits.maxWrites(), settings.maxTransactionWrites());
         WriteBatchBuilder batch = new WriteBatchBuilder(fencingToken, additionalWrites);
-        List<Job> waiting = List.copyOf(dirtyJobs.values());
-        for (WritePriority priority : WritePriority.ORDER) {
-            for (Job job : waiting) {
-                if (WritePriority.of(job) != priority || !isDue(job, priority, nowMicros)) {
-                    continue;
-                }
-                if (job.allFinished() || job.cancelled) {
-                    addJobEnd(batch, job, maxWrites, wallMicros);
-                } else {
-                    boolean deferrable = priority == WritePriority.FINISHED_TASKS;
-                    addLedger(batch, job, deferrable ? limits.maxDeferrableWrites() : maxWrites, candidates);
-                }
-            }
-        }
+        planner.addJobs(batch, nowMicros, wallMicros, limits, candidates);
         dependencyCancellations.addTo(
-                batch, limits.maxDeferrableWrites(), checkedAgainstArchive, conflictedKeys::containsKeyOf);
+                batch, limits.maxDeferrableWrites(), planner.isCheckedAgainstArchive(), conflictedKeys::containsKeyOf);
         if (batch.isEmpty()) {
             return Optional.empty();
         }
@@ -277,52 +212,10 @@
         return Optional.of(batch.build(format.layoutVersion()));
     }
 
-    private static boolean isDue(Job job, WritePriority priority, long nowMicros) {
-        return !job.writeInFlight
-                && nowMicros >= job.nextWriteMicros
-                && (priority != WritePriority.FINISHED_TASKS || nowMicros - job.dirtySinceMicros >= MAX_GATHER_MICROS);
-    }
-
-    private void addLedger(
-            WriteBatchBuilder batch, Job job, int maxWrites, LedgerPages.CandidateMachineSource candidates) {
-        LedgerPages.Composition pages = ledgerPages.compose(job, maxWrites - batch.writeCount(), candidates);
-        if (pages instanceof LedgerPages.Unchanged) {
-            dirtyJobs.remove(job.id());
-            job.dirtySinceMicros = -1;
-        } else if (pages instanceof LedgerPages.Update update && batch.hasRoomFor(update.estimatedBytes())) {
-            batch.addLedgerUpdate(update);
-        }
-    }
-
-    /** Completion, and the end of a cancelled job once nothing of it can be on a machine. */
-    private void addJobEnd(WriteBatchBuilder batch, Job job, int maxWrites, long wallMicros) {
-        List<Integer> pages = new ArrayList<>(job.pageVersions.keySet());
-        while (pages.size() + 1 > settings.maxTransactionWrites()) {
-            // What is left over is removed by the leader that finds it without an open job.
-            pages.remove(pages.size() - 1);
-        }
-        // A batch of its own may take as many writes as the job needs, or it would never end.
-        if (!batch.isEmpty() && batch.writeCount() + pages.size() + 1 > maxWrites) {
-            return;
-        }
-        if (job.cancelled && pages.isEmpty()) {
-            jobs.remove(job.id());
-            return;
-        }
-        batch.addJobEnd(
-                new JobWrite(job, true, Set.of(), pages, Map.of()), job.cancelled ? null : doneRecord(job, wallMicros));
-    }
-
-    private StoredRecord.JobRecord doneRecord(Job job, long wallMicros) {
-        return new StoredRecord.JobRecord(
-                JobState.DONE, null, job.submittedWall, job.spec.taskCount(), wallMicros, 0, checkedAgainstArchive);
-    }
-
     /** Until the outcome is known, only what both the old and the new ledger name counts as recorded. */
     private void beginWrite(JobWrite write) {
-        write.job().writeInFlight = true;
+        jobs.markInFlight(write.job());
         write.job().ledgerMachines.retainAll(write.machines());
-        dirtyJobs.remove(write.job().id());
     }
 
     // ---- outcomes
@@ -334,7 +227,7 @@
             Job job = write.job();
             job.writeInFlight = false;
             if (write.endsJob()) {
-                removeJob(job);
+                jobs.remove(job);
                 continue;
             }
             for (int page : write.pages()) {
@@ -431,7 +324,7 @@
 
     private void writeResolved(Job job, long nowMicros) {
         job.writeInFlight = false;
-        if (jobs.containsKey(job.id())) {
+        if (jobs.contains(job.id())) {
             applyRecordedState(job, nowMicros);
             markDirty(job, nowMicros);
         }
--- /dev/null
+++ b/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
@@ -0,0 +1,128 @@
+package io.micatide.scheduler;
+
+import io.micatide.model.JobState;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import io.micatide.scheduler.WriteBatch.JobWrite;
+import io.micatide.store.StoredRecord;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Chooses what the next batch writes of the open jobs: first what other jobs wait for, then what starts or ends a job,
+ * then finished tasks. Each job is in one batch at a time.
+ */
+final class WriteBatchPlanner {
+    /** Longest time that finished tasks of a job wait to be recorded together. */
+    private static final long MAX_GATHER_MICROS = Micros.SECOND;
+
+    private final Settings settings;
+    private final OpenJobs jobs;
+    private final LedgerPages ledgerPages;
+    private boolean checkedAgainstArchive;
+
+    /** The order in which jobs are written. */
+    private enum WritePriority {
+        UNBLOCKS_DEPENDENTS,
+        STARTS_OR_ENDS,
+        FINISHED_TASKS;
+
+        private static final List<WritePriority> ORDER = List.of(values());
+
+        static WritePriority of(Job job) {
+            if (job.hasDependents && job.allFinished() && !job.cancelled) {
+                return UNBLOCKS_DEPENDENTS;
+            }
+            return !job.machinesToRecord.isEmpty() || job.allFinished() || job.cancelled
+                    ? STARTS_OR_ENDS
+                    : FINISHED_TASKS;
+        }
+    }
+
+    WriteBatchPlanner(Settings settings, OpenJobs jobs, LedgerPages ledgerPages) {
+        this.settings = settings;
+        this.jobs = jobs;
+        this.ledgerPages = ledgerPages;
+    }
+
+    /** There is an archive: records say that their writers know it. */
+    void archiveEnabled() {
+        checkedAgainstArchive = true;
+    }
+
+    boolean isCheckedAgainstArchive() {
+        return checkedAgainstArchive;
+    }
+
+    /**
+     * Adds what is due of the open jobs to the batch.
+     *
+     * @param wallMicros the time of day, which the records of completed jobs keep
+     * @param limits what the write rate of the store leaves
+     * @param candidates names machines in advance, so that later starts need not wait for a write
+     */
+    void addJobs(
+            WriteBatchBuilder batch,
+            long nowMicros,
+            long wallMicros,
+            WriteBatch.Limits limits,
+            LedgerPages.CandidateMachineSource candidates) {
+        int maxWrites = Math.min(limits.maxWrites(), settings.maxTransactionWrites());
+        List<Job> writable = jobs.takeWritable();
+        for (WritePriority priority : WritePriority.ORDER) {
+            int maxLedgerWrites = priority == WritePriority.FINISHED_TASKS ? limits.maxDeferrableWrites() : maxWrites;
+            for (Job job : writable) {
+                if (WritePriority.of(job) != priority || !isDue(job, priority, nowMicros)) {
+                    continue;
+                }
+                if (job.allFinished() || job.cancelled) {
+                    addJobEnd(batch, job, maxWrites, wallMicros);
+                } else {
+                    addLedger(batch, job, maxLedgerWrites, candidates);
+                }
+            }
+        }
+    }
+
+    private static boolean isDue(Job job, WritePriority priority, long nowMicros) {
+        return !job.writeInFlight
+                && nowMicros >= job.nextWriteMicros
+                && (priority != WritePriority.FINISHED_TASKS || nowMicros - job.dirtySinceMicros >= MAX_GATHER_MICROS);
+    }
+
+    private void addLedger(
+            WriteBatchBuilder batch, Job job, int maxWrites, LedgerPages.CandidateMachineSource candidates) {
+        LedgerPages.Composition pages = ledgerPages.compose(job, maxWrites - batch.writeCount(), candidates);
+        if (pages instanceof LedgerPages.Unchanged) {
+            jobs.markClean(job);
+        } else if (pages instanceof LedgerPages.Update update && batch.hasRoomFor(update.estimatedBytes())) {
+            batch.addLedgerUpdate(update);
+        }
+    }
+
+    /** Completion, and the end of a cancelled job once nothing of it can be on a machine. */
+    private void addJobEnd(WriteBatchBuilder batch, Job job, int maxWrites, long wallMicros) {
+        List<Integer> pages = new ArrayList<>(job.pageVersions.keySet());
+        while (pages.size() + 1 > settings.maxTransactionWrites()) {
+            // What is left over is removed by the leader that finds it without an open job.
+            pages.remove(pages.size() - 1);
+        }
+        // A batch of its own may take as many writes as the job needs, or it would never end.
+        if (!batch.isEmpty() && batch.writeCount() + pages.size() + 1 > maxWrites) {
+            return;
+        }
+        if (job.cancelled && pages.isEmpty()) {
+            jobs.removeWithoutLedger(job);
+            return;
+        }
+        batch.addJobEnd(
+                new JobWrite(job, true, Set.of(), pages, Map.of()), job.cancelled ? null : doneRecord(job, wallMicros));
+    }
+
+    private StoredRecord.JobRecord doneRecord(Job job, long wallMicros) {
+        return new StoredRecord.JobRecord(
+                JobState.DONE, null, job.submittedWall, job.spec.taskCount(), wallMicros, 0, checkedAgainstArchive);
+    }
+}
