--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -11,6 +11,7 @@
 import io.micatide.net.Request;
 import io.micatide.net.StoreClient;
 import io.micatide.protocol.JobCodec;
+import io.micatide.protocol.JobRecordSplitter;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
 import io.micatide.protocol.StoreCodec;
@@ -22,6 +23,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -189,15 +191,15 @@
             // A leader of the former version would start it at once.
             conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, jobCache.layoutVersion()));
         }
-        // What the state service would refuse each time is refused here, or the user would try again for nothing.
-        List<Transaction.Write> rows = StoreCodec.jobRecordWrites(id, row, settings.maxWritableValueBytes());
-        if (rows == null) {
+        // What the store would refuse each time is refused here, or the user would try again for nothing.
+        Optional<List<Transaction.Write>> writes = JobRecordSplitter.split(id, row, settings.maxWritableValueBytes());
+        if (writes.isEmpty()) {
             refuse(request, id, 400, Json.error("body", "body: is too long to be kept"));
-        } else if (rows.size() > settings.maxTransactionWrites()) {
+        } else if (writes.get().size() > settings.maxTransactionWrites()) {
             refuse(request, id, 400, Json.error("awaits", "awaits: more names than can be kept with the job"));
         } else {
             store.transaction(
-                    new Transaction(conditions, rows),
+                    new Transaction(conditions, writes.get()),
                     owner.answer(r -> new UsersActor.SubmissionWritten(r, submission, row)));
         }
     }
--- a/src/main/java/io/micatide/protocol/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -6,6 +6,7 @@
 import io.micatide.model.ListedMachine;
 import io.micatide.model.MachineType;
 import io.micatide.model.Micros;
+import io.micatide.model.Resources;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +29,7 @@
     static MachineType type(JsonFields in) throws MalformedException {
         return new MachineType(
                 in.text("label"),
-                StoreCodec.encodedBytes(in),
+                resources(in),
                 in.has("localGb") ? in.amount("localGb") : 0,
                 in.has("pullGbPerS") ? in.amount("pullGbPerS") : 0,
                 in.amount("hourly"),
@@ -37,6 +38,10 @@
                 in.texts("grounds"));
     }
 
+    private static Resources resources(JsonFields in) throws MalformedException {
+        return Resources.of(in.amount("cpus"), in.has("cards") ? in.amount("cards") : 0, in.amount("memGb"));
+    }
+
     static void writeType(JsonGenerator out, MachineType type) throws IOException {
         out.writeStartObject();
         out.writeStringField("label", type.name());
--- a/src/test/java/io/micatide/KnownRed.java
+++ b/src/test/java/io/micatide/KnownRed.java
@@ -21,7 +21,7 @@
 /**
  * Passes over the tests that KNOWN-RED.txt names, and over nothing else: a test that fails for a real fault which is not mended yet. Each line is
  * {@code test, cause, issue}; the test by its class and method, a case of a table by its number as well:
- * {@code io.micatide.scheduler.JobLedgersTest#ledgersOfLargerLimits[3]}. A named test runs all the same and fails the build once it passes. Three lines at
+ * {@code io.micatide.scheduler.JobLedgersTest#ledgersWrittenUnderLargerLimitsAreTakenOver[3]}. A named test runs all the same and fails the build once it passes. Three lines at
  * most; {@link KnownRedTest} holds the file to that.
  */
 public final class KnownRed implements InvocationInterceptor {
--- a/src/test/java/io/micatide/protocol/StoredFormatTest.java
+++ b/src/test/java/io/micatide/protocol/StoredFormatTest.java
@@ -21,6 +21,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -60,7 +61,7 @@
                 "types|{'types':[{'label':'g8','cpus':8.0,'cards':0.0,'memGb':64.0,'localGb':25.0,'pullGbPerS':0.3,"
                         + "'hourly':0.54,'marketPrice':0.19,'bootS':30.0,'grounds':['a','b']}]}",
             })
-    void rowsOfProduction(String key, String data) throws MalformedException {
+    void storedRecordsAreReadAndWrittenUnchanged(String key, String data) throws MalformedException {
         StoreCodec.Item item = StoreCodec.item(json("{'k':'" + key + "','data':" + data + ",'stamp':9}"));
         byte[] again = StoreCodec.transaction(new Transaction(
                 List.of(new Transaction.Condition(key, 9)), List.of(new Transaction.Write(key, item.record(), 0))));
@@ -70,7 +71,7 @@
     }
 
     @Test
-    void aRowOfProductionMeansWhatItMeant() throws MalformedException {
+    void aStoredJobRecordKeepsItsMeaning() throws MalformedException {
         StoreCodec.Item item = StoreCodec.item(json("{'k':'job/wk-1','data':{'state':'OPEN','tasks':16,'submitted':7,"
                 + "'spec':" + SPEC + "},'stamp':9}"));
         JobSpec spec = ((StoredRecord.JobRecord) item.record()).spec();
@@ -109,7 +110,7 @@
         "5000, 2048, 31",
         "5000, 16384, 4"
     })
-    void longListsAreKeptWhole(int names, int limit, int rows) throws MalformedException {
+    void longDependencyListsAreSplitWithinTheLimit(int names, int limit, int rows) throws MalformedException {
         List<String> needs = new ArrayList<>();
         for (int i = 0; i < names; i++) {
             needs.add(String.format("wk-%06d", i));
@@ -138,20 +139,21 @@
                         needs),
                 7,
                 16);
-        List<Transaction.Write> writes = StoreCodec.jobRecordWrites("wk-x", row, limit);
+        List<Transaction.Write> writes =
+                JobRecordSplitter.split("wk-x", row, limit).orElseThrow();
         assertEquals(rows, writes.size());
-        JobCache directory = new JobCache();
+        JobCache jobCache = new JobCache();
         for (Transaction.Write write : writes) {
             assertTrue(StoreCodec.encodedBytes(write.record()) <= limit, write.key());
             if (write.record() instanceof StoredRecord.FurtherDependencies further) {
-                directory.applyDependencies(
+                jobCache.applyDependencies(
                         "wk-x", Integer.parseInt(write.key().substring("job/wk-x/needs/".length())), further.names());
             } else {
-                directory.apply("wk-x", (StoredRecord.JobRecord) write.record(), 5);
+                jobCache.apply("wk-x", (StoredRecord.JobRecord) write.record(), 5);
             }
         }
-        assertEquals(row, directory.get("wk-x").record());
-        assertNull(StoreCodec.jobRecordWrites("wk-x", row, 200), "the job itself has to fit");
+        assertEquals(row, jobCache.get("wk-x").record());
+        assertEquals(Optional.empty(), JobRecordSplitter.split("wk-x", row, 200), "the job itself has to fit");
     }
 
     @Test
@@ -241,7 +243,7 @@
                 "ledger/wk-1|{'fleet':[],'gang':0,'done':''}",
             })
     void rowsOfThisVersion(String key, String data) throws MalformedException {
-        rowsOfProduction(key, data);
+        storedRecordsAreReadAndWrittenUnchanged(key, data);
     }
 
     /** A page's number gives its tasks, so its size may not follow the limits that are to come. */
