--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -152,24 +152,21 @@
     }
 
     private void apply(StoreCodec.Item item) {
-        String name = item.key().substring(StoreKeys.JOBS.length());
         if (item.record() == null) {
-            if (name.indexOf('/') < 0) {
-                jobCache.remove(name, item.version());
-                owner.forgetProgress(name);
+            if (!StoreKeys.isDependencies(item.key())) {
+                String id = StoreKeys.jobIdOf(item.key());
+                jobCache.remove(id, item.version());
+                owner.forgetProgress(id);
             }
         } else if (item.record() instanceof StoredRecord.ArchiveManifest manifest) {
             archiveManifestRead(item.version(), manifest);
         } else if (item.record() instanceof StoredRecord.FeatureStages features) {
             leaderActor.tell(new LeaderActor.SwitchesSeen(item.version(), features));
         } else if (item.record() instanceof StoredRecord.JobRecord row) {
-            apply(name, row, item.version());
-        } else if (item.record() instanceof StoredRecord.FurtherDependencies needs) {
-            int slash = name.indexOf('/');
+            apply(StoreKeys.jobIdOf(item.key()), row, item.version());
+        } else if (item.record() instanceof StoredRecord.FurtherDependencies dependencies) {
             changed(jobCache.applyDependencies(
-                    name.substring(0, slash),
-                    Integer.parseInt(name.substring(name.lastIndexOf('/') + 1)),
-                    needs.names()));
+                    StoreKeys.jobIdOf(item.key()), StoreKeys.dependenciesPieceOf(item.key()), dependencies.names()));
         } else if (item.record() instanceof StoredRecord.Layout layout) {
             layoutMarked(item.version(), layout);
         }
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -36,22 +36,23 @@
         this.users = users;
     }
 
-    /** Whether the outcome of a round is still to come. */
+    /** Whether the outcome of a transaction is still to come. */
     boolean isWriteInFlight() {
         return isWriteInFlight;
     }
 
-    /** Revision of the last round that was confirmed, 0 before. */
+    /** Revision of the last transaction that was confirmed, 0 before. */
     long lastRevision() {
         return lastRevision;
     }
 
     void writeNextBatch(long now) {
-        Transaction round = scheduler.nextWriteBatch(now, owner.wall());
-        if (round != null) {
+        Transaction transaction = scheduler.nextWriteBatch(now, owner.wall());
+        if (transaction != null) {
             long fencingToken = scheduler.fencingToken();
             isWriteInFlight = true;
-            store.transaction(round, owner.answer(r -> new TermMessage.RoundAnswered(r, fencingToken, round)));
+            store.transaction(
+                    transaction, owner.answer(r -> new TermMessage.RoundAnswered(r, fencingToken, transaction)));
         }
     }
 
@@ -72,7 +73,7 @@
             if (reply.notExecuted()) {
                 if (reply.status() == 429 && !rateLimitLogged) {
                     rateLimitLogged = true;
-                    LOG.info("a round was above the rate of the state service: tried again");
+                    LOG.info("a transaction was above the rate of the store: tried again");
                 }
                 scheduler.writeNotExecuted(now);
                 return;
@@ -89,19 +90,19 @@
         } catch (MalformedException e) {
             LOG.error("transaction answer: {}", e.getMessage());
         }
-        LOG.warn("round of unknown outcome ({}): reading back", reply.status());
+        LOG.warn("transaction of unknown outcome (status {}): reading its keys back", reply.status());
         unresolvedKeys = new PendingReads(scheduler.unresolvedWriteKeys());
         readNextUnresolvedKey();
     }
 
-    /** Most likely a user has cancelled a job meanwhile: the rest of the round goes out again at once. */
+    /** Most likely a user has cancelled a job meanwhile: the rest of the batch is sent again at once. */
     private void writeConflicted(List<String> failed, long now) {
         if (failed.contains(StoreKeys.LEADER)) {
-            LOG.info("a write was refused: fenced");
+            LOG.info("transaction refused: fenced");
             owner.fenced();
             return;
         }
-        LOG.debug("round refused for {}", failed);
+        LOG.debug("transaction refused, keys in conflict: {}", failed);
         scheduler.writeConflicted(failed, now).forEach(this::readConflictedKey);
         if (!owner.ending()) {
             writeNextBatch(now);
@@ -122,22 +123,22 @@
         }
     }
 
-    private void logRejectedTransaction(Reply reply, Transaction round) {
+    private void logRejectedTransaction(Reply reply, Transaction transaction) {
         StringBuilder text = new StringBuilder();
-        for (Transaction.Write write : round.writes()) {
+        for (Transaction.Write write : transaction.writes()) {
             text.append(' ')
                     .append(write.key())
                     .append(write.record() == null ? " deleted" : " " + StoreCodec.encodedBytes(write.record()));
         }
         LOG.warn(
-                "the state service takes no such transaction: {}; {} conditions, {} changes, bytes of each:{}",
+                "transaction rejected by the store: {}; {} conditions, {} changes, bytes of each:{}",
                 new String(reply.body(), StandardCharsets.UTF_8),
-                round.conditions().size(),
-                round.writes().size(),
+                transaction.conditions().size(),
+                transaction.writes().size(),
                 text);
     }
 
-    /** Jobs may wait for what a round has ended: they need not wait for the next read of the changes as well. */
+    /** Jobs may wait for what a transaction has ended: they need not wait for the next read of the changes as well. */
     private void publishEndedJobs() {
         scheduler
                 .takeEndedJobs()
@@ -167,7 +168,7 @@
         }
     }
 
-    /** What a key holds now; false if the state service did not say. */
+    /** What a key holds now; false if the store did not say. */
     private boolean applyReadBack(String key, Reply reply) {
         try {
             if (Scheduler.isCloudRecord(key) && (reply.ok() || reply.status() == 404)) {
@@ -179,11 +180,10 @@
                 if (item.record() instanceof StoredRecord.Ledger ledger) {
                     scheduler.ledgerReadBack(item.key(), ledger, item.version());
                 } else if (item.record() instanceof StoredRecord.JobRecord row) {
-                    scheduler.jobReadBack(
-                            item.key().substring(StoreKeys.JOBS.length()), row, item.version(), owner.now());
+                    scheduler.jobReadBack(StoreKeys.jobIdOf(item.key()), row, item.version(), owner.now());
                 }
             } else if (reply.status() == 404) {
-                if (key.startsWith(StoreKeys.LEDGERS)) {
+                if (StoreKeys.isLedger(key)) {
                     scheduler.ledgerReadBack(key, null, 0);
                 }
             } else {
--- a/src/main/java/io/micatide/store/JobOutcome.java
+++ b/src/main/java/io/micatide/store/JobOutcome.java
@@ -4,15 +4,16 @@
 import io.micatide.model.JobState;
 
 /**
- * What is told of a job that is over, for ever.
+ * The final state of a job, as the archive keeps it for ever.
  *
  * @param state done or cancelled
- * @param isService it was a service, which no other job may need
- * @param taskCount how many it had
+ * @param isService whether the job was a service, on which no other job may depend
+ * @param taskCount how many tasks it had
  */
 public record JobOutcome(JobState state, boolean isService, int taskCount) {
-    /** Of a job's final row. */
-    public static JobOutcome of(StoredRecord.JobRecord row) {
-        return new JobOutcome(row.state(), row.spec() != null && row.spec().kind() == JobKind.SERVICE, row.taskCount());
+    /** The outcome that a job's final record tells. */
+    public static JobOutcome of(StoredRecord.JobRecord record) {
+        boolean isService = record.spec() != null && record.spec().kind() == JobKind.SERVICE;
+        return new JobOutcome(record.state(), isService, record.taskCount());
     }
 }
--- a/src/main/java/io/micatide/store/PendingReads.java
+++ b/src/main/java/io/micatide/store/PendingReads.java
@@ -5,18 +5,19 @@
 import java.util.Deque;
 
 /**
- * Reads keys one after another, one request at a time, whatever the answers are. A controller that was cut off from the
- * state service once ran out of memory here: each failed read asked for two more.
+ * A queue of keys that are read one after another, with one request in flight whatever the answers are. A controller
+ * that was cut off from the store once ran out of memory here: each failed read asked for two more.
  */
 public final class PendingReads {
     private final Deque<String> unreadKeys;
     private boolean readInFlight;
 
+    /** Makes a queue of these keys, in their order. */
     public PendingReads(Collection<String> keys) {
         unreadKeys = new ArrayDeque<>(keys);
     }
 
-    /** The key to read now, or null while a read is under way or everything is read. */
+    /** The key to read now, or null while a read is in flight or everything is read. */
     public String next() {
         if (readInFlight || unreadKeys.isEmpty()) {
             return null;
@@ -25,7 +26,7 @@
         return unreadKeys.peekFirst();
     }
 
-    /** The answer to the read that is under way was taken in. */
+    /** The answer to the read in flight was applied. */
     public void keyRead() {
         if (readInFlight) {
             readInFlight = false;
@@ -33,11 +34,12 @@
         }
     }
 
-    /** The read that is under way failed; the same key is next, after a pause that the caller makes. */
+    /** The read in flight failed; the same key is next, after a pause that the caller makes. */
     public void keyFailed() {
         readInFlight = false;
     }
 
+    /** Whether every key was read. */
     public boolean isFinished() {
         return unreadKeys.isEmpty();
     }
--- a/src/main/java/io/micatide/store/TaskRanges.java
+++ b/src/main/java/io/micatide/store/TaskRanges.java
@@ -3,11 +3,18 @@
 import com.google.common.base.Splitter;
 import java.util.BitSet;
 
-/** Finished tasks as text such as {@code 0-5,7,9-12}: short while tasks finish roughly in order. */
+/** Sets of task indexes as text such as {@code 0-5,7,9-12}: short while tasks finish roughly in order. */
 public final class TaskRanges {
     private TaskRanges() {}
 
-    /** The set bits from {@code from} (inclusive) to {@code to} (exclusive), counted from {@code from}. */
+    /**
+     * Formats the set bits of a section.
+     *
+     * @param bits the set
+     * @param from first index of the section; the text counts from there
+     * @param to the index after the section's last one
+     * @return the ranges in rising order, empty for none
+     */
     public static String format(BitSet bits, int from, int to) {
         StringBuilder text = new StringBuilder();
         int start = bits.nextSetBit(from);
@@ -26,42 +33,67 @@
     }
 
     /**
-     * The most of {@code bits} between {@code from} and {@code to} that {@link #format} tells in {@code mostChars}, or null
-     * if it cannot even tell {@code kept}, which has to stay. Whole runs are taken in order; of a run that does not fit what
-     * is kept remains.
+     * Chooses as many bits of a section as {@link #format} writes in a number of characters. Whole runs are taken in
+     * order; of a run that does not fit, the required bits remain.
+     *
+     * @param bits the set
+     * @param required a subset that must remain
+     * @param from first index of the section
+     * @param to the index after the section's last one
+     * @param maxChars longest text
+     * @return the chosen bits, or null if not even the required ones fit
      */
-    public static BitSet truncateToLength(BitSet bits, BitSet kept, int from, int to, int mostChars) {
-        BitSet all = bits.get(0, to);
-        all.clear(0, Math.min(from, to));
-        if (format(all, from, to).length() <= mostChars) {
+    public static BitSet truncateToLength(BitSet bits, BitSet required, int from, int to, int maxChars) {
+        BitSet all = section(bits, from, to);
+        if (format(all, from, to).length() <= maxChars) {
             return all;
         }
-        BitSet chosen = kept.get(0, to);
-        chosen.clear(0, Math.min(from, to));
-        int length = chosen.isEmpty() ? 0 : format(chosen, from, to).length() + 1;
+        BitSet chosen = section(required, from, to);
+        int length = lengthWithComma(chosen, from, to);
         for (int start = all.nextSetBit(from); start >= 0; ) {
             int end = all.nextClearBit(start);
-            BitSet own = chosen.get(0, end);
-            own.clear(0, start);
-            // Each run stands for itself, with the comma before it.
-            int before = own.isEmpty() ? 0 : format(own, from, to).length() + 1;
-            int after = Integer.toString(start - from).length()
-                    + 1
-                    + (end - start > 1 ? 1 + Integer.toString(end - 1 - from).length() : 0);
-            if (length - before + after <= mostChars || after <= before) {
+            int lengthBefore = lengthWithComma(section(chosen, start, end), from, to);
+            int lengthAfter = runLengthWithComma(start - from, end - 1 - from);
+            if (length - lengthBefore + lengthAfter <= maxChars || lengthAfter <= lengthBefore) {
                 chosen.set(start, end);
-                length += after - before;
+                length += lengthAfter - lengthBefore;
             }
             start = all.nextSetBit(end);
         }
-        return length > mostChars ? null : chosen;
+        return length > maxChars ? null : chosen;
+    }
+
+    /** The bits of a section, at their own indexes. */
+    private static BitSet section(BitSet bits, int from, int to) {
+        BitSet section = bits.get(0, to);
+        section.clear(0, Math.min(from, to));
+        return section;
+    }
+
+    /** Characters of a set, with a comma to keep it from others. */
+    private static int lengthWithComma(BitSet bits, int from, int to) {
+        return bits.isEmpty() ? 0 : format(bits, from, to).length() + 1;
+    }
+
+    /** Characters of one run, with a comma to keep it from others. */
+    private static int runLengthWithComma(int first, int last) {
+        int length = Integer.toString(first).length() + 1;
+        return last > first ? length + 1 + Integer.toString(last).length() : length;
     }
 
+    /**
+     * Sets the bits that a text names.
+     *
+     * @param text as {@link #format} made it
+     * @param from index from which the text counts
+     * @param bits the set to which they are added
+     * @throws NumberFormatException if the text is not of that form
+     */
     public static void parseInto(String text, int from, BitSet bits) {
-        for (String part : Splitter.on(',').omitEmptyStrings().split(text)) {
-            int dash = part.indexOf('-');
-            int first = Integer.parseInt(dash < 0 ? part : part.substring(0, dash));
-            int last = dash < 0 ? first : Integer.parseInt(part.substring(dash + 1));
+        for (String range : Splitter.on(',').omitEmptyStrings().split(text)) {
+            int dash = range.indexOf('-');
+            int first = Integer.parseInt(dash < 0 ? range : range.substring(0, dash));
+            int last = dash < 0 ? first : Integer.parseInt(range.substring(dash + 1));
             bits.set(from + first, from + last + 1);
         }
     }
