--- a/src/main/java/io/micatide/store/JobOutcome.java
+++ b/src/main/java/io/micatide/store/JobOutcome.java
@@ -11,7 +11,12 @@
  * @param taskCount how many tasks it had
  */
 public record JobOutcome(JobState state, boolean isService, int taskCount) {
-    /** The outcome that a job's final record tells. */
+    /**
+     * The outcome that a job's final record tells.
+     *
+     * @param record a record with a final state
+     * @return its outcome
+     */
     public static JobOutcome of(StoredRecord.JobRecord record) {
         boolean isService = record.spec() != null && record.spec().kind() == JobKind.SERVICE;
         return new JobOutcome(record.state(), isService, record.taskCount());
--- a/src/main/java/io/micatide/store/MachineNameCodec.java
+++ b/src/main/java/io/micatide/store/MachineNameCodec.java
@@ -124,6 +124,8 @@
     /**
      * The names that {@link #compress} was given, in rising order within each group.
      *
+     * @param groups as {@link #compress} made them
+     * @return the names
      * @throws IllegalArgumentException if a text is not of that form
      */
     public static List<String> decompress(Collection<String> groups) {
@@ -162,7 +164,12 @@
         return prefix + "0".repeat(Math.max(0, digits - text.length())) + text;
     }
 
-    /** What the compressed names take as JSON, with quotes and commas. */
+    /**
+     * What compressed names take as JSON, with quotes and commas.
+     *
+     * @param names the names, not compressed
+     * @return bytes of the array's elements
+     */
     public static int compressedBytes(Collection<String> names) {
         int bytes = 0;
         for (String group : compress(names)) {
--- a/src/main/java/io/micatide/store/PendingReads.java
+++ b/src/main/java/io/micatide/store/PendingReads.java
@@ -12,12 +12,20 @@
     private final Deque<String> unreadKeys;
     private boolean readInFlight;
 
-    /** Makes a queue of these keys, in their order. */
+    /**
+     * Makes a queue of keys.
+     *
+     * @param keys in the order in which they are read
+     */
     public PendingReads(Collection<String> keys) {
         unreadKeys = new ArrayDeque<>(keys);
     }
 
-    /** The key to read now, or null while a read is in flight or everything is read. */
+    /**
+     * Takes the key to read now.
+     *
+     * @return null while a read is in flight or everything is read
+     */
     public String next() {
         if (readInFlight || unreadKeys.isEmpty()) {
             return null;
@@ -39,7 +47,11 @@
         readInFlight = false;
     }
 
-    /** Whether every key was read. */
+    /**
+     * Whether every key was read.
+     *
+     * @return true once no key is left
+     */
     public boolean isFinished() {
         return unreadKeys.isEmpty();
     }
--- a/src/main/java/io/micatide/store/StoreKeys.java
+++ b/src/main/java/io/micatide/store/StoreKeys.java
@@ -43,7 +43,12 @@
 
     private StoreKeys() {}
 
-    /** Key of a job's record. */
+    /**
+     * Key of a job's record.
+     *
+     * @param id of the job
+     * @return the key
+     */
     public static String job(String id) {
         return JOBS + id;
     }
@@ -51,13 +56,21 @@
     /**
      * Key of the names of dependencies that a job's own record has no room for.
      *
+     * @param id of the job
      * @param piece 1 and up
+     * @return the key
      */
     public static String dependencies(String id, int piece) {
         return JOBS + id + DEPENDENCIES + piece;
     }
 
-    /** Key of a segment. Numbers have as many digits as any run needs, so that a run's segments are listed in order. */
+    /**
+     * Key of a segment. Numbers have as many digits as any run needs, so that a run's segments are listed in order.
+     *
+     * @param run name of the run
+     * @param number of the segment, 0 and up
+     * @return the key
+     */
     public static String segment(String run, int number) {
         return ARCHIVE_SEGMENTS + run + "/" + String.format("%06d", number);
     }
@@ -65,43 +78,81 @@
     /**
      * Key of a page of a job's ledger.
      *
+     * @param id of the job
      * @param page 0 for the ledger itself; further pages hold only finished ranges
+     * @return the key
      */
     public static String ledger(String id, int page) {
         return page == 0 ? LEDGERS + id : LEDGERS + id + "/" + page;
     }
 
-    /** Key of a controller's registration. */
+    /**
+     * Key of a controller's registration.
+     *
+     * @param label of the controller
+     * @return the key
+     */
     public static String controller(String label) {
         return CONTROLLERS + label;
     }
 
-    /** Key of what an operator asks of a feature. */
+    /**
+     * Key of what an operator asks of a feature.
+     *
+     * @param feature key of the feature
+     * @return the key
+     */
     public static String featureRequest(String feature) {
         return FEATURE_REQUESTS + feature;
     }
 
-    /** Key of a record of machines to delete. */
+    /**
+     * Key of a record of machines to delete.
+     *
+     * @param fencingToken of the leader that writes it
+     * @param number of the record within the term
+     * @return the key
+     */
     public static String machineDeletion(long fencingToken, int number) {
         return MACHINE_DELETIONS + fencingToken + "-" + number;
     }
 
-    /** Key of a provisioning request. */
+    /**
+     * Key of a provisioning request.
+     *
+     * @param name of the request
+     * @return the key
+     */
     public static String provisioningRequest(String name) {
         return PROVISIONING_REQUESTS + name;
     }
 
-    /** Whether the key is of a page of a ledger. */
+    /**
+     * Whether a key is of a page of a ledger.
+     *
+     * @param key any key
+     * @return true for pages of ledgers
+     */
     public static boolean isLedger(String key) {
         return key.startsWith(LEDGERS);
     }
 
-    /** Whether the key is of a job's record; the records that are only read in order with the jobs count as such. */
+    /**
+     * Whether a key is of a job's record; the records that are only read in order with the jobs count as such.
+     *
+     * @param key any key
+     * @return true for job records
+     */
     public static boolean isJob(String key) {
         return key.startsWith(JOBS) && !isDependencies(key);
     }
 
-    /** Whether the key is of further names of a job's dependencies. */
+    /**
+     * Whether a key is of further names of a job's dependencies.
+     *
+     * @param key any key
+     * @return true for records of further dependencies
+     */
     public static boolean isDependencies(String key) {
         return key.startsWith(JOBS) && key.indexOf('/', JOBS.length()) > 0;
     }
@@ -110,6 +161,7 @@
      * The job that a key belongs to.
      *
      * @param key of a job's record, of its further dependencies or of a page of its ledger
+     * @return the id of the job
      * @throws IllegalArgumentException if it is another key
      */
     public static String jobIdOf(String key) {
@@ -132,6 +184,7 @@
      * The number of a ledger page.
      *
      * @param key of a page of a ledger
+     * @return 0 for the first page
      * @throws NumberFormatException if it ends in no number of a page
      */
     public static int ledgerPageOf(String key) {
@@ -143,6 +196,7 @@
      * The number of a piece of further dependencies.
      *
      * @param key of further dependencies
+     * @return 1 and up
      * @throws NumberFormatException if it ends in no number
      */
     public static int dependenciesPieceOf(String key) {
--- a/src/main/java/io/micatide/store/StoredRecord.java
+++ b/src/main/java/io/micatide/store/StoredRecord.java
@@ -38,12 +38,28 @@
             int furtherDependencyRecords,
             boolean checkedAgainstArchive)
             implements StoredRecord {
-        /** A record of a job that is not done, without further records and not checked against the archive. */
+        /**
+         * Makes a record of a job that is not done, without further records and not checked against the archive.
+         *
+         * @param state open or cancelled
+         * @param spec the description, null of a job cancelled before its start
+         * @param submittedWall time of day of the submission
+         * @param taskCount how many tasks it has
+         */
         public JobRecord(JobState state, JobSpec spec, long submittedWall, int taskCount) {
             this(state, spec, submittedWall, taskCount, -1, 0, false);
         }
 
-        /** A record that is not checked against the archive. */
+        /**
+         * Makes a record that is not checked against the archive.
+         *
+         * @param state open or final
+         * @param spec the description, or null
+         * @param submittedWall time of day of the submission
+         * @param taskCount how many tasks it has
+         * @param endedWall time of day at which the job was done, or -1
+         * @param furtherDependencyRecords how many records with further dependencies belong to it
+         */
         public JobRecord(
                 JobState state,
                 JobSpec spec,
@@ -54,7 +70,12 @@
             this(state, spec, submittedWall, taskCount, endedWall, furtherDependencyRecords, false);
         }
 
-        /** The same record, checked against the archive or not. */
+        /**
+         * The same record, checked against the archive or not.
+         *
+         * @param isChecked whether it was checked
+         * @return this record if it says so already
+         */
         public JobRecord withCheckedAgainstArchive(boolean isChecked) {
             return isChecked == checkedAgainstArchive
                     ? this
@@ -67,6 +88,7 @@
          *
          * @param names the dependencies that this record names
          * @param furtherRecords how many records with further ones belong to it
+         * @return the new record
          */
         public JobRecord withDependencies(List<String> names, int furtherRecords) {
             return new JobRecord(
@@ -107,7 +129,13 @@
      */
     record Ledger(List<String> machines, long gangAttempt, String finishedTasks, boolean compressedNames)
             implements StoredRecord {
-        /** A page whose names are stored as they are. */
+        /**
+         * Makes a page whose names are stored as they are.
+         *
+         * @param machines every machine on which an attempt of the job may be
+         * @param gangAttempt attempt of the gang, or 0
+         * @param finishedTasks finished tasks of this page
+         */
         public Ledger(List<String> machines, long gangAttempt, String finishedTasks) {
             this(machines, gangAttempt, finishedTasks, false);
         }
@@ -158,7 +186,11 @@
      * @param stages stage by the name of the feature
      */
     record FeatureStages(Map<String, String> stages) implements StoredRecord {
-        /** Copies the stages. */
+        /**
+         * Copies the stages.
+         *
+         * @param stages stage by the name of the feature
+         */
         public FeatureStages {
             stages = Map.copyOf(stages);
         }
