--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -152,8 +152,7 @@
             out.println(label + (label.equals(leads) ? ", leads" : "") + ": "
                     + (here == null
                             ? "not registered"
-                            : "build " + here.build()
-                                    + ", knows " + String.join(" ", here.knownFeatures()) + ", since "
+                            : "build " + here.build() + ", knows " + String.join(" ", here.knownFeatures()) + ", since "
                                     + Instant.EPOCH
                                             .plus(here.startedWall(), ChronoUnit.MICROS)
                                             .truncatedTo(ChronoUnit.SECONDS)
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -202,6 +202,7 @@
             rollout.flagsRead(m.reply());
             advanceElection();
         } else if (message instanceof LeaderMessage.RegistrationRead m) {
+
             rollout.ownRecordRead(m.reply());
             advanceElection();
         } else if (message instanceof LeaderMessage.RegistrationWritten m) {
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -161,6 +161,7 @@
         } else if (message instanceof TermMessage.AnnouncementAnswered m) {
             announcer.answered(m);
         } else if (message instanceof TermMessage.LoadMessage m) {
+
             loadMessageReceived(m);
         } else if (message instanceof TermMessage.ArchivableJobsFound m) {
             archiving.finishedJobsFound(m);
--- a/src/main/java/io/micatide/scheduler/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -67,25 +67,12 @@
      * @param slowFound machines that were found slow in this term
      */
     String line(int awaiting, PlacementPlanner planner, int slowFound, ProvisioningRequests rentals) {
-        return "jobs=" + ledgers.jobs().size()
-                + " awaiting=" + awaiting
-                + " waiting=" + pendingTasks
-                + " unsettled=" + unreconciledJobs
-                + " machines=" + fleet.machines().size()
-                + " confirmed=" + reconciledMachines
-                + " usable=" + schedulableMachines
-                + " cpus=" + used.cpus() / 1000 + "/" + capacity.cpus() / 1000
-                + " running=" + runningCpus / 1000
-                + " spot=" + spotCpus / 1000
-                + " booting=" + bootingMachines
-                + " replicas=" + replicas
-                + " serving=" + machinesWithReplicas
-                + " looked=" + planner.machinesExamined()
-                + " cut=" + planner.truncatedPlans()
-                + " evicted=" + planner.evictionCounts()
-                + " slow=" + slowFound
-                + " suspect=" + quarantinedJobs
-                + " full=" + fullLedgers
-                + " bookings=" + rentals.requests.size();
+        return "jobs=" + ledgers.jobs().size() + " awaiting=" + awaiting + " waiting=" + pendingTasks + " unsettled="
+                + unreconciledJobs + " machines=" + fleet.machines().size() + " confirmed=" + reconciledMachines
+                + " usable=" + schedulableMachines + " cpus=" + used.cpus() / 1000 + "/" + capacity.cpus() / 1000
+                + " running=" + runningCpus / 1000 + " spot=" + spotCpus / 1000 + " booting=" + bootingMachines
+                + " replicas=" + replicas + " serving=" + machinesWithReplicas + " looked=" + planner.machinesExamined()
+                + " cut=" + planner.truncatedPlans() + " evicted=" + planner.evictionCounts() + " slow=" + slowFound
+                + " suspect=" + quarantinedJobs + " full=" + fullLedgers + " bookings=" + rentals.requests.size();
     }
 }
--- a/src/test/java/io/micatide/election/CancellationHorizonTest.java
+++ b/src/test/java/io/micatide/election/CancellationHorizonTest.java
@@ -54,35 +54,33 @@
     @CsvSource({
         // Nothing was ever read: what an earlier process or a peer confirmed is not known.
         "a0, n",
-        "0@1-1/500 1@1-1/500 a2, n",
-        // Reads count from when they were asked for, and do not go back.
+        "0@1-1/500 1@1-1/500 a2, n", // Reads count from when they were asked for, and do not go back.
         "r100 a118 a119, yn",
         "r100 r90 a118, y",
         "r100 a119 r119 a120, ny",
-        "r100 a118 a119 r118 a136 a137 a138, ynynn",
-        // All send digests without a gap: for as long as they do, an outage of any length.
-        "r100 0@117-117/500 1@117-117/500 a135 0@135-135/520 1@135-135/520 a150 a154, yyn",
-        // One of them does not.
-        "r100 0@117-117/500 a118 a119, yn",
-        // From when the request left, not from when the answer came.
-        "r100 0@101-118/500 1@101-118/500 a119 a120, yn",
-        // Started again since the last read: what its earlier process confirmed is not known. A read mends that.
+        "r100 a118 a119 r118 a136 a137 a138, ynynn", // All send digests without a gap: for as long as they do, an
+        // outage of any length.
+        "r100 0@117-117/500 1@117-117/500 a135 0@135-135/520 1@135-135/520 a150 a154, yyn", // One of them does not.
+        "r100 0@117-117/500 a118 a119, yn", // From when the request left, not from when the answer came.
+        "r100 0@101-118/500 1@101-118/500 a119 a120, yn", // Started again since the last read: what its earlier process
+        // confirmed is not known. A read mends that.
         "r100 0@110-110/5 1@110-110/500 a118 a119, yn",
-        "r100 0@110-110/5 1@110-110/500 r120 0@125-125/20 1@125-125/20 a143, y",
-        // Started again between two digests: all is known up to the earlier process's last one.
-        "r100 0@110-110/500 1@110-110/500 0@118-118/3 1@118-118/508 a128 a129, yn",
-        // Started just before and just after the moment up to which all is known; clocks drift, so a second of some
+        "r100 0@110-110/5 1@110-110/500 r120 0@125-125/20 1@125-125/20 a143, y", // Started again between two digests:
+        // all is known up to the earlier
+        // process's last one.
+        "r100 0@110-110/500 1@110-110/500 0@118-118/3 1@118-118/508 a128 a129, yn", // Started just before and just
+        // after the moment up to which all
+        // is known; clocks drift, so a
+        // second of some
         // minutes is not told apart.
         "r100 0@130-130/31 1@130-130/31 a131, y",
         "r100 0@130-130/29 1@130-130/31 a131, n",
-        "r100 0@1100-1100/1000.5 1@1100-1100/1003 a1101, n",
-        // The answer came late: its process may have been started as late as that.
+        "r100 0@1100-1100/1000.5 1@1100-1100/1003 a1101, n", // The answer came late: its process may have been started
+        // as late as that.
         "r100 0@105-130/31 1@105-105/500 a119 a123, yy",
-        "r100 0@105-130/20 1@105-105/500 a119, n",
-        // More names than fit, or another process in its place: a gap.
+        "r100 0@105-130/20 1@105-105/500 a119, n", // More names than fit, or another process in its place: a gap.
         "r100 0@110-110/500! 1@110-110/500 a119, n",
-        "r100 0@110-110/500? 1@110-110/500 a119, n",
-        // Digests that overtake each other.
+        "r100 0@110-110/500? 1@110-110/500 a119, n", // Digests that overtake each other.
         "r100 0@115-116/500 1@115-115/500 0@105-117/500 a133, y",
     })
     void workersAreAnsweredOnlyWhileAllCancellationsAreKnown(String steps, String told) {
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -67,15 +67,16 @@
     @Test
     void whatCouldMatterIsForgotten() {
         Map<String, BiConsumer<Scheduler, Placement>> events = Map.of(
-                "nothing", (s, placement) -> {},
-                "placed", (s, placement) -> s.placeTask(job, job.nextPendingTask(), machine, 0),
-                "stopped", (s, placement) -> s.stop(placement, 0, 0),
-                "removed", (s, placement) -> s.remove(placement));
-        Map<String, String> expected = Map.of(
-                "nothing", "full nothing room",
-                "placed", "full room",
-                "stopped", "full room",
-                "removed", "");
+                "nothing",
+                (s, placement) -> {},
+                "placed",
+                (s, placement) -> s.placeTask(job, job.nextPendingTask(), machine, 0),
+                "stopped",
+                (s, placement) -> s.stop(placement, 0, 0),
+                "removed",
+                (s, placement) -> s.remove(placement));
+        Map<String, String> expected =
+                Map.of("nothing", "full nothing room", "placed", "full room", "stopped", "full room", "removed", "");
         Map<String, String> actual = new HashMap<>();
         events.forEach((name, event) -> {
             begin();
