--- a/src/main/java/io/micatide/jobs/CancellationLog.java
+++ b/src/main/java/io/micatide/jobs/CancellationLog.java
@@ -29,7 +29,6 @@
      * @param version of the job's record that says so
      */
     public void record(String job, long version) {
-
         entries.addLast(new CancellationDigest.Cancelled(job, version));
         if (entries.size() > MAX_ENTRIES) {
             completeAboveRevision =
--- a/src/main/java/io/micatide/jobs/JobCache.java
+++ b/src/main/java/io/micatide/jobs/JobCache.java
@@ -91,7 +91,7 @@
         }
         keysSeenInFullRead = null;
         gone.forEach(id -> remove(id, revision));
-        cancellationLog.fullReadFinished(revision);
+        cancellationLog.allRecordsReadAt(revision);
     }
 
     /** What this copy has come to know as cancelled, also of jobs that it does not hold any more. */
