--- a/src/main/java/io/micatide/protocol/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -29,7 +29,7 @@
     static MachineType type(JsonFields in) throws MalformedException {
         return new MachineType(
                 in.text("label"),
-                StoreCodec.encodedBytes(in),
+                resources(in),
                 in.has("localGb") ? in.amount("localGb") : 0,
                 in.has("pullGbPerS") ? in.amount("pullGbPerS") : 0,
                 in.amount("hourly"),
