--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -24,19 +24,19 @@
     private final LeaderActor owner;
     private final Scheduler scheduler;
     private final CloudClient cloud;
-    private final StoreClient state;
+    private final StoreClient store;
     private final UsersActor users;
-    private List<MachineType> storedTypes = List.of();
+    private List<MachineType> storedMachineTypes = List.of();
 
     CloudCalls(LeaderActor owner, Scheduler scheduler, CloudClient cloud, StoreClient state, UsersActor users) {
         this.owner = owner;
         this.scheduler = scheduler;
         this.cloud = cloud;
-        this.state = state;
+        this.store = state;
         this.users = users;
     }
 
-    void call(CloudCall call, long now) {
+    void send(CloudCall call, long now) {
         long fencingToken = scheduler.fencingToken();
         if (call instanceof CloudCall.Rent rent) {
             LOG.info("rents {} {} {} {}", rent.count(), rent.type(), rent.zone(), rent.spot() ? "spot" : "ordinary");
@@ -51,7 +51,7 @@
         }
     }
 
-    void answered(TermMessage.CloudAnswered message) {
+    void handleAnswer(TermMessage.CloudAnswered message) {
         long now = owner.now();
         Reply reply = message.reply();
         try {
@@ -70,7 +70,7 @@
                     scheduler.machinesDeleted(delete.machines(), now);
                 }
             } else if (message.call() instanceof CloudCall.ListTypes && reply.ok()) {
-                typesKnown(CloudCodec.types(reply.body()), now);
+                updateMachineTypes(CloudCodec.types(reply.body()), now);
             }
         } catch (MalformedException e) {
             LOG.error("cloud: {}", e.getMessage());
@@ -78,18 +78,18 @@
     }
 
     /** As the state service has them. */
-    void typesLoaded(List<MachineType> types, long now) {
-        storedTypes = types;
+    void machineTypesLoaded(List<MachineType> types, long now) {
+        storedMachineTypes = types;
         scheduler.machineTypesChanged(types, now);
     }
 
-    private void typesKnown(List<MachineType> types, long now) {
+    private void updateMachineTypes(List<MachineType> types, long now) {
         scheduler.machineTypesChanged(types, now);
         users.tell(new UsersActor.TypesKnown(types));
-        if (!types.equals(storedTypes)) {
-            storedTypes = types;
+        if (!types.equals(storedMachineTypes)) {
+            storedMachineTypes = types;
             long fencingToken = scheduler.fencingToken();
-            state.transaction(
+            store.transaction(
                     new Transaction(
                             List.of(new Transaction.Condition(StoreKeys.LEADER, fencingToken)),
                             List.of(new Transaction.Write(
@@ -98,13 +98,13 @@
         }
     }
 
-    void typesStored(Reply reply) {
+    void machineTypesStored(Reply reply) {
         if (!reply.ok()) {
-            storedTypes = List.of();
+            storedMachineTypes = List.of();
         }
     }
 
-    void listRead(TermMessage.ListRead message) {
+    void handleListPage(TermMessage.ListRead message) {
         long now = owner.now();
         List<ListedMachine> machines = new ArrayList<>(message.before());
         if (message.reply().ok()) {
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -166,15 +166,15 @@
         } else if (message instanceof TermMessage.RefusedDue m) {
             rounds.readRefused(m.key());
         } else if (message instanceof TermMessage.CloudAnswered m) {
-            cloud.answered(m);
+            cloud.handleAnswer(m);
         } else if (message instanceof TermMessage.ListRead m) {
-            cloud.listRead(m);
+            cloud.handleListPage(m);
         } else if (message instanceof TermMessage.Greeted m) {
             greeter.answered(m);
         } else if (message instanceof TermMessage.TypesStored m) {
-            cloud.typesStored(m.reply());
+            cloud.machineTypesStored(m.reply());
         } else if (message instanceof TermMessage.TypesLoaded m) {
-            cloud.typesLoaded(m.types(), owner.now());
+            cloud.machineTypesLoaded(m.types(), owner.now());
         } else if (message instanceof TermMessage.RowsLoaded m) {
             rowsLoaded(m.rows());
         } else if (message instanceof TermMessage.HintsKept m) {
@@ -278,7 +278,7 @@
         archiving.tick(now);
         learning.tick(now);
         for (CloudCall call : scheduler.cloudCalls(now)) {
-            cloud.call(call, now);
+            cloud.send(call, now);
         }
         scheduler.takeNotices().forEach(LOG::info);
         scheduler.takeCompletions(now).forEach(LOG::debug);
--- a/src/main/java/io/micatide/scheduler/Autoscaler.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -271,7 +271,7 @@
                 && !machine.quarantined
                 && (machine.isSchedulable(nowMicros, settings) || coming(machine, nowMicros) || !machine.reconciled)
                 && shape.allowsMachine(machine)
-                && shape.each().fitsIn(machine.capacity());
+                && shape.taskResources().fitsIn(machine.capacity());
     }
 
     /** Replicas and gangs want their room now; it is what they take and nothing more. */
@@ -327,7 +327,7 @@
 
     /** Work that ends wants as many processors as make it ready in time. */
     private boolean rentForArrays(Resources coming, long nowMicros) {
-        List<DeadlineFeasibility.Entry> entries = planner.queue().arrays(nowMicros);
+        List<DeadlineFeasibility.Entry> entries = planner.queue().finiteJobs(nowMicros);
         Map<String, Resources> perTeam = new HashMap<>();
         for (DeadlineFeasibility.Entry entry : entries) {
             perTeam.merge(
@@ -341,7 +341,7 @@
             long most = team == null || team.maxCpus() == 0 ? Long.MAX_VALUE : team.maxCpus();
             useful += Math.min(most, entry.getValue().cpus());
         }
-        double there = planner.queue().arrayCpus(nowMicros) + coming.cpus();
+        double there = planner.queue().cpusForFiniteJobs(nowMicros) + coming.cpus();
         double wanted = DeadlineFeasibility.wanted(entries, FETCH_MICROS, LATE_MICROS, nowMicros);
         // More processors than tasks that may run at once are of no use.
         double missing = Math.min(wanted, useful) - there;
@@ -488,7 +488,7 @@
         if (booking == null) {
             return;
         }
-        rentals.answered(booking, machines.size(), nowMicros);
+        rentals.recordAnswer(booking, machines.size(), nowMicros);
         for (String each : machines) {
             if (!fleet.isDeleted(each)) {
                 Machine machine = fleet.getOrAdd(each, nowMicros);
@@ -503,7 +503,7 @@
     void noCapacity(String name, long nowMicros) {
         ProvisioningRequests.Request booking = rentals.requests.get(name);
         if (booking != null) {
-            rentals.noCapacity(booking, nowMicros);
+            rentals.recordNoCapacity(booking, nowMicros);
         }
     }
 
@@ -558,6 +558,6 @@
                 machine.deletionRequested = true;
             }
         }
-        rentals.listed(askedMicros);
+        rentals.settleUnknownRequests(askedMicros);
     }
 }
--- a/src/main/java/io/micatide/scheduler/CandidateMachines.java
+++ b/src/main/java/io/micatide/scheduler/CandidateMachines.java
@@ -10,19 +10,19 @@
  * not once a job: a round of a dozen jobs took 0.8 s at 2,800 machines on a quarter of a core.
  */
 final class CandidateMachines {
-    private static final Comparator<Machine> MOST_ROOM = Comparator.comparingLong(
+    private static final Comparator<Machine> MOST_FREE_CAPACITY_FIRST = Comparator.comparingLong(
             (Machine machine) -> -machine.freeCapacity().cpus());
 
-    private final Iterable<Machine> all;
+    private final Iterable<Machine> machines;
     private final Predicate<Machine> isUsable;
     /** In the order in which they became known; null until a job asks. */
     private List<Machine> usable;
 
-    private List<Machine> byRoom;
+    private List<Machine> byFreeCapacity;
 
     /** @param isUsable as of now */
     CandidateMachines(Iterable<Machine> all, Predicate<Machine> isUsable) {
-        this.all = all;
+        this.machines = all;
         this.isUsable = isUsable;
     }
 
@@ -35,13 +35,13 @@
         if (suitable.size() <= most) {
             return names(suitable);
         }
-        return mostRoom(suits, isNamed, most);
+        return withMostFreeCapacity(suits, isNamed, most);
     }
 
     private List<Machine> usable() {
         if (usable == null) {
             usable = new ArrayList<>();
-            for (Machine machine : all) {
+            for (Machine machine : machines) {
                 if (isUsable.test(machine)) {
                     usable.add(machine);
                 }
@@ -63,15 +63,15 @@
         return result;
     }
 
-    private List<String> mostRoom(Predicate<Machine> suits, Predicate<Machine> isNamed, int most) {
-        if (byRoom == null) {
-            byRoom = new ArrayList<>(usable());
-            byRoom.sort(MOST_ROOM);
+    private List<String> withMostFreeCapacity(Predicate<Machine> suits, Predicate<Machine> isNamed, int most) {
+        if (byFreeCapacity == null) {
+            byFreeCapacity = new ArrayList<>(usable());
+            byFreeCapacity.sort(MOST_FREE_CAPACITY_FIRST);
         }
         List<Machine> chosen = new ArrayList<>();
-        for (int from = 0; from < byRoom.size() && chosen.size() < most; ) {
-            int to = endOfSameRoom(from);
-            List<Machine> same = suitable(byRoom.subList(from, to), suits, to - from);
+        for (int from = 0; from < byFreeCapacity.size() && chosen.size() < most; ) {
+            int to = endOfEqualFreeCapacity(from);
+            List<Machine> same = suitable(byFreeCapacity.subList(from, to), suits, to - from);
             same.forEach(machine -> addIf(isNamed.test(machine), machine, chosen));
             same.forEach(machine -> addIf(!isNamed.test(machine), machine, chosen));
             from = to;
@@ -85,11 +85,11 @@
         }
     }
 
-    private int endOfSameRoom(int from) {
+    private int endOfEqualFreeCapacity(int from) {
         int to = from + 1;
-        while (to < byRoom.size()
-                && byRoom.get(to).freeCapacity().cpus()
-                        == byRoom.get(from).freeCapacity().cpus()) {
+        while (to < byFreeCapacity.size()
+                && byFreeCapacity.get(to).freeCapacity().cpus()
+                        == byFreeCapacity.get(from).freeCapacity().cpus()) {
             to++;
         }
         return to;
--- a/src/main/java/io/micatide/scheduler/CapacityRequest.java
+++ b/src/main/java/io/micatide/scheduler/CapacityRequest.java
@@ -6,10 +6,10 @@
 /**
  * Room for one task of a kind: free room, with or without what could be freed for it.
  *
- * @param each what the task takes
+ * @param taskResources what the task takes
  * @param priority of the job that asks; of no account for {@link Source#FREE}
  */
-record CapacityRequest(Resources each, Source source, Priority priority) {
+record CapacityRequest(Resources taskResources, Source source, Priority priority) {
     /** What counts as room. */
     enum Source {
         /** What is free now. */
@@ -19,7 +19,7 @@
         /** And what arrays of the same priority take, for a team that gets its guarantee back. */
         SAME_PRIORITY,
         /** What is free now, and what work of a lower priority takes that has to save first. */
-        SAVING
+        CHECKPOINTABLE
     }
 
     static CapacityRequest free(Resources each) {
--- a/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
+++ b/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
@@ -27,54 +27,54 @@
  */
 final class FreeCapacityIndex {
     /** Demands that are tracked at most; with more kinds of tasks the one that was asked for longest ago is walked for anew. */
-    private static final int MOST_DEMANDS = 128;
+    private static final int MAX_TRACKED_REQUESTS = 128;
 
-    private static final int FEWEST_SLOTS = 64;
-    private static final long FORGOTTEN_MICROS = 60 * Micros.SECOND;
+    private static final int MIN_SLOTS = 64;
+    private static final long UNUSED_REQUEST_EXPIRY_MICROS = 60 * Micros.SECOND;
 
-    private final Collection<Machine> all;
-    private final Map<CapacityRequest, Tracked> demands = new HashMap<>();
+    private final Collection<Machine> machines;
+    private final Map<CapacityRequest, MatchingMachines> trackedRequests = new HashMap<>();
     private final Set<Machine> machineChanged = new LinkedHashSet<>();
     /** Machines in the order in which they became known; null where one is gone. */
-    private Machine[] slots = new Machine[FEWEST_SLOTS];
+    private Machine[] slots = new Machine[MIN_SLOTS];
 
-    private int next;
+    private int nextSlot;
     private long machinesExamined;
 
     /** The slots of machines that fit a demand. */
-    private static final class Tracked {
-        final BitSet fitting = new BitSet();
-        long askedMicros;
+    private static final class MatchingMachines {
+        final BitSet slotsOfMatches = new BitSet();
+        long lastRequestedMicros;
     }
 
     /** @param all the machines that are known, a live view */
     FreeCapacityIndex(Collection<Machine> all) {
-        this.all = all;
+        this.machines = all;
     }
 
     /** A machine has become known, after all others that are. */
     void machineAdded(Machine machine) {
-        if (next == slots.length) {
-            makeRoom();
+        if (nextSlot == slots.length) {
+            compactSlots();
         }
-        machine.indexSlot = next;
-        slots[next++] = machine;
+        machine.indexSlot = nextSlot;
+        slots[nextSlot++] = machine;
         machineChanged.add(machine);
     }
 
     /** Machines come and go all the time: slots that are free are closed up before there are more. */
-    private void makeRoom() {
+    private void compactSlots() {
         Machine[] former = slots;
-        int end = next;
-        slots = new Machine[Math.max(FEWEST_SLOTS, 2 * all.size())];
-        next = 0;
+        int end = nextSlot;
+        slots = new Machine[Math.max(MIN_SLOTS, 2 * machines.size())];
+        nextSlot = 0;
         for (int i = 0; i < end; i++) {
             if (former[i] != null) {
-                former[i].indexSlot = next;
-                slots[next++] = former[i];
+                former[i].indexSlot = nextSlot;
+                slots[nextSlot++] = former[i];
             }
         }
-        demands.clear();
+        trackedRequests.clear();
     }
 
     /** Something on the machine that counts as room has changed: a placement, a stop, its size or a job's priority. */
@@ -85,26 +85,26 @@
     void machineRemoved(Machine machine) {
         machineChanged.remove(machine);
         slots[machine.indexSlot] = null;
-        for (Tracked each : demands.values()) {
-            each.fitting.clear(machine.indexSlot);
+        for (MatchingMachines each : trackedRequests.values()) {
+            each.slotsOfMatches.clear(machine.indexSlot);
         }
     }
 
     /** Machines with room for one task, in the order in which they became known; a copy, so that placing may go on. */
     List<Machine> machinesWithCapacity(CapacityRequest demand, long nowMicros) {
-        takeIn();
-        Tracked tracked = demands.get(demand);
+        refresh();
+        MatchingMachines tracked = trackedRequests.get(demand);
         if (tracked == null) {
-            tracked = track(demand, nowMicros);
+            tracked = startTracking(demand, nowMicros);
         }
-        tracked.askedMicros = nowMicros;
+        tracked.lastRequestedMicros = nowMicros;
         assert isExact(demand, tracked) : demand + " differs from a walk over all machines";
         return machinesWithCapacity(tracked);
     }
 
-    private List<Machine> machinesWithCapacity(Tracked tracked) {
-        List<Machine> machines = new ArrayList<>(tracked.fitting.cardinality());
-        for (int slot = tracked.fitting.nextSetBit(0); slot >= 0; slot = tracked.fitting.nextSetBit(slot + 1)) {
+    private List<Machine> machinesWithCapacity(MatchingMachines tracked) {
+        List<Machine> machines = new ArrayList<>(tracked.slotsOfMatches.cardinality());
+        for (int slot = tracked.slotsOfMatches.nextSetBit(0); slot >= 0; slot = tracked.slotsOfMatches.nextSetBit(slot + 1)) {
             machines.add(slots[slot]);
         }
         return machines;
@@ -115,72 +115,72 @@
         return machinesExamined;
     }
 
-    private Tracked track(CapacityRequest demand, long nowMicros) {
-        demands.values().removeIf(each -> nowMicros - each.askedMicros > FORGOTTEN_MICROS);
-        if (demands.size() >= MOST_DEMANDS) {
+    private MatchingMachines startTracking(CapacityRequest demand, long nowMicros) {
+        trackedRequests.values().removeIf(each -> nowMicros - each.lastRequestedMicros > UNUSED_REQUEST_EXPIRY_MICROS);
+        if (trackedRequests.size() >= MAX_TRACKED_REQUESTS) {
             forgetOldest();
         }
-        Tracked tracked = new Tracked();
-        for (Machine machine : all) {
+        MatchingMachines tracked = new MatchingMachines();
+        for (Machine machine : machines) {
             machinesExamined++;
             if (fits(demand, machine)) {
-                tracked.fitting.set(machine.indexSlot);
+                tracked.slotsOfMatches.set(machine.indexSlot);
             }
         }
-        demands.put(demand, tracked);
+        trackedRequests.put(demand, tracked);
         return tracked;
     }
 
     private void forgetOldest() {
         CapacityRequest oldest = null;
-        for (Map.Entry<CapacityRequest, Tracked> entry : demands.entrySet()) {
-            if (oldest == null || entry.getValue().askedMicros < demands.get(oldest).askedMicros) {
+        for (Map.Entry<CapacityRequest, MatchingMachines> entry : trackedRequests.entrySet()) {
+            if (oldest == null || entry.getValue().lastRequestedMicros < trackedRequests.get(oldest).lastRequestedMicros) {
                 oldest = entry.getKey();
             }
         }
-        demands.remove(oldest);
+        trackedRequests.remove(oldest);
     }
 
-    private void takeIn() {
+    private void refresh() {
         for (Iterator<Machine> machines = machineChanged.iterator(); machines.hasNext(); ) {
-            takeIn(machines.next());
+            refresh(machines.next());
             machines.remove();
         }
     }
 
-    private void takeIn(Machine machine) {
+    private void refresh(Machine machine) {
         machinesExamined++;
         Map<CapacityRequest.Source, Map<Priority, Resources>> rooms = new EnumMap<>(CapacityRequest.Source.class);
-        demands.forEach((demand, tracked) -> {
+        trackedRequests.forEach((demand, tracked) -> {
             Resources room = rooms.computeIfAbsent(demand.source(), k -> new EnumMap<>(Priority.class))
-                    .computeIfAbsent(demand.priority(), priority -> room(machine, demand.source(), priority));
-            tracked.fitting.set(
+                    .computeIfAbsent(demand.priority(), priority -> availableCapacity(machine, demand.source(), priority));
+            tracked.slotsOfMatches.set(
                     machine.indexSlot,
-                    machine.capacity() != null && demand.each().fitsIn(room));
+                    machine.capacity() != null && demand.taskResources().fitsIn(room));
         });
     }
 
     private static boolean fits(CapacityRequest demand, Machine machine) {
-        return machine.capacity() != null && demand.each().fitsIn(room(machine, demand.source(), demand.priority()));
+        return machine.capacity() != null && demand.taskResources().fitsIn(availableCapacity(machine, demand.source(), demand.priority()));
     }
 
-    private static Resources room(Machine machine, CapacityRequest.Source source, Priority priority) {
+    private static Resources availableCapacity(Machine machine, CapacityRequest.Source source, Priority priority) {
         Resources room = machine.freeCapacity();
         if (source == CapacityRequest.Source.FREE) {
             return room;
         }
         for (Placement placement : machine.placements) {
-            if (counts(placement, source, priority)) {
+            if (countsAsAvailable(placement, source, priority)) {
                 room = room.plus(placement.job.spec.taskResources());
             }
         }
         return room;
     }
 
-    private static boolean counts(Placement placement, CapacityRequest.Source source, Priority priority) {
+    private static boolean countsAsAvailable(Placement placement, CapacityRequest.Source source, Priority priority) {
         JobSpec spec = placement.job.spec;
         boolean lower = priority.isAbove(placement.job.priority());
-        if (source == CapacityRequest.Source.SAVING) {
+        if (source == CapacityRequest.Source.CHECKPOINTABLE) {
             return lower && !placement.isStopping() && spec.kind() != JobKind.SERVICE;
         }
         if (placement.isStopping()) {
@@ -195,9 +195,9 @@
                         && placement.job.priority() == priority);
     }
 
-    private boolean isExact(CapacityRequest demand, Tracked tracked) {
+    private boolean isExact(CapacityRequest demand, MatchingMachines tracked) {
         List<Machine> walked = new ArrayList<>();
-        for (Machine machine : all) {
+        for (Machine machine : machines) {
             if (fits(demand, machine)) {
                 walked.add(machine);
             }
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -46,7 +46,7 @@
         Map<String, Resources> asked = new HashMap<>();
         List<QueuedJob> result = new ArrayList<>();
         Map<Job, DeadlineFeasibility.Entry> entries = new HashMap<>();
-        for (DeadlineFeasibility.Entry entry : decide(nowMicros)) {
+        for (DeadlineFeasibility.Entry entry : assessDeadlines(nowMicros)) {
             entries.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
@@ -92,12 +92,12 @@
      * What can be on time: first within each team's limit, since room beyond it helps none of the team's jobs, then
      * with all processors.
      */
-    private List<DeadlineFeasibility.Entry> decide(long nowMicros) {
-        double cpus = arrayCpus(nowMicros);
+    private List<DeadlineFeasibility.Entry> assessDeadlines(long nowMicros) {
+        double cpus = cpusForFiniteJobs(nowMicros);
         Map<String, List<DeadlineFeasibility.Entry>> perTeam = new LinkedHashMap<>();
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         List<DeadlineFeasibility.Entry> lowest = new ArrayList<>();
-        for (DeadlineFeasibility.Entry entry : arrays(nowMicros)) {
+        for (DeadlineFeasibility.Entry entry : finiteJobs(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // It gets what is left: a large job of a rare class would count for more than many of the others.
                 lowest.add(entry);
@@ -120,7 +120,7 @@
     }
 
     /** What is left of every job that ends. */
-    List<DeadlineFeasibility.Entry> arrays(long nowMicros) {
+    List<DeadlineFeasibility.Entry> finiteJobs(long nowMicros) {
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
@@ -131,7 +131,7 @@
                         * (waiting + 0.5 * (job.unfinishedCount() - waiting));
                 long slowest = runTimes.slowestMicros(job);
                 result.add(new DeadlineFeasibility.Entry(
-                        job, work, slowest, due(job, slowest, nowMicros), weight(job.spec.jobClass())));
+                        job, work, slowest, dueMicros(job, slowest, nowMicros), weight(job.spec.jobClass())));
             }
         }
         return result;
@@ -147,7 +147,7 @@
     }
 
     /** Processors, in thousandths, that are there for work that ends. */
-    double arrayCpus(long nowMicros) {
+    double cpusForFiniteJobs(long nowMicros) {
         double cpus = 0;
         for (Machine machine : fleet.machines()) {
             if (machine.capacity() != null
@@ -163,7 +163,7 @@
     }
 
     /** The earliest time at which users expect the job and that it can still reach. */
-    private long due(Job job, long length, long nowMicros) {
+    private long dueMicros(Job job, long length, long nowMicros) {
         JobSpec spec = job.spec;
         long reachable = nowMicros + length;
         long due = Long.MAX_VALUE;
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -21,38 +21,38 @@
  * that, since ledgers may name the machine still, and a leader that nobody told settles it by asking once more.
  */
 final class MachineDeletions {
-    private static final long KEEP_MICROS = 60 * Micros.SECOND;
+    private static final long RETENTION_MICROS = 60 * Micros.SECOND;
     /** What nobody waits for is gathered for so long, so that a trickle of idle machines costs few rows. */
-    private static final long GATHER_MICROS = 500 * Micros.MILLISECOND;
+    private static final long BATCH_WINDOW_MICROS = 500 * Micros.MILLISECOND;
     /** The cloud's limit for a call. */
-    private static final int MOST_NAMES = 100;
+    private static final int MAX_MACHINES_PER_CALL = 100;
 
     private static final int FRAME_BYTES = 32;
     private static final int NAME_BYTES = 3;
 
-    private static final class Entry {
-        final Set<String> left;
+    private static final class DeletionRow {
+        final Set<String> remainingMachines;
         long version;
-        boolean stored;
-        boolean removing;
+        boolean isStored;
+        boolean isBeingRemoved;
         /** When the last deletion was answered, -1 before. */
         long answeredMicros = -1;
 
-        Entry(Collection<String> names) {
-            left = new HashSet<>(names);
+        DeletionRow(Collection<String> names) {
+            remainingMachines = new HashSet<>(names);
         }
     }
 
     private final Settings settings;
     private final long fencingToken;
-    private final Map<String, Entry> rows = new LinkedHashMap<>();
-    private final Map<String, String> rowOf = new HashMap<>();
+    private final Map<String, DeletionRow> rows = new LinkedHashMap<>();
+    private final Map<String, String> rowByMachine = new HashMap<>();
     /** Rows that are being read back. */
-    private final Set<String> unknown = new HashSet<>();
+    private final Set<String> rowsBeingReadBack = new HashSet<>();
 
-    private boolean setRecorded;
+    private boolean requiresRow;
     private int counter;
-    private long wroteMicros = Long.MIN_VALUE / 2;
+    private long lastWriteMicros = Long.MIN_VALUE / 2;
 
     MachineDeletions(Settings settings, long fencingToken) {
         this.settings = settings;
@@ -64,33 +64,33 @@
     }
 
     /** Whether from now on a row has to name a machine before its deletion is asked for. */
-    void setRecorded(boolean now) {
-        setRecorded = now;
+    void setRecorded(boolean recorded) {
+        requiresRow = recorded;
     }
 
     /** A row of an earlier leader, whatever the switches say now. */
     void load(String key, List<String> names, long version) {
-        Entry entry = new Entry(names);
+        DeletionRow entry = new DeletionRow(names);
         entry.version = version;
-        entry.stored = true;
+        entry.isStored = true;
         rows.put(key, entry);
-        names.forEach(name -> rowOf.put(name, key));
+        names.forEach(name -> rowByMachine.put(name, key));
     }
 
     /** Whether its deletion may be asked for. */
     boolean mayRequest(Machine machine) {
-        if (!setRecorded) {
+        if (!requiresRow) {
             return true;
         }
-        Entry entry = rows.get(rowOf.get(machine.name));
-        return entry != null && entry.stored;
+        DeletionRow entry = rows.get(rowByMachine.get(machine.name));
+        return entry != null && entry.isStored;
     }
 
     /** The cloud has answered its deletion. */
     void machineDeleted(String machine, long nowMicros) {
-        Entry entry = rows.get(rowOf.remove(machine));
+        DeletionRow entry = rows.get(rowByMachine.remove(machine));
         if (entry != null) {
-            entry.left.remove(machine);
+            entry.remainingMachines.remove(machine);
             entry.answeredMicros = nowMicros;
         }
     }
@@ -98,14 +98,14 @@
     /** What the next round writes of this: one row that names machines, and one that goes. */
     List<Transaction.Write> nextWrites(Collection<Machine> machines, int most, long nowMicros) {
         List<Transaction.Write> writes = new ArrayList<>();
-        if (!setRecorded || !unknown.isEmpty()) {
+        if (!requiresRow || !rowsBeingReadBack.isEmpty()) {
             return writes;
         }
         List<String> names = new ArrayList<>();
-        boolean urgent = nowMicros - wroteMicros >= GATHER_MICROS;
+        boolean urgent = nowMicros - lastWriteMicros >= BATCH_WINDOW_MICROS;
         int bytes = FRAME_BYTES;
         for (Machine machine : machines) {
-            if (machine.deletionRequested && !rowOf.containsKey(machine.name) && names.size() < MOST_NAMES) {
+            if (machine.deletionRequested && !rowByMachine.containsKey(machine.name) && names.size() < MAX_MACHINES_PER_CALL) {
                 bytes += machine.name.length() + NAME_BYTES;
                 if (bytes > settings.maxWritableValueBytes()) {
                     break;
@@ -115,20 +115,20 @@
             }
         }
         if (!names.isEmpty() && urgent && most > 0) {
-            wroteMicros = nowMicros;
+            lastWriteMicros = nowMicros;
             String key = StoreKeys.machineDeletion(fencingToken, ++counter);
-            rows.put(key, new Entry(names));
-            names.forEach(name -> rowOf.put(name, key));
+            rows.put(key, new DeletionRow(names));
+            names.forEach(name -> rowByMachine.put(name, key));
             writes.add(new Transaction.Write(key, new StoredRecord.MachinesToDelete(List.copyOf(names)), 0));
         }
-        for (Map.Entry<String, Entry> each : rows.entrySet()) {
-            Entry entry = each.getValue();
+        for (Map.Entry<String, DeletionRow> each : rows.entrySet()) {
+            DeletionRow entry = each.getValue();
             if (writes.size() < most
-                    && entry.stored
-                    && !entry.removing
-                    && entry.left.isEmpty()
-                    && nowMicros - entry.answeredMicros > KEEP_MICROS) {
-                entry.removing = true;
+                    && entry.isStored
+                    && !entry.isBeingRemoved
+                    && entry.remainingMachines.isEmpty()
+                    && nowMicros - entry.answeredMicros > RETENTION_MICROS) {
+                entry.isBeingRemoved = true;
                 writes.add(new Transaction.Write(each.getKey(), null, 0));
                 break;
             }
@@ -147,16 +147,16 @@
         if (write.record() == null) {
             rows.remove(write.key());
         } else {
-            Entry entry = rows.get(write.key());
+            DeletionRow entry = rows.get(write.key());
             entry.version = revision;
-            entry.stored = true;
+            entry.isStored = true;
         }
     }
 
     /** The round with this write was certainly not executed. */
     void notWritten(Transaction.Write write) {
         if (write.record() == null) {
-            rows.get(write.key()).removing = false;
+            rows.get(write.key()).isBeingRemoved = false;
         } else {
             forget(write.key());
         }
@@ -164,18 +164,18 @@
 
     private void forget(String key) {
         rows.remove(key);
-        rowOf.values().removeIf(key::equals);
+        rowByMachine.values().removeIf(key::equals);
     }
 
     /** A row that is not as it was known: nothing is written before it is read back. */
     void markUnknown(String key) {
-        unknown.add(key);
+        rowsBeingReadBack.add(key);
     }
 
     /** A row as read back, version 0 if there is none. */
     void readBack(String key, long version) {
-        unknown.remove(key);
-        Entry entry = rows.get(key);
+        rowsBeingReadBack.remove(key);
+        DeletionRow entry = rows.get(key);
         if (entry == null) {
             return;
         }
@@ -183,8 +183,8 @@
             forget(key);
         } else {
             entry.version = version;
-            entry.stored = true;
-            entry.removing = false;
+            entry.isStored = true;
+            entry.isBeingRemoved = false;
         }
     }
 }
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -146,17 +146,17 @@
         if (!least.fitsIn(machine.freeCapacity())) {
             filled.add(machine);
         }
-        unschedulable.useChanged();
+        unschedulable.usageChanged();
     }
 
     /** Tasks were taken from a machine: what did not fit may fit now. */
     void capacityFreed() {
-        unschedulable.roomFreed();
+        unschedulable.capacityFreed();
     }
 
     /** Something was placed or stopped: what could not be freed may be free to take now. */
     void usageChanged() {
-        unschedulable.useChanged();
+        unschedulable.usageChanged();
     }
 
     /**
@@ -432,7 +432,7 @@
             }
         }
         if (best != null && !each.fitsIn(best.freeCapacity())) {
-            evict(job, preemption.victims(job, best, true), nowMicros);
+            evict(job, preemption.selectVictims(job, best, true), nowMicros);
         }
         return best;
     }
@@ -469,7 +469,7 @@
         }
         if (job.failedMachines.isEmpty()
                 && ready.stream().noneMatch(machine -> job.spec.taskResources().fitsIn(machine.freeCapacity()))) {
-            unschedulable.full(shape);
+            unschedulable.markFull(shape);
         }
     }
 
@@ -503,7 +503,7 @@
      */
     private void preempt(JobQueue.QueuedJob queued, long nowMicros) {
         Job job = queued.job();
-        if (unschedulable.findNothing(queued)) {
+        if (unschedulable.isPreemptionFutile(queued)) {
             return;
         }
         CapacityRequest.Source source =
@@ -524,7 +524,7 @@
             }
         }
         if (options.isEmpty() && candidates.size() == withRoom.size() && job.failedMachines.isEmpty()) {
-            unschedulable.findsNothing(queued);
+            unschedulable.markPreemptionFutile(queued);
         }
         options.sort(Comparator.comparing((Option option) -> !option.image()).thenComparing(Option::loss));
         for (boolean progress = true; progress && left > 0; ) {
@@ -532,7 +532,7 @@
             for (Option option : options) {
                 Machine machine = option.machine();
                 List<Placement> victims = left > 0 && zoneAllows(job, machine)
-                        ? preemption.victims(job, machine, queued.guaranteed())
+                        ? preemption.selectVictims(job, machine, queued.guaranteed())
                         : null;
                 if (job.pendingCount() == 0 || !teamAllows(job)) {
                     return;
@@ -575,7 +575,7 @@
                                 .plus(spec.taskResources().times(missing))))) {
             return;
         }
-        Map<String, Long> atMost = job.liveAttempts.isEmpty() ? unschedulable.room(job, preempts) : null;
+        Map<String, Long> atMost = job.liveAttempts.isEmpty() ? unschedulable.tasksFittingPerZone(job, preempts) : null;
         if (atMost != null && !fits(spec, missing, zoneWithRoom(missing, atMost), atMost)) {
             return;
         }
@@ -584,7 +584,7 @@
         List<Machine> candidates = namable(job, withRoom, nowMicros);
         Map<String, Long> perZone = roomPerZone(job, candidates, preempts);
         if (candidates.size() == withRoom.size() && job.failedMachines.isEmpty()) {
-            unschedulable.room(job, preempts, perZone);
+            unschedulable.recordTasksFittingPerZone(job, preempts, perZone);
         }
         String zone = job.liveAttempts.isEmpty()
                 ? zoneWithRoom(missing, perZone)
@@ -678,7 +678,7 @@
                 }
             }
             if (there != null) {
-                evict(job, preemption.victims(job, there, true), nowMicros);
+                evict(job, preemption.selectVictims(job, there, true), nowMicros);
                 return there;
             }
             if (without == null) {
@@ -698,7 +698,7 @@
         if (job.capacityAwaitedUntilMicros > nowMicros) {
             return;
         }
-        for (Machine machine : suitable(job, CapacityRequest.Source.SAVING, nowMicros)) {
+        for (Machine machine : suitable(job, CapacityRequest.Source.CHECKPOINTABLE, nowMicros)) {
             if (zone != null && !zone.equals(machine.zone)) {
                 continue;
             }
--- a/src/main/java/io/micatide/scheduler/PlanningPass.java
+++ b/src/main/java/io/micatide/scheduler/PlanningPass.java
@@ -15,23 +15,23 @@
      */
     static final long MACHINES_EXAMINED_PER_CORE = 60_000;
 
-    private final long most;
+    private final long maxMachinesExamined;
     /** Jobs that this pass has come to, in this plan or an earlier one. */
     private final Set<Job> visited = new HashSet<>();
 
-    private long begunAt;
-    private boolean first;
+    private long examinedAtBegin;
+    private boolean isFirstJob;
     private int truncations;
 
     /** @param cores what the controller has of a core */
     PlanningPass(double cores) {
-        this.most = Math.max(1, Math.round(cores * MACHINES_EXAMINED_PER_CORE));
+        this.maxMachinesExamined = Math.max(1, Math.round(cores * MACHINES_EXAMINED_PER_CORE));
     }
 
     /** @param looks machines looked at so far in this term */
     void begin(long looks) {
-        begunAt = looks;
-        first = true;
+        examinedAtBegin = looks;
+        isFirstJob = true;
     }
 
     /** Whether the pass has not come to the job yet. */
@@ -41,11 +41,11 @@
 
     /** Whether this plan has done its share; each does one job at least. */
     boolean isOver(long looks) {
-        return !first && looks - begunAt > most;
+        return !isFirstJob && looks - examinedAtBegin > maxMachinesExamined;
     }
 
     void markVisited(Job job) {
-        first = false;
+        isFirstJob = false;
         visited.add(job);
     }
 
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -28,38 +28,38 @@
             .thenComparing(placement -> -placement.createdMicros);
 
     private final Settings settings;
-    private final Function<String, Resources> teamUse;
+    private final Function<String, Resources> teamUsage;
 
     /** Which tasks an estimate is for. */
-    record Demand(Resources each, Priority priority) {}
+    record PreemptionRequest(Resources taskResources, Priority priority) {}
 
     /**
      * What a machine could free for one task by stopping work of lower priorities only.
      *
-     * @param possible whether it could at all
-     * @param sent attempts among the victims that were sent
-     * @param createdSum when these were created, summed up
-     * @param tasks how many such tasks fit with all that yields at once
+     * @param isPossible whether it could at all
+     * @param sentVictims attempts among the victims that were sent
+     * @param createdSumMicros when these were created, summed up
+     * @param tasksFitting how many such tasks fit with all that yields at once
      */
-    private record Estimate(boolean possible, int sent, long createdSum, long tasks) {
-        long loss(long nowMicros) {
-            return possible ? sent * (Micros.SECOND + nowMicros) - createdSum : IMPOSSIBLE;
+    private record Estimate(boolean isPossible, int sentVictims, long createdSumMicros, long tasksFitting) {
+        long lostWorkMicros(long nowMicros) {
+            return isPossible ? sentVictims * (Micros.SECOND + nowMicros) - createdSumMicros : IMPOSSIBLE;
         }
     }
 
     /** The estimates of one machine; forgotten when something on it changes. */
     static final class Estimates {
-        private final Map<Demand, Estimate> byDemand = new HashMap<>();
+        private final Map<PreemptionRequest, Estimate> byRequest = new HashMap<>();
         /** The demand that was asked for last, which the next question is most likely for, and what it was told. */
-        private Demand lastDemand;
+        private PreemptionRequest lastRequest;
 
-        private Estimate last;
+        private Estimate lastEstimate;
         /** Arrays that are not being stopped, by priority: other teams' may yield to the same priority. */
         private boolean[] arraysOfPriority;
 
         void clear() {
-            byDemand.clear();
-            lastDemand = null;
+            byRequest.clear();
+            lastRequest = null;
             arraysOfPriority = null;
         }
     }
@@ -67,7 +67,7 @@
     /** @param teamUse what a team uses now */
     Preemption(Settings settings, Function<String, Resources> teamUse) {
         this.settings = settings;
-        this.teamUse = teamUse;
+        this.teamUsage = teamUse;
     }
 
     /** What is lost by stopping the victims, in microseconds of work. */
@@ -87,25 +87,25 @@
      * @param same whether work of the same priority beyond its team's guarantee may yield
      */
     long lostWork(Job job, Machine machine, boolean same, long nowMicros) {
-        if (same && mayYieldToSamePriority(job, machine)) {
-            return worked(job, machine, true, nowMicros);
+        if (same && hasArraysOfSamePriority(job, machine)) {
+            return computeLostWork(job, machine, true, nowMicros);
         }
-        long loss = estimate(job, machine).loss(nowMicros);
-        assert loss == worked(job, machine, same, nowMicros) : "the estimate of " + machine.name + " is old";
+        long loss = estimate(job, machine).lostWorkMicros(nowMicros);
+        assert loss == computeLostWork(job, machine, same, nowMicros) : "the estimate of " + machine.name + " is old";
         return loss;
     }
 
-    private long worked(Job job, Machine machine, boolean same, long nowMicros) {
-        List<Placement> victims = victims(job, machine, same);
+    private long computeLostWork(Job job, Machine machine, boolean same, long nowMicros) {
+        List<Placement> victims = selectVictims(job, machine, same);
         return victims == null ? IMPOSSIBLE : lostWork(victims, nowMicros);
     }
 
     /** How many tasks of a gang fit with all that could yield to it. */
     long tasksFittingAfterPreemption(Job job, Machine machine) {
-        if (mayYieldToSamePriority(job, machine)) {
+        if (hasArraysOfSamePriority(job, machine)) {
             return countTasks(job, machine);
         }
-        long tasks = estimate(job, machine).tasks();
+        long tasks = estimate(job, machine).tasksFitting();
         assert tasks == countTasks(job, machine) : "the estimate of " + machine.name + " is old";
         return tasks;
     }
@@ -113,7 +113,7 @@
     private long countTasks(Job job, Machine machine) {
         Resources room = machine.freeCapacity();
         for (Placement placement : machine.placements) {
-            if (!placement.isStopping() && yields(placement, job)) {
+            if (!placement.isStopping() && isPreemptible(placement, job)) {
                 room = room.plus(placement.job.spec.taskResources());
             }
         }
@@ -122,19 +122,19 @@
 
     private Estimate estimate(Job job, Machine machine) {
         Estimates estimates = machine.estimates;
-        Demand last = estimates.lastDemand;
-        if (last != null && last.priority() == job.priority() && last.each().equals(job.spec.taskResources())) {
-            return estimates.last;
+        PreemptionRequest last = estimates.lastRequest;
+        if (last != null && last.priority() == job.priority() && last.taskResources().equals(job.spec.taskResources())) {
+            return estimates.lastEstimate;
         }
-        Demand demand = new Demand(job.spec.taskResources(), job.priority());
-        estimates.last = estimates.byDemand.computeIfAbsent(demand, k -> estimated(job, machine));
-        estimates.lastDemand = demand;
-        return estimates.last;
+        PreemptionRequest demand = new PreemptionRequest(job.spec.taskResources(), job.priority());
+        estimates.lastEstimate = estimates.byRequest.computeIfAbsent(demand, k -> computeEstimate(job, machine));
+        estimates.lastRequest = demand;
+        return estimates.lastEstimate;
     }
 
-    private Estimate estimated(Job job, Machine machine) {
+    private Estimate computeEstimate(Job job, Machine machine) {
         long tasks = countTasks(job, machine);
-        List<Placement> victims = victims(job, machine, false);
+        List<Placement> victims = selectVictims(job, machine, false);
         if (victims == null) {
             return new Estimate(false, 0, 0, tasks);
         }
@@ -150,7 +150,7 @@
     }
 
     /** Whether there are arrays of the job's own priority on the machine; its own team's count as well. */
-    private static boolean mayYieldToSamePriority(Job job, Machine machine) {
+    private static boolean hasArraysOfSamePriority(Job job, Machine machine) {
         Estimates estimates = machine.estimates;
         if (estimates.arraysOfPriority == null) {
             estimates.arraysOfPriority = new boolean[Priority.values().length];
@@ -168,7 +168,7 @@
      *
      * @param same whether work of the same priority beyond its team's guarantee may be among them
      */
-    List<Placement> victims(Job job, Machine machine, boolean same) {
+    List<Placement> selectVictims(Job job, Machine machine, boolean same) {
         List<Placement> victims = new ArrayList<>();
         Resources room = machine.freeCapacity();
         List<Placement> lesser = new ArrayList<>();
@@ -176,7 +176,7 @@
             if (placement.isStopping() && placement.stopGraceMicros == 0) {
                 // Stopped for others that were placed here since: without this each further task displaced more.
                 room = room.plus(placement.job.spec.taskResources());
-            } else if (!placement.isStopping() && yields(placement, job)) {
+            } else if (!placement.isStopping() && isPreemptible(placement, job)) {
                 lesser.add(placement);
             }
         }
@@ -186,7 +186,7 @@
             if (job.spec.taskResources().fitsIn(room)) {
                 break;
             }
-            if (!placement.job.priority().equals(job.priority()) || (same && overGuarantee(placement, taken))) {
+            if (!placement.job.priority().equals(job.priority()) || (same && isOverGuarantee(placement, taken))) {
                 victims.add(placement);
                 room = room.plus(placement.job.spec.taskResources());
                 taken.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
@@ -195,7 +195,7 @@
         return job.spec.taskResources().fitsIn(room) ? victims : null;
     }
 
-    private static boolean yields(Placement placement, Job job) {
+    private static boolean isPreemptible(Placement placement, Job job) {
         JobSpec theirs = placement.job.spec;
         if (theirs.kind() == JobKind.GANG || theirs.checkpointIntervalMicros() > 0) {
             return false;
@@ -206,12 +206,12 @@
                         && job.priority() == placement.job.priority());
     }
 
-    private boolean overGuarantee(Placement placement, Map<String, Resources> taken) {
+    private boolean isOverGuarantee(Placement placement, Map<String, Resources> taken) {
         Team team = settings.teams().get(placement.job.spec.team());
         if (team == null) {
             return true;
         }
-        Resources use = teamUse.apply(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
+        Resources use = teamUsage.apply(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
         return !team.isWithinGuarantee(use);
     }
 }
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -55,27 +55,27 @@
     /** Where machines can be rented. */
     record Offer(String type, String zone, boolean spot) {}
 
-    private static final long CLAIM_PATIENCE_MICROS = 10 * Micros.SECOND;
+    private static final long CLAIM_TIMEOUT_MICROS = 10 * Micros.SECOND;
 
     private final Settings settings;
     private final long fencingToken;
     private int counter;
-    private boolean setFenced;
+    private boolean isFenced;
     private long fenceVersion = -1;
     private long fenceNumber;
     /** Rows that are being read back. */
     private final Set<String> outcomeUnknown = new HashSet<>();
 
     final Map<String, Request> requests = new LinkedHashMap<>();
-    private final Map<Offer, Long> refusedUntil = new HashMap<>();
-    private final Map<Offer, Long> refusals = new HashMap<>();
+    private final Map<Offer, Long> backedOffUntil = new HashMap<>();
+    private final Map<Offer, Long> retryPauses = new HashMap<>();
 
     ProvisioningRequests(Settings settings, long fencingToken) {
         this.settings = settings;
         this.fencingToken = fencingToken;
     }
 
-    /** Whether the key is that of a booking or of their fence. */
+    /** Whether the key is that of a request or of their fence. */
     static boolean owns(String key) {
         return key.equals(StoreKeys.PROVISIONING_FENCE) || key.startsWith(StoreKeys.PROVISIONING_REQUESTS);
     }
@@ -83,12 +83,12 @@
     // ---- on condition of versions
 
     /** From now on rows are written on condition of their versions and of the fence, or no more. */
-    void setFenced(boolean now) {
-        setFenced = now;
+    void setFenced(boolean fenced) {
+        isFenced = fenced;
     }
 
-    boolean setFenced() {
-        return setFenced;
+    boolean isFenced() {
+        return isFenced;
     }
 
     /** The fence as the state service has it. */
@@ -119,10 +119,10 @@
             fenceRead(version, row instanceof StoredRecord.ProvisioningFence fence ? fence.number() : 0);
             return;
         }
-        Request booking = requests.get(key.substring(StoreKeys.PROVISIONING_REQUESTS.length()));
-        if (booking != null) {
-            booking.version = version;
-            booking.recorded = version > 0;
+        Request request = requests.get(key.substring(StoreKeys.PROVISIONING_REQUESTS.length()));
+        if (request != null) {
+            request.version = version;
+            request.recorded = version > 0;
         }
     }
 
@@ -133,7 +133,7 @@
      */
     List<Transaction.Condition> conditions(List<Request> written) {
         List<Transaction.Condition> conditions = new ArrayList<>();
-        if (setFenced && !written.isEmpty()) {
+        if (isFenced && !written.isEmpty()) {
             written.forEach(each ->
                     conditions.add(new Transaction.Condition(StoreKeys.provisioningRequest(each.name), each.version)));
             conditions.add(new Transaction.Condition(StoreKeys.PROVISIONING_FENCE, fenceVersion));
@@ -143,7 +143,7 @@
 
     /** What is written beside these: the fence, if one of them is deleted; null for nothing. */
     Transaction.Write fence(List<Request> written) {
-        return setFenced && written.stream().anyMatch(each -> each.state == State.DONE)
+        return isFenced && written.stream().anyMatch(each -> each.state == State.DONE)
                 ? new Transaction.Write(
                         StoreKeys.PROVISIONING_FENCE, new StoredRecord.ProvisioningFence(fenceNumber + 1), 0)
                 : null;
@@ -151,55 +151,55 @@
 
     /** The name carries the token, so that no two leaders ever use the same one. */
     Request create(Offer offer, int count, long nowMicros) {
-        Request booking = new Request(
+        Request request = new Request(
                 "r-" + fencingToken + "-" + ++counter, offer.type(), offer.zone(), offer.spot(), count, nowMicros);
-        requests.put(booking.name, booking);
-        return booking;
+        requests.put(request.name, request);
+        return request;
     }
 
-    /** A booking of an earlier leader: whether its call went out is unknown. */
+    /** A request of an earlier leader: whether its call went out is unknown. */
     void load(String name, StoredRecord.Provisioning row, long version, long nowMicros) {
-        Request booking = new Request(name, row.type(), row.zone(), row.spot(), row.count(), nowMicros);
-        booking.state = State.UNKNOWN;
-        booking.recorded = true;
-        booking.version = version;
-        requests.put(name, booking);
+        Request request = new Request(name, row.type(), row.zone(), row.spot(), row.count(), nowMicros);
+        request.state = State.UNKNOWN;
+        request.recorded = true;
+        request.version = version;
+        requests.put(name, request);
     }
 
     boolean isBackedOff(Offer offer, long nowMicros) {
-        return refusedUntil.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
+        return backedOffUntil.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
     }
 
     /** No capacity: asks again after a pause that grows while the answer stays the same. */
-    void noCapacity(Request booking, long nowMicros) {
-        Offer offer = new Offer(booking.type, booking.zone, booking.spot);
-        long pause = Math.min(30 * Micros.SECOND, refusals.getOrDefault(offer, 4 * Micros.SECOND) * 2);
-        refusals.put(offer, pause);
-        refusedUntil.put(offer, nowMicros + pause);
-        booking.state = State.DONE;
-    }
-
-    void answered(Request booking, int rented, long nowMicros) {
-        booking.state = State.DONE;
-        Offer offer = new Offer(booking.type, booking.zone, booking.spot);
-        if (rented < booking.count) {
-            refusedUntil.put(offer, nowMicros + 8 * Micros.SECOND);
+    void recordNoCapacity(Request request, long nowMicros) {
+        Offer offer = new Offer(request.type, request.zone, request.spot);
+        long pause = Math.min(30 * Micros.SECOND, retryPauses.getOrDefault(offer, 4 * Micros.SECOND) * 2);
+        retryPauses.put(offer, pause);
+        backedOffUntil.put(offer, nowMicros + pause);
+        request.state = State.DONE;
+    }
+
+    void recordAnswer(Request request, int rented, long nowMicros) {
+        request.state = State.DONE;
+        Offer offer = new Offer(request.type, request.zone, request.spot);
+        if (rented < request.count) {
+            backedOffUntil.put(offer, nowMicros + 8 * Micros.SECOND);
         } else {
-            refusals.remove(offer);
+            retryPauses.remove(offer);
         }
     }
 
-    void outcomeUnknown(Request booking, long nowMicros) {
-        booking.state = State.UNKNOWN;
-        booking.sinceMicros = nowMicros;
+    void outcomeUnknown(Request request, long nowMicros) {
+        request.state = State.UNKNOWN;
+        request.sinceMicros = nowMicros;
     }
 
     /** The list was asked for at {@code askedMicros}: it is at most twice the lag older than that. */
-    void listed(long askedMicros) {
-        for (Request booking : requests.values()) {
-            if (booking.state == State.UNKNOWN
-                    && askedMicros - booking.sinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND) {
-                booking.state = State.DONE;
+    void settleUnknownRequests(long askedMicros) {
+        for (Request request : requests.values()) {
+            if (request.state == State.UNKNOWN
+                    && askedMicros - request.sinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND) {
+                request.state = State.DONE;
             }
         }
     }
@@ -208,18 +208,18 @@
     List<Request> requestsToWrite(int most, long nowMicros) {
         List<Request> result = new ArrayList<>();
         for (Iterator<Request> each = requests.values().iterator(); each.hasNext() && result.size() < most; ) {
-            Request booking = each.next();
-            if (booking.state == State.CLAIMED
-                    && !booking.recorded
-                    && nowMicros - booking.sinceMicros > CLAIM_PATIENCE_MICROS
-                    && !booking.writing) {
-                booking.state = State.DONE;
+            Request request = each.next();
+            if (request.state == State.CLAIMED
+                    && !request.recorded
+                    && nowMicros - request.sinceMicros > CLAIM_TIMEOUT_MICROS
+                    && !request.writing) {
+                request.state = State.DONE;
             }
-            if (booking.state == State.DONE && !booking.recorded && !booking.writing) {
+            if (request.state == State.DONE && !request.recorded && !request.writing) {
                 each.remove();
-            } else if (!booking.writing
-                    && ((booking.state == State.CLAIMED && !booking.recorded) || booking.state == State.DONE)) {
-                result.add(booking);
+            } else if (!request.writing
+                    && ((request.state == State.CLAIMED && !request.recorded) || request.state == State.DONE)) {
+                result.add(request);
             }
         }
         return result;
@@ -228,10 +228,10 @@
     /** Claims whose row is confirmed and whose call may go out. */
     List<Request> requestsToSubmit() {
         List<Request> result = new ArrayList<>();
-        for (Request booking : requests.values()) {
-            if (booking.state == State.CLAIMED && booking.recorded) {
-                booking.state = State.SUBMITTED;
-                result.add(booking);
+        for (Request request : requests.values()) {
+            if (request.state == State.CLAIMED && request.recorded) {
+                request.state = State.SUBMITTED;
+                result.add(request);
             }
         }
         return result;
@@ -240,12 +240,12 @@
     /** Machines that are asked for and not known by name yet. */
     int expectedMachines(Offer offer) {
         int count = 0;
-        for (Request booking : requests.values()) {
-            if (booking.state != State.DONE
-                    && booking.type.equals(offer.type())
-                    && booking.spot == offer.spot()
-                    && booking.zone.equals(offer.zone())) {
-                count += booking.count;
+        for (Request request : requests.values()) {
+            if (request.state != State.DONE
+                    && request.type.equals(offer.type())
+                    && request.spot == offer.spot()
+                    && request.zone.equals(offer.zone())) {
+                count += request.count;
             }
         }
         return count;
--- a/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
+++ b/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
@@ -17,58 +17,58 @@
      * @param priority null where nothing is displaced: then the team does not matter either
      * @param team null likewise
      */
-    private record GangShape(EquivalenceClass shape, Priority priority, String team) {
-        static GangShape of(Job job, boolean preempts) {
+    private record GangClass(EquivalenceClass equivalenceClass, Priority priority, String team) {
+        static GangClass of(Job job, boolean preempts) {
             EquivalenceClass shape = EquivalenceClass.of(job.spec);
-            return preempts ? new GangShape(shape, job.priority(), job.spec.team()) : new GangShape(shape, null, null);
+            return preempts ? new GangClass(shape, job.priority(), job.spec.team()) : new GangClass(shape, null, null);
         }
     }
 
     /** Arrays that may displace the same work. */
-    private record Displacer(EquivalenceClass shape, Priority priority, String team, boolean guaranteed) {
-        static Displacer of(JobQueue.QueuedJob queued) {
+    private record PreemptorClass(EquivalenceClass equivalenceClass, Priority priority, String team, boolean guaranteed) {
+        static PreemptorClass of(JobQueue.QueuedJob queued) {
             Job job = queued.job();
-            return new Displacer(EquivalenceClass.of(job.spec), job.priority(), job.spec.team(), queued.guaranteed());
+            return new PreemptorClass(EquivalenceClass.of(job.spec), job.priority(), job.spec.team(), queued.guaranteed());
         }
     }
 
-    private final Set<EquivalenceClass> full = new HashSet<>();
-    private final Set<Displacer> findNothing = new HashSet<>();
-    private final Map<GangShape, Map<String, Long>> roomPerZone = new HashMap<>();
+    private final Set<EquivalenceClass> fullClasses = new HashSet<>();
+    private final Set<PreemptorClass> futilePreemptors = new HashSet<>();
+    private final Map<GangClass, Map<String, Long>> tasksFittingPerZone = new HashMap<>();
 
     /** A plan begins. */
     void clear() {
-        roomFreed();
+        capacityFreed();
     }
 
     /** Something left a machine. */
-    void roomFreed() {
-        full.clear();
-        findNothing.clear();
-        roomPerZone.clear();
+    void capacityFreed() {
+        fullClasses.clear();
+        futilePreemptors.clear();
+        tasksFittingPerZone.clear();
     }
 
     /** Something was placed or stopped: a team may use more than its guarantee now, and yield. */
-    void useChanged() {
-        findNothing.clear();
+    void usageChanged() {
+        futilePreemptors.clear();
     }
 
     /** No machine that arrays of this shape may use has free room for a task. */
-    void full(EquivalenceClass shape) {
-        full.add(shape);
+    void markFull(EquivalenceClass equivalenceClass) {
+        fullClasses.add(equivalenceClass);
     }
 
-    boolean isFull(EquivalenceClass shape) {
-        return full.contains(shape);
+    boolean isFull(EquivalenceClass equivalenceClass) {
+        return fullClasses.contains(equivalenceClass);
     }
 
     /** An array like this one found nothing to displace. */
-    void findsNothing(JobQueue.QueuedJob queued) {
-        findNothing.add(Displacer.of(queued));
+    void markPreemptionFutile(JobQueue.QueuedJob queued) {
+        futilePreemptors.add(PreemptorClass.of(queued));
     }
 
-    boolean findNothing(JobQueue.QueuedJob queued) {
-        return findNothing.contains(Displacer.of(queued));
+    boolean isPreemptionFutile(JobQueue.QueuedJob queued) {
+        return futilePreemptors.contains(PreemptorClass.of(queued));
     }
 
     /**
@@ -76,12 +76,12 @@
      *
      * @param preempts whether what could be displaced is counted
      */
-    void room(Job job, boolean preempts, Map<String, Long> perZone) {
-        roomPerZone.put(GangShape.of(job, preempts), perZone);
+    void recordTasksFittingPerZone(Job job, boolean preempts, Map<String, Long> perZone) {
+        tasksFittingPerZone.put(GangClass.of(job, preempts), perZone);
     }
 
     /** The same, as it was when it was told: there is no more now. Null if it was not told since room grew. */
-    Map<String, Long> room(Job job, boolean preempts) {
-        return roomPerZone.get(GangShape.of(job, preempts));
+    Map<String, Long> tasksFittingPerZone(Job job, boolean preempts) {
+        return tasksFittingPerZone.get(GangClass.of(job, preempts));
     }
 }
--- a/src/test/java/io/micatide/scheduler/ProvisioningRequestsTest.java
+++ b/src/test/java/io/micatide/scheduler/ProvisioningRequestsTest.java
@@ -52,7 +52,7 @@
         booking.version = apply(again, versions, revision);
         booking.recorded = true;
         rentals.requestsToSubmit();
-        rentals.answered(booking, 3, 0);
+        rentals.recordAnswer(booking, 3, 0);
         assertTrue(apply(round(rentals, rentals.requestsToWrite(5, 0)), versions, revision) > 0);
         assertEquals(0, versions.getOrDefault(StoreKeys.provisioningRequest(booking.name), 0L));
         assertEquals(fenced ? 0 : revision[0] + 1, apply(first, versions, revision));
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -49,16 +49,16 @@
 
     private String remembered() {
         return (blocked().isFull(EquivalenceClass.of(job.spec)) ? "full " : "")
-                + (blocked().findNothing(queued()) ? "nothing " : "")
-                + (blocked().room(job, true) != null ? "room" : "");
+                + (blocked().isPreemptionFutile(queued()) ? "nothing " : "")
+                + (blocked().tasksFittingPerZone(job, true) != null ? "room" : "");
     }
 
     private String after(BiConsumer<Scheduler, Placement> what) {
         scheduler.place(job, job.nextPendingTask(), machine, 0);
         Placement placement = machine.placements.get(0);
-        blocked().full(EquivalenceClass.of(job.spec));
-        blocked().findsNothing(queued());
-        blocked().room(job, true, new HashMap<>());
+        blocked().markFull(EquivalenceClass.of(job.spec));
+        blocked().markPreemptionFutile(queued());
+        blocked().recordTasksFittingPerZone(job, true, new HashMap<>());
         what.accept(scheduler, placement);
         return remembered();
     }
@@ -86,14 +86,14 @@
     /** The key of what is blocked tells apart what the answer depends on. */
     @Test
     void othersAreNotBlocked() {
-        blocked().full(EquivalenceClass.of(job.spec));
-        blocked().findsNothing(queued());
-        blocked().room(job, true, new HashMap<>());
-        assertEquals(false, blocked().findNothing(new JobQueue.QueuedJob(job, 1, false, true, 0)));
-        assertEquals(null, blocked().room(job, false));
+        blocked().markFull(EquivalenceClass.of(job.spec));
+        blocked().markPreemptionFutile(queued());
+        blocked().recordTasksFittingPerZone(job, true, new HashMap<>());
+        assertEquals(false, blocked().isPreemptionFutile(new JobQueue.QueuedJob(job, 1, false, true, 0)));
+        assertEquals(null, blocked().tasksFittingPerZone(job, false));
         Job other = new Job(SchedulerHarness.job("wk-2", JobKind.ARRAY, "red", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
         assertEquals(true, blocked().isFull(EquivalenceClass.of(other.spec)));
-        assertEquals(false, blocked().findNothing(new JobQueue.QueuedJob(other, 1, true, true, 0)));
-        assertEquals(null, blocked().room(other, true));
+        assertEquals(false, blocked().isPreemptionFutile(new JobQueue.QueuedJob(other, 1, true, true, 0)));
+        assertEquals(null, blocked().tasksFittingPerZone(other, true));
     }
 }
