--- /dev/null
+++ b/src/main/java/io/micatide/scheduler/CloudReconciliation.java
@@ -0,0 +1,98 @@
+package io.micatide.scheduler;
+
+import io.micatide.model.ListedMachine;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Brings the fleet in line with what the cloud answers. The cloud's list lags behind. Invariant: a machine whose deletion was
+ * answered does not come back by an older list, and one that is missing in a list is taken for gone only if the list is
+ * newer than what is known of it.
+ */
+final class CloudReconciliation {
+    private final Settings settings;
+    private final Fleet fleet;
+    private final ProvisioningRequests requests;
+
+    CloudReconciliation(Settings settings, Fleet fleet, ProvisioningRequests requests) {
+        this.settings = settings;
+        this.fleet = fleet;
+        this.requests = requests;
+    }
+
+    /**
+     * A request was answered with machines.
+     *
+     * @param name of the request; nothing is done for one that is not known
+     * @param machines names of the machines, which may be fewer than requested
+     */
+    void machinesRented(String name, List<String> machines, long nowMicros) {
+        ProvisioningRequests.Request request = requests.requests.get(name);
+        if (request == null) {
+            return;
+        }
+        requests.recordAnswer(request, machines.size(), nowMicros);
+        for (String machineName : machines) {
+            if (!fleet.isDeleted(machineName)) {
+                Machine machine = fleet.getOrAdd(machineName, nowMicros);
+                if (machine.type == null) {
+                    fleet.describe(machine, request.type, request.zone, request.spot);
+                }
+                machine.bootStartedMicros = nowMicros;
+            }
+        }
+    }
+
+    /**
+     * A whole list of machines. Machines that nobody expected are used, or deleted when idle.
+     *
+     * @param askedMicros when the list was asked for
+     */
+    void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
+        Set<String> names = new HashSet<>();
+        for (ListedMachine listed : machines) {
+            names.add(listed.name());
+            if (!fleet.isDeleted(listed.name())) {
+                machineListed(listed, nowMicros);
+            }
+        }
+        for (Machine machine : fleet.machines()) {
+            if (!names.contains(machine.name) && isGone(machine, askedMicros, nowMicros)) {
+                machine.deletionRequested = true;
+            }
+        }
+        requests.settleUnknownRequests(askedMicros);
+    }
+
+    private void machineListed(ListedMachine listed, long nowMicros) {
+        Machine machine = fleet.getOrAdd(listed.name(), nowMicros);
+        machine.listedByCloud = true;
+        if (machine.type == null) {
+            fleet.describe(machine, listed.type(), listed.zone(), listed.spot());
+        }
+        boolean isKnownToBoot = machine.bootStartedMicros >= 0 || machine.lastAnsweredMicros >= 0;
+        if (!isKnownToBoot && listed.state() == ListedMachine.State.BOOTING) {
+            machine.bootStartedMicros = nowMicros - listed.ageMicros();
+        }
+        if (listed.state() == ListedMachine.State.FAILED) {
+            machine.deletionRequested = true;
+        }
+    }
+
+    /** Whether a machine that is not in the list is certainly gone. */
+    private boolean isGone(Machine machine, long askedMicros, long nowMicros) {
+        boolean isSilent = machine.lastAnsweredMicros >= 0
+                && nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros();
+        return (machine.listedByCloud && isSilent) || wasNeverThere(machine, askedMicros);
+    }
+
+    /** A ledger names it, nobody has heard of it, and a list from well after the term began does not have it. */
+    private boolean wasNeverThere(Machine machine, long askedMicros) {
+        return machine.lastAnsweredMicros < 0
+                && machine.bootStartedMicros < 0
+                && askedMicros - machine.knownSinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND;
+    }
+}
--- a/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
+++ b/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
@@ -104,7 +104,9 @@
 
     private List<Machine> machinesWithCapacity(MatchingMachines tracked) {
         List<Machine> machines = new ArrayList<>(tracked.slotsOfMatches.cardinality());
-        for (int slot = tracked.slotsOfMatches.nextSetBit(0); slot >= 0; slot = tracked.slotsOfMatches.nextSetBit(slot + 1)) {
+        for (int slot = tracked.slotsOfMatches.nextSetBit(0);
+                slot >= 0;
+                slot = tracked.slotsOfMatches.nextSetBit(slot + 1)) {
             machines.add(slots[slot]);
         }
         return machines;
@@ -134,7 +136,8 @@
     private void forgetOldest() {
         CapacityRequest oldest = null;
         for (Map.Entry<CapacityRequest, MatchingMachines> entry : trackedRequests.entrySet()) {
-            if (oldest == null || entry.getValue().lastRequestedMicros < trackedRequests.get(oldest).lastRequestedMicros) {
+            if (oldest == null
+                    || entry.getValue().lastRequestedMicros < trackedRequests.get(oldest).lastRequestedMicros) {
                 oldest = entry.getKey();
             }
         }
@@ -153,7 +156,8 @@
         Map<CapacityRequest.Source, Map<Priority, Resources>> rooms = new EnumMap<>(CapacityRequest.Source.class);
         trackedRequests.forEach((demand, tracked) -> {
             Resources room = rooms.computeIfAbsent(demand.source(), k -> new EnumMap<>(Priority.class))
-                    .computeIfAbsent(demand.priority(), priority -> availableCapacity(machine, demand.source(), priority));
+                    .computeIfAbsent(
+                            demand.priority(), priority -> availableCapacity(machine, demand.source(), priority));
             tracked.slotsOfMatches.set(
                     machine.indexSlot,
                     machine.capacity() != null && demand.taskResources().fitsIn(room));
@@ -161,7 +165,8 @@
     }
 
     private static boolean fits(CapacityRequest demand, Machine machine) {
-        return machine.capacity() != null && demand.taskResources().fitsIn(availableCapacity(machine, demand.source(), demand.priority()));
+        return machine.capacity() != null
+                && demand.taskResources().fitsIn(availableCapacity(machine, demand.source(), demand.priority()));
     }
 
     private static Resources availableCapacity(Machine machine, CapacityRequest.Source source, Priority priority) {
--- a/src/main/java/io/micatide/scheduler/GangPlacement.java
+++ b/src/main/java/io/micatide/scheduler/GangPlacement.java
@@ -82,8 +82,7 @@
         }
     }
 
-    private Machine findMachine(
-            Job job, List<Machine> candidates, CapacityRequest.Source source, long nowMicros) {
+    private Machine findMachine(Job job, List<Machine> candidates, CapacityRequest.Source source, long nowMicros) {
         return source == CapacityRequest.Source.FREE
                 ? MachineSelection.bestFitting(job, candidates)
                 : singleTasks.findOrPreempt(job, candidates, nowMicros);
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -25,7 +25,7 @@
     /** What nobody waits for is gathered for so long, so that a trickle of idle machines costs few rows. */
     private static final long BATCH_WINDOW_MICROS = 500 * Micros.MILLISECOND;
     /** The cloud's limit for a call. */
-    private static final int MAX_MACHINES_PER_CALL = 100;
+    static final int MAX_MACHINES_PER_CALL = 100;
 
     private static final int FRAME_BYTES = 32;
     private static final int NAME_BYTES = 3;
@@ -105,7 +105,9 @@
         boolean urgent = nowMicros - lastWriteMicros >= BATCH_WINDOW_MICROS;
         int bytes = FRAME_BYTES;
         for (Machine machine : machines) {
-            if (machine.deletionRequested && !rowByMachine.containsKey(machine.name) && names.size() < MAX_MACHINES_PER_CALL) {
+            if (machine.deletionRequested
+                    && !rowByMachine.containsKey(machine.name)
+                    && names.size() < MAX_MACHINES_PER_CALL) {
                 bytes += machine.name.length() + NAME_BYTES;
                 if (bytes > settings.maxWritableValueBytes()) {
                     break;
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -92,10 +92,11 @@
     private void placeJob(JobQueue.QueuedJob queued, long nowMicros) {
         boolean mayPreempt = preemptionPolicy.mayPreempt(queued, nowMicros);
         switch (queued.job().spec.kind()) {
-            case GANG -> gangs.place(
-                    queued,
-                    mayPreempt ? CapacityRequest.Source.SAME_PRIORITY : CapacityRequest.Source.FREE,
-                    nowMicros);
+            case GANG ->
+                gangs.place(
+                        queued,
+                        mayPreempt ? CapacityRequest.Source.SAME_PRIORITY : CapacityRequest.Source.FREE,
+                        nowMicros);
             case SERVICE -> replicas.place(queued, nowMicros);
             case ARRAY -> {
                 arrays.place(queued.job(), nowMicros);
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -142,7 +142,9 @@
     private Estimate estimate(Job job, Machine machine) {
         Estimates estimates = machine.estimates;
         PreemptionRequest last = estimates.lastRequest;
-        if (last != null && last.priority() == job.priority() && last.taskResources().equals(job.spec.taskResources())) {
+        if (last != null
+                && last.priority() == job.priority()
+                && last.taskResources().equals(job.spec.taskResources())) {
             return estimates.lastEstimate;
         }
         PreemptionRequest demand = new PreemptionRequest(job.spec.taskResources(), job.priority());
@@ -205,7 +207,8 @@
             if (job.spec.taskResources().fitsIn(room)) {
                 break;
             }
-            if (!placement.job.priority().equals(job.priority()) || (scope == Scope.SAME_PRIORITY && isOverGuarantee(placement, taken))) {
+            if (!placement.job.priority().equals(job.priority())
+                    || (scope == Scope.SAME_PRIORITY && isOverGuarantee(placement, taken))) {
                 victims.add(placement);
                 room = room.plus(placement.job.spec.taskResources());
                 taken.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
--- a/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
+++ b/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
@@ -29,7 +29,8 @@
     }
 
     /** Arrays for which the same work may be preempted. */
-    private record PreemptorClass(EquivalenceClass equivalenceClass, Priority priority, String team, boolean guaranteed) {
+    private record PreemptorClass(
+            EquivalenceClass equivalenceClass, Priority priority, String team, boolean guaranteed) {
         static PreemptorClass of(JobQueue.QueuedJob queued) {
             Job job = queued.job();
             return new PreemptorClass(
