--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -14,13 +14,20 @@
 import io.micatide.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A term's calls to the cloud, and the machine types that it tells. */
+/**
+ * A term's calls to the cloud, and the machine types that the cloud offers. Runs on the leader's actor. Invariant: each answer
+ * carries the fencing token of the term that made the call, and the store is told of machine types only when they differ
+ * from what it has.
+ */
 final class CloudCalls {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
 
+    private static final int SERVICE_UNAVAILABLE = 503;
+
     private final LeaderActor owner;
     private final Scheduler scheduler;
     private final CloudClient cloud;
@@ -28,102 +35,127 @@
     private final UsersActor users;
     private List<MachineType> storedMachineTypes = List.of();
 
-    CloudCalls(LeaderActor owner, Scheduler scheduler, CloudClient cloud, StoreClient state, UsersActor users) {
+    CloudCalls(LeaderActor owner, Scheduler scheduler, CloudClient cloud, StoreClient store, UsersActor users) {
         this.owner = owner;
         this.scheduler = scheduler;
         this.cloud = cloud;
-        this.store = state;
+        this.store = store;
         this.users = users;
     }
 
-    void send(CloudCall call, long now) {
+    /**
+     * Makes a call; its answer comes to this actor as a message.
+     *
+     * @param nowMicros the time of the call, against which a list of machines is judged
+     */
+    void send(CloudCall call, long nowMicros) {
         long fencingToken = scheduler.fencingToken();
+        Consumer<Reply> answer = owner.answer(reply -> new TermMessage.CloudAnswered(reply, fencingToken, call));
         if (call instanceof CloudCall.Rent rent) {
-            LOG.info("rents {} {} {} {}", rent.count(), rent.type(), rent.zone(), rent.spot() ? "spot" : "ordinary");
-            cloud.rent(rent, owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
+            String kind = rent.spot() ? "spot" : "on-demand";
+            LOG.info("requests {} {} machines of type {} in {}", rent.count(), kind, rent.type(), rent.zone());
+            cloud.rent(rent, answer);
         } else if (call instanceof CloudCall.Delete delete) {
-            LOG.info("returns {}", delete.machines());
-            cloud.delete(delete.machines(), owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
+            LOG.info("deletes machines {}", delete.machines());
+            cloud.delete(delete.machines(), answer);
         } else if (call instanceof CloudCall.ListTypes) {
-            cloud.types(owner.answer(r -> new TermMessage.CloudAnswered(r, fencingToken, call)));
+            cloud.types(answer);
         } else {
-            cloud.list(null, owner.answer(r -> new TermMessage.ListRead(r, fencingToken, now, List.of())));
+            requestListPage(null, fencingToken, nowMicros, List.of());
         }
     }
 
+    /** The answer to any call but the list of machines. */
     void handleAnswer(TermMessage.CloudAnswered message) {
-        long now = owner.now();
         Reply reply = message.reply();
         try {
             if (message.call() instanceof CloudCall.Rent rent) {
-                if (reply.ok()) {
-                    scheduler.machinesRented(rent.requestName(), CloudCodec.rented(reply.body()), now);
-                } else if (reply.status() == 503 && CloudCodec.isNoCapacity(reply.body())) {
-                    scheduler.noCapacity(rent.requestName(), now);
-                } else if (reply.notExecuted()) {
-                    scheduler.provisioningNotExecuted(rent.requestName());
-                } else {
-                    scheduler.provisioningUnanswered(rent.requestName(), now);
-                }
-            } else if (message.call() instanceof CloudCall.Delete delete) {
-                if (reply.ok()) {
-                    scheduler.machinesDeleted(delete.machines(), now);
-                }
+                handleRentAnswer(rent, reply);
+            } else if (message.call() instanceof CloudCall.Delete delete && reply.ok()) {
+                scheduler.machinesDeleted(delete.machines(), owner.now());
             } else if (message.call() instanceof CloudCall.ListTypes && reply.ok()) {
-                updateMachineTypes(CloudCodec.types(reply.body()), now);
+                updateMachineTypes(CloudCodec.types(reply.body()));
             }
         } catch (MalformedException e) {
             LOG.error("cloud: {}", e.getMessage());
         }
     }
 
-    /** As the state service has them. */
-    void machineTypesLoaded(List<MachineType> types, long now) {
+    private void handleRentAnswer(CloudCall.Rent rent, Reply reply) throws MalformedException {
+        long nowMicros = owner.now();
+        if (reply.ok()) {
+            scheduler.machinesRented(rent.requestName(), CloudCodec.rented(reply.body()), nowMicros);
+        } else if (reply.status() == SERVICE_UNAVAILABLE && CloudCodec.isNoCapacity(reply.body())) {
+            scheduler.noCapacity(rent.requestName(), nowMicros);
+        } else if (reply.notExecuted()) {
+            scheduler.provisioningNotExecuted(rent.requestName());
+        } else {
+            scheduler.provisioningUnanswered(rent.requestName(), nowMicros);
+        }
+    }
+
+    /** The machine types were read from the store. */
+    void machineTypesLoaded(List<MachineType> types, long nowMicros) {
         storedMachineTypes = types;
-        scheduler.machineTypesChanged(types, now);
+        scheduler.machineTypesChanged(types, nowMicros);
     }
 
-    private void updateMachineTypes(List<MachineType> types, long now) {
-        scheduler.machineTypesChanged(types, now);
+    private void updateMachineTypes(List<MachineType> types) {
+        scheduler.machineTypesChanged(types, owner.now());
         users.tell(new UsersActor.TypesKnown(types));
         if (!types.equals(storedMachineTypes)) {
             storedMachineTypes = types;
-            long fencingToken = scheduler.fencingToken();
-            store.transaction(
-                    new Transaction(
-                            List.of(new Transaction.Condition(StoreKeys.LEADER, fencingToken)),
-                            List.of(new Transaction.Write(
-                                    StoreKeys.MACHINE_TYPES, new StoredRecord.MachineTypes(types), 0))),
-                    owner.answer(r -> new TermMessage.TypesStored(r, fencingToken)));
+            storeMachineTypes(types);
         }
     }
 
+    private void storeMachineTypes(List<MachineType> types) {
+        long fencingToken = scheduler.fencingToken();
+        Transaction.Condition stillLeader = new Transaction.Condition(StoreKeys.LEADER, fencingToken);
+        Transaction.Write write =
+                new Transaction.Write(StoreKeys.MACHINE_TYPES, new StoredRecord.MachineTypes(types), 0);
+        store.transaction(
+                new Transaction(List.of(stillLeader), List.of(write)),
+                owner.answer(reply -> new TermMessage.TypesStored(reply, fencingToken)));
+    }
+
+    /** The write of the machine types was answered; one that failed is made again with the next types. */
     void machineTypesStored(Reply reply) {
         if (!reply.ok()) {
             storedMachineTypes = List.of();
         }
     }
 
+    /** A page of the list of machines was answered: the next one is asked for, or the list is whole, or it has failed. */
     void handleListPage(TermMessage.ListRead message) {
-        long now = owner.now();
         List<ListedMachine> machines = new ArrayList<>(message.before());
         if (message.reply().ok()) {
             try {
                 CloudCodec.Page page = CloudCodec.page(message.reply().body());
                 machines.addAll(page.machines());
                 if (page.more() && !page.machines().isEmpty()) {
-                    cloud.list(
-                            machines.get(machines.size() - 1).name(),
-                            owner.answer(r -> new TermMessage.ListRead(
-                                    r, message.fencingToken(), message.askedMicros(), machines)));
+                    String lastName = machines.get(machines.size() - 1).name();
+                    requestListPage(lastName, message.fencingToken(), message.askedMicros(), machines);
                 } else {
-                    scheduler.machinesListed(machines, message.askedMicros(), now);
+                    scheduler.machinesListed(machines, message.askedMicros(), owner.now());
                 }
                 return;
             } catch (MalformedException e) {
                 LOG.error("cloud: {}", e.getMessage());
             }
         }
-        scheduler.machinesListed(null, message.askedMicros(), now);
+        scheduler.machinesListed(null, message.askedMicros(), owner.now());
+    }
+
+    /**
+     * Asks for one page of the list of machines.
+     *
+     * @param after the name after which the page begins, null for the first page
+     * @param fencingToken of the term
+     * @param askedMicros when the first page was asked for
+     * @param before what the pages before it held
+     */
+    private void requestListPage(String after, long fencingToken, long askedMicros, List<ListedMachine> before) {
+        cloud.list(after, owner.answer(reply -> new TermMessage.ListRead(reply, fencingToken, askedMicros, before)));
     }
 }
--- a/src/main/java/io/micatide/scheduler/CandidateMachines.java
+++ b/src/main/java/io/micatide/scheduler/CandidateMachines.java
@@ -6,8 +6,9 @@
 import java.util.function.Predicate;
 
 /**
- * Machines that ledgers name before anything is placed there, as they are when a round begins. The usable ones are sorted once a round and
- * not once a job: a round of a dozen jobs took 0.8 s at 2,800 machines on a quarter of a core.
+ * Machines that ledgers name before anything is placed there, as they are when a batch of ledger writes begins. Invariant:
+ * the usable ones are listed and sorted once a batch and not once a job: a batch of a dozen jobs took 0.8 s at 2,800
+ * machines on a quarter of a core.
  */
 final class CandidateMachines {
     private static final Comparator<Machine> MOST_FREE_CAPACITY_FIRST = Comparator.comparingLong(
@@ -18,17 +19,26 @@
     /** In the order in which they became known; null until a job asks. */
     private List<Machine> usable;
 
+    /** By free capacity; null until a job asks that more machines suit than its ledger may name. */
     private List<Machine> byFreeCapacity;
 
-    /** @param isUsable as of now */
-    CandidateMachines(Iterable<Machine> all, Predicate<Machine> isUsable) {
-        this.machines = all;
+    /**
+     * Lists nothing before it is asked.
+     *
+     * @param machines all machines, a live view
+     * @param isUsable whether a machine may be used, as of now
+     */
+    CandidateMachines(Iterable<Machine> machines, Predicate<Machine> isUsable) {
+        this.machines = machines;
         this.isUsable = isUsable;
     }
 
     /**
-     * Names of machines that suit a job: all, or where there are more those with most room, and of the same room those that its ledger
-     * names already.
+     * Names of machines for a job: all that suit, or where there are too many those with the most free capacity.
+     *
+     * @param suits whether a machine suits the job
+     * @param isNamed whether the job's ledger names a machine already; of the same free capacity these go first
+     * @param most how many names are returned at most
      */
     List<String> machines(Predicate<Machine> suits, Predicate<Machine> isNamed, int most) {
         List<Machine> suitable = suitable(usable(), suits, most + 1);
@@ -50,10 +60,10 @@
         return usable;
     }
 
-    private static List<Machine> suitable(List<Machine> machines, Predicate<Machine> suits, int atMost) {
+    private static List<Machine> suitable(List<Machine> machines, Predicate<Machine> suits, int most) {
         List<Machine> result = new ArrayList<>();
         for (Machine machine : machines) {
-            if (result.size() == atMost) {
+            if (result.size() == most) {
                 break;
             }
             if (suits.test(machine)) {
@@ -71,25 +81,28 @@
         List<Machine> chosen = new ArrayList<>();
         for (int from = 0; from < byFreeCapacity.size() && chosen.size() < most; ) {
             int to = endOfEqualFreeCapacity(from);
-            List<Machine> same = suitable(byFreeCapacity.subList(from, to), suits, to - from);
-            same.forEach(machine -> addIf(isNamed.test(machine), machine, chosen));
-            same.forEach(machine -> addIf(!isNamed.test(machine), machine, chosen));
+            List<Machine> equal = suitable(byFreeCapacity.subList(from, to), suits, to - from);
+            addMatching(equal, isNamed, chosen);
+            addMatching(equal, isNamed.negate(), chosen);
             from = to;
         }
         return names(chosen.subList(0, Math.min(most, chosen.size())));
     }
 
-    private static void addIf(boolean add, Machine machine, List<Machine> to) {
-        if (add) {
-            to.add(machine);
+    private static void addMatching(List<Machine> machines, Predicate<Machine> condition, List<Machine> to) {
+        for (Machine machine : machines) {
+            if (condition.test(machine)) {
+                to.add(machine);
+            }
         }
     }
 
+    /** The end, exclusive, of the machines that have as much free capacity as the one at {@code from}. */
     private int endOfEqualFreeCapacity(int from) {
+        long freeCpus = byFreeCapacity.get(from).freeCapacity().cpus();
         int to = from + 1;
         while (to < byFreeCapacity.size()
-                && byFreeCapacity.get(to).freeCapacity().cpus()
-                        == byFreeCapacity.get(from).freeCapacity().cpus()) {
+                && byFreeCapacity.get(to).freeCapacity().cpus() == freeCpus) {
             to++;
         }
         return to;
--- a/src/main/java/io/micatide/scheduler/CapacityRequest.java
+++ b/src/main/java/io/micatide/scheduler/CapacityRequest.java
@@ -4,25 +4,27 @@
 import io.micatide.model.Resources;
 
 /**
- * Room for one task of a kind: free room, with or without what could be freed for it.
+ * Capacity for one task of a kind: free capacity, with or without what could be freed for it.
  *
- * @param taskResources what the task takes
+ * @param taskResources what the task requests
+ * @param source what counts as capacity
  * @param priority of the job that asks; of no account for {@link Source#FREE}
  */
 record CapacityRequest(Resources taskResources, Source source, Priority priority) {
-    /** What counts as room. */
+    /** What counts as capacity. */
     enum Source {
         /** What is free now. */
         FREE,
-        /** And what work of a lower priority takes that ends at once when it is stopped. */
+        /** Also what work of a lower priority uses that ends at once when it is stopped. */
         LOWER_PRIORITY,
-        /** And what arrays of the same priority take, for a team that gets its guarantee back. */
+        /** Also what arrays of the same priority use, for a team that gets its guarantee back. */
         SAME_PRIORITY,
-        /** What is free now, and what work of a lower priority takes that has to save first. */
+        /** What is free now, and what work of a lower priority uses that has to write a checkpoint first. */
         CHECKPOINTABLE
     }
 
-    static CapacityRequest free(Resources each) {
-        return new CapacityRequest(each, Source.FREE, Priority.LOW);
+    /** Free capacity for one task. */
+    static CapacityRequest free(Resources taskResources) {
+        return new CapacityRequest(taskResources, Source.FREE, Priority.LOW);
     }
 }
--- a/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
+++ b/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
@@ -17,16 +17,19 @@
 import java.util.Set;
 
 /**
- * Which machines have room for a task, kept by the events that change it instead of by a walk over all machines.
+ * Index of the machines that have capacity for a task, kept by the events that change it instead of by a walk over all
+ * machines.
  *
- * <p>Invariant: after {@link #machinesWithCapacity} has taken in what changed, the answer holds exactly the machines whose free room, with what the demand
- * counts beside it, takes one such task. Whether a machine may be used now and suits the job is not known here; the caller asks the few
- * that are left. What could be freed is an upper bound: a caller that displaces work still chooses victims one by one.
+ * <p>Invariant: after {@link #machinesWithCapacity} has taken in what changed, the answer holds exactly the machines whose
+ * free capacity, with what the request counts besides, takes one such task. Whether a machine may be used now and suits the
+ * job is not known here; the caller tests the few that are left. What could be preempted is an upper bound: a caller that
+ * preempts work still selects victims one by one.
  *
- * <p>A demand is tracked from its first question on, with one walk, and forgotten when nobody has asked for it for a while.
+ * <p>A request is tracked from the first time that it is asked, with one walk, and forgotten when nobody has asked it for a
+ * while.
  */
 final class FreeCapacityIndex {
-    /** Demands that are tracked at most; with more kinds of tasks the one that was asked for longest ago is walked for anew. */
+    /** With more kinds of tasks the one that was asked for longest ago is forgotten, and walked for when asked again. */
     private static final int MAX_TRACKED_REQUESTS = 128;
 
     private static final int MIN_SLOTS = 64;
@@ -34,22 +37,22 @@
 
     private final Collection<Machine> machines;
     private final Map<CapacityRequest, MatchingMachines> trackedRequests = new HashMap<>();
-    private final Set<Machine> machineChanged = new LinkedHashSet<>();
+    private final Set<Machine> changedMachines = new LinkedHashSet<>();
     /** Machines in the order in which they became known; null where one is gone. */
     private Machine[] slots = new Machine[MIN_SLOTS];
 
     private int nextSlot;
     private long machinesExamined;
 
-    /** The slots of machines that fit a demand. */
+    /** The slots of the machines that have capacity for a request. */
     private static final class MatchingMachines {
-        final BitSet slotsOfMatches = new BitSet();
+        final BitSet slots = new BitSet();
         long lastRequestedMicros;
     }
 
-    /** @param all the machines that are known, a live view */
-    FreeCapacityIndex(Collection<Machine> all) {
-        this.machines = all;
+    /** @param machines the machines that are known, a live view */
+    FreeCapacityIndex(Collection<Machine> machines) {
+        this.machines = machines;
     }
 
     /** A machine has become known, after all others that are. */
@@ -59,7 +62,7 @@
         }
         machine.indexSlot = nextSlot;
         slots[nextSlot++] = machine;
-        machineChanged.add(machine);
+        changedMachines.add(machine);
     }
 
     /** Machines come and go all the time: slots that are free are closed up before there are more. */
@@ -77,116 +80,124 @@
         trackedRequests.clear();
     }
 
-    /** Something on the machine that counts as room has changed: a placement, a stop, its size or a job's priority. */
+    /** Something on the machine that counts as capacity has changed: a placement, a stop, its size or a job's priority. */
     void machineChanged(Machine machine) {
-        machineChanged.add(machine);
+        changedMachines.add(machine);
     }
 
+    /** A machine is not known any more. */
     void machineRemoved(Machine machine) {
-        machineChanged.remove(machine);
+        changedMachines.remove(machine);
         slots[machine.indexSlot] = null;
-        for (MatchingMachines each : trackedRequests.values()) {
-            each.slotsOfMatches.clear(machine.indexSlot);
+        for (MatchingMachines matching : trackedRequests.values()) {
+            matching.slots.clear(machine.indexSlot);
         }
     }
 
-    /** Machines with room for one task, in the order in which they became known; a copy, so that placing may go on. */
-    List<Machine> machinesWithCapacity(CapacityRequest demand, long nowMicros) {
+    /**
+     * Machines with capacity for one task.
+     *
+     * @return in the order in which they became known; a copy, so that placing may go on
+     */
+    List<Machine> machinesWithCapacity(CapacityRequest request, long nowMicros) {
         refresh();
-        MatchingMachines tracked = trackedRequests.get(demand);
-        if (tracked == null) {
-            tracked = startTracking(demand, nowMicros);
+        MatchingMachines matching = trackedRequests.get(request);
+        if (matching == null) {
+            matching = startTracking(request, nowMicros);
         }
-        tracked.lastRequestedMicros = nowMicros;
-        assert isExact(demand, tracked) : demand + " differs from a walk over all machines";
-        return machinesWithCapacity(tracked);
+        matching.lastRequestedMicros = nowMicros;
+        assert isExact(request, matching) : request + " differs from a walk over all machines";
+        return machinesOf(matching);
     }
 
-    private List<Machine> machinesWithCapacity(MatchingMachines tracked) {
-        List<Machine> machines = new ArrayList<>(tracked.slotsOfMatches.cardinality());
-        for (int slot = tracked.slotsOfMatches.nextSetBit(0);
-                slot >= 0;
-                slot = tracked.slotsOfMatches.nextSetBit(slot + 1)) {
-            machines.add(slots[slot]);
+    private List<Machine> machinesOf(MatchingMachines matching) {
+        List<Machine> result = new ArrayList<>(matching.slots.cardinality());
+        for (int slot = matching.slots.nextSetBit(0); slot >= 0; slot = matching.slots.nextSetBit(slot + 1)) {
+            result.add(slots[slot]);
         }
-        return machines;
+        return result;
     }
 
-    /** How many machines were looked at, to keep the index and in its answers. */
+    /** How many machines were examined in this term to keep the index. */
     long machinesExamined() {
         return machinesExamined;
     }
 
-    private MatchingMachines startTracking(CapacityRequest demand, long nowMicros) {
-        trackedRequests.values().removeIf(each -> nowMicros - each.lastRequestedMicros > UNUSED_REQUEST_EXPIRY_MICROS);
+    private MatchingMachines startTracking(CapacityRequest request, long nowMicros) {
+        trackedRequests
+                .values()
+                .removeIf(matching -> nowMicros - matching.lastRequestedMicros > UNUSED_REQUEST_EXPIRY_MICROS);
         if (trackedRequests.size() >= MAX_TRACKED_REQUESTS) {
             forgetOldest();
         }
-        MatchingMachines tracked = new MatchingMachines();
+        MatchingMachines matching = new MatchingMachines();
         for (Machine machine : machines) {
             machinesExamined++;
-            if (fits(demand, machine)) {
-                tracked.slotsOfMatches.set(machine.indexSlot);
+            if (fits(request, machine)) {
+                matching.slots.set(machine.indexSlot);
             }
         }
-        trackedRequests.put(demand, tracked);
-        return tracked;
+        trackedRequests.put(request, matching);
+        return matching;
     }
 
     private void forgetOldest() {
         CapacityRequest oldest = null;
+        long oldestMicros = Long.MAX_VALUE;
         for (Map.Entry<CapacityRequest, MatchingMachines> entry : trackedRequests.entrySet()) {
-            if (oldest == null
-                    || entry.getValue().lastRequestedMicros < trackedRequests.get(oldest).lastRequestedMicros) {
+            if (entry.getValue().lastRequestedMicros < oldestMicros) {
                 oldest = entry.getKey();
+                oldestMicros = entry.getValue().lastRequestedMicros;
             }
         }
         trackedRequests.remove(oldest);
     }
 
+    /** Takes in what has changed on machines since the last time. */
     private void refresh() {
-        for (Iterator<Machine> machines = machineChanged.iterator(); machines.hasNext(); ) {
-            refresh(machines.next());
-            machines.remove();
+        for (Iterator<Machine> changed = changedMachines.iterator(); changed.hasNext(); ) {
+            refresh(changed.next());
+            changed.remove();
         }
     }
 
     private void refresh(Machine machine) {
         machinesExamined++;
-        Map<CapacityRequest.Source, Map<Priority, Resources>> rooms = new EnumMap<>(CapacityRequest.Source.class);
-        trackedRequests.forEach((demand, tracked) -> {
-            Resources room = rooms.computeIfAbsent(demand.source(), k -> new EnumMap<>(Priority.class))
+        Map<CapacityRequest.Source, Map<Priority, Resources>> available = new EnumMap<>(CapacityRequest.Source.class);
+        trackedRequests.forEach((request, matching) -> {
+            Resources capacity = available
+                    .computeIfAbsent(request.source(), key -> new EnumMap<>(Priority.class))
                     .computeIfAbsent(
-                            demand.priority(), priority -> availableCapacity(machine, demand.source(), priority));
-            tracked.slotsOfMatches.set(
+                            request.priority(), priority -> availableCapacity(machine, request.source(), priority));
+            matching.slots.set(
                     machine.indexSlot,
-                    machine.capacity() != null && demand.taskResources().fitsIn(room));
+                    machine.capacity() != null && request.taskResources().fitsIn(capacity));
         });
     }
 
-    private static boolean fits(CapacityRequest demand, Machine machine) {
+    private static boolean fits(CapacityRequest request, Machine machine) {
         return machine.capacity() != null
-                && demand.taskResources().fitsIn(availableCapacity(machine, demand.source(), demand.priority()));
+                && request.taskResources().fitsIn(availableCapacity(machine, request.source(), request.priority()));
     }
 
     private static Resources availableCapacity(Machine machine, CapacityRequest.Source source, Priority priority) {
-        Resources room = machine.freeCapacity();
+        Resources available = machine.freeCapacity();
         if (source == CapacityRequest.Source.FREE) {
-            return room;
+            return available;
         }
         for (Placement placement : machine.placements) {
             if (countsAsAvailable(placement, source, priority)) {
-                room = room.plus(placement.job.spec.taskResources());
+                available = available.plus(placement.job.spec.taskResources());
             }
         }
-        return room;
+        return available;
     }
 
     private static boolean countsAsAvailable(Placement placement, CapacityRequest.Source source, Priority priority) {
         JobSpec spec = placement.job.spec;
-        boolean lower = priority.isAbove(placement.job.priority());
+        boolean isLower = priority.isAbove(placement.job.priority());
         if (source == CapacityRequest.Source.CHECKPOINTABLE) {
-            return lower && !placement.isStopping() && spec.kind() != JobKind.SERVICE;
+            return isLower && !placement.isStopping() && spec.kind() != JobKind.SERVICE;
         }
         if (placement.isStopping()) {
             return placement.stopGraceMicros == 0;
@@ -194,19 +205,19 @@
         if (spec.kind() == JobKind.GANG || spec.checkpointIntervalMicros() > 0) {
             return false;
         }
-        return lower
+        return isLower
                 || (source == CapacityRequest.Source.SAME_PRIORITY
                         && spec.kind() == JobKind.ARRAY
                         && placement.job.priority() == priority);
     }
 
-    private boolean isExact(CapacityRequest demand, MatchingMachines tracked) {
-        List<Machine> walked = new ArrayList<>();
+    private boolean isExact(CapacityRequest request, MatchingMachines matching) {
+        List<Machine> expected = new ArrayList<>();
         for (Machine machine : machines) {
-            if (fits(demand, machine)) {
-                walked.add(machine);
+            if (fits(request, machine)) {
+                expected.add(machine);
             }
         }
-        return walked.equals(machinesWithCapacity(tracked));
+        return expected.equals(machinesOf(matching));
     }
 }
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -15,10 +15,26 @@
 import java.util.Map;
 
 /**
- * In which order jobs with waiting tasks get room: by priority, services first, then what is within its team's guarantee, then what can be
- * on time, by the latest start that still is. Decides nothing about machines.
+ * The order in which jobs with pending tasks get capacity: by priority, services first, then what is within its team's
+ * guarantee, then what can be on time, by the latest start with which it still is. Decides nothing about machines.
+ * Invariant: the order depends only on the ledgers, the settings and what is known of run times.
  */
 final class JobQueue {
+    /** A job without an objective, or beyond all of them, is due so long after it became ready. */
+    private static final long DUE_WITHOUT_OBJECTIVE_MICROS = 900 * Micros.SECOND;
+    /** For which it counts as ready so long ago at most. */
+    private static final long MAX_READY_AGE_MICROS = 600 * Micros.SECOND;
+    /** Of a task that runs, on average so much is left. */
+    private static final double REMAINING_SHARE_OF_RUNNING_TASK = 0.5;
+
+    private static final Comparator<QueuedJob> ORDER = Comparator.comparing(
+                    (QueuedJob queued) -> queued.job().priority())
+            .thenComparing(queued -> !queued.isService())
+            .thenComparing(queued -> !queued.guaranteed())
+            .thenComparing(queued -> !queued.canMeetDeadline())
+            .thenComparing(QueuedJob::dueMicros)
+            .thenComparing(queued -> queued.job().readyMicros);
+
     private final Settings settings;
     private final Fleet fleet;
     private final JobLedgers ledgers;
@@ -31,14 +47,26 @@
         this.runTimes = runTimes;
     }
 
-    /** A job with tasks to place and where it stands in the queue; earlier is better. */
+    /**
+     * A job with tasks to place and where it stands in the queue.
+     *
+     * @param pendingTasks how many tasks are to be placed
+     * @param guaranteed whether all that its team requests up to this job is within the team's guarantee
+     * @param canMeetDeadline whether it can be on time
+     * @param dueMicros the latest start with which it is on time; earlier is better
+     */
     record QueuedJob(Job job, int pendingTasks, boolean guaranteed, boolean canMeetDeadline, long dueMicros) {
+        /** Whether only the times tell which of the two goes first. */
         boolean sameRank(QueuedJob other) {
             return job.priority() == other.job.priority()
-                    && (job.spec.kind() == JobKind.SERVICE) == (other.job.spec.kind() == JobKind.SERVICE)
+                    && isService() == other.isService()
                     && guaranteed == other.guaranteed
                     && canMeetDeadline == other.canMeetDeadline;
         }
+
+        private boolean isService() {
+            return job.spec.kind() == JobKind.SERVICE;
+        }
     }
 
     /** Whether tasks of the job may be started now, as far as the job itself goes. */
@@ -46,13 +74,13 @@
         return !job.cancelled && job.backoffUntilMicros <= nowMicros && !job.hasUnreconciledMachines();
     }
 
-    /** Jobs with waiting tasks in the order in which they get room. */
+    /** Jobs with pending tasks in the order in which they get capacity. */
     List<QueuedJob> order(long nowMicros) {
-        Map<String, Resources> asked = new HashMap<>();
+        Map<String, Resources> requestedByTeam = new HashMap<>();
         List<QueuedJob> result = new ArrayList<>();
-        Map<Job, DeadlineFeasibility.Entry> entries = new HashMap<>();
+        Map<Job, DeadlineFeasibility.Entry> deadlines = new HashMap<>();
         for (DeadlineFeasibility.Entry entry : assessDeadlines(nowMicros)) {
-            entries.put(entry.job, entry);
+            deadlines.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
             if (job.cancelled) {
@@ -62,30 +90,28 @@
                 queueProbe(job, result);
                 continue;
             }
-            Team team = settings.teams().get(job.spec.team());
-            Resources total = asked.merge(
+            Resources requested = requestedByTeam.merge(
                     job.spec.team(), job.spec.taskResources().times(job.unfinishedCount()), Resources::plus);
-            boolean guaranteed = team != null && team.guaranteedCpus() > 0 && team.isWithinGuarantee(total);
-            int waiting = job.pendingCount();
-            if (waiting > 0) {
-                DeadlineFeasibility.Entry entry = entries.get(job);
-                result.add(new QueuedJob(
-                        job,
-                        waiting,
-                        guaranteed,
-                        entry == null || entry.onTime,
-                        entry == null ? job.readyMicros : entry.latestStartMicros()));
+            if (job.pendingCount() > 0) {
+                result.add(queued(job, isWithinGuarantee(job, requested), deadlines.get(job)));
             }
         }
-        result.sort(Comparator.comparing((QueuedJob q) -> q.job().priority())
-                .thenComparing(q -> q.job().spec.kind() == JobKind.SERVICE ? 0 : 1)
-                .thenComparing(q -> !q.guaranteed())
-                .thenComparing(q -> !q.canMeetDeadline())
-                .thenComparing(QueuedJob::dueMicros)
-                .thenComparing(q -> q.job().readyMicros));
+        result.sort(ORDER);
         return result;
     }
 
+    private boolean isWithinGuarantee(Job job, Resources requested) {
+        Team team = settings.teams().get(job.spec.team());
+        return team != null && team.guaranteedCpus() > 0 && team.isWithinGuarantee(requested);
+    }
+
+    /** @param deadline null for a job that never ends */
+    private static QueuedJob queued(Job job, boolean guaranteed, DeadlineFeasibility.Entry deadline) {
+        return deadline == null
+                ? new QueuedJob(job, job.pendingCount(), guaranteed, true, job.readyMicros)
+                : new QueuedJob(job, job.pendingCount(), guaranteed, deadline.onTime, deadline.latestStartMicros());
+    }
+
     /** A job that fails wherever it is tried holds no guarantee and no place among what can be on time. */
     private static void queueProbe(Job job, List<QueuedJob> queue) {
         if (job.placeableCount() > 0) {
@@ -94,103 +120,122 @@
     }
 
     /**
-     * What can be on time: first within each team's limit, since room beyond it helps none of the team's jobs, then
-     * with all processors.
+     * What can be on time: first within each team's limit, since capacity beyond it helps none of the team's jobs, then with
+     * all processors.
      */
     private List<DeadlineFeasibility.Entry> assessDeadlines(long nowMicros) {
         double cpus = cpusForFiniteJobs(nowMicros);
-        Map<String, List<DeadlineFeasibility.Entry>> perTeam = new LinkedHashMap<>();
-        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
-        List<DeadlineFeasibility.Entry> lowest = new ArrayList<>();
+        Map<String, List<DeadlineFeasibility.Entry>> byTeam = new LinkedHashMap<>();
+        List<DeadlineFeasibility.Entry> lowPriority = new ArrayList<>();
         for (DeadlineFeasibility.Entry entry : finiteJobs(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // It gets what is left: a large job of a rare class would count for more than many of the others.
-                lowest.add(entry);
-                continue;
+                lowPriority.add(entry);
+            } else {
+                byTeam.computeIfAbsent(entry.job.spec.team(), team -> new ArrayList<>())
+                        .add(entry);
             }
-            perTeam.computeIfAbsent(entry.job.spec.team(), k -> new ArrayList<>())
-                    .add(entry);
         }
-        List<DeadlineFeasibility.Entry> possible = new ArrayList<>();
-        perTeam.forEach((name, entries) -> {
-            Team team = settings.teams().get(name);
-            double most = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, (double) team.maxCpus());
-            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, most, nowMicros)) {
-                (entry.onTime ? possible : result).add(entry);
+        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
+        List<DeadlineFeasibility.Entry> onTimeInTeam = new ArrayList<>();
+        byTeam.forEach((team, entries) -> {
+            for (DeadlineFeasibility.Entry entry :
+                    DeadlineFeasibility.decide(entries, Math.min(cpus, cpuLimit(team)), nowMicros)) {
+                (entry.onTime ? onTimeInTeam : result).add(entry);
             }
         });
-        result.addAll(DeadlineFeasibility.decide(possible, cpus, nowMicros));
-        result.addAll(DeadlineFeasibility.decide(lowest, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.decide(onTimeInTeam, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.decide(lowPriority, cpus, nowMicros));
         return result;
     }
 
+    private double cpuLimit(String teamName) {
+        Team team = settings.teams().get(teamName);
+        return team == null || team.maxCpus() == 0 ? Double.MAX_VALUE : team.maxCpus();
+    }
+
     /** What is left of every job that ends. */
     List<DeadlineFeasibility.Entry> finiteJobs(long nowMicros) {
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
-                long length = runTimes.expectedMicros(job);
-                int waiting = job.pendingCount();
-                double work = job.spec.taskResources().cpus()
-                        * (double) length
-                        * (waiting + 0.5 * (job.unfinishedCount() - waiting));
-                long slowest = runTimes.slowestMicros(job);
+                long slowestMicros = runTimes.slowestMicros(job);
                 result.add(new DeadlineFeasibility.Entry(
-                        job, work, slowest, dueMicros(job, slowest, nowMicros), weight(job.spec.jobClass())));
+                        job,
+                        remainingWork(job),
+                        slowestMicros,
+                        dueMicros(job, slowestMicros, nowMicros),
+                        weight(job.spec.jobClass())));
             }
         }
         return result;
     }
 
-    /** Aims are shares of a class: the fewer jobs it has, and the more aims, the more one of them counts. */
+    /** In thousandths of a processor times microseconds. */
+    private double remainingWork(Job job) {
+        int pending = job.pendingCount();
+        return job.spec.taskResources().cpus()
+                * (double) runTimes.expectedMicros(job)
+                * (pending + REMAINING_SHARE_OF_RUNNING_TASK * (job.unfinishedCount() - pending));
+    }
+
+    /** Objectives are shares of a class: the fewer jobs it has, and the more objectives, the more one of them counts. */
     private double weight(String jobClass) {
-        int aims = 1;
+        int objectives = 1;
         for (Settings.Objective objective : settings.objectives()) {
-            aims += jobClass.equals(objective.jobClass()) ? 1 : 0;
+            objectives += jobClass.equals(objective.jobClass()) ? 1 : 0;
         }
-        return aims / (double) Math.max(1, ledgers.countOf(jobClass));
+        return objectives / (double) Math.max(1, ledgers.countOf(jobClass));
     }
 
-    /** Processors, in thousandths, that are there for work that ends. */
+    /** Processors, in thousandths, that are there for jobs that end. */
     double cpusForFiniteJobs(long nowMicros) {
         double cpus = 0;
         for (Machine machine : fleet.machines()) {
-            if (machine.capacity() != null
-                    && !machine.deletionRequested
-                    && !machine.quarantined
-                    && machine.spotNoticeEndsMicros < 0
-                    && machine.slowUntilMicros < nowMicros
-                    && machine.isResponsive(nowMicros, settings)) {
+            if (isAvailable(machine, nowMicros)) {
                 cpus += machine.cpusBesideReplicas();
             }
         }
         return cpus;
     }
 
+    private boolean isAvailable(Machine machine, long nowMicros) {
+        return machine.capacity() != null
+                && !machine.deletionRequested
+                && !machine.quarantined
+                && machine.spotNoticeEndsMicros < 0
+                && machine.slowUntilMicros < nowMicros
+                && machine.isResponsive(nowMicros, settings);
+    }
+
     /** The earliest time at which users expect the job and that it can still reach. */
-    private long dueMicros(Job job, long length, long nowMicros) {
+    private long dueMicros(Job job, long lengthMicros, long nowMicros) {
         JobSpec spec = job.spec;
-        long reachable = nowMicros + length;
-        long due = Long.MAX_VALUE;
-        if (spec.deadlineMicros() >= 0 && job.deadlineMicros() >= reachable) {
-            due = job.deadlineMicros();
+        long reachableMicros = nowMicros + lengthMicros;
+        long dueMicros = Long.MAX_VALUE;
+        if (spec.deadlineMicros() >= 0 && job.deadlineMicros() >= reachableMicros) {
+            dueMicros = job.deadlineMicros();
         }
-        if (job.dependentsDueMicros >= reachable) {
-            due = Math.min(due, job.dependentsDueMicros);
+        if (job.dependentsDueMicros >= reachableMicros) {
+            dueMicros = Math.min(dueMicros, job.dependentsDueMicros);
         }
         for (Settings.Objective objective : settings.objectives()) {
-            if (objective.withinMicros() > 0
-                    && objective.kind().equals("finished")
-                    && objective.jobClass().equals(spec.jobClass())) {
-                long candidate = job.readyMicros + objective.withinMicros();
-                if (candidate >= reachable) {
-                    due = Math.min(due, candidate);
+            if (isCompletionObjective(objective, spec.jobClass())) {
+                long objectiveMicros = job.readyMicros + objective.withinMicros();
+                if (objectiveMicros >= reachableMicros) {
+                    dueMicros = Math.min(dueMicros, objectiveMicros);
                 }
             }
         }
-        // Without an aim, or beyond all of them: soon, but after what can still be on time.
-        return due < Long.MAX_VALUE
-                ? due
-                : Math.max(job.readyMicros, nowMicros - 600 * Micros.SECOND) + 900 * Micros.SECOND;
+        // Without an objective, or beyond all of them: soon, but after what can still be on time.
+        return dueMicros < Long.MAX_VALUE
+                ? dueMicros
+                : Math.max(job.readyMicros, nowMicros - MAX_READY_AGE_MICROS) + DUE_WITHOUT_OBJECTIVE_MICROS;
+    }
+
+    private static boolean isCompletionObjective(Settings.Objective objective, String jobClass) {
+        return objective.withinMicros() > 0
+                && objective.kind().equals("finished")
+                && objective.jobClass().equals(jobClass);
     }
 }
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -15,23 +15,33 @@
 import java.util.Set;
 
 /**
- * Machines that are given back. What is asked of the cloud is not fenced: a deletion may be carried out minutes after the leader that
- * asked for it was replaced, and would take whatever its successor has placed there since. So a row names them first, and no leader of any
- * term places anything on a machine that a row names: it asks for its deletion again, until that is answered. The row stays for a while after
- * that, since ledgers may name the machine still, and a leader that nobody told settles it by asking once more.
+ * Machines that are being deleted. What is asked of the cloud is not fenced: a deletion may be carried out minutes after the
+ * leader that asked for it was replaced, and would take whatever its successor has placed there since.
+ *
+ * <p>Invariant: a row names a machine before its deletion is asked for, and no leader of any term places anything on a
+ * machine that a row names; it asks for its deletion again, until that is answered. The row stays for a while after that,
+ * since ledgers may name the machine still, and a leader that nobody told settles it by asking once more.
  */
 final class MachineDeletions {
+    /** How long a row stays after all its deletions were answered. */
     private static final long RETENTION_MICROS = 60 * Micros.SECOND;
-    /** What nobody waits for is gathered for so long, so that a trickle of idle machines costs few rows. */
+    /** Deletions that nobody waits for are gathered for so long, so that a trickle of idle machines costs few rows. */
     private static final long BATCH_WINDOW_MICROS = 500 * Micros.MILLISECOND;
     /** The cloud's limit for a call. */
     static final int MAX_MACHINES_PER_CALL = 100;
 
-    private static final int FRAME_BYTES = 32;
-    private static final int NAME_BYTES = 3;
+    /** Of a row without any names. */
+    private static final int ROW_OVERHEAD_BYTES = 32;
+    /** Of each name in a row. */
+    private static final int NAME_OVERHEAD_BYTES = 3;
+    /** Before any time that a leader can see, and far enough from the end of the range to be subtracted. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
+    /** A row and the machines that it names. */
     private static final class DeletionRow {
+        /** Machines whose deletion was not answered yet. */
         final Set<String> remainingMachines;
+
         long version;
         boolean isStored;
         boolean isBeingRemoved;
@@ -45,20 +55,23 @@
 
     private final Settings settings;
     private final long fencingToken;
+    /** By key, in the order in which they were made or read. */
     private final Map<String, DeletionRow> rows = new LinkedHashMap<>();
+    /** Keys of rows by the names of machines whose deletion was not answered yet. */
     private final Map<String, String> rowByMachine = new HashMap<>();
-    /** Rows that are being read back. */
+    /** Keys of rows that are being read back. */
     private final Set<String> rowsBeingReadBack = new HashSet<>();
 
     private boolean requiresRow;
     private int counter;
-    private long lastWriteMicros = Long.MIN_VALUE / 2;
+    private long lastWriteMicros = NEVER_MICROS;
 
     MachineDeletions(Settings settings, long fencingToken) {
         this.settings = settings;
         this.fencingToken = fencingToken;
     }
 
+    /** Whether the key is that of such a row. */
     static boolean owns(String key) {
         return key.startsWith(StoreKeys.MACHINE_DELETIONS);
     }
@@ -68,94 +81,127 @@
         requiresRow = recorded;
     }
 
-    /** A row of an earlier leader, whatever the switches say now. */
+    /** Takes in a row of an earlier leader, whatever the feature flags say now. */
     void load(String key, List<String> names, long version) {
-        DeletionRow entry = new DeletionRow(names);
-        entry.version = version;
-        entry.isStored = true;
-        rows.put(key, entry);
+        DeletionRow row = new DeletionRow(names);
+        row.version = version;
+        row.isStored = true;
+        rows.put(key, row);
         names.forEach(name -> rowByMachine.put(name, key));
     }
 
-    /** Whether its deletion may be asked for. */
+    /** Whether the machine's deletion may be asked for now. */
     boolean mayRequest(Machine machine) {
         if (!requiresRow) {
             return true;
         }
-        DeletionRow entry = rows.get(rowByMachine.get(machine.name));
-        return entry != null && entry.isStored;
+        DeletionRow row = rows.get(rowByMachine.get(machine.name));
+        return row != null && row.isStored;
     }
 
-    /** The cloud has answered its deletion. */
+    /** The cloud has answered the machine's deletion. */
     void machineDeleted(String machine, long nowMicros) {
-        DeletionRow entry = rows.get(rowByMachine.remove(machine));
-        if (entry != null) {
-            entry.remainingMachines.remove(machine);
-            entry.answeredMicros = nowMicros;
+        DeletionRow row = rows.get(rowByMachine.remove(machine));
+        if (row != null) {
+            row.remainingMachines.remove(machine);
+            row.answeredMicros = nowMicros;
         }
     }
 
-    /** What the next round writes of this: one row that names machines, and one that goes. */
+    /**
+     * What the next transaction writes of this: at most one row that names machines, and one that is deleted.
+     *
+     * @param machines the fleet
+     * @param most how many writes there may be
+     */
     List<Transaction.Write> nextWrites(Collection<Machine> machines, int most, long nowMicros) {
         List<Transaction.Write> writes = new ArrayList<>();
         if (!requiresRow || !rowsBeingReadBack.isEmpty()) {
             return writes;
         }
-        List<String> names = new ArrayList<>();
-        boolean urgent = nowMicros - lastWriteMicros >= BATCH_WINDOW_MICROS;
-        int bytes = FRAME_BYTES;
+        List<Machine> unrecorded = unrecordedMachines(machines);
+        if (!unrecorded.isEmpty() && most > 0 && isDue(unrecorded, nowMicros)) {
+            writes.add(createRow(unrecorded, nowMicros));
+        }
+        if (writes.size() < most) {
+            deleteOneRow(writes, nowMicros);
+        }
+        return writes;
+    }
+
+    /** Machines that are to be deleted and that no row names, as many as one row may name. */
+    private List<Machine> unrecordedMachines(Collection<Machine> machines) {
+        List<Machine> unrecorded = new ArrayList<>();
+        int bytes = ROW_OVERHEAD_BYTES;
         for (Machine machine : machines) {
-            if (machine.deletionRequested
-                    && !rowByMachine.containsKey(machine.name)
-                    && names.size() < MAX_MACHINES_PER_CALL) {
-                bytes += machine.name.length() + NAME_BYTES;
-                if (bytes > settings.maxWritableValueBytes()) {
+            if (machine.deletionRequested && !rowByMachine.containsKey(machine.name)) {
+                bytes += machine.name.length() + NAME_OVERHEAD_BYTES;
+                if (unrecorded.size() == MAX_MACHINES_PER_CALL || bytes > settings.maxWritableValueBytes()) {
                     break;
                 }
-                names.add(machine.name);
-                urgent |= machine.delaysRecovery || !machine.placements.isEmpty();
+                unrecorded.add(machine);
             }
         }
-        if (!names.isEmpty() && urgent && most > 0) {
-            lastWriteMicros = nowMicros;
-            String key = StoreKeys.machineDeletion(fencingToken, ++counter);
-            rows.put(key, new DeletionRow(names));
-            names.forEach(name -> rowByMachine.put(name, key));
-            writes.add(new Transaction.Write(key, new StoredRecord.MachinesToDelete(List.copyOf(names)), 0));
+        return unrecorded;
+    }
+
+    private boolean isDue(List<Machine> unrecorded, long nowMicros) {
+        boolean isDue = nowMicros - lastWriteMicros >= BATCH_WINDOW_MICROS;
+        for (Machine machine : unrecorded) {
+            isDue |= machine.delaysRecovery || !machine.placements.isEmpty();
         }
-        for (Map.Entry<String, DeletionRow> each : rows.entrySet()) {
-            DeletionRow entry = each.getValue();
-            if (writes.size() < most
-                    && entry.isStored
-                    && !entry.isBeingRemoved
-                    && entry.remainingMachines.isEmpty()
-                    && nowMicros - entry.answeredMicros > RETENTION_MICROS) {
-                entry.isBeingRemoved = true;
-                writes.add(new Transaction.Write(each.getKey(), null, 0));
-                break;
+        return isDue;
+    }
+
+    private Transaction.Write createRow(List<Machine> machines, long nowMicros) {
+        lastWriteMicros = nowMicros;
+        String key = StoreKeys.machineDeletion(fencingToken, ++counter);
+        List<String> names = new ArrayList<>();
+        for (Machine machine : machines) {
+            names.add(machine.name);
+            rowByMachine.put(machine.name, key);
+        }
+        rows.put(key, new DeletionRow(names));
+        return new Transaction.Write(key, new StoredRecord.MachinesToDelete(List.copyOf(names)), 0);
+    }
+
+    private void deleteOneRow(List<Transaction.Write> writes, long nowMicros) {
+        for (Map.Entry<String, DeletionRow> entry : rows.entrySet()) {
+            DeletionRow row = entry.getValue();
+            if (row.isStored
+                    && !row.isBeingRemoved
+                    && row.remainingMachines.isEmpty()
+                    && nowMicros - row.answeredMicros > RETENTION_MICROS) {
+                row.isBeingRemoved = true;
+                writes.add(new Transaction.Write(entry.getKey(), null, 0));
+                return;
             }
         }
-        return writes;
     }
 
+    /** The conditions under which these writes may be executed: each row is as it was known. */
     List<Transaction.Condition> conditions(List<Transaction.Write> writes) {
         List<Transaction.Condition> conditions = new ArrayList<>();
         writes.forEach(write -> conditions.add(new Transaction.Condition(write.key(), rows.get(write.key()).version)));
         return conditions;
     }
 
-    /** The round with this write is confirmed. */
+    /**
+     * The transaction with this write is confirmed.
+     *
+     * @param revision of the store that the transaction made
+     */
     void written(Transaction.Write write, long revision) {
         if (write.record() == null) {
             rows.remove(write.key());
         } else {
-            DeletionRow entry = rows.get(write.key());
-            entry.version = revision;
-            entry.isStored = true;
+            DeletionRow row = rows.get(write.key());
+            row.version = revision;
+            row.isStored = true;
         }
     }
 
-    /** The round with this write was certainly not executed. */
+    /** The transaction with this write was certainly not executed. */
     void notWritten(Transaction.Write write) {
         if (write.record() == null) {
             rows.get(write.key()).isBeingRemoved = false;
@@ -169,24 +215,28 @@
         rowByMachine.values().removeIf(key::equals);
     }
 
-    /** A row that is not as it was known: nothing is written before it is read back. */
+    /** The row is not as it was known: nothing is written before it is read back. */
     void markUnknown(String key) {
         rowsBeingReadBack.add(key);
     }
 
-    /** A row as read back, version 0 if there is none. */
+    /**
+     * A row was read back.
+     *
+     * @param version 0 if there is none
+     */
     void readBack(String key, long version) {
         rowsBeingReadBack.remove(key);
-        DeletionRow entry = rows.get(key);
-        if (entry == null) {
+        DeletionRow row = rows.get(key);
+        if (row == null) {
             return;
         }
         if (version == 0) {
             forget(key);
         } else {
-            entry.version = version;
-            entry.isStored = true;
-            entry.isBeingRemoved = false;
+            row.version = version;
+            row.isStored = true;
+            row.isBeingRemoved = false;
         }
     }
 }
--- a/src/main/java/io/micatide/scheduler/PlanningPass.java
+++ b/src/main/java/io/micatide/scheduler/PlanningPass.java
@@ -4,14 +4,18 @@
 import java.util.Set;
 
 /**
- * One pass over the jobs that wait, which may take more than one plan: a plan that has looked at as many machines as its share of a core
- * allows goes on in the next tick, with the jobs that it has not come to, in the order that they have by then. What arrives meanwhile and goes
- * before the others is looked at first. A leader whose plan took seconds lost its lease to it, and every worker waited.
+ * One pass over the jobs that wait, which may take more than one plan. A plan that has examined as many machines as its
+ * share of a core allows is truncated, and the next tick goes on with the jobs that the pass has not come to, in the order
+ * that they have by then; what arrives meanwhile and goes before the others is placed first. A leader whose plan took
+ * seconds lost its lease to it, and every worker waited.
+ *
+ * <p>Invariant: each plan places one job at least, and each job has one turn in a pass.
  */
 final class PlanningPass {
     /**
-     * Machines that a plan may look at for each core of the controller. At 0.255 of a core a plan of 6,000 looks was seen to take 0.1 to 0.2 s
-     * (vision at 2,800 workers, simulated machines), so that one of {@code 0.255 * LOOKS_PER_CORE} stays below half a second.
+     * Machines that a plan may examine for each core of the controller. At 0.255 of a core a plan that examined 6,000 was
+     * seen to take 0.1 to 0.2 s (vision at 2,800 workers, simulated machines), so that one of
+     * {@code 0.255 * MACHINES_EXAMINED_PER_CORE} stays below half a second.
      */
     static final long MACHINES_EXAMINED_PER_CORE = 60_000;
 
@@ -23,14 +27,18 @@
     private boolean isFirstJob;
     private int truncations;
 
-    /** @param cores what the controller has of a core */
+    /** @param cores the controller's share of processors; may be less than one */
     PlanningPass(double cores) {
         this.maxMachinesExamined = Math.max(1, Math.round(cores * MACHINES_EXAMINED_PER_CORE));
     }
 
-    /** @param looks machines looked at so far in this term */
-    void begin(long looks) {
-        examinedAtBegin = looks;
+    /**
+     * A plan begins.
+     *
+     * @param machinesExamined in this term so far
+     */
+    void begin(long machinesExamined) {
+        examinedAtBegin = machinesExamined;
         isFirstJob = true;
     }
 
@@ -39,26 +47,32 @@
         return !visited.contains(job);
     }
 
-    /** Whether this plan has done its share; each does one job at least. */
-    boolean isOver(long looks) {
-        return !isFirstJob && looks - examinedAtBegin > maxMachinesExamined;
+    /**
+     * Whether this plan has done its share.
+     *
+     * @param machinesExamined in this term so far
+     */
+    boolean isOver(long machinesExamined) {
+        return !isFirstJob && machinesExamined - examinedAtBegin > maxMachinesExamined;
     }
 
+    /** The job has had its turn. */
     void markVisited(Job job) {
         isFirstJob = false;
         visited.add(job);
     }
 
-    /** The next plan goes on with the rest. */
+    /** The plan ends here; the next one goes on with the rest. */
     void truncate() {
         truncations++;
     }
 
-    /** It has come to all; the next plan begins another one. */
+    /** The pass has come to all jobs; the next plan begins another one. */
     void end() {
         visited.clear();
     }
 
+    /** Plans of this term that were truncated. */
     int truncations() {
         return truncations;
     }
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -15,15 +15,18 @@
 import java.util.function.Function;
 
 /**
- * Which work yields to which job, and what is lost by it. What a machine could free for work of a higher priority is kept with the machine
- * until something on it changes; where work of the same priority may yield, the teams' use decides, and it is worked out anew.
+ * Which work may be preempted for which job, and what is lost by it. Only decides; {@link Evictions} carries it out.
+ *
+ * <p>Invariant: what a machine could free for work of a higher priority is kept with the machine until something on it
+ * changes, and equals what a new computation would give; where work of the same priority may be preempted, the teams' usage
+ * decides, and it is computed anew each time.
  */
 final class Preemption {
-    /** Nothing on the machine makes room. */
+    /** The loss where preemption frees too little capacity. */
     static final long IMPOSSIBLE = Long.MAX_VALUE;
 
-    /** Those first that lose least: what was not sent yet, then what has run for the shortest time. */
-    private static final Comparator<Placement> LEAST_LOSS = Comparator.comparing(
+    /** Those first that lose the least: what was not sent yet, then what has run for the shortest time. */
+    private static final Comparator<Placement> LEAST_LOSS_FIRST = Comparator.comparing(
                     (Placement placement) -> !placement.isUnsent())
             .thenComparing(placement -> -placement.createdMicros);
 
@@ -50,15 +53,15 @@
     }
 
     /** Which tasks an estimate is for. */
-    record PreemptionRequest(Resources taskResources, Priority priority) {}
+    private record PreemptionRequest(Resources taskResources, Priority priority) {}
 
     /**
-     * What a machine could free for one task by stopping work of lower priorities only.
+     * What a machine could free for one task by preempting work of lower priorities only.
      *
      * @param isPossible whether it could at all
      * @param sentVictims attempts among the victims that were sent
      * @param createdSumMicros when these were created, summed up
-     * @param tasksFitting how many such tasks fit with all that yields at once
+     * @param tasksFitting how many such tasks fit if all that may be preempted is
      */
     private record Estimate(boolean isPossible, int sentVictims, long createdSumMicros, long tasksFitting) {
         long lostWorkMicros(long nowMicros) {
@@ -69,13 +72,14 @@
     /** The estimates of one machine; forgotten when something on it changes. */
     static final class Estimates {
         private final Map<PreemptionRequest, Estimate> byRequest = new HashMap<>();
-        /** The demand that was asked for last, which the next question is most likely for, and what it was told. */
+        /** The request that was asked last, which is most likely the next one as well, and its estimate. */
         private PreemptionRequest lastRequest;
 
         private Estimate lastEstimate;
-        /** Arrays that are not being stopped, by priority: other teams' may yield to the same priority. */
+        /** Whether there are arrays that are not being stopped, by the ordinal of their priority; null if not known. */
         private boolean[] arraysOfPriority;
 
+        /** Something on the machine has changed. */
         void clear() {
             byRequest.clear();
             lastRequest = null;
@@ -83,35 +87,36 @@
         }
     }
 
-    /** @param teamUse what a team uses now */
-    Preemption(Settings settings, Function<String, Resources> teamUse) {
+    /** @param teamUsage what a team of that name uses now */
+    Preemption(Settings settings, Function<String, Resources> teamUsage) {
         this.settings = settings;
-        this.teamUsage = teamUse;
+        this.teamUsage = teamUsage;
     }
 
     /** What is lost by stopping the victims, in microseconds of work. */
-    static long lostWork(List<Placement> victims, long nowMicros) {
-        long loss = 0;
+    private static long lostWork(List<Placement> victims, long nowMicros) {
+        long lossMicros = 0;
         for (Placement victim : victims) {
             if (!victim.isUnsent()) {
-                loss += Micros.SECOND + nowMicros - victim.createdMicros;
+                lossMicros += Micros.SECOND + nowMicros - victim.createdMicros;
             }
         }
-        return loss;
+        return lossMicros;
     }
 
     /**
-     * What is lost on this machine by room for one task of the job, {@link #IMPOSSIBLE} if there is none to be had.
+     * What is lost on this machine by freeing capacity for one task of the job.
      *
      * @param scope which work may be preempted
+     * @return microseconds of work, or {@link #IMPOSSIBLE}
      */
     long lostWork(Job job, Machine machine, Scope scope, long nowMicros) {
         if (scope == Scope.SAME_PRIORITY && hasArraysOfSamePriority(job, machine)) {
             return computeLostWork(job, machine, scope, nowMicros);
         }
-        long loss = estimate(job, machine).lostWorkMicros(nowMicros);
-        assert loss == computeLostWork(job, machine, scope, nowMicros) : "the estimate of " + machine.name + " is old";
-        return loss;
+        long lossMicros = estimate(job, machine).lostWorkMicros(nowMicros);
+        assert lossMicros == computeLostWork(job, machine, scope, nowMicros) : "outdated estimate of " + machine.name;
+        return lossMicros;
     }
 
     private long computeLostWork(Job job, Machine machine, Scope scope, long nowMicros) {
@@ -119,24 +124,24 @@
         return victims == null ? IMPOSSIBLE : lostWork(victims, nowMicros);
     }
 
-    /** How many tasks of a gang fit with all that could yield to it. */
+    /** How many tasks of a gang fit on the machine if all is preempted that may be preempted for it. */
     long tasksFittingAfterPreemption(Job job, Machine machine) {
         if (hasArraysOfSamePriority(job, machine)) {
             return countTasks(job, machine);
         }
         long tasks = estimate(job, machine).tasksFitting();
-        assert tasks == countTasks(job, machine) : "the estimate of " + machine.name + " is old";
+        assert tasks == countTasks(job, machine) : "outdated estimate of " + machine.name;
         return tasks;
     }
 
-    private long countTasks(Job job, Machine machine) {
-        Resources room = machine.freeCapacity();
+    private static long countTasks(Job job, Machine machine) {
+        Resources available = machine.freeCapacity();
         for (Placement placement : machine.placements) {
             if (!placement.isStopping() && isPreemptible(placement, job)) {
-                room = room.plus(placement.job.spec.taskResources());
+                available = available.plus(placement.job.spec.taskResources());
             }
         }
-        return job.spec.taskResources().timesFittingIn(room);
+        return job.spec.taskResources().timesFittingIn(available);
     }
 
     private Estimate estimate(Job job, Machine machine) {
@@ -147,9 +152,9 @@
                 && last.taskResources().equals(job.spec.taskResources())) {
             return estimates.lastEstimate;
         }
-        PreemptionRequest demand = new PreemptionRequest(job.spec.taskResources(), job.priority());
-        estimates.lastEstimate = estimates.byRequest.computeIfAbsent(demand, k -> computeEstimate(job, machine));
-        estimates.lastRequest = demand;
+        PreemptionRequest request = new PreemptionRequest(job.spec.taskResources(), job.priority());
+        estimates.lastEstimate = estimates.byRequest.computeIfAbsent(request, key -> computeEstimate(job, machine));
+        estimates.lastRequest = request;
         return estimates.lastEstimate;
     }
 
@@ -160,14 +165,14 @@
             return new Estimate(false, 0, 0, tasks);
         }
         int sent = 0;
-        long createdSum = 0;
+        long createdSumMicros = 0;
         for (Placement victim : victims) {
             if (!victim.isUnsent()) {
                 sent++;
-                createdSum += victim.createdMicros;
+                createdSumMicros += victim.createdMicros;
             }
         }
-        return new Estimate(true, sent, createdSum, tasks);
+        return new Estimate(true, sent, createdSumMicros, tasks);
     }
 
     /** Whether there are arrays of the job's own priority on the machine; its own team's count as well. */
@@ -185,55 +190,67 @@
     }
 
     /**
-     * Lesser work that ends at once when it is stopped, so that a start in the same answer finds room; or null.
+     * Selects work that ends at once when it is stopped, so that a start in the same response finds capacity.
      *
      * @param scope which work may be preempted
+     * @return the fewest that lose the least, empty if there is capacity already; null if all of it is not enough
      */
     List<Placement> selectVictims(Job job, Machine machine, Scope scope) {
-        List<Placement> victims = new ArrayList<>();
-        Resources room = machine.freeCapacity();
-        List<Placement> lesser = new ArrayList<>();
+        Resources request = job.spec.taskResources();
+        Resources available = machine.freeCapacity();
+        List<Placement> preemptible = new ArrayList<>();
         for (Placement placement : machine.placements) {
             if (placement.isStopping() && placement.stopGraceMicros == 0) {
-                // Stopped for others that were placed here since: without this each further task displaced more.
-                room = room.plus(placement.job.spec.taskResources());
+                // Stopped for others that were placed here since: without this each further task preempted more.
+                available = available.plus(placement.job.spec.taskResources());
             } else if (!placement.isStopping() && isPreemptible(placement, job)) {
-                lesser.add(placement);
+                preemptible.add(placement);
             }
         }
-        lesser.sort(LEAST_LOSS);
-        Map<String, Resources> taken = new HashMap<>();
-        for (Placement placement : lesser) {
-            if (job.spec.taskResources().fitsIn(room)) {
+        preemptible.sort(LEAST_LOSS_FIRST);
+        List<Placement> victims = new ArrayList<>();
+        Map<String, Resources> freedByTeam = new HashMap<>();
+        for (Placement placement : preemptible) {
+            if (request.fitsIn(available)) {
                 break;
             }
-            if (!placement.job.priority().equals(job.priority())
-                    || (scope == Scope.SAME_PRIORITY && isOverGuarantee(placement, taken))) {
+            if (isInScope(placement, job, scope, freedByTeam)) {
                 victims.add(placement);
-                room = room.plus(placement.job.spec.taskResources());
-                taken.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
+                available = available.plus(placement.job.spec.taskResources());
+                freedByTeam.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
             }
         }
-        return job.spec.taskResources().fitsIn(room) ? victims : null;
+        return request.fitsIn(available) ? victims : null;
     }
 
+    /** Whether the job may ever preempt the attempt; gangs and work with checkpoints cannot end at once. */
     private static boolean isPreemptible(Placement placement, Job job) {
-        JobSpec theirs = placement.job.spec;
-        if (theirs.kind() == JobKind.GANG || theirs.checkpointIntervalMicros() > 0) {
+        JobSpec running = placement.job.spec;
+        if (running.kind() == JobKind.GANG || running.checkpointIntervalMicros() > 0) {
             return false;
         }
-        return job.priority().isAbove(placement.job.priority())
-                || (!theirs.team().equals(job.spec.team())
-                        && theirs.kind() == JobKind.ARRAY
-                        && job.priority() == placement.job.priority());
+        return job.priority().isAbove(placement.job.priority()) || isOtherTeamsArrayOfSamePriority(placement, job);
+    }
+
+    private static boolean isOtherTeamsArrayOfSamePriority(Placement placement, Job job) {
+        JobSpec running = placement.job.spec;
+        return !running.team().equals(job.spec.team())
+                && running.kind() == JobKind.ARRAY
+                && job.priority() == placement.job.priority();
+    }
+
+    /** @param freedByTeam what the victims that were selected before use */
+    private boolean isInScope(Placement placement, Job job, Scope scope, Map<String, Resources> freedByTeam) {
+        return placement.job.priority() != job.priority()
+                || (scope == Scope.SAME_PRIORITY && isOverGuarantee(placement, freedByTeam));
     }
 
-    private boolean isOverGuarantee(Placement placement, Map<String, Resources> taken) {
+    private boolean isOverGuarantee(Placement placement, Map<String, Resources> freedByTeam) {
         Team team = settings.teams().get(placement.job.spec.team());
         if (team == null) {
             return true;
         }
-        Resources use = teamUsage.apply(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
-        return !team.isWithinGuarantee(use);
+        Resources usage = teamUsage.apply(team.name()).minus(freedByTeam.getOrDefault(team.name(), Resources.NONE));
+        return !team.isWithinGuarantee(usage);
     }
 }
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -16,14 +16,20 @@
 import java.util.Set;
 
 /**
- * Rentals under way, in the four states of the design. A claim is written before the call; a call without an answer is
- * unknown, and is settled by a list that shows the cloud as it was after the call could last have been carried out.
+ * Requests for machines that are under way, in the four states of the design. Invariant: a claim is written before the call
+ * goes out, so that the next leader knows of it; a call without an answer is unknown, and is settled only by a list that
+ * shows the cloud as it was after the call could last have been carried out.
  */
 final class ProvisioningRequests {
+    /** Where a request stands. */
     enum State {
+        /** Decided; its call goes out once its row is confirmed. */
         CLAIMED,
+        /** Its call went out and was not answered yet. */
         SUBMITTED,
+        /** Settled: its row is to be deleted. */
         DONE,
+        /** Its call may have been executed or not. */
         UNKNOWN
     }
 
@@ -35,11 +41,13 @@
         final boolean spot;
         final int count;
         State state = State.CLAIMED;
+        /** Whether its row is in the store. */
         boolean recorded;
         /** Of its row as it is known, 0 if there is none. */
         long version;
-
+        /** Whether a write of its row is under way. */
         boolean writing;
+        /** When it came into its state. */
         long sinceMicros;
 
         Request(String name, String type, String zone, boolean spot, int count, long nowMicros) {
@@ -52,24 +60,33 @@
         }
     }
 
-    /** Where machines can be rented. */
+    /** Machines of a type in a zone, as the cloud offers them. */
     record Offer(String type, String zone, boolean spot) {}
 
+    /** A claim whose row is not confirmed within this is given up: what it was for may have gone. */
     private static final long CLAIM_TIMEOUT_MICROS = 10 * Micros.SECOND;
 
+    private static final long FIRST_RETRY_PAUSE_MICROS = 8 * Micros.SECOND;
+    private static final long MAX_RETRY_PAUSE_MICROS = 30 * Micros.SECOND;
+    /** What the cloud has less machines than requested of is not requested for so long. */
+    private static final long PARTIAL_ANSWER_PAUSE_MICROS = 8 * Micros.SECOND;
+
     private final Settings settings;
     private final long fencingToken;
     private int counter;
     private boolean isFenced;
     private long fenceVersion = -1;
     private long fenceNumber;
-    /** Rows that are being read back. */
-    private final Set<String> outcomeUnknown = new HashSet<>();
+    /** Keys of rows that are being read back. */
+    private final Set<String> rowsBeingReadBack = new HashSet<>();
 
+    /** By name, in the order in which they were made. */
     final Map<String, Request> requests = new LinkedHashMap<>();
+
     private final Map<Offer, Long> backedOffUntil = new HashMap<>();
     private final Map<Offer, Long> retryPauses = new HashMap<>();
 
+    /** @param fencingToken of the leader; becomes a part of the names of its requests */
     ProvisioningRequests(Settings settings, long fencingToken) {
         this.settings = settings;
         this.fencingToken = fencingToken;
@@ -80,41 +97,50 @@
         return key.equals(StoreKeys.PROVISIONING_FENCE) || key.startsWith(StoreKeys.PROVISIONING_REQUESTS);
     }
 
-    // ---- on condition of versions
-
-    /** From now on rows are written on condition of their versions and of the fence, or no more. */
+    /** Sets whether rows are written on condition of their versions and of the fence. */
     void setFenced(boolean fenced) {
         isFenced = fenced;
     }
 
+    /** Whether rows are written on condition of their versions and of the fence. */
     boolean isFenced() {
         return isFenced;
     }
 
-    /** The fence as the state service has it. */
+    /**
+     * The fence as the store has it.
+     *
+     * @param version of its row, 0 if there is none
+     * @param number how often it was moved
+     */
     void fenceRead(long version, long number) {
         fenceVersion = version;
         fenceNumber = number;
     }
 
-    /** The round that moved the fence is confirmed. */
+    /** The transaction that moved the fence is confirmed. */
     void fenceMoved(long version) {
         fenceRead(version, fenceNumber + 1);
     }
 
     /** Whether rows may be written: not before the fence is known, nor while one is read back. */
     boolean mayWrite() {
-        return fenceVersion >= 0 && outcomeUnknown.isEmpty();
+        return fenceVersion >= 0 && rowsBeingReadBack.isEmpty();
     }
 
     /** These rows are not as they were known, and are read back. */
     void markUnknown(Collection<String> keys) {
-        outcomeUnknown.addAll(keys);
+        rowsBeingReadBack.addAll(keys);
     }
 
-    /** A row as read back, version 0 if there is none. */
+    /**
+     * A row was read back.
+     *
+     * @param row null if there is none
+     * @param version 0 if there is none
+     */
     void readBack(String key, StoredRecord row, long version) {
-        outcomeUnknown.remove(key);
+        rowsBeingReadBack.remove(key);
         if (key.equals(StoreKeys.PROVISIONING_FENCE)) {
             fenceRead(version, row instanceof StoredRecord.ProvisioningFence fence ? fence.number() : 0);
             return;
@@ -127,29 +153,31 @@
     }
 
     /**
-     * What a round that writes these has as conditions. Where a row has gone, its version alone does not tell it from one that never was: a
-     * put that arrives late would bring it back, and the next leader would wait for machines that were settled long ago. So whatever
-     * deletes a row moves the fence.
+     * The conditions of a transaction that writes these requests. Where a row has been deleted, its version alone does not
+     * tell it from one that never was: a put that arrives late would bring it back, and the next leader would wait for
+     * machines that were settled long ago. So whatever deletes a row moves the fence.
      */
     List<Transaction.Condition> conditions(List<Request> written) {
         List<Transaction.Condition> conditions = new ArrayList<>();
         if (isFenced && !written.isEmpty()) {
-            written.forEach(each ->
-                    conditions.add(new Transaction.Condition(StoreKeys.provisioningRequest(each.name), each.version)));
+            for (Request request : written) {
+                conditions.add(new Transaction.Condition(StoreKeys.provisioningRequest(request.name), request.version));
+            }
             conditions.add(new Transaction.Condition(StoreKeys.PROVISIONING_FENCE, fenceVersion));
         }
         return conditions;
     }
 
-    /** What is written beside these: the fence, if one of them is deleted; null for nothing. */
+    /** What is written besides these requests: the fence, if one of them is deleted; null for nothing. */
     Transaction.Write fence(List<Request> written) {
-        return isFenced && written.stream().anyMatch(each -> each.state == State.DONE)
+        boolean isAnyDeleted = written.stream().anyMatch(request -> request.state == State.DONE);
+        return isFenced && isAnyDeleted
                 ? new Transaction.Write(
                         StoreKeys.PROVISIONING_FENCE, new StoredRecord.ProvisioningFence(fenceNumber + 1), 0)
                 : null;
     }
 
-    /** The name carries the token, so that no two leaders ever use the same one. */
+    /** Makes a request. Its name carries the fencing token, so that no two leaders ever use the same one. */
     Request create(Offer offer, int count, long nowMicros) {
         Request request = new Request(
                 "r-" + fencingToken + "-" + ++counter, offer.type(), offer.zone(), offer.spot(), count, nowMicros);
@@ -157,7 +185,7 @@
         return request;
     }
 
-    /** A request of an earlier leader: whether its call went out is unknown. */
+    /** Takes in a request of an earlier leader: whether its call went out is unknown. */
     void load(String name, StoredRecord.Provisioning row, long version, long nowMicros) {
         Request request = new Request(name, row.type(), row.zone(), row.spot(), row.count(), nowMicros);
         request.state = State.UNKNOWN;
@@ -166,35 +194,51 @@
         requests.put(name, request);
     }
 
+    /** Whether the offer is not requested now since the cloud had too few machines of it. */
     boolean isBackedOff(Offer offer, long nowMicros) {
         return backedOffUntil.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
     }
 
-    /** No capacity: asks again after a pause that grows while the answer stays the same. */
+    /** The cloud has none: the offer is requested again after a pause that doubles while the answer stays the same. */
     void recordNoCapacity(Request request, long nowMicros) {
-        Offer offer = new Offer(request.type, request.zone, request.spot);
-        long pause = Math.min(30 * Micros.SECOND, retryPauses.getOrDefault(offer, 4 * Micros.SECOND) * 2);
-        retryPauses.put(offer, pause);
-        backedOffUntil.put(offer, nowMicros + pause);
+        Offer offer = offer(request);
+        long lastPauseMicros = retryPauses.getOrDefault(offer, FIRST_RETRY_PAUSE_MICROS / 2);
+        long pauseMicros = Math.min(MAX_RETRY_PAUSE_MICROS, lastPauseMicros * 2);
+        retryPauses.put(offer, pauseMicros);
+        backedOffUntil.put(offer, nowMicros + pauseMicros);
         request.state = State.DONE;
     }
 
+    /**
+     * The call was executed.
+     *
+     * @param rented how many machines it gave
+     */
     void recordAnswer(Request request, int rented, long nowMicros) {
         request.state = State.DONE;
-        Offer offer = new Offer(request.type, request.zone, request.spot);
+        Offer offer = offer(request);
         if (rented < request.count) {
-            backedOffUntil.put(offer, nowMicros + 8 * Micros.SECOND);
+            backedOffUntil.put(offer, nowMicros + PARTIAL_ANSWER_PAUSE_MICROS);
         } else {
             retryPauses.remove(offer);
         }
     }
 
+    private static Offer offer(Request request) {
+        return new Offer(request.type, request.zone, request.spot);
+    }
+
+    /** The call was not answered: it may have been executed, or still be. */
     void outcomeUnknown(Request request, long nowMicros) {
         request.state = State.UNKNOWN;
         request.sinceMicros = nowMicros;
     }
 
-    /** The list was asked for at {@code askedMicros}: it is at most twice the lag older than that. */
+    /**
+     * Settles unknown requests that a list of machines is new enough for.
+     *
+     * @param askedMicros when the list was asked for; it is at most twice the list's lag older than that
+     */
     void settleUnknownRequests(long askedMicros) {
         for (Request request : requests.values()) {
             if (request.state == State.UNKNOWN
@@ -204,28 +248,29 @@
         }
     }
 
-    /** Rows to put or to delete with the next round. */
+    /** At most so many requests whose rows are to be put or deleted with the next transaction; forgets what is settled. */
     List<Request> requestsToWrite(int most, long nowMicros) {
         List<Request> result = new ArrayList<>();
-        for (Iterator<Request> each = requests.values().iterator(); each.hasNext() && result.size() < most; ) {
-            Request request = each.next();
-            if (request.state == State.CLAIMED
-                    && !request.recorded
-                    && nowMicros - request.sinceMicros > CLAIM_TIMEOUT_MICROS
-                    && !request.writing) {
+        Iterator<Request> iterator = requests.values().iterator();
+        while (iterator.hasNext() && result.size() < most) {
+            Request request = iterator.next();
+            if (request.writing) {
+                continue;
+            }
+            boolean isClaimToWrite = request.state == State.CLAIMED && !request.recorded;
+            if (isClaimToWrite && nowMicros - request.sinceMicros > CLAIM_TIMEOUT_MICROS) {
                 request.state = State.DONE;
             }
-            if (request.state == State.DONE && !request.recorded && !request.writing) {
-                each.remove();
-            } else if (!request.writing
-                    && ((request.state == State.CLAIMED && !request.recorded) || request.state == State.DONE)) {
+            if (request.state == State.DONE && !request.recorded) {
+                iterator.remove();
+            } else if (isClaimToWrite || request.state == State.DONE) {
                 result.add(request);
             }
         }
         return result;
     }
 
-    /** Claims whose row is confirmed and whose call may go out. */
+    /** Claims whose row is confirmed and whose call may go out; they count as submitted. */
     List<Request> requestsToSubmit() {
         List<Request> result = new ArrayList<>();
         for (Request request : requests.values()) {
@@ -237,7 +282,7 @@
         return result;
     }
 
-    /** Machines that are asked for and not known by name yet. */
+    /** How many machines of the offer are requested and not known by name yet. */
     int expectedMachines(Offer offer) {
         int count = 0;
         for (Request request : requests.values()) {
