--- a/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
+++ b/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
@@ -11,46 +11,46 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The index holds, whatever comes, goes and changes, the machines that a walk would find, in the same order. */
+/** The index holds, whatever is added, removed and changed, the machines that a full scan finds, in the same order. */
 class FreeCapacityIndexTest {
     private static final MachineType TYPE = SchedulerHarness.TYPE;
 
     private final Fleet fleet = new Fleet();
     private final Random random = new Random(5);
-    private int named;
+    private int machinesNamed;
 
-    private void change(int step) {
+    private void changeFleet(int step) {
         int what = random.nextInt(10);
         if (what < 4 || fleet.machines().isEmpty()) {
-            Machine machine = fleet.getOrAdd("i-" + named++, step);
+            Machine machine = fleet.getOrAdd("i-" + machinesNamed++, step);
             fleet.describe(machine, TYPE.name(), "a", false);
         } else if (what < 7) {
-            fleet.markDeleted(drawn().name, step);
-        } else if (drawn().placements.isEmpty()) {
-            Machine machine = drawn();
+            fleet.markDeleted(randomMachine().name, step);
+        } else if (randomMachine().placements.isEmpty()) {
+            Machine machine = randomMachine();
             Job job =
                     new Job(SchedulerHarness.job("wk-" + step, JobKind.ARRAY, "blue", Priority.LOW, 1, 1), 1, 0, 0, 0);
             machine.add(new Placement(job, 0, step, machine, Placement.Phase.AWAITING_LEDGER, step));
         } else {
-            Machine machine = drawn();
+            Machine machine = randomMachine();
             List.copyOf(machine.placements).forEach(machine::remove);
         }
     }
 
-    private Machine drawn() {
+    private Machine randomMachine() {
         List<Machine> all = new ArrayList<>(fleet.machines());
         return all.get(random.nextInt(all.size()));
     }
 
-    /** Hundreds of machines come and go, so that slots are closed up many times. */
+    /** Hundreds of machines come and go, so that slots are compacted many times. */
     @Test
-    void answersAsAWalkWould() {
+    void answersEqualAFullScan() {
         fleet.setMachineTypes(List.of(TYPE));
         CapacityRequest whole = CapacityRequest.free(TYPE.resources());
         CapacityRequest freed =
                 new CapacityRequest(TYPE.resources(), CapacityRequest.Source.LOWER_PRIORITY, Priority.HIGH);
         for (int step = 0; step < 4_000; step++) {
-            change(step);
+            changeFleet(step);
             List<Machine> empty = fleet.machines().stream()
                     .filter(machine -> machine.placements.isEmpty())
                     .toList();
@@ -60,22 +60,22 @@
         }
     }
 
-    /** With more kinds of tasks than it keeps track of it forgets the one that was asked for longest ago, and is right all the same. */
+    /** With more kinds of tasks than it tracks it forgets the one that was asked for longest ago, and is exact all the same. */
     @Test
-    void manyKindsOfTasks() {
+    void answersStayExactBeyondTheTrackedRequests() {
         fleet.setMachineTypes(List.of(TYPE));
         for (int step = 0; step < 60; step++) {
-            change(step);
+            changeFleet(step);
         }
         for (int step = 100; step < 1_000; step++) {
-            Resources each = new Resources(1 + step % 300, 0, 1);
+            Resources request = new Resources(1 + step % 300, 0, 1);
             int expected = (int) fleet.machines().stream()
-                    .filter(machine -> each.fitsIn(machine.freeCapacity()))
+                    .filter(machine -> request.fitsIn(machine.freeCapacity()))
                     .count();
             assertEquals(
                     expected,
                     fleet.freeCapacityIndex()
-                            .machinesWithCapacity(CapacityRequest.free(each), step)
+                            .machinesWithCapacity(CapacityRequest.free(request), step)
                             .size());
         }
     }
--- a/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** On drawn fleets the planner decides what the one without an index decided: the same commands, transactions and rentals in the same order. */
+/** On random fleets the planner decides what the former one decides: the same commands, transactions and calls to the cloud in the same order. */
 class PlacementReferenceTest {
     /** Long runs outside CI: {@code -Dmicatide.fleets=20000}. */
     private static final int FLEETS = Integer.getInteger("micatide.fleets", 150);
@@ -22,7 +22,7 @@
     private static final List<JobKind> KINDS = List.of(JobKind.ARRAY, JobKind.ARRAY, JobKind.GANG, JobKind.SERVICE);
 
     /** Few, so that many jobs ask for the same. */
-    private static final List<Resources> EACH =
+    private static final List<Resources> TASK_RESOURCES =
             List.of(Resources.of(1, 0, 4), Resources.of(2, 0, 30), Resources.of(3, 0, 8), Resources.of(8, 0, 16));
 
     /** Jobs of all kinds, classes, teams and limits on where they may go. */
@@ -37,7 +37,7 @@
                 kind,
                 Priority.values()[random.nextInt(4)],
                 1 + random.nextInt(kind == JobKind.ARRAY ? 30 : 4),
-                EACH.get(random.nextInt(EACH.size())),
+                TASK_RESOURCES.get(random.nextInt(TASK_RESOURCES.size())),
                 "img-" + random.nextInt(4),
                 random.nextInt(5),
                 List.of(),
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void decidesWhatTheReferenceDecides() {
+    void decidesAsTheReferencePlannerDoes() {
         List<String> differ = new ArrayList<>();
         int starts = 0;
         int stops = 0;
--- a/src/test/java/io/micatide/scheduler/PlanningCostTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningCostTest.java
@@ -12,22 +12,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a plan looks at follows from what changed, not from how many machines and waiting jobs there are. */
+/** How many machines a plan examines follows from what changed, not from how many machines and waiting jobs there are. */
 class PlanningCostTest {
     private static final int GANGS = 600;
-    private static final int TASKS_A_MACHINE = 4;
-    private static final int TASKS_A_JOB = 700;
+    private static final int TASKS_PER_MACHINE = 4;
+    private static final int TASKS_PER_JOB = 700;
     private static final int TICKS = 50;
 
     /** Machines full of arrays that run on, and gangs that each want whole machines of which there are none. */
-    private static SchedulerHarness full(int machines, Priority gangs, boolean arraysSave) {
+    private static SchedulerHarness harnessWithFullMachines(int machines, Priority gangs, boolean arraysSave) {
         SchedulerHarness world = new SchedulerHarness(1, machines);
         world.cloudOutage = true;
         world.marked = true;
         world.takeOver();
-        int wanted = machines * TASKS_A_MACHINE;
-        for (int job = 0; job * TASKS_A_JOB < wanted; job++) {
-            world.submit(array(job, Math.min(TASKS_A_JOB, wanted - job * TASKS_A_JOB), arraysSave));
+        int wanted = machines * TASKS_PER_MACHINE;
+        for (int job = 0; job * TASKS_PER_JOB < wanted; job++) {
+            world.submit(array(job, Math.min(TASKS_PER_JOB, wanted - job * TASKS_PER_JOB), arraysSave));
         }
         for (int second = 0; second < 120 && world.starts < wanted; second++) {
             world.run(Micros.SECOND);
@@ -71,26 +71,28 @@
                 -1);
     }
 
-    private static long looksPerPlan(int machines, Priority gangs, boolean arraysSave) {
-        SchedulerHarness world = full(machines, gangs, arraysSave);
+    private static long machinesExaminedPerPlan(int machines, Priority gangs, boolean arraysSave) {
+        SchedulerHarness world = harnessWithFullMachines(machines, gangs, arraysSave);
         long before = world.leader.machinesExamined();
         world.run(TICKS * SchedulerHarness.STEP);
-        assertEquals(machines * TASKS_A_MACHINE, world.starts, "a gang found room");
+        assertEquals(machines * TASKS_PER_MACHINE, world.starts, "a gang was placed");
         return (world.leader.machinesExamined() - before) / TICKS;
     }
 
-    /** Each waiting gang once cost a walk over all machines: 1,680,000 looks a plan at 2,800 machines. */
+    /** Each waiting gang once cost a walk over all machines: 1,680,000 were examined in a plan at 2,800 machines. */
     @ParameterizedTest
     @CsvSource({
-        // gangs' priority, whether the arrays around them save first
+        // gangs' priority, whether the arrays around them write checkpoints
         "NORMAL, false",
         "HIGH, true",
     })
-    void waitingGangsCostNoWalks(Priority gangs, boolean arraysSave) {
-        long small = looksPerPlan(350, gangs, arraysSave);
+    void waitingGangsCostNoFullScans(Priority gangs, boolean arraysSave) {
+        long small = machinesExaminedPerPlan(350, gangs, arraysSave);
         for (int machines : new int[] {700, 1_400, 2_800}) {
-            long looks = looksPerPlan(machines, gangs, arraysSave);
-            assertTrue(looks <= 2 * small + 10, looks + " looks at " + machines + " machines, " + small + " at 350");
+            long examined = machinesExaminedPerPlan(machines, gangs, arraysSave);
+            assertTrue(
+                    examined <= 2 * small + 10,
+                    examined + " examined at " + machines + " machines, " + small + " at 350");
         }
     }
 }
--- a/src/test/java/io/micatide/scheduler/PlanningPassTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningPassTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A plan with more to look at than its share goes on in the next ticks, and nothing that is urgent waits for it. */
+/** A plan that would examine more machines than its share goes on in the next ticks, and nothing urgent waits for it. */
 class PlanningPassTest {
     private static final int MACHINES = 2_000;
     private static final int JOBS = 60;
@@ -39,8 +39,8 @@
         return id;
     }
 
-    /** Jobs whose tasks the plan still has to place, after a tick without any report. */
-    private List<String> waitingAfterTick() {
+    /** Jobs whose tasks the plan still has to place, after a tick without any heartbeat. */
+    private List<String> pendingJobsAfterTick() {
         world.now += SchedulerHarness.STEP;
         world.leader.tick(world.now);
         return planners.get(0).queue().order(world.now).stream()
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void theRestIsPlacedInTheNextTicks() {
+    void truncatedPlanGoesOnInTheNextTicks() {
         for (int i = 0; i < JOBS; i++) {
             submit(Priority.NORMAL);
         }
         int before = JOBS;
         int ticks = 0;
         while (before > 0 && ticks++ < 20) {
-            int waiting = waitingAfterTick().size();
+            int waiting = pendingJobsAfterTick().size();
             assertTrue(waiting < before, "no progress in tick " + ticks);
             assertTrue(before - waiting < JOBS / 2, before - waiting + " of " + JOBS + " in one tick");
             before = waiting;
@@ -66,18 +66,18 @@
     }
 
     @Test
-    void whatIsUrgentGoesFirst() {
+    void highPriorityGoesFirstInATruncatedPass() {
         for (int i = 0; i < JOBS; i++) {
             submit(Priority.NORMAL);
         }
-        assertTrue(waitingAfterTick().size() > JOBS / 2);
+        assertTrue(pendingJobsAfterTick().size() > JOBS / 2);
         String urgent = submit(Priority.HIGH);
-        assertEquals(false, waitingAfterTick().contains(urgent));
+        assertEquals(false, pendingJobsAfterTick().contains(urgent));
     }
 
-    /** Gangs of many shapes that fit nowhere, each a walk over all machines, stand before the arrays in every plan. */
+    /** Gangs of many classes that fit nowhere, each a walk over all machines, stand before the arrays in every plan. */
     @Test
-    void jobsThatCannotBePlacedHoldUpNoOther() {
+    void unschedulableJobsDelayNoOthers() {
         for (int i = 0; i < JOBS; i++) {
             world.submit(tooLarge(i));
         }
@@ -86,7 +86,7 @@
         }
         List<String> waiting = List.of();
         for (int tick = 0; tick < 14; tick++) {
-            waiting = waitingAfterTick();
+            waiting = pendingJobsAfterTick();
         }
         assertEquals(JOBS, waiting.size());
         assertTrue(waiting.stream().allMatch(id -> id.startsWith("wk-large")), waiting.toString());
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void eachPlanDoesOneJobAtLeast() {
+    void eachPlanPlacesOneJobAtLeast() {
         PlanningPass pass = new PlanningPass(0);
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1, 1), 1, 0, 0, 0);
         pass.begin(5_000);
--- a/src/test/java/io/micatide/scheduler/ProvisioningRequestsTest.java
+++ b/src/test/java/io/micatide/scheduler/ProvisioningRequestsTest.java
@@ -7,6 +7,7 @@
 import io.micatide.store.StoreKeys;
 import io.micatide.store.StoredRecord;
 import io.micatide.store.Transaction;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -14,22 +15,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class ProvisioningRequestsTest {
-    /** Writes as a round does: the rows, their conditions, the fence. Returns the transaction. */
-    private static Transaction round(ProvisioningRequests rentals, List<ProvisioningRequests.Request> some) {
-        List<Transaction.Write> writes = new java.util.ArrayList<>();
-        for (ProvisioningRequests.Request booking : some) {
+    /** What a leader writes for the requests: their rows, the conditions and the fence. */
+    private static Transaction transaction(ProvisioningRequests requests, List<ProvisioningRequests.Request> written) {
+        List<Transaction.Write> writes = new ArrayList<>();
+        for (ProvisioningRequests.Request request : written) {
             writes.add(new Transaction.Write(
-                    StoreKeys.provisioningRequest(booking.name),
-                    booking.state == ProvisioningRequests.State.DONE
+                    StoreKeys.provisioningRequest(request.name),
+                    request.state == ProvisioningRequests.State.DONE
                             ? null
                             : new StoredRecord.Provisioning(
-                                    "claimed", booking.type, booking.zone, booking.spot, booking.count),
+                                    "claimed", request.type, request.zone, request.spot, request.count),
                     0));
         }
-        if (rentals.fence(some) != null) {
-            writes.add(rentals.fence(some));
+        if (requests.fence(written) != null) {
+            writes.add(requests.fence(written));
         }
-        return new Transaction(rentals.conditions(some), writes);
+        return new Transaction(requests.conditions(written), writes);
     }
 
     /**
@@ -38,23 +39,23 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLatePutBringsNoBookingBack(boolean fenced) {
+    void latePutBringsNoDeletedRequestBack(boolean fenced) {
         Map<String, Long> versions = new HashMap<>();
         long[] revision = {10};
-        ProvisioningRequests rentals = new ProvisioningRequests(new SchedulerHarness(1, 0).settings, 5);
-        rentals.setFenced(fenced);
-        assertFalse(rentals.mayWrite(), "not before the fence is known");
-        rentals.fenceRead(0, 0);
-        ProvisioningRequests.Request booking =
-                rentals.create(new ProvisioningRequests.Offer("small", "a", false), 3, 0);
-        Transaction first = round(rentals, rentals.requestsToWrite(5, 0));
-        Transaction again = round(rentals, List.of(booking));
-        booking.version = apply(again, versions, revision);
-        booking.recorded = true;
-        rentals.requestsToSubmit();
-        rentals.recordAnswer(booking, 3, 0);
-        assertTrue(apply(round(rentals, rentals.requestsToWrite(5, 0)), versions, revision) > 0);
-        assertEquals(0, versions.getOrDefault(StoreKeys.provisioningRequest(booking.name), 0L));
+        ProvisioningRequests requests = new ProvisioningRequests(new SchedulerHarness(1, 0).settings, 5);
+        requests.setFenced(fenced);
+        assertFalse(requests.mayWrite(), "not before the fence is known");
+        requests.fenceRead(0, 0);
+        ProvisioningRequests.Request request =
+                requests.create(new ProvisioningRequests.Offer("small", "a", false), 3, 0);
+        Transaction first = transaction(requests, requests.requestsToWrite(5, 0));
+        Transaction again = transaction(requests, List.of(request));
+        request.version = apply(again, versions, revision);
+        request.recorded = true;
+        requests.requestsToSubmit();
+        requests.recordAnswer(request, 3, 0);
+        assertTrue(apply(transaction(requests, requests.requestsToWrite(5, 0)), versions, revision) > 0);
+        assertEquals(0, versions.getOrDefault(StoreKeys.provisioningRequest(request.name), 0L));
         assertEquals(fenced ? 0 : revision[0] + 1, apply(first, versions, revision));
     }
 
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -16,8 +16,10 @@
 import java.util.Map;
 
 /**
- * The planner before it had an index of room, as it was: each job that waits is looked at with all machines. Kept as the reference that
- * {@link PlacementPlanner} is compared with, decision for decision.
+ * The former planner, from before there was an index of free capacity: it tests each waiting job against all machines. Kept
+ * in one piece as it was, as the reference that {@link PlacementReferenceTest} compares {@link PlacementPlanner} with,
+ * decision for decision. It shares no code with the planner that it checks, and is changed only where a rename reaches it:
+ * its names and its shape are those of its time.
  */
 final class ReferencePlacementPlanner extends PlacementPlanner {
     /** An image that takes longer than this to fetch is worth stopping other work for. */
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What was blocked during a plan is forgotten by each thing that could unblock it. Drawn fleets hardly ever show it: what is freed within a
- * plan is taken by the job that it was freed for.
+ * What was found not to fit during a plan is forgotten by each event that could change it. Random fleets hardly ever show it:
+ * what is freed within a plan is taken by the job that it was freed for.
  */
 class UnschedulableClassesTest {
     private static final long TOKEN = 7;
@@ -39,7 +39,7 @@
         });
     }
 
-    private UnschedulableClasses blocked() {
+    private UnschedulableClasses unschedulable() {
         return planners.get(0).unschedulable;
     }
 
@@ -48,23 +48,25 @@
     }
 
     private String remembered() {
-        return (blocked().isFull(EquivalenceClass.of(job.spec)) ? "full " : "")
-                + (blocked().isPreemptionFutile(queued()) ? "nothing " : "")
-                + (blocked().tasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY) != null ? "room" : "");
+        return (unschedulable().isFull(EquivalenceClass.of(job.spec)) ? "full " : "")
+                + (unschedulable().isPreemptionFutile(queued()) ? "nothing " : "")
+                + (unschedulable().tasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY) != null
+                        ? "room"
+                        : "");
     }
 
-    private String after(BiConsumer<Scheduler, Placement> what) {
+    private String rememberedAfter(BiConsumer<Scheduler, Placement> what) {
         scheduler.place(job, job.nextPendingTask(), machine, 0);
         Placement placement = machine.placements.get(0);
-        blocked().markFull(EquivalenceClass.of(job.spec));
-        blocked().markPreemptionFutile(queued());
-        blocked().recordTasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY, new HashMap<>());
+        unschedulable().markFull(EquivalenceClass.of(job.spec));
+        unschedulable().markPreemptionFutile(queued());
+        unschedulable().recordTasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY, new HashMap<>());
         what.accept(scheduler, placement);
         return remembered();
     }
 
     @Test
-    void whatCouldMatterIsForgotten() {
+    void eventsForgetWhatTheyMayChange() {
         Map<String, BiConsumer<Scheduler, Placement>> events = Map.of(
                 "nothing", (s, placement) -> {},
                 "placed", (s, placement) -> s.place(job, job.nextPendingTask(), machine, 0),
@@ -78,22 +80,22 @@
         Map<String, String> actual = new HashMap<>();
         events.forEach((name, event) -> {
             begin();
-            actual.put(name, after(event).trim());
+            actual.put(name, rememberedAfter(event).trim());
         });
         assertEquals(expected, actual);
     }
 
-    /** The key of what is blocked tells apart what the answer depends on. */
+    /** The classes tell apart what the answer depends on. */
     @Test
-    void othersAreNotBlocked() {
-        blocked().markFull(EquivalenceClass.of(job.spec));
-        blocked().markPreemptionFutile(queued());
-        blocked().recordTasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY, new HashMap<>());
-        assertEquals(false, blocked().isPreemptionFutile(new JobQueue.QueuedJob(job, 1, false, true, 0)));
-        assertEquals(null, blocked().tasksFittingPerZone(job, CapacityRequest.Source.FREE));
+    void otherTeamsAndScopesAreNotAffected() {
+        unschedulable().markFull(EquivalenceClass.of(job.spec));
+        unschedulable().markPreemptionFutile(queued());
+        unschedulable().recordTasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY, new HashMap<>());
+        assertEquals(false, unschedulable().isPreemptionFutile(new JobQueue.QueuedJob(job, 1, false, true, 0)));
+        assertEquals(null, unschedulable().tasksFittingPerZone(job, CapacityRequest.Source.FREE));
         Job other = new Job(SchedulerHarness.job("wk-2", JobKind.ARRAY, "red", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
-        assertEquals(true, blocked().isFull(EquivalenceClass.of(other.spec)));
-        assertEquals(false, blocked().isPreemptionFutile(new JobQueue.QueuedJob(other, 1, true, true, 0)));
-        assertEquals(null, blocked().tasksFittingPerZone(other, CapacityRequest.Source.SAME_PRIORITY));
+        assertEquals(true, unschedulable().isFull(EquivalenceClass.of(other.spec)));
+        assertEquals(false, unschedulable().isPreemptionFutile(new JobQueue.QueuedJob(other, 1, true, true, 0)));
+        assertEquals(null, unschedulable().tasksFittingPerZone(other, CapacityRequest.Source.SAME_PRIORITY));
     }
 }
