--- /dev/null
+++ b/src/test/java/io/micatide/scheduler/CloudReconciliationTest.java
@@ -0,0 +1,56 @@
+package io.micatide.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.micatide.model.ListedMachine;
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The cloud's list lags: it brings nothing back, and what it does not have is gone only if the list is new enough. */
+class CloudReconciliationTest {
+    private final Settings settings = new SchedulerHarness(1, 0).settings;
+    private final Fleet fleet = new Fleet();
+    private final CloudReconciliation reconciliation =
+            new CloudReconciliation(settings, fleet, new ProvisioningRequests(settings, 1));
+
+    private static ListedMachine listed(String name, ListedMachine.State state) {
+        return new ListedMachine(name, "small", "a", false, state, 7 * Micros.SECOND);
+    }
+
+    @Test
+    void deletedMachineDoesNotComeBack() {
+        fleet.getOrAdd("i-1", 0);
+        fleet.markDeleted("i-1", Micros.SECOND);
+        reconciliation.machinesListed(
+                List.of(listed("i-1", ListedMachine.State.RUNNING)), 2 * Micros.SECOND, 3 * Micros.SECOND);
+        assertEquals(0, fleet.machines().size());
+    }
+
+    @Test
+    void unexpectedMachineIsTakenInAndFailedOneDeleted() {
+        long now = 100 * Micros.SECOND;
+        reconciliation.machinesListed(
+                List.of(
+                        listed("i-1", ListedMachine.State.BOOTING),
+                        listed("i-2", ListedMachine.State.RUNNING),
+                        listed("i-3", ListedMachine.State.FAILED)),
+                now,
+                now);
+        assertEquals(93 * Micros.SECOND, fleet.get("i-1").bootStartedMicros);
+        assertEquals(-1, fleet.get("i-2").bootStartedMicros);
+        assertEquals(false, fleet.get("i-2").deletionRequested);
+        assertEquals(true, fleet.get("i-3").deletionRequested);
+    }
+
+    @Test
+    void missingMachineIsGoneOnlyInAListThatIsNewEnough() {
+        Machine named = fleet.getOrAdd("i-1", 0);
+        long newEnough = 2 * settings.listLagMicros() + 5 * Micros.SECOND;
+        reconciliation.machinesListed(List.of(), newEnough, newEnough);
+        assertEquals(false, named.deletionRequested);
+        reconciliation.machinesListed(List.of(), newEnough + 1, newEnough + 1);
+        assertEquals(true, named.deletionRequested);
+    }
+}
--- /dev/null
+++ b/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
@@ -0,0 +1,65 @@
+package io.micatide.scheduler;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.micatide.model.Micros;
+import io.micatide.model.Settings;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Dead machines are marked for deletion, but none while it may be the leader that is cut off. */
+class DeadMachineDetectorTest {
+    private static final long NOW = 1_000 * Micros.SECOND;
+    private static final int MACHINES = 10;
+
+    private final Settings settings = new SchedulerHarness(1, 0).settings;
+    private final Fleet fleet = new Fleet();
+    private final DeadMachineDetector detector = new DeadMachineDetector(settings, fleet);
+
+    @BeforeEach
+    void allMachinesReport() {
+        fleet.setMachineTypes(List.of(SchedulerHarness.TYPE));
+        for (int i = 0; i < MACHINES; i++) {
+            Machine machine = fleet.getOrAdd("i-" + i, 0);
+            fleet.describe(machine, SchedulerHarness.TYPE.name(), "a", false);
+            machine.reconciled = true;
+            machine.lastAnsweredMicros = NOW;
+        }
+    }
+
+    private long deleted() {
+        detector.markDeadMachines(NOW, 0);
+        return fleet.machines().stream()
+                .filter(machine -> machine.deletionRequested)
+                .count();
+    }
+
+    @ParameterizedTest
+    @CsvSource({"0, 0", "1, 1", "5, 5", "6, 0", "10, 0"})
+    void moreThanHalfSilentMeansThatTheLeaderIsCutOff(int silent, int deleted) {
+        for (int i = 0; i < silent; i++) {
+            fleet.get("i-" + i).lastAnsweredMicros = NOW - 5 * settings.workerLeaseExpiryMicros();
+        }
+        assertEquals(deleted, deleted());
+    }
+
+    @ParameterizedTest
+    @CsvSource({"60, 0", "61, 1"})
+    void machineIsDeletedThatDoesNotComeUp(int bootingSeconds, int deleted) {
+        Machine machine = fleet.getOrAdd("i-new", NOW - bootingSeconds * Micros.SECOND);
+        fleet.describe(machine, SchedulerHarness.TYPE.name(), "a", false);
+        machine.bootStartedMicros = NOW - bootingSeconds * Micros.SECOND;
+        assertEquals(deleted, deleted());
+    }
+
+    @Test
+    void hungMachineIsDeletedEarlyOnlyIfRecoveryWaitsForIt() {
+        fleet.get("i-0").lastAnsweredMicros = NOW - 8 * Micros.SECOND;
+        assertEquals(0, deleted());
+        fleet.get("i-0").delaysRecovery = true;
+        assertEquals(1, deleted());
+    }
+}
