--- a/src/main/java/io/micatide/scheduler/ArrayPreemption.java
+++ b/src/main/java/io/micatide/scheduler/ArrayPreemption.java
@@ -66,7 +66,7 @@
             }
             Machine machine = option.machine();
             if (MachineSelection.zoneAllows(job, machine)
-                    && context.evictions().freeCapacity(job, machine, scope(queued), nowMicros)) {
+                    && context.preemptionExecutor().freeCapacity(job, machine, scope(queued), nowMicros)) {
                 context.scheduler().place(job, job.nextPendingTask(), machine, nowMicros);
                 placed++;
             }
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -22,7 +22,7 @@
     private final TeamQuota quota;
     private final MachineSelection selection;
     private final PreemptionPolicy preemptionPolicy;
-    private final Evictions evictions;
+    private final PreemptionExecutor preemptionExecutor;
     private final GangPlacement gangs;
     private final ReplicaPlacement replicas;
     private final ArrayPlacement arrays;
@@ -45,9 +45,9 @@
         this.selection = new MachineSelection(scheduler, settings, fleet);
         this.preemptionPolicy = new PreemptionPolicy(scheduler, settings, ledgers);
         Preemption preemption = new Preemption(settings, scheduler::teamUsage);
-        this.evictions = new Evictions(scheduler, selection, preemption);
+        this.preemptionExecutor = new PreemptionExecutor(scheduler, selection, preemption);
         PlanningContext context =
-                new PlanningContext(scheduler, quota, selection, preemption, evictions, unschedulable);
+                new PlanningContext(scheduler, quota, selection, preemption, preemptionExecutor, unschedulable);
         SingleTaskSelection singleTasks = new SingleTaskSelection(context);
         this.gangs = new GangPlacement(context, singleTasks);
         this.replicas = new ReplicaPlacement(context, singleTasks);
@@ -186,6 +186,6 @@
 
     /** Attempts that were evicted in this term, for the log: for services, and for gangs and arrays. */
     String evictionCounts() {
-        return evictions.counts();
+        return preemptionExecutor.counts();
     }
 }
--- a/src/main/java/io/micatide/scheduler/PlanningContext.java
+++ b/src/main/java/io/micatide/scheduler/PlanningContext.java
@@ -7,7 +7,7 @@
  * @param quota the teams' limits
  * @param selection feasibility and ranking of machines
  * @param preemption which work may be preempted and what is lost by it
- * @param evictions carries preemption out
+ * @param preemptionExecutor carries preemption out
  * @param unschedulable what was found not to fit in the present plan
  */
 record PlanningContext(
@@ -15,5 +15,5 @@
         TeamQuota quota,
         MachineSelection selection,
         Preemption preemption,
-        Evictions evictions,
+        PreemptionExecutor preemptionExecutor,
         UnschedulableClasses unschedulable) {}
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -15,7 +15,7 @@
 import java.util.function.Function;
 
 /**
- * Which work may be preempted for which job, and what is lost by it. Only decides; {@link Evictions} carries it out.
+ * Which work may be preempted for which job, and what is lost by it. Only decides; {@link PreemptionExecutor} carries it out.
  *
  * <p>Invariant: what a machine could free for work of a higher priority is kept with the machine until something on it
  * changes, and equals what a new computation would give; where work of the same priority may be preempted, the teams' usage
--- a/src/main/java/io/micatide/scheduler/Evictions.java
+++ b/src/main/java/io/micatide/scheduler/PreemptionExecutor.java
@@ -12,7 +12,7 @@
  * end. Invariant: an attempt that was never sent is forgotten and loses nothing; one that was sent is stopped, since it may
  * run.
  */
-final class Evictions {
+final class PreemptionExecutor {
     /** Beyond the time that the work needs to save; a job does not ask again before that. */
     private static final long CHECKPOINT_MARGIN_MICROS = 5 * Micros.SECOND;
 
@@ -22,7 +22,7 @@
     private int attemptsForServices;
     private int attemptsForOthers;
 
-    Evictions(Scheduler scheduler, MachineSelection selection, Preemption preemption) {
+    PreemptionExecutor(Scheduler scheduler, MachineSelection selection, Preemption preemption) {
         this.scheduler = scheduler;
         this.selection = selection;
         this.preemption = preemption;
--- a/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
+++ b/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
@@ -25,7 +25,7 @@
     private final TeamQuota quota;
     private final MachineSelection selection;
     private final Preemption preemption;
-    private final Evictions evictions;
+    private final PreemptionExecutor preemptionExecutor;
     private final SingleTaskSelection singleTasks;
     private int maxReplicasPerMachine = MIN_LIMIT_PER_MACHINE;
 
@@ -34,7 +34,7 @@
         this.quota = context.quota();
         this.selection = context.selection();
         this.preemption = context.preemption();
-        this.evictions = context.evictions();
+        this.preemptionExecutor = context.preemptionExecutor();
         this.singleTasks = singleTasks;
     }
 
@@ -88,7 +88,7 @@
             }
         }
         if (best != null && !fits(job, best)) {
-            evictions.freeCapacity(job, best, Preemption.Scope.SAME_PRIORITY, nowMicros);
+            preemptionExecutor.freeCapacity(job, best, Preemption.Scope.SAME_PRIORITY, nowMicros);
         }
         return best;
     }
--- a/src/main/java/io/micatide/scheduler/SingleTaskSelection.java
+++ b/src/main/java/io/micatide/scheduler/SingleTaskSelection.java
@@ -14,12 +14,12 @@
 
     private final MachineSelection selection;
     private final Preemption preemption;
-    private final Evictions evictions;
+    private final PreemptionExecutor preemptionExecutor;
 
     SingleTaskSelection(PlanningContext context) {
         this.selection = context.selection();
         this.preemption = context.preemption();
-        this.evictions = context.evictions();
+        this.preemptionExecutor = context.preemptionExecutor();
     }
 
     /**
@@ -34,11 +34,11 @@
         }
         Machine cheapest = cheapestToPreempt(job, candidates, fitting != null, nowMicros);
         if (cheapest != null) {
-            evictions.freeCapacity(job, cheapest, Preemption.Scope.SAME_PRIORITY, nowMicros);
+            preemptionExecutor.freeCapacity(job, cheapest, Preemption.Scope.SAME_PRIORITY, nowMicros);
             return cheapest;
         }
         if (fitting == null) {
-            evictions.requestCheckpoints(job, onlyZone(job, candidates), nowMicros);
+            preemptionExecutor.requestCheckpoints(job, onlyZone(job, candidates), nowMicros);
         }
         return fitting;
     }
