--- a/src/main/java/io/micatide/scheduler/Autoscaler.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -99,22 +99,22 @@
         for (Machine machine : fleet.machines()) {
             MachineType type =
                     machine.type == null ? null : fleet.machineTypes().get(machine.type);
-            long heard = Math.max(termStartMicros, machine.lastAnsweredMicros);
-            if (machine.delaysRecovery
+            long heard = Math.max(termStartMicros, machine.lastHeartbeatMicros);
+            if (machine.awaitedAfterFailover
                     && !machine.deletionRequested
                     && nowMicros - heard > quietMicros() + Micros.SECOND) {
                 quiet.add(machine);
             }
-            if (machine.lastAnsweredMicros >= 0) {
+            if (machine.lastHeartbeatMicros >= 0) {
                 up++;
                 if (machine.reconciled
                         && !machine.deletionRequested
-                        && nowMicros - machine.lastAnsweredMicros > quietMicros()) {
+                        && nowMicros - machine.lastHeartbeatMicros > quietMicros()) {
                     quiet.add(machine);
                 }
-                if (nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros()) {
+                if (nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros()) {
                     silent++;
-                    if (nowMicros - machine.lastAnsweredMicros > 4 * settings.workerLeaseExpiryMicros()
+                    if (nowMicros - machine.lastHeartbeatMicros > 4 * settings.workerLeaseExpiryMicros()
                             || !machine.reconciled) {
                         dead.add(machine);
                     }
@@ -147,7 +147,7 @@
         for (Machine machine : quiet) {
             // Not for tasks of arrays alone: a machine that hangs is there again before another one has booted.
             machine.deletionRequested |= (few || (machine.zone != null && heard.contains(machine.zone)))
-                    && (machine.delaysRecovery || hasReplica(machine));
+                    && (machine.awaitedAfterFailover || hasReplica(machine));
         }
     }
 
@@ -162,9 +162,9 @@
         for (Machine machine : fleet.machines()) {
             if (machine.zone != null
                     && !machine.deletionRequested
-                    && (machine.lastAnsweredMicros >= 0 || machine.delaysRecovery)) {
+                    && (machine.lastHeartbeatMicros >= 0 || machine.awaitedAfterFailover)) {
                 known.add(machine.zone);
-                if (machine.lastAnsweredMicros >= 0 && nowMicros - machine.lastAnsweredMicros < quietMicros() / 2) {
+                if (machine.lastHeartbeatMicros >= 0 && nowMicros - machine.lastHeartbeatMicros < quietMicros() / 2) {
                     heard.add(machine.zone);
                 }
             }
@@ -188,7 +188,7 @@
     }
 
     private boolean coming(Machine machine, long nowMicros) {
-        if (machine.deletionRequested || machine.lastAnsweredMicros >= 0 || machine.capacity() == null) {
+        if (machine.deletionRequested || machine.lastHeartbeatMicros >= 0 || machine.capacity() == null) {
             return false;
         }
         MachineType type = fleet.machineTypes().get(machine.type);
@@ -201,7 +201,7 @@
         Resources comingSpot = Resources.NONE;
         for (Machine machine : fleet.machines()) {
             boolean unconfirmed = !machine.reconciled
-                    && machine.lastAnsweredMicros >= 0
+                    && machine.lastHeartbeatMicros >= 0
                     && machine.capacity() != null
                     && !machine.deletionRequested
                     && machine.isResponsive(nowMicros, settings);
@@ -342,7 +342,7 @@
             useful += Math.min(most, entry.getValue().cpus());
         }
         double there = planner.queue().arrayCpus(nowMicros) + coming.cpus();
-        double wanted = DeadlineFeasibility.wanted(entries, FETCH_MICROS, LATE_MICROS, nowMicros);
+        double wanted = DeadlineFeasibility.requiredCpus(entries, FETCH_MICROS, LATE_MICROS, nowMicros);
         // More processors than tasks that may run at once are of no use.
         double missing = Math.min(wanted, useful) - there;
         if (missing <= 0) {
@@ -350,7 +350,8 @@
         }
         DeadlineFeasibility.Entry largest = null;
         for (DeadlineFeasibility.Entry entry : entries) {
-            if (!entry.job.hasUnreconciledMachines() && (largest == null || entry.work > largest.work)) {
+            if (!entry.job.hasUnreconciledMachines()
+                    && (largest == null || entry.remainingWork > largest.remainingWork)) {
                 largest = entry;
             }
         }
@@ -441,9 +442,9 @@
                     machine.type == null ? null : fleet.machineTypes().get(machine.type);
             if (type != null
                     && !machine.deletionRequested
-                    && machine.lastAnsweredMicros < 0
+                    && machine.lastHeartbeatMicros < 0
                     && machine.bootStartedMicros >= 0
-                    && !machine.delaysRecovery
+                    && !machine.awaitedAfterFailover
                     && nowMicros - machine.bootStartedMicros > LATE_BOOT * type.bootMicros()) {
                 machine.deletionRequested = true;
             }
@@ -539,7 +540,7 @@
                 fleet.describe(machine, listed.type(), listed.zone(), listed.spot());
             }
             if (machine.bootStartedMicros < 0
-                    && machine.lastAnsweredMicros < 0
+                    && machine.lastHeartbeatMicros < 0
                     && listed.state() == ListedMachine.State.BOOTING) {
                 machine.bootStartedMicros = nowMicros - listed.ageMicros();
             }
@@ -548,10 +549,10 @@
             }
         }
         for (Machine machine : fleet.machines()) {
-            boolean silent = machine.lastAnsweredMicros >= 0
-                    && nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros();
+            boolean silent = machine.lastHeartbeatMicros >= 0
+                    && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros();
             // A ledger names it, nobody has heard of it, and a list from well after the term began does not have it.
-            boolean neverThere = machine.lastAnsweredMicros < 0
+            boolean neverThere = machine.lastHeartbeatMicros < 0
                     && machine.bootStartedMicros < 0
                     && askedMicros - machine.knownSinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND;
             if (((machine.listedByCloud && silent) || neverThere) && !names.contains(machine.name)) {
--- a/src/main/java/io/micatide/scheduler/DagInheritance.java
+++ b/src/main/java/io/micatide/scheduler/DagInheritance.java
@@ -17,7 +17,7 @@
  */
 final class DagInheritance {
     /** What lies between the end of a job and the start of the next one's tasks: two writes and the fetch of an image. */
-    private static final long STEP_MICROS = 4 * Micros.SECOND;
+    private static final long START_DELAY_MICROS = 4 * Micros.SECOND;
     /** Run times are learned meanwhile. */
     private static final long REFRESH_MICROS = 5 * Micros.SECOND;
 
@@ -38,8 +38,8 @@
     private final JobLedgers ledgers;
     private final RuntimeEstimator runTimes;
     private final Map<String, Waiting> waiting = new LinkedHashMap<>();
-    private final List<Job> demanded = new ArrayList<>();
-    private boolean changed;
+    private final List<Job> jobsWithDemands = new ArrayList<>();
+    private boolean jobAdded;
     private long refreshedMicros = Long.MIN_VALUE / 2;
 
     DagInheritance(JobLedgers ledgers, RuntimeEstimator runTimes) {
@@ -47,35 +47,35 @@
         this.runTimes = runTimes;
     }
 
-    int waitingJobs() {
+    int waitingJobCount() {
         return waiting.size();
     }
 
     void jobWaits(JobSpec spec, long version, long submittedMicros) {
         long deadline = spec.deadlineMicros() < 0 ? Long.MAX_VALUE : submittedMicros + spec.deadlineMicros();
         waiting.put(spec.id(), new Waiting(spec, version, deadline));
-        changed = true;
+        jobAdded = true;
     }
 
     /** A job under way was added, of which those that wait may ask something. */
-    void changed() {
-        changed |= !waiting.isEmpty();
+    void jobAdded() {
+        jobAdded |= !waiting.isEmpty();
     }
 
     /** Ready, done or cancelled. */
     void jobNoLongerWaits(String id) {
-        changed |= waiting.remove(id) != null;
+        jobAdded |= waiting.remove(id) != null;
     }
 
     /** Tells the jobs under way what is asked of them. Linear in the edges, after a change and every few seconds. */
     void refresh(long nowMicros) {
-        if (!changed && (waiting.isEmpty() || nowMicros - refreshedMicros < REFRESH_MICROS)) {
+        if (!jobAdded && (waiting.isEmpty() || nowMicros - refreshedMicros < REFRESH_MICROS)) {
             return;
         }
-        changed = false;
+        jobAdded = false;
         refreshedMicros = nowMicros;
-        demanded.forEach(job -> job.inheritFromDependents(false, Priority.LOW, Long.MAX_VALUE));
-        demanded.clear();
+        jobsWithDemands.forEach(job -> job.inheritFromDependents(false, Priority.LOW, Long.MAX_VALUE));
+        jobsWithDemands.clear();
         // A job names only jobs accepted before it, so from the newest row to the oldest all after a job come before
         // it.
         List<Waiting> order = new ArrayList<>(waiting.values());
@@ -86,7 +86,7 @@
                     .and(demands.getOrDefault(each.spec().id(), Demand.NONE));
             long by = own.neededByMicros() == Long.MAX_VALUE
                     ? Long.MAX_VALUE
-                    : own.neededByMicros() - runTimes.slowestMicros(each.spec()) - STEP_MICROS;
+                    : own.neededByMicros() - runTimes.slowestMicros(each.spec()) - START_DELAY_MICROS;
             Demand before = new Demand(own.priority(), by);
             for (String need : each.spec().dependencies()) {
                 demands.merge(need, before, Demand::and);
@@ -96,7 +96,7 @@
             Job job = ledgers.get(id);
             if (job != null) {
                 job.inheritFromDependents(true, demand.priority(), demand.neededByMicros());
-                demanded.add(job);
+                jobsWithDemands.add(job);
             }
         });
     }
--- a/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
+++ b/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
@@ -18,49 +18,50 @@
     static final class Entry {
         final Job job;
         /** Work that is left, in thousandths of a processor times microseconds. */
-        final double work;
+        final double remainingWork;
         /** How long the slowest of its tasks is likely to take. */
-        final long lengthMicros;
+        final long slowestTaskMicros;
 
         final long dueMicros;
         /** What one job of its class counts for in the aims. */
         final double weight;
 
-        boolean onTime;
+        boolean feasible;
 
         Entry(Job job, double work, long lengthMicros, long dueMicros, double weight) {
             this.job = job;
-            this.work = work;
+            this.remainingWork = work;
             this.weight = weight;
-            this.lengthMicros = lengthMicros;
+            this.slowestTaskMicros = lengthMicros;
             this.dueMicros = dueMicros;
         }
 
         /** Tasks are not divisible: one that takes long has to start long before its job is due. */
         long latestStartMicros() {
-            return dueMicros - lengthMicros;
+            return dueMicros - slowestTaskMicros;
         }
     }
 
     private DeadlineFeasibility() {}
 
     /** Marks what can be on time and returns the entries, the one first that has to start first. */
-    static List<Entry> decide(List<Entry> entries, double cpus, long nowMicros) {
+    static List<Entry> markFeasible(List<Entry> entries, double cpus, long nowMicros) {
         List<Entry> sorted = new ArrayList<>(entries);
         sorted.sort(Comparator.comparingLong(Entry::latestStartMicros).thenComparingLong(e -> e.job.readyMicros));
-        PriorityQueue<Entry> kept = new PriorityQueue<>(Comparator.comparingDouble((Entry e) -> -e.work / e.weight));
+        PriorityQueue<Entry> kept =
+                new PriorityQueue<>(Comparator.comparingDouble((Entry e) -> -e.remainingWork / e.weight));
         double total = 0;
         for (Entry entry : sorted) {
-            entry.onTime = entry.dueMicros - nowMicros >= entry.lengthMicros;
-            if (!entry.onTime) {
+            entry.feasible = entry.dueMicros - nowMicros >= entry.slowestTaskMicros;
+            if (!entry.feasible) {
                 continue;
             }
             kept.add(entry);
-            total += entry.work;
+            total += entry.remainingWork;
             if (cpus <= 0 || total / cpus > entry.dueMicros - nowMicros) {
                 Entry largest = kept.poll();
-                largest.onTime = false;
-                total -= largest.work;
+                largest.feasible = false;
+                total -= largest.remainingWork;
             }
         }
         return sorted;
@@ -73,18 +74,20 @@
      * @param startMicros what a task takes before it runs: the fetch of its image
      * @param lateMicros in what time jobs are wanted that are late already
      */
-    static double wanted(List<Entry> entries, long startMicros, long lateMicros, long nowMicros) {
+    static double requiredCpus(List<Entry> entries, long startMicros, long lateMicros, long nowMicros) {
         record Demand(long leftMicros, double work, double own) {}
         List<Demand> demands = new ArrayList<>();
         for (Entry entry : entries) {
             // Work of the lowest priority may take all the time that it has; for what has no aim nothing is rented
             // dearly.
             long patience = entry.job.priority() == Priority.LOW ? Long.MAX_VALUE / 2 : lateMicros;
-            long left = Math.min(entry.dueMicros - nowMicros, Math.max(patience, entry.lengthMicros)) - startMicros;
-            long rounds = Math.max(1, left / entry.lengthMicros);
+            long left =
+                    Math.min(entry.dueMicros - nowMicros, Math.max(patience, entry.slowestTaskMicros)) - startMicros;
+            long rounds = Math.max(1, left / entry.slowestTaskMicros);
             long parallel = (entry.job.unfinishedCount() + rounds - 1) / rounds;
             double own = (double) parallel * entry.job.spec.taskResources().cpus();
-            demands.add(new Demand(Math.max(left, entry.lengthMicros), own * rounds * entry.lengthMicros, own));
+            demands.add(
+                    new Demand(Math.max(left, entry.slowestTaskMicros), own * rounds * entry.slowestTaskMicros, own));
         }
         demands.sort(Comparator.comparingLong(Demand::leftMicros));
         double cpus = 0;
--- a/src/main/java/io/micatide/scheduler/FailoverProgress.java
+++ b/src/main/java/io/micatide/scheduler/FailoverProgress.java
@@ -10,29 +10,29 @@
 final class FailoverProgress implements FailoverTimings {
     private static final double[] SHARES = {0.5, 0.9, 0.99};
 
-    private final long beganMicros;
-    private final long[] reached = {-1, -1, -1};
-    private int expected;
-    private int confirmed;
-    private long rebuiltMicros = -1;
+    private final long termStartMicros;
+    private final long[] reconciledAtMicros = {-1, -1, -1};
+    private int expectedMachines;
+    private int reconciledMachines;
+    private long stateLoadedAtMicros = -1;
     private long firstStartMicros = -1;
-    private boolean told;
+    private boolean logged;
 
     FailoverProgress(long beganMicros) {
-        this.beganMicros = beganMicros;
+        this.termStartMicros = beganMicros;
     }
 
     /** All rows are read. {@code machines}: how many the ledgers name. */
     void stateLoaded(int machines, long nowMicros) {
-        expected = machines;
-        rebuiltMicros = nowMicros;
-        count(nowMicros);
+        expectedMachines = machines;
+        stateLoadedAtMicros = nowMicros;
+        recordSharesReached(nowMicros);
     }
 
     /** A machine that a ledger names has settled: it reported under this term, or is gone. */
     void machineReconciled(long nowMicros) {
-        confirmed++;
-        count(nowMicros);
+        reconciledMachines++;
+        recordSharesReached(nowMicros);
     }
 
     void taskStarted(long nowMicros) {
@@ -43,50 +43,50 @@
 
     @Override
     public long stateLoadedMicros() {
-        return since(rebuiltMicros);
+        return sinceTermStart(stateLoadedAtMicros);
     }
 
     @Override
     public long machinesReconciledMicros(int share) {
-        return since(reached[share]);
+        return sinceTermStart(reconciledAtMicros[share]);
     }
 
     @Override
     public long firstStartMicros() {
-        return since(firstStartMicros);
+        return sinceTermStart(firstStartMicros);
     }
 
-    private long since(long atMicros) {
-        return atMicros < 0 ? -1 : atMicros - beganMicros;
+    private long sinceTermStart(long atMicros) {
+        return atMicros < 0 ? -1 : atMicros - termStartMicros;
     }
 
-    private void count(long nowMicros) {
+    private void recordSharesReached(long nowMicros) {
         for (int each = 0; each < SHARES.length; each++) {
-            if (reached[each] < 0 && confirmed >= Math.ceil(expected * SHARES[each])) {
-                reached[each] = nowMicros;
+            if (reconciledAtMicros[each] < 0 && reconciledMachines >= Math.ceil(expectedMachines * SHARES[each])) {
+                reconciledAtMicros[each] = nowMicros;
             }
         }
     }
 
     /** Null until 99% are confirmed and something was started, or with no machines; then the line, once. */
     String logLine() {
-        if (told || expected == 0 || reached[SHARES.length - 1] < 0 || firstStartMicros < 0) {
+        if (logged || expectedMachines == 0 || reconciledAtMicros[SHARES.length - 1] < 0 || firstStartMicros < 0) {
             return null;
         }
-        told = true;
+        logged = true;
         return String.format(
                 Locale.ROOT,
                 "recovery: rebuilt after %s; of %d machines 50%% confirmed after %s, 90%% %s, 99%% %s; first start"
                         + " after %s",
-                seconds(rebuiltMicros),
-                expected,
-                seconds(reached[0]),
-                seconds(reached[1]),
-                seconds(reached[2]),
+                seconds(stateLoadedAtMicros),
+                expectedMachines,
+                seconds(reconciledAtMicros[0]),
+                seconds(reconciledAtMicros[1]),
+                seconds(reconciledAtMicros[2]),
                 seconds(firstStartMicros));
     }
 
     private String seconds(long atMicros) {
-        return String.format(Locale.ROOT, "%.2f s", Micros.toSeconds(atMicros - beganMicros));
+        return String.format(Locale.ROOT, "%.2f s", Micros.toSeconds(atMicros - termStartMicros));
     }
 }
--- a/src/main/java/io/micatide/scheduler/FailureAttribution.java
+++ b/src/main/java/io/micatide/scheduler/FailureAttribution.java
@@ -11,32 +11,32 @@
  * has a task on it, and one bad job fails on every machine: each must not be taken for the other.
  */
 final class FailureAttribution {
-    private static final long LOOK_EVERY_MICROS = Micros.SECOND;
-    private static final long AVOID_MICROS = 60 * Micros.SECOND;
+    private static final long CHECK_INTERVAL_MICROS = Micros.SECOND;
+    private static final long SLOW_FOR_MICROS = 60 * Micros.SECOND;
     /** A machine is slow if its tasks take this many times as long as others of their jobs, on (geometric) average. */
-    private static final double SLOW = 1.8;
+    private static final double SLOW_RATIO = 1.8;
 
-    private static final int FEWEST_TASKS = 3;
+    private static final int MIN_TASKS_FOR_PACE = 3;
     /** How much of what completed tasks showed is left after a second. */
-    private static final double FADES = 0.97;
+    private static final double PACE_DECAY = 0.97;
 
-    private static final double LEAST_RATIO = 0.25;
-    private static final double MOST_RATIO = 8;
-    private static final int JOBS_TO_SUSPECT_A_MACHINE = 2;
-    private static final int FAILURES_TO_SUSPECT_A_MACHINE = 3;
+    private static final double MIN_RATIO = 0.25;
+    private static final double MAX_RATIO = 8;
+    private static final int JOBS_TO_QUARANTINE_MACHINE = 2;
+    private static final int FAILURES_TO_QUARANTINE_MACHINE = 3;
     /** So many jobs of unknown worth are hardly all faulty. */
-    private static final int DOUBTFUL_JOBS_TO_SUSPECT_A_MACHINE = 4;
+    private static final int UNATTRIBUTED_JOBS_TO_QUARANTINE_MACHINE = 4;
 
-    private static final int MACHINES_TO_SUSPECT_A_JOB = 2;
+    private static final int MACHINES_TO_QUARANTINE_JOB = 2;
     /** A probe goes to other machines than the last ones did, until so many have been tried. */
     private static final int MACHINES_TO_PROBE = 6;
 
-    private static final long FIRST_PAUSE_MICROS = 2 * Micros.SECOND;
-    private static final long LONGEST_PAUSE_MICROS = 30 * Micros.SECOND;
-    private static final long REPLICA_RUNS_MICROS = 5 * Micros.SECOND;
+    private static final long FIRST_BACKOFF_MICROS = 2 * Micros.SECOND;
+    private static final long MAX_BACKOFF_MICROS = 30 * Micros.SECOND;
+    private static final long REPLICA_SUCCESS_MICROS = 5 * Micros.SECOND;
 
     private final RuntimeEstimator runTimes;
-    private long lookedMicros = Long.MIN_VALUE / 2;
+    private long lastCheckMicros = Long.MIN_VALUE / 2;
 
     FailureAttribution(RuntimeEstimator runTimes) {
         this.runTimes = runTimes;
@@ -56,7 +56,7 @@
         if (placement.job.quarantined
                 && placement.job.spec.kind() == JobKind.SERVICE
                 && placement.runningSinceMicros >= 0
-                && nowMicros - placement.runningSinceMicros > REPLICA_RUNS_MICROS) {
+                && nowMicros - placement.runningSinceMicros > REPLICA_SUCCESS_MICROS) {
             taskSucceeded(placement.machine, placement.job);
         }
     }
@@ -73,12 +73,12 @@
         return placement.job.spec.kind() == JobKind.ARRAY
                 && placement.runningSinceMicros >= 0
                 && !placement.adopted
-                && placement.job.completedTasks >= FEWEST_TASKS;
+                && placement.job.completedTasks >= MIN_TASKS_FOR_PACE;
     }
 
     private double ratio(Placement placement, long nowMicros) {
         double ratio = (nowMicros - placement.runningSinceMicros) / (double) runTimes.expectedMicros(placement.job);
-        return Math.max(LEAST_RATIO, Math.min(MOST_RATIO, ratio));
+        return Math.max(MIN_RATIO, Math.min(MAX_RATIO, ratio));
     }
 
     /**
@@ -91,24 +91,24 @@
         if (job.hasSucceeded()) {
             machine.failedJobs.add(job.id());
             machine.failures++;
-        } else if (job.quarantined || job.failedMachines.size() >= MACHINES_TO_SUSPECT_A_JOB) {
-            suspect(job, machines, nowMicros);
+        } else if (job.quarantined || job.failedMachines.size() >= MACHINES_TO_QUARANTINE_JOB) {
+            quarantine(job, machines, nowMicros);
         } else {
             machine.unattributedJobs.add(job.id());
         }
-        machine.quarantined |= machine.failedJobs.size() >= JOBS_TO_SUSPECT_A_MACHINE
-                || machine.failures >= FAILURES_TO_SUSPECT_A_MACHINE
-                || machine.unattributedJobs.size() >= DOUBTFUL_JOBS_TO_SUSPECT_A_MACHINE;
+        machine.quarantined |= machine.failedJobs.size() >= JOBS_TO_QUARANTINE_MACHINE
+                || machine.failures >= FAILURES_TO_QUARANTINE_MACHINE
+                || machine.unattributedJobs.size() >= UNATTRIBUTED_JOBS_TO_QUARANTINE_MACHINE;
     }
 
-    private static void suspect(Job job, Iterable<Machine> machines, long nowMicros) {
+    private static void quarantine(Job job, Iterable<Machine> machines, long nowMicros) {
         if (!job.quarantined) {
             job.quarantined = true;
             machines.forEach(each -> each.unattributedJobs.remove(job.id()));
         }
         // Many of its tasks may be out and fail one after the other: only what fails after the pause is a probe.
         if (nowMicros >= job.backoffUntilMicros) {
-            long pause = Math.min(LONGEST_PAUSE_MICROS, FIRST_PAUSE_MICROS << Math.min(10, job.failedProbes++));
+            long pause = Math.min(MAX_BACKOFF_MICROS, FIRST_BACKOFF_MICROS << Math.min(10, job.failedProbes++));
             job.backoffUntilMicros = nowMicros + pause;
         }
         if (job.failedMachines.size() >= MACHINES_TO_PROBE) {
@@ -119,13 +119,13 @@
     /** Machines that were found slow just now; work that can start over elsewhere is better off there. */
     List<Machine> findSlowMachines(Iterable<Machine> machines, long nowMicros) {
         List<Machine> found = new ArrayList<>();
-        if (nowMicros - lookedMicros < LOOK_EVERY_MICROS) {
+        if (nowMicros - lastCheckMicros < CHECK_INTERVAL_MICROS) {
             return found;
         }
-        lookedMicros = nowMicros;
+        lastCheckMicros = nowMicros;
         for (Machine machine : machines) {
-            machine.paceSamples *= FADES;
-            machine.paceLogSum *= FADES;
+            machine.paceSamples *= PACE_DECAY;
+            machine.paceLogSum *= PACE_DECAY;
             double tasks = machine.paceSamples;
             double sum = machine.paceLogSum;
             for (Placement placement : machine.placements) {
@@ -139,11 +139,11 @@
                     }
                 }
             }
-            if (tasks >= FEWEST_TASKS && sum > tasks * Math.log(SLOW)) {
+            if (tasks >= MIN_TASKS_FOR_PACE && sum > tasks * Math.log(SLOW_RATIO)) {
                 if (machine.slowUntilMicros < nowMicros) {
                     found.add(machine);
                 }
-                machine.slowUntilMicros = nowMicros + AVOID_MICROS;
+                machine.slowUntilMicros = nowMicros + SLOW_FOR_MICROS;
                 machine.paceSamples = 0;
                 machine.paceLogSum = 0;
             }
--- a/src/main/java/io/micatide/scheduler/Fleet.java
+++ b/src/main/java/io/micatide/scheduler/Fleet.java
@@ -53,7 +53,7 @@
         deletedMachines.put(name, nowMicros);
         Machine machine = machines.remove(name);
         if (machine != null) {
-            machine.removedFromFleet();
+            machine.detachFromIndex();
         }
         deletedMachines.values().removeIf(since -> nowMicros - since > 600 * Micros.SECOND);
     }
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -13,11 +13,11 @@
 /** Takes hints from what a leader knows, and gives a new leader what an earlier one hinted at, each once its subject is there. */
 final class Hints {
     /** More than the largest fleets planned for: what is beyond is learned anew. */
-    private static final int MOST = 8_000;
+    private static final int MAX_HINTS = 8_000;
     /** Of a large cache the images used last. */
-    private static final int MOST_IMAGES = 24;
+    private static final int MAX_IMAGES = 24;
     /** Small changes are not worth a message. */
-    private static final double STEPS = 20;
+    private static final double STEPS_PER_E_FOLD = 20;
 
     private static final long SLOW_FOR_MICROS = 30 * Micros.SECOND;
 
@@ -27,11 +27,11 @@
     static List<Hint> snapshot(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
         List<Hint> result = new ArrayList<>(runTimes.hints());
         for (Job job : open) {
-            if (result.size() < MOST && (job.quarantined || job.completedTasks > 0)) {
+            if (result.size() < MAX_HINTS && (job.quarantined || job.completedTasks > 0)) {
                 long mean = job.completedTasks == 0 ? 0 : job.completedRuntimeMicros / job.completedTasks;
                 result.add(new Hint.JobHint(
                         job.id(),
-                        Math.round(rounded((double) mean)),
+                        Math.round(roundToStep((double) mean)),
                         Integer.highestOneBit(job.completedTasks),
                         job.quarantined,
                         job.failedProbes));
@@ -39,8 +39,8 @@
         }
         for (Machine machine : fleet.machines()) {
             boolean slow = machine.slowUntilMicros >= nowMicros;
-            if (result.size() < MOST && !machine.deletionRequested && machine.address != null) {
-                int older = Math.max(0, machine.images.size() - MOST_IMAGES);
+            if (result.size() < MAX_HINTS && !machine.deletionRequested && machine.address != null) {
+                int older = Math.max(0, machine.images.size() - MAX_IMAGES);
                 result.add(new Hint.MachineHint(
                         machine.name,
                         machine.address,
@@ -53,7 +53,7 @@
             }
         }
         for (String name : fleet.deletedMachines()) {
-            if (result.size() < MOST) {
+            if (result.size() < MAX_HINTS) {
                 result.add(Hint.MachineHint.deleted(name));
             }
         }
@@ -82,8 +82,8 @@
     }
 
     /** To the nearest twentieth of its size. */
-    static double rounded(double value) {
-        return value <= 0 ? 0 : Math.exp(Math.round(Math.log(value) * STEPS) / STEPS);
+    static double roundToStep(double value) {
+        return value <= 0 ? 0 : Math.exp(Math.round(Math.log(value) * STEPS_PER_E_FOLD) / STEPS_PER_E_FOLD);
     }
 
     /** What the leader before knew; later hints replace earlier ones, but for {@code kept} ones. */
--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -24,13 +24,13 @@
 
     long version;
     boolean cancelled;
-    /** Finished tasks, recorded or not; changed by {@link #markFinished} and {@link #adoptRecorded} only. */
+    /** Finished tasks, recorded or not; changed by {@link #markFinished} and {@link #addRecordedTasks} only. */
     final BitSet finishedTasks = new BitSet();
     /** Tasks that are finished or live, so that the next one to place is found without a search. */
-    private final BitSet taken = new BitSet();
+    private final BitSet finishedOrLiveTasks = new BitSet();
 
     private int finishedCount;
-    private int liveUnfinished;
+    private int liveUnfinishedCount;
     /** Machines with live attempts, and how many. */
     final Multiset<String> liveMachines = HashMultiset.create();
     /** Finished tasks that a confirmed write holds: only these may be forgotten by the workers. */
@@ -127,16 +127,16 @@
             return false;
         }
         finishedTasks.set(index);
-        taken.set(index);
+        finishedOrLiveTasks.set(index);
         finishedCount++;
         if (liveAttempts.containsKey(index)) {
-            liveUnfinished--;
+            liveUnfinishedCount--;
         }
         return true;
     }
 
     /** Finished tasks as an earlier leader recorded them. */
-    void adoptRecorded(BitSet recordedThen) {
+    void addRecordedTasks(BitSet recordedThen) {
         recordedTasks.or(recordedThen);
         for (int i = recordedThen.nextSetBit(0); i >= 0; i = recordedThen.nextSetBit(i + 1)) {
             markFinished(i);
@@ -157,7 +157,7 @@
 
     /** Tasks that are neither finished nor possibly on a machine that we have listed. */
     int pendingCount() {
-        return cancelled ? 0 : Math.max(0, unfinishedCount() - liveUnfinished);
+        return cancelled ? 0 : Math.max(0, unfinishedCount() - liveUnfinishedCount);
     }
 
     /** Whether any of its tasks has ever succeeded, as far as this leader can know. */
@@ -178,17 +178,17 @@
 
     /** The next task that may be placed, or -1. */
     int nextPendingTask() {
-        int index = taken.nextClearBit(0);
+        int index = finishedOrLiveTasks.nextClearBit(0);
         return index < spec.taskCount() ? index : -1;
     }
 
     void add(Placement placement) {
         List<Placement> list = liveAttempts.computeIfAbsent(placement.taskIndex, k -> new ArrayList<>(1));
         if (list.isEmpty() && !finishedTasks.get(placement.taskIndex)) {
-            liveUnfinished++;
+            liveUnfinishedCount++;
         }
         list.add(placement);
-        taken.set(placement.taskIndex);
+        finishedOrLiveTasks.set(placement.taskIndex);
         liveMachines.add(placement.machine.name);
     }
 
@@ -199,15 +199,15 @@
             if (list.isEmpty()) {
                 liveAttempts.remove(placement.taskIndex);
                 if (!finishedTasks.get(placement.taskIndex)) {
-                    taken.clear(placement.taskIndex);
-                    liveUnfinished--;
+                    finishedOrLiveTasks.clear(placement.taskIndex);
+                    liveUnfinishedCount--;
                 }
             }
         }
     }
 
     /** The attempt that all tasks of a gang share, or 0 when none is live. */
-    long liveAttempt() {
+    long liveGangAttempt() {
         for (List<Placement> list : liveAttempts.values()) {
             return list.get(0).attempt;
         }
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -149,7 +149,7 @@
         job.pageVersions.put(page, version);
         BitSet done = new BitSet();
         TaskRanges.parseInto(ledger.finishedTasks(), page * pageTasks, done);
-        job.adoptRecorded(done);
+        job.addRecordedTasks(done);
         if (page == 0) {
             job.ledgerMachines = new HashSet<>(ledger.machines());
             job.gangAttempt = Math.max(job.gangAttempt, ledger.gangAttempt());
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -68,7 +68,7 @@
                         job,
                         waiting,
                         guaranteed,
-                        entry == null || entry.onTime,
+                        entry == null || entry.feasible,
                         entry == null ? job.readyMicros : entry.latestStartMicros()));
             }
         }
@@ -110,12 +110,12 @@
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
             double most = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, (double) team.maxCpus());
-            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, most, nowMicros)) {
-                (entry.onTime ? possible : result).add(entry);
+            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.markFeasible(entries, most, nowMicros)) {
+                (entry.feasible ? possible : result).add(entry);
             }
         });
-        result.addAll(DeadlineFeasibility.decide(possible, cpus, nowMicros));
-        result.addAll(DeadlineFeasibility.decide(lowest, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.markFeasible(possible, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.markFeasible(lowest, cpus, nowMicros));
         return result;
     }
 
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -39,7 +39,7 @@
     /** Its report shows our token: no start of an older leader can land any more. */
     boolean reconciled;
     /** Receipt of the last report that was answered with our token, or -1. */
-    long lastAnsweredMicros = -1;
+    long lastHeartbeatMicros = -1;
 
     final long knownSinceMicros;
     long spotNoticeEndsMicros = -1;
@@ -51,7 +51,7 @@
     /** It was told of this term. */
     boolean announced;
     /** A ledger names it: until it reports to this leader or is gone, those jobs' missing tasks may be on it. */
-    boolean delaysRecovery;
+    boolean awaitedAfterFailover;
 
     long bootStartedMicros = -1;
     boolean quarantined;
@@ -98,7 +98,7 @@
     }
 
     /** It is not known any more; what still happens to it concerns nobody. */
-    void removedFromFleet() {
+    void detachFromIndex() {
         if (index != null) {
             index.machineRemoved(this);
             index = null;
@@ -116,18 +116,18 @@
 
     void resize(Resources newSize) {
         capacity = newSize;
-        use(used);
+        setUsed(used);
     }
 
-    private void use(Resources newUse) {
+    private void setUsed(Resources newUse) {
         used = newUse;
         freeCapacity = capacity == null ? Resources.NONE : capacity.minus(used);
         capacityChanged();
     }
 
     boolean isResponsive(long nowMicros, Settings settings) {
-        return lastAnsweredMicros >= 0
-                && nowMicros - lastAnsweredMicros < 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
+        return lastHeartbeatMicros >= 0
+                && nowMicros - lastHeartbeatMicros < 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
     }
 
     boolean isSchedulable(long nowMicros, Settings settings) {
@@ -148,14 +148,14 @@
 
     void add(Placement placement) {
         placements.add(placement);
-        use(used.plus(placement.job.spec.taskResources()));
+        setUsed(used.plus(placement.job.spec.taskResources()));
         replicaCpus += replicaCpus(placement);
         idleSinceMicros = -1;
     }
 
     void remove(Placement placement) {
         if (placements.remove(placement)) {
-            use(used.minus(placement.job.spec.taskResources()));
+            setUsed(used.minus(placement.job.spec.taskResources()));
             replicaCpus -= replicaCpus(placement);
         }
     }
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -111,7 +111,7 @@
                     break;
                 }
                 names.add(machine.name);
-                urgent |= machine.delaysRecovery || !machine.placements.isEmpty();
+                urgent |= machine.awaitedAfterFailover || !machine.placements.isEmpty();
             }
         }
         if (!names.isEmpty() && urgent && most > 0) {
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -218,7 +218,7 @@
             return;
         }
         for (Job job = next(machine, nowMicros); job != null; job = next(machine, nowMicros)) {
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -397,7 +397,7 @@
             if (machine == null) {
                 return;
             }
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -464,7 +464,7 @@
                 if (job.placeableCount() == 0 || !teamAllows(job)) {
                     return;
                 }
-                scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+                scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
         if (job.failedMachines.isEmpty()
@@ -539,7 +539,7 @@
                 }
                 if (victims != null) {
                     evict(job, victims, nowMicros);
-                    scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+                    scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
                     left--;
                     progress = true;
                 }
@@ -608,7 +608,7 @@
                 }
                 return;
             }
-            scheduler.place(job, index, machine, nowMicros);
+            scheduler.placeTask(job, index, machine, nowMicros);
         }
     }
 
@@ -719,7 +719,7 @@
                     job.capacityAwaitedUntilMicros = Math.max(
                             job.capacityAwaitedUntilMicros,
                             nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
-                    scheduler.stopToSave(victim, nowMicros);
+                    scheduler.stopWithCheckpoint(victim, nowMicros);
                 }
                 return;
             }
--- a/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
+++ b/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
@@ -13,24 +13,24 @@
  * and on some days mostly in one direction.
  */
 final class RuntimeEstimator {
-    private static final double WEIGHT = 0.02;
+    private static final double SAMPLE_WEIGHT = 0.02;
     /** As many own tasks as it takes for them to count as much as the owner's estimate. */
     private static final double ESTIMATE_WEIGHT = 2;
 
-    private static final double USUAL_SPREAD = 0.2;
+    private static final double DEFAULT_SPREAD = 0.2;
 
     /** Mean of run time by estimate, and how far a single task is usually from it. */
     private record Factor(double mean, double spread) {}
 
-    private static final Factor UNKNOWN = new Factor(1, USUAL_SPREAD);
+    private static final Factor DEFAULT_FACTOR = new Factor(1, DEFAULT_SPREAD);
 
     private final Map<String, Factor> factors = new HashMap<>();
 
     /** What is known of classes of which something has completed. */
     List<Hint> hints() {
         List<Hint> result = new ArrayList<>();
-        factors.forEach((name, factor) ->
-                result.add(new Hint.JobClassHint(name, Hints.rounded(factor.mean()), Hints.rounded(factor.spread()))));
+        factors.forEach((name, factor) -> result.add(
+                new Hint.JobClassHint(name, Hints.roundToStep(factor.mean()), Hints.roundToStep(factor.spread()))));
         return result;
     }
 
@@ -49,9 +49,9 @@
             return;
         }
         double seen = Math.max(0.1, Math.min(10, ranMicros / (double) spec.estimatedRuntimeMicros()));
-        Factor old = factors.getOrDefault(spec.jobClass(), UNKNOWN);
-        double mean = old.mean() + (seen - old.mean()) * WEIGHT;
-        double spread = old.spread() + (Math.abs(seen - mean) / mean - old.spread()) * WEIGHT;
+        Factor old = factors.getOrDefault(spec.jobClass(), DEFAULT_FACTOR);
+        double mean = old.mean() + (seen - old.mean()) * SAMPLE_WEIGHT;
+        double spread = old.spread() + (Math.abs(seen - mean) / mean - old.spread()) * SAMPLE_WEIGHT;
         factors.put(spec.jobClass(), new Factor(mean, spread));
     }
 
@@ -59,7 +59,7 @@
     long expectedMicros(Job job) {
         JobSpec spec = job.spec;
         double estimate = spec.estimatedRuntimeMicros()
-                * factors.getOrDefault(spec.jobClass(), UNKNOWN).mean();
+                * factors.getOrDefault(spec.jobClass(), DEFAULT_FACTOR).mean();
         return Math.max(
                 Micros.SECOND,
                 Math.round((ESTIMATE_WEIGHT * estimate + job.completedRuntimeMicros)
@@ -73,13 +73,13 @@
 
     /** The same of a job that has not begun. */
     long slowestMicros(JobSpec spec) {
-        double mean = factors.getOrDefault(spec.jobClass(), UNKNOWN).mean();
+        double mean = factors.getOrDefault(spec.jobClass(), DEFAULT_FACTOR).mean();
         return slowestMicros(
                 spec.jobClass(), Math.max(Micros.SECOND, Math.round(spec.estimatedRuntimeMicros() * mean)));
     }
 
     private long slowestMicros(String jobClass, long expectedMicros) {
-        double spread = factors.getOrDefault(jobClass, UNKNOWN).spread();
+        double spread = factors.getOrDefault(jobClass, DEFAULT_FACTOR).spread();
         return Math.round(expectedMicros * (1 + Math.min(1, 2 * spread)));
     }
 }
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -32,52 +32,52 @@
  */
 public final class Scheduler {
     /** Starts are sent only while the state service was read this recently: cancellations are found there. */
-    private static final long FRESH_MICROS = 4 * Micros.SECOND;
+    private static final long MAX_STORE_READ_AGE_MICROS = 4 * Micros.SECOND;
 
-    private static final int MOST_COMMANDS = 500;
+    private static final int MAX_COMMANDS = 500;
     /** What the archive leaves to rounds of a second's changes. With five in a transaction a second's are some ten. */
-    private static final double ROUNDS_KEEP = 0.8;
+    private static final double RESERVED_SHARE = 0.8;
     /** With fewer changes a transaction could not end a job. */
-    private static final int FEWEST_OPS = 3;
+    private static final int MIN_TRANSACTION_WRITES = 3;
 
     private final Settings settings;
     private final long fencingToken;
     private final long termStartMicros;
     private final JobLedgers ledgers;
     private final Fleet fleet = new Fleet();
-    private final ProvisioningRequests rentals;
+    private final ProvisioningRequests provisioningRequests;
     private final PlacementPlanner planner;
-    private final MachineDeletions returns;
-    private final Autoscaler renter;
-    private final RuntimeEstimator runTimes = new RuntimeEstimator();
-    private final DagInheritance pipelines;
-    private final FailureAttribution health = new FailureAttribution(runTimes);
+    private final MachineDeletions machineDeletions;
+    private final Autoscaler autoscaler;
+    private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
+    private final DagInheritance dagInheritance;
+    private final FailureAttribution failureAttribution = new FailureAttribution(runtimeEstimator);
     private final Hints hints = new Hints();
     private final Map<String, Resources> teamUsage = new HashMap<>();
-    private final List<Transaction.Write> extraWrites = new ArrayList<>();
-    private long freshMicros;
-    private long holdsUntilMicros = Long.MAX_VALUE;
+    private final List<Transaction.Write> orphanedLedgerDeletions = new ArrayList<>();
+    private long storeReadMicros;
+    private long leaseHeldUntilMicros = Long.MAX_VALUE;
     /** When this process went on after it had stood still. */
     private long resumedMicros = Long.MIN_VALUE / 2;
 
     private long attemptCounter;
-    private long switchesVersion;
+    private long featureStagesVersion;
     private JobLedgers.WriteBatch inFlight;
     private double writeTokens;
     /** What one transaction may change; less once the state service has refused one. */
-    private int mostOps;
+    private int maxTransactionWrites;
 
     private long writeTokensMicros;
-    private int slowFound;
+    private int slowMachinesFound;
     private boolean loading = true;
     private boolean ledgersFound;
-    private final FailoverProgress recovery;
+    private final FailoverProgress failoverProgress;
     /** Rows of jobs that were cancelled before this term. */
-    private final Map<String, StoredRecord.JobRecord> ending = new HashMap<>();
+    private final Map<String, StoredRecord.JobRecord> cancelledBeforeTerm = new HashMap<>();
 
     private final List<Job> completed = new ArrayList<>();
-    private final List<EndedJob> takeEndedJobs = new ArrayList<>();
-    private final List<String> takeNotices = new ArrayList<>();
+    private final List<EndedJob> endedJobs = new ArrayList<>();
+    private final List<String> notices = new ArrayList<>();
 
     /** How a term's planner is made. */
     @FunctionalInterface
@@ -94,17 +94,17 @@
         this.settings = settings;
         this.fencingToken = fencingToken;
         this.termStartMicros = nowMicros;
-        this.recovery = new FailoverProgress(nowMicros);
+        this.failoverProgress = new FailoverProgress(nowMicros);
         this.ledgers = new JobLedgers(settings, fencingToken);
-        this.pipelines = new DagInheritance(ledgers, runTimes);
-        this.rentals = new ProvisioningRequests(settings, fencingToken);
-        this.returns = new MachineDeletions(settings, fencingToken);
-        this.planner = planners.create(this, settings, fleet, ledgers, runTimes);
-        this.renter = new Autoscaler(settings, tuning, fleet, rentals, planner, returns);
+        this.dagInheritance = new DagInheritance(ledgers, runtimeEstimator);
+        this.provisioningRequests = new ProvisioningRequests(settings, fencingToken);
+        this.machineDeletions = new MachineDeletions(settings, fencingToken);
+        this.planner = planners.create(this, settings, fleet, ledgers, runtimeEstimator);
+        this.autoscaler = new Autoscaler(settings, tuning, fleet, provisioningRequests, planner, machineDeletions);
         this.writeTokens = leaderWriteRate();
-        this.mostOps = settings.maxTransactionWrites();
+        this.maxTransactionWrites = settings.maxTransactionWrites();
         this.writeTokensMicros = nowMicros;
-        this.freshMicros = nowMicros;
+        this.storeReadMicros = nowMicros;
     }
 
     public long fencingToken() {
@@ -121,35 +121,35 @@
     /** @param wallMicros the time of day, used only for the ages of jobs */
     public void jobChanged(JobCache.View view, long wallMicros, long nowMicros) {
         String id = view.id();
-        StoredRecord.JobRecord row = view.record();
+        StoredRecord.JobRecord record = view.record();
         Job job = ledgers.get(id);
-        long submitted = nowMicros - Math.max(0, wallMicros - row.submittedWall());
+        long submitted = nowMicros - Math.max(0, wallMicros - record.submittedWall());
         if (view.state() == JobState.OPEN && view.hasUnfinishedDependencies()) {
-            pipelines.jobWaits(row.spec(), view.version(), submitted);
+            dagInheritance.jobWaits(record.spec(), view.version(), submitted);
             return;
         }
-        pipelines.jobNoLongerWaits(id);
-        if (row.state() == JobState.OPEN && view.state() == JobState.CANCELLED) {
-            ledgers.cancelBeforeStart(id, row, view.version());
+        dagInheritance.jobNoLongerWaits(id);
+        if (record.state() == JobState.OPEN && view.state() == JobState.CANCELLED) {
+            ledgers.cancelBeforeStart(id, record, view.version());
             return;
         }
         ledgers.cancelledBeforeStart(id);
-        if (row.state() == JobState.OPEN) {
+        if (record.state() == JobState.OPEN) {
             if (job == null) {
                 ledgers.add(
-                        row.spec(),
+                        record.spec(),
                         view.version(),
-                        row.submittedWall(),
+                        record.submittedWall(),
                         submitted,
                         nowMicros - Math.max(0, wallMicros - view.readyWall()));
-                pipelines.changed();
+                dagInheritance.jobAdded();
             } else {
                 job.version = view.version();
             }
-        } else if (job == null && loading && row.state() == JobState.CANCELLED && row.spec() != null) {
-            ending.put(id, row);
+        } else if (job == null && loading && record.state() == JobState.CANCELLED && record.spec() != null) {
+            cancelledBeforeTerm.put(id, record);
         } else if (job != null && !job.cancelled) {
-            if (row.state() == JobState.CANCELLED) {
+            if (record.state() == JobState.CANCELLED) {
                 cancel(job, nowMicros);
             } else if (!job.writeInFlight) {
                 // Only a leader writes this, so it was our own write whose answer is still to come or was lost.
@@ -167,11 +167,11 @@
                 stop(placement, 0, nowMicros);
             }
         }
-        settleCancelled(job, nowMicros);
+        writeLedgerOnceStopped(job, nowMicros);
     }
 
     /** The ledger of a cancelled job stays until nothing of it can be on a machine. */
-    private void settleCancelled(Job job, long nowMicros) {
+    private void writeLedgerOnceStopped(Job job, long nowMicros) {
         if (job.cancelled && !job.mayBeRunning()) {
             ledgers.markDirty(job, nowMicros);
         }
@@ -185,39 +185,39 @@
         String id = JobLedgers.jobOf(key);
         ledgersFound = true;
         if (ledgers.get(id) == null) {
-            cancelledBefore(id, nowMicros);
+            addCancelledBeforeTerm(id, nowMicros);
         }
         if (!ledgers.load(key, ledger, version)) {
-            extraWrites.add(new Transaction.Write(key, null, 0));
+            orphanedLedgerDeletions.add(new Transaction.Write(key, null, 0));
         }
     }
 
-    public void provisioningRequestLoaded(String name, StoredRecord.Provisioning row, long version, long nowMicros) {
-        rentals.load(name, row, version, nowMicros);
+    public void provisioningRequestLoaded(String name, StoredRecord.Provisioning record, long version, long nowMicros) {
+        provisioningRequests.load(name, record, version, nowMicros);
     }
 
-    /** The fence of the bookings as the state service has it, version 0 if there is none. */
+    /** The fence of the requests as the state service has it, version 0 if there is none. */
     public void provisioningFenceRead(long version, long number) {
-        rentals.fenceRead(version, number);
+        provisioningRequests.fenceRead(version, number);
     }
 
     /**
      * The switches of the stored forms.
      *
-     * @param version of their row, a condition of what depends on them
-     * @param fenced whether bookings are written on condition of their versions and of their fence
-     * @param recorded whether machines that are given back are named in a row first
+     * @param version of their record, a condition of what depends on them
+     * @param fenced whether requests are written on condition of their versions and of their fence
+     * @param recorded whether machines that are given back are named in a record first
      */
     public void featureFlagsChanged(long version, boolean fenced, boolean recorded) {
-        switchesVersion = version;
-        rentals.setFenced(fenced);
-        returns.setRecorded(recorded);
+        featureStagesVersion = version;
+        provisioningRequests.setFenced(fenced);
+        machineDeletions.setRecorded(recorded);
     }
 
     /** Machines that an earlier leader was giving back: nothing is placed on them, and their deletion is asked for again. */
-    public void machineDeletionLoaded(String key, StoredRecord.MachinesToDelete row, long version, long nowMicros) {
-        returns.load(key, row.machines(), version);
-        row.machines().forEach(name -> fleet.getOrAdd(name, nowMicros).deletionRequested = true);
+    public void machineDeletionLoaded(String key, StoredRecord.MachinesToDelete record, long version, long nowMicros) {
+        machineDeletions.load(key, record.machines(), version);
+        record.machines().forEach(name -> fleet.getOrAdd(name, nowMicros).deletionRequested = true);
     }
 
     /** Every controller reads the present layout: what an older one could not read may be written, on that condition. */
@@ -243,7 +243,7 @@
     /** How many changes rounds and users leave over now: what is above four fifths of a second's worth. */
     public int spareWriteBudget(long nowMicros) {
         fillWriteTokens(nowMicros);
-        return inFlight != null ? 0 : (int) Math.max(0, writeTokens - leaderWriteRate() * ROUNDS_KEEP);
+        return inFlight != null ? 0 : (int) Math.max(0, writeTokens - leaderWriteRate() * RESERVED_SHARE);
     }
 
     /** Something else that this leader writes took so many of its changes. */
@@ -254,28 +254,28 @@
     /** All rows are read: machines that the ledgers name are known of from here on. */
     public void allRecordsLoaded(long nowMicros) {
         loading = false;
-        if (!ledgersFound && rentals.requests.isEmpty()) {
-            renter.noteFirstTerm();
+        if (!ledgersFound && provisioningRequests.requests.isEmpty()) {
+            autoscaler.noteFirstTerm();
         }
         for (Job job : ledgers.jobs()) {
             for (String name : job.unreconciledMachines) {
                 Machine machine = fleet.getOrAdd(name, nowMicros);
-                machine.delaysRecovery = true;
+                machine.awaitedAfterFailover = true;
             }
-            settleCancelled(job, nowMicros);
+            writeLedgerOnceStopped(job, nowMicros);
         }
-        hintsKnown(nowMicros);
-        recovery.stateLoaded(
+        applyHints(nowMicros);
+        failoverProgress.stateLoaded(
                 (int) fleet.machines().stream()
-                        .filter(machine -> machine.delaysRecovery)
+                        .filter(machine -> machine.awaitedAfterFailover)
                         .count(),
                 nowMicros);
     }
 
-    private void hintsKnown(long nowMicros) {
+    private void applyHints(long nowMicros) {
         ledgers.jobs().forEach(hints::apply);
         for (Machine machine : fleet.machines()) {
-            machine.deletionRequested |= machine.delaysRecovery && hints.wasDeleted(machine.name);
+            machine.deletionRequested |= machine.awaitedAfterFailover && hints.wasDeleted(machine.name);
             if (machine.reconciled) {
                 applyHint(machine, nowMicros);
             }
@@ -292,7 +292,7 @@
     /** The state service was asked at {@code askedMicros} and the answer is applied. */
     public void storeReadAt(long askedMicros) {
         if (askedMicros >= resumedMicros) {
-            freshMicros = Math.max(freshMicros, askedMicros);
+            storeReadMicros = Math.max(storeReadMicros, askedMicros);
         }
     }
 
@@ -301,7 +301,7 @@
      * takes every task for gone, and on a machine that has not heard of its successor a start of its own would land.
      */
     public void leaseHeldUntil(long untilMicros) {
-        holdsUntilMicros = untilMicros;
+        leaseHeldUntilMicros = untilMicros;
     }
 
     /**
@@ -310,10 +310,10 @@
      */
     public void processResumed(long nowMicros) {
         resumedMicros = nowMicros;
-        freshMicros = Math.min(freshMicros, nowMicros - FRESH_MICROS - 1);
+        storeReadMicros = Math.min(storeReadMicros, nowMicros - MAX_STORE_READ_AGE_MICROS - 1);
     }
 
-    private boolean mayJudge(long nowMicros) {
+    private boolean mayDetectFailures(long nowMicros) {
         return nowMicros - resumedMicros > 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
     }
 
@@ -322,9 +322,9 @@
     /** Takes a report in and answers it; a report with a higher token must not get here. */
     public List<Command> handleHeartbeat(Heartbeat heartbeat, long nowMicros) {
         List<Command> commands = new ArrayList<>();
-        Machine machine = takeIn(heartbeat, commands, nowMicros);
+        Machine machine = applyHeartbeat(heartbeat, commands, nowMicros);
         if (machine != null) {
-            if (machine.reconciled && mayPlan(nowMicros)) {
+            if (machine.reconciled && mayPlaceTasks(nowMicros)) {
                 planner.refill(machine, nowMicros);
             }
             addStopsAndStarts(machine, heartbeat, nowMicros, commands);
@@ -333,7 +333,7 @@
     }
 
     /**
-     * A report that came as the answer to a greeting. It proves as much as any other, but nothing can be told in answer to it, and the
+     * A report that came as the answer to a announcement. It proves as much as any other, but nothing can be told in answer to it, and the
      * worker's lease runs on from the last answer that it had: what is taken for gone from then on is taken for so too late.
      *
      * <p>Only for a machine that is not confirmed, which no start of this term can be on its way to. A worker has one report under way at
@@ -343,7 +343,7 @@
     public void announcementAnswered(Heartbeat heartbeat, long nowMicros) {
         Machine machine = fleet.get(heartbeat.machine());
         if (machine == null || !machine.reconciled) {
-            takeIn(heartbeat, new ArrayList<>(), nowMicros);
+            applyHeartbeat(heartbeat, new ArrayList<>(), nowMicros);
         } else {
             machine.highestSequence = Math.max(machine.highestSequence, heartbeat.sequence());
         }
@@ -359,14 +359,14 @@
             if (result.size() >= most) {
                 break;
             }
-            if (machine.delaysRecovery
+            if (machine.awaitedAfterFailover
                     && !machine.announced
                     && !machine.deletionRequested
-                    && machine.lastAnsweredMicros < 0) {
+                    && machine.lastHeartbeatMicros < 0) {
                 machine.announced = true;
-                TermAnnouncement greeting = hints.announcementFor(machine.name);
-                if (greeting != null) {
-                    result.add(greeting);
+                TermAnnouncement announcement = hints.announcementFor(machine.name);
+                if (announcement != null) {
+                    result.add(announcement);
                 }
             }
         }
@@ -374,7 +374,7 @@
     }
 
     /** The machine as the report shows it, null if the report is older than what is known. */
-    private Machine takeIn(Heartbeat heartbeat, List<Command> commands, long nowMicros) {
+    private Machine applyHeartbeat(Heartbeat heartbeat, List<Command> commands, long nowMicros) {
         if (fleet.isDeleted(heartbeat.machine())) {
             return null;
         }
@@ -389,14 +389,14 @@
         if (machine.type == null || !machine.type.equals(heartbeat.type()) || machine.capacity() == null) {
             fleet.describe(machine, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         }
-        machine.lastAnsweredMicros = nowMicros;
+        machine.lastHeartbeatMicros = nowMicros;
         if (heartbeat.spotNoticeMicros() >= 0 && machine.spotNoticeEndsMicros < 0) {
             machine.spotNoticeEndsMicros = nowMicros + heartbeat.spotNoticeMicros();
-            noticed(machine, nowMicros);
+            evictForSpotNotice(machine, nowMicros);
         }
-        commands.addAll(readBack(machine, heartbeat, nowMicros));
+        commands.addAll(reconcileTasks(machine, heartbeat, nowMicros));
         if (heartbeat.fencingToken() == fencingToken && !machine.reconciled) {
-            confirm(machine, nowMicros);
+            markReconciled(machine, nowMicros);
         }
         if (machine.placements.isEmpty() && machine.idleSinceMicros < 0) {
             machine.idleSinceMicros = nowMicros;
@@ -404,42 +404,42 @@
         return machine;
     }
 
-    private void confirm(Machine machine, long nowMicros) {
+    private void markReconciled(Machine machine, long nowMicros) {
         machine.reconciled = true;
-        if (machine.delaysRecovery) {
-            machine.delaysRecovery = false;
-            recovery.machineReconciled(nowMicros);
+        if (machine.awaitedAfterFailover) {
+            machine.awaitedAfterFailover = false;
+            failoverProgress.machineReconciled(nowMicros);
         }
         applyHint(machine, nowMicros);
-        settle(machine.name, nowMicros);
+        reconcileMachine(machine.name, nowMicros);
     }
 
     /** Nothing that an earlier leader sent can appear on this machine any more. */
-    private void settle(String machineName, long nowMicros) {
+    private void reconcileMachine(String machineName, long nowMicros) {
         for (Job job : ledgers.reconcileMachine(machineName)) {
             // Not at each machine: written anew for each of them, all ledgers together took the write rate for seconds.
-            settleCancelled(job, nowMicros);
+            writeLedgerOnceStopped(job, nowMicros);
             ledgers.markDirty(job, nowMicros);
         }
     }
 
     /** The newest list is the truth about everything that was sent before it. */
-    private List<Command> readBack(Machine machine, Heartbeat heartbeat, long nowMicros) {
+    private List<Command> reconcileTasks(Machine machine, Heartbeat heartbeat, long nowMicros) {
         List<Command> commands = new ArrayList<>();
-        for (TaskStatus line : heartbeat.tasks()) {
-            Job job = ledgers.get(line.job());
-            if (line.state() == TaskState.EXITED) {
-                exited(machine, job, line, nowMicros, commands);
+        for (TaskStatus status : heartbeat.tasks()) {
+            Job job = ledgers.get(status.job());
+            if (status.state() == TaskState.EXITED) {
+                taskExited(machine, job, status, nowMicros, commands);
                 continue;
             }
-            Placement placement = find(machine, line);
+            Placement placement = find(machine, status);
             if (job == null && placement == null) {
-                job = cancelledBefore(line.job(), nowMicros);
+                job = addCancelledBeforeTerm(status.job(), nowMicros);
             }
             if (job == null) {
                 // The job is over: what is left of it is stopped now and forgotten once it exited. Until then it counts
                 // for its team.
-                commands.add(new Command.Stop(line.job(), line.taskIndex(), line.attempt(), 0));
+                commands.add(new Command.Stop(status.job(), status.taskIndex(), status.attempt(), 0));
                 if (placement != null) {
                     placement.lastListedSequence = heartbeat.sequence();
                 }
@@ -447,28 +447,29 @@
             }
             if (placement == null) {
                 placement = new Placement(
-                        job, line.taskIndex(), line.attempt(), machine, Placement.Phase.REPORTED, nowMicros);
+                        job, status.taskIndex(), status.attempt(), machine, Placement.Phase.REPORTED, nowMicros);
                 placement.adopted = true;
                 add(placement);
-                if (job.cancelled || (job.spec.kind() != JobKind.SERVICE && job.finishedTasks.get(line.taskIndex()))) {
+                if (job.cancelled
+                        || (job.spec.kind() != JobKind.SERVICE && job.finishedTasks.get(status.taskIndex()))) {
                     stop(placement, 0, nowMicros);
                 }
             }
             placement.transitionTo(Placement.Phase.REPORTED);
-            placement.state = line.state();
-            if (line.state() == TaskState.RUNNING && placement.runningSinceMicros < 0) {
+            placement.state = status.state();
+            if (status.state() == TaskState.RUNNING && placement.runningSinceMicros < 0) {
                 placement.runningSinceMicros = nowMicros;
             }
-            if (line.state() != TaskState.FETCHING) {
-                hasImage(machine, job);
+            if (status.state() != TaskState.FETCHING) {
+                recordImage(machine, job);
             }
             if (job.spec.kind() == JobKind.GANG
-                    && line.state() != TaskState.FETCHING
-                    && line.state() != TaskState.WAITING) {
+                    && status.state() != TaskState.FETCHING
+                    && status.state() != TaskState.WAITING) {
                 job.gangStarted = true;
             }
             placement.lastListedSequence = heartbeat.sequence();
-            health.replicaRunning(placement, nowMicros);
+            failureAttribution.replicaRunning(placement, nowMicros);
         }
         List<Placement> lost = new ArrayList<>();
         for (Placement placement : machine.placements) {
@@ -484,33 +485,33 @@
      * A job that was cancelled before this term and has no ledger, since a former version removed it too early: what is reported of it counts for
      * its team like anything else. Null if it is not one.
      */
-    private Job cancelledBefore(String id, long nowMicros) {
-        StoredRecord.JobRecord row = ending.get(id);
-        if (row == null) {
+    private Job addCancelledBeforeTerm(String id, long nowMicros) {
+        StoredRecord.JobRecord record = cancelledBeforeTerm.get(id);
+        if (record == null) {
             return null;
         }
-        Job job = ledgers.add(row.spec(), 0, row.submittedWall(), nowMicros, nowMicros);
+        Job job = ledgers.add(record.spec(), 0, record.submittedWall(), nowMicros, nowMicros);
         job.cancelled = true;
         return job;
     }
 
-    private void exited(Machine machine, Job job, TaskStatus line, long nowMicros, List<Command> commands) {
-        Placement placement = find(machine, line);
-        boolean done = line.cause() == ExitCause.DONE && job != null && job.spec.kind() != JobKind.SERVICE;
+    private void taskExited(Machine machine, Job job, TaskStatus status, long nowMicros, List<Command> commands) {
+        Placement placement = find(machine, status);
+        boolean done = status.cause() == ExitCause.DONE && job != null && job.spec.kind() != JobKind.SERVICE;
         if (done && !job.cancelled) {
-            if (!job.finishedTasks.get(line.taskIndex())) {
-                learn(machine, placement, nowMicros);
-                health.taskSucceeded(machine, job);
-                hasImage(machine, job);
+            if (!job.finishedTasks.get(status.taskIndex())) {
+                recordRuntime(machine, placement, nowMicros);
+                failureAttribution.taskSucceeded(machine, job);
+                recordImage(machine, job);
                 if (job.spec.kind() == JobKind.GANG) {
                     // A gang completes together, so one report tells of all, also of those that are lost now.
                     for (int index = 0; index < job.spec.taskCount(); index++) {
                         ledgers.taskFinished(job, index, nowMicros);
                     }
                 } else {
-                    ledgers.taskFinished(job, line.taskIndex(), nowMicros);
+                    ledgers.taskFinished(job, status.taskIndex(), nowMicros);
                 }
-                for (Placement other : List.copyOf(job.liveAttempts.getOrDefault(line.taskIndex(), List.of()))) {
+                for (Placement other : List.copyOf(job.liveAttempts.getOrDefault(status.taskIndex(), List.of()))) {
                     if (other != placement) {
                         if (other.isUnsent()) {
                             remove(other);
@@ -520,43 +521,43 @@
                     }
                 }
             }
-            if (job.recordedTasks.get(line.taskIndex())) {
-                commands.add(new Command.Reap(line.job(), line.taskIndex(), line.attempt()));
+            if (job.recordedTasks.get(status.taskIndex())) {
+                commands.add(new Command.Reap(status.job(), status.taskIndex(), status.attempt()));
             }
         } else {
             if (placement != null && job != null) {
-                failed(machine, job, line.cause(), nowMicros);
+                taskFailed(machine, job, status.cause(), nowMicros);
             }
-            commands.add(new Command.Reap(line.job(), line.taskIndex(), line.attempt()));
+            commands.add(new Command.Reap(status.job(), status.taskIndex(), status.attempt()));
         }
         if (placement != null) {
             remove(placement);
             if (placement.job.spec.kind() == JobKind.GANG
-                    && line.cause() != ExitCause.NO_ROOM
-                    && line.cause() != ExitCause.BUSY
-                    && line.cause() != ExitCause.UNKNOWN) {
+                    && status.cause() != ExitCause.NO_ROOM
+                    && status.cause() != ExitCause.BUSY
+                    && status.cause() != ExitCause.UNKNOWN) {
                 placement.job.gangBroken = !placement.job.liveAttempts.isEmpty();
             }
         }
     }
 
-    private void failed(Machine machine, Job job, ExitCause cause, long nowMicros) {
+    private void taskFailed(Machine machine, Job job, ExitCause cause, long nowMicros) {
         switch (cause) {
             case ERROR -> {
                 boolean suspectBefore = job.quarantined;
                 boolean drainingBefore = machine.quarantined;
-                health.taskFailed(machine, job, fleet.machines(), nowMicros);
+                failureAttribution.taskFailed(machine, job, fleet.machines(), nowMicros);
                 if (job.quarantined) {
-                    dropUnsent(job);
+                    removeUnsent(job);
                 }
                 if (job.quarantined && !suspectBefore) {
-                    takeNotices.add(String.format(
+                    notices.add(String.format(
                             "%s (%s) is suspected: it failed on %d machines and never succeeded; it is"
                                     + " only probed now",
                             job.id(), job.spec.jobClass(), job.failedMachines.size()));
                 }
                 if (machine.quarantined && !drainingBefore) {
-                    takeNotices.add(String.format(
+                    notices.add(String.format(
                             "%s is suspected: %d failures of jobs that succeed elsewhere, %d jobs of"
                                     + " unknown worth failed on it",
                             machine.name, machine.failures, machine.unattributedJobs.size()));
@@ -567,7 +568,7 @@
         }
     }
 
-    private void dropUnsent(Job job) {
+    private void removeUnsent(Job job) {
         for (Placement placement : allOf(job)) {
             if (placement.isUnsent()) {
                 remove(placement);
@@ -575,16 +576,16 @@
         }
     }
 
-    private void learn(Machine machine, Placement placement, long nowMicros) {
+    private void recordRuntime(Machine machine, Placement placement, long nowMicros) {
         if (placement != null && placement.runningSinceMicros >= 0) {
-            health.recordPace(machine, placement, nowMicros);
+            failureAttribution.recordPace(machine, placement, nowMicros);
             if (machine.slowUntilMicros < nowMicros && !placement.adopted) {
-                runTimes.taskFinished(placement.job, nowMicros - placement.runningSinceMicros);
+                runtimeEstimator.taskFinished(placement.job, nowMicros - placement.runningSinceMicros);
             }
         }
     }
 
-    private void hasImage(Machine machine, Job job) {
+    private void recordImage(Machine machine, Job job) {
         MachineType type = machine.type == null ? null : fleet.machineTypes().get(machine.type);
         machine.touchImage(job.spec.image(), job.spec.imageGb(), type == null ? 0 : type.cacheGb());
     }
@@ -596,33 +597,33 @@
                         placement.job.id(), placement.taskIndex, placement.attempt, placement.stopGraceMicros));
             }
         }
-        if (!machine.reconciled || machine.deletionRequested || !mayStart(nowMicros)) {
+        if (!machine.reconciled || machine.deletionRequested || !mayStartTasks(nowMicros)) {
             return;
         }
         for (Placement placement : machine.placements) {
-            if (placement.phase == Placement.Phase.READY && commands.size() < MOST_COMMANDS) {
+            if (placement.phase == Placement.Phase.READY && commands.size() < MAX_COMMANDS) {
                 placement.transitionTo(Placement.Phase.SENT);
                 placement.sentIncarnation = heartbeat.incarnation();
                 placement.sentSequence = heartbeat.sequence();
-                recovery.taskStarted(nowMicros);
+                failoverProgress.taskStarted(nowMicros);
                 commands.add(new Command.Start(placement.job.id(), placement.taskIndex, placement.attempt));
             }
         }
     }
 
     /** The cloud takes the machine away: what can save is told to, the rest may still finish in time. */
-    private void noticed(Machine machine, long nowMicros) {
+    private void evictForSpotNotice(Machine machine, long nowMicros) {
         for (Placement placement : List.copyOf(machine.placements)) {
             if (placement.isUnsent()) {
                 remove(placement);
             } else if (placement.job.spec.checkpointIntervalMicros() > 0) {
-                stopToSave(placement, nowMicros);
+                stopWithCheckpoint(placement, nowMicros);
             }
         }
     }
 
     /** A gang saves only together: all its tasks have to be told within the time that they wait for one another. */
-    void stopToSave(Placement placement, long nowMicros) {
+    void stopWithCheckpoint(Placement placement, long nowMicros) {
         Job job = placement.job;
         long grace = Micros.withDrift(job.spec.saveMicros()) + Micros.SECOND;
         if (job.spec.kind() == JobKind.GANG) {
@@ -643,7 +644,7 @@
     }
 
     /** A gang that lost a task after it started cannot go on, and one that gave up waiting is not completed. */
-    private void endBrokenGangs(long nowMicros) {
+    private void stopBrokenGangs(long nowMicros) {
         for (Job job : ledgers.jobs()) {
             if (job.spec.kind() != JobKind.GANG
                     || job.liveAttempts.isEmpty()
@@ -667,9 +668,9 @@
 
     // ---- placements
 
-    private static Placement find(Machine machine, TaskStatus line) {
+    private static Placement find(Machine machine, TaskStatus status) {
         for (Placement placement : machine.placements) {
-            if (placement.matches(line)) {
+            if (placement.matches(status)) {
                 return placement;
             }
         }
@@ -700,7 +701,7 @@
             placement.job.gangBroken = false;
         }
         if (placement.job.cancelled) {
-            settleCancelled(placement.job, placement.createdMicros);
+            writeLedgerOnceStopped(placement.job, placement.createdMicros);
         }
     }
 
@@ -717,10 +718,10 @@
     }
 
     /** Decides a start. Its attempt carries the token, so that it is unique without being written. */
-    void place(Job job, int index, Machine machine, long nowMicros) {
+    void placeTask(Job job, int index, Machine machine, long nowMicros) {
         long attempt = (fencingToken << 20) + ++attemptCounter;
         if (job.spec.kind() == JobKind.GANG) {
-            long live = job.liveAttempt();
+            long live = job.liveGangAttempt();
             attempt = live != 0 ? live : attempt;
             job.gangAttempt = attempt;
         }
@@ -758,30 +759,30 @@
 
     /** Called every so often: leases that ran out, placing, renting. */
     public void tick(long nowMicros) {
-        if (!mayJudge(nowMicros)) {
+        if (!mayDetectFailures(nowMicros)) {
             return;
         }
         for (Machine machine : List.copyOf(fleet.machines())) {
-            expire(machine, nowMicros);
+            expireLease(machine, nowMicros);
         }
-        endBrokenGangs(nowMicros);
-        for (Machine machine : health.findSlowMachines(fleet.machines(), nowMicros)) {
-            leaveSlow(machine, nowMicros);
+        stopBrokenGangs(nowMicros);
+        for (Machine machine : failureAttribution.findSlowMachines(fleet.machines(), nowMicros)) {
+            evictFromSlowMachine(machine, nowMicros);
         }
-        pipelines.refresh(nowMicros);
+        dagInheritance.refresh(nowMicros);
         for (Job job : ledgers.jobs()) {
             if (job.ledgerFull) {
-                giveHeldBack(job, nowMicros);
+                removeUnrecordedPlacements(job, nowMicros);
             }
         }
-        if (mayPlan(nowMicros)) {
+        if (mayPlaceTasks(nowMicros)) {
             planner.plan(nowMicros);
         }
-        renter.plan(nowMicros, termStartMicros);
+        autoscaler.plan(nowMicros, termStartMicros);
     }
 
     /** What is held for machines that the ledger cannot name waits for others of the job's machines. */
-    private void giveHeldBack(Job job, long nowMicros) {
+    private void removeUnrecordedPlacements(Job job, long nowMicros) {
         job.ledgerFull = false;
         job.ledgerFullUntilMicros = nowMicros + Micros.SECOND;
         for (Placement placement : allOf(job)) {
@@ -793,8 +794,8 @@
     }
 
     /** Starts over elsewhere what would take longer where it is. */
-    private void leaveSlow(Machine machine, long nowMicros) {
-        slowFound++;
+    private void evictFromSlowMachine(Machine machine, long nowMicros) {
+        slowMachinesFound++;
         for (Placement placement : List.copyOf(machine.placements)) {
             if (placement.job.spec.kind() != JobKind.ARRAY) {
                 continue;
@@ -807,7 +808,7 @@
                 // each machine seem slow, and were started over without end.
                 placement.job.evictedAsSlow.set(placement.taskIndex);
                 if (placement.job.spec.checkpointIntervalMicros() > 0) {
-                    stopToSave(placement, nowMicros);
+                    stopWithCheckpoint(placement, nowMicros);
                 } else {
                     stop(placement, 0, nowMicros);
                 }
@@ -815,30 +816,30 @@
         }
     }
 
-    private void expire(Machine machine, long nowMicros) {
+    private void expireLease(Machine machine, long nowMicros) {
         if (machine.placements.isEmpty()) {
             return;
         }
-        if (machine.lastAnsweredMicros >= 0 && !machine.isResponsive(nowMicros, settings)) {
+        if (machine.lastHeartbeatMicros >= 0 && !machine.isResponsive(nowMicros, settings)) {
             for (Placement placement : List.copyOf(machine.placements)) {
                 if (placement.isUnsent()) {
                     remove(placement);
                 }
             }
         }
-        if (machine.reconciled && nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros()) {
+        if (machine.reconciled && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros()) {
             for (Placement placement : List.copyOf(machine.placements)) {
                 remove(placement);
             }
         }
     }
 
-    private boolean mayPlan(long nowMicros) {
-        return mayStart(nowMicros) && !fleet.machineTypes().isEmpty();
+    private boolean mayPlaceTasks(long nowMicros) {
+        return mayStartTasks(nowMicros) && !fleet.machineTypes().isEmpty();
     }
 
-    private boolean mayStart(long nowMicros) {
-        return nowMicros - freshMicros <= FRESH_MICROS && nowMicros < holdsUntilMicros;
+    private boolean mayStartTasks(long nowMicros) {
+        return nowMicros - storeReadMicros <= MAX_STORE_READ_AGE_MICROS && nowMicros < leaseHeldUntilMicros;
     }
 
     // ---- rounds
@@ -860,90 +861,91 @@
         }
         double rate = leaderWriteRate();
         fillWriteTokens(nowMicros);
-        int most = (int) Math.min(writeTokens, mostOps);
+        int most = (int) Math.min(writeTokens, maxTransactionWrites);
         if (most < 1) {
             return null;
         }
         List<Transaction.Write> writes =
-                new ArrayList<>(extraWrites.subList(0, Math.min(extraWrites.size(), most / 2)));
-        List<ProvisioningRequests.Request> bookings =
-                rentals.mayWrite() ? rentals.requestsToWrite(Math.max(1, most / 2), nowMicros) : List.of();
-        for (ProvisioningRequests.Request booking : bookings) {
+                new ArrayList<>(orphanedLedgerDeletions.subList(0, Math.min(orphanedLedgerDeletions.size(), most / 2)));
+        List<ProvisioningRequests.Request> requests = provisioningRequests.mayWrite()
+                ? provisioningRequests.requestsToWrite(Math.max(1, most / 2), nowMicros)
+                : List.of();
+        for (ProvisioningRequests.Request request : requests) {
             writes.add(new Transaction.Write(
-                    StoreKeys.provisioningRequest(booking.name),
-                    booking.state == ProvisioningRequests.State.DONE
+                    StoreKeys.provisioningRequest(request.name),
+                    request.state == ProvisioningRequests.State.DONE
                             ? null
                             : new StoredRecord.Provisioning(
-                                    "claimed", booking.type, booking.zone, booking.spot, booking.count),
+                                    "claimed", request.type, request.zone, request.spot, request.count),
                     0));
         }
-        List<Transaction.Condition> conditions = rentals.conditions(bookings);
+        List<Transaction.Condition> conditions = provisioningRequests.conditions(requests);
         List<Transaction.Write> given =
-                returns.nextWrites(fleet.machines(), most - bookings.size() - writes.size() - 1, nowMicros);
-        conditions.addAll(returns.conditions(given));
+                machineDeletions.nextWrites(fleet.machines(), most - requests.size() - writes.size() - 1, nowMicros);
+        conditions.addAll(machineDeletions.conditions(given));
         writes.addAll(given);
         if (!conditions.isEmpty()) {
-            conditions.add(new Transaction.Condition(StoreKeys.FEATURE_STAGES, switchesVersion));
+            conditions.add(new Transaction.Condition(StoreKeys.FEATURE_STAGES, featureStagesVersion));
         }
-        Transaction.Write fence = rentals.fence(bookings);
+        Transaction.Write fence = provisioningRequests.fence(requests);
         if (fence != null) {
             writes.add(fence);
         }
         // Half of a second's writes are kept for what starts or ends a job. Counted from the changes that a transaction
         // may
         // hold, as before, it came to two where that is five, and finished tasks took what starts then waited for.
-        int later = (int) Math.max(0, Math.min(mostOps, writeTokens - rate / 2));
+        int later = (int) Math.max(0, Math.min(maxTransactionWrites, writeTokens - rate / 2));
         planner.beginWriteBatch(nowMicros);
-        JobLedgers.WriteBatch round = ledgers.nextWriteBatch(
+        JobLedgers.WriteBatch batch = ledgers.nextWriteBatch(
                 nowMicros,
                 wallMicros,
                 most,
                 later,
-                bookings,
+                requests,
                 writes,
                 conditions,
                 (job, likely) -> planner.candidateMachines(job, likely, nowMicros));
-        if (round == null) {
-            given.forEach(returns::notWritten);
+        if (batch == null) {
+            given.forEach(machineDeletions::notWritten);
             return null;
         }
-        bookings.forEach(booking -> booking.writing = true);
-        writeTokens -= round.transaction().writes().size();
-        inFlight = round;
-        return round.transaction();
+        requests.forEach(request -> request.writing = true);
+        writeTokens -= batch.transaction().writes().size();
+        inFlight = batch;
+        return batch.transaction();
     }
 
     public void writeConfirmed(long revision, long nowMicros) {
-        JobLedgers.WriteBatch round = inFlight;
+        JobLedgers.WriteBatch batch = inFlight;
         inFlight = null;
-        for (Transaction.Write write : round.transaction().writes()) {
+        for (Transaction.Write write : batch.transaction().writes()) {
             if (MachineDeletions.owns(write.key())) {
-                returns.written(write, revision);
+                machineDeletions.written(write, revision);
             } else if (write.record() == null) {
-                extraWrites.remove(write);
+                orphanedLedgerDeletions.remove(write);
             }
         }
-        for (JobLedgers.JobWrite part : round.jobWrites()) {
+        for (JobLedgers.JobWrite part : batch.jobWrites()) {
             if (part.last() && !part.job().cancelled) {
                 completed.add(part.job());
             }
         }
-        for (Transaction.Write write : round.transaction().writes()) {
-            if (write.record() instanceof StoredRecord.JobRecord row) {
-                takeEndedJobs.add(new EndedJob(write.key().substring(StoreKeys.JOBS.length()), row, revision));
+        for (Transaction.Write write : batch.transaction().writes()) {
+            if (write.record() instanceof StoredRecord.JobRecord record) {
+                endedJobs.add(new EndedJob(write.key().substring(StoreKeys.JOBS.length()), record, revision));
             }
         }
-        ledgers.writeConfirmed(round, revision, nowMicros);
-        if (round.transaction().writes().stream()
+        ledgers.writeConfirmed(batch, revision, nowMicros);
+        if (batch.transaction().writes().stream()
                 .anyMatch(write -> write.record() instanceof StoredRecord.ProvisioningFence)) {
-            rentals.fenceMoved(revision);
-        }
-        for (ProvisioningRequests.Request booking : round.provisioningRequests()) {
-            booking.writing = false;
-            booking.version = booking.state == ProvisioningRequests.State.DONE ? 0 : revision;
-            booking.recorded = booking.state != ProvisioningRequests.State.DONE;
-            if (booking.state == ProvisioningRequests.State.DONE) {
-                rentals.requests.remove(booking.name);
+            provisioningRequests.fenceMoved(revision);
+        }
+        for (ProvisioningRequests.Request request : batch.provisioningRequests()) {
+            request.writing = false;
+            request.version = request.state == ProvisioningRequests.State.DONE ? 0 : revision;
+            request.recorded = request.state != ProvisioningRequests.State.DONE;
+            if (request.state == ProvisioningRequests.State.DONE) {
+                provisioningRequests.requests.remove(request.name);
             }
         }
     }
@@ -955,12 +957,13 @@
 
     /** The service will never take this transaction. */
     public void writeRejected(long nowMicros) {
-        JobLedgers.WriteBatch round = inFlight;
-        if (round.transaction().writes().size() > FEWEST_OPS) {
-            mostOps = Math.max(FEWEST_OPS, round.transaction().writes().size() / 2);
+        JobLedgers.WriteBatch batch = inFlight;
+        if (batch.transaction().writes().size() > MIN_TRANSACTION_WRITES) {
+            maxTransactionWrites = Math.max(
+                    MIN_TRANSACTION_WRITES, batch.transaction().writes().size() / 2);
         }
-        ledgers.writeRejected(round, nowMicros);
-        returnsOf(round).forEach(returns::notWritten);
+        ledgers.writeRejected(batch, nowMicros);
+        deletionWrites(batch).forEach(machineDeletions::notWritten);
         writeResolved(nowMicros);
     }
 
@@ -972,20 +975,21 @@
      * @return the keys to be read back, each to be followed by {@link #keyReadBack}
      */
     public List<String> writeConflicted(List<String> failed, long nowMicros) {
-        JobLedgers.WriteBatch round = inFlight;
+        JobLedgers.WriteBatch batch = inFlight;
         inFlight = null;
-        for (ProvisioningRequests.Request booking : round.provisioningRequests()) {
-            booking.writing = false;
+        for (ProvisioningRequests.Request request : batch.provisioningRequests()) {
+            request.writing = false;
         }
-        rentals.markUnknown(failed.stream().filter(ProvisioningRequests::owns).toList());
-        for (Transaction.Write write : returnsOf(round)) {
+        provisioningRequests.markUnknown(
+                failed.stream().filter(ProvisioningRequests::owns).toList());
+        for (Transaction.Write write : deletionWrites(batch)) {
             if (failed.contains(write.key())) {
-                returns.markUnknown(write.key());
+                machineDeletions.markUnknown(write.key());
             } else {
-                returns.notWritten(write);
+                machineDeletions.notWritten(write);
             }
         }
-        return ledgers.writeConflicted(round, failed, nowMicros);
+        return ledgers.writeConflicted(batch, failed, nowMicros);
     }
 
     /** A key that a round was refused for was read back and taken in. */
@@ -995,12 +999,12 @@
         }
     }
 
-    /** A booking, their fence or a row of machines that are given back, as read back; null with version 0 if there is none. */
-    public void cloudRecordReadBack(String key, StoredRecord row, long version) {
+    /** A request, their fence or a record of machines that are given back, as read back; null with version 0 if there is none. */
+    public void cloudRecordReadBack(String key, StoredRecord record, long version) {
         if (MachineDeletions.owns(key)) {
-            returns.readBack(key, version);
+            machineDeletions.readBack(key, version);
         } else {
-            rentals.readBack(key, row, version);
+            provisioningRequests.readBack(key, record, version);
         }
     }
 
@@ -1009,15 +1013,15 @@
         return ProvisioningRequests.owns(key) || MachineDeletions.owns(key);
     }
 
-    private static List<Transaction.Write> returnsOf(JobLedgers.WriteBatch round) {
-        return round.transaction().writes().stream()
+    private static List<Transaction.Write> deletionWrites(JobLedgers.WriteBatch batch) {
+        return batch.transaction().writes().stream()
                 .filter(write -> MachineDeletions.owns(write.key()))
                 .toList();
     }
 
     /** The round was certainly not executed; nothing needs to be read. */
     public void writeNotExecuted(long nowMicros) {
-        returnsOf(inFlight).forEach(returns::notWritten);
+        deletionWrites(inFlight).forEach(machineDeletions::notWritten);
         writeResolved(nowMicros);
     }
 
@@ -1025,38 +1029,38 @@
         ledgers.readBack(key, ledger, version);
     }
 
-    /** A job row as read back: our own completion of it, a cancellation, or still open. */
-    public void jobReadBack(String id, StoredRecord.JobRecord row, long version, long nowMicros) {
+    /** A job record as read back: our own completion of it, a cancellation, or still open. */
+    public void jobReadBack(String id, StoredRecord.JobRecord record, long version, long nowMicros) {
         Job job = ledgers.get(id);
-        if (job != null && row.state() == JobState.DONE) {
+        if (job != null && record.state() == JobState.DONE) {
             ledgers.drop(job);
-            takeEndedJobs.add(new EndedJob(id, row, version));
-        } else if (job != null && row.state() == JobState.CANCELLED && !job.cancelled) {
+            endedJobs.add(new EndedJob(id, record, version));
+        } else if (job != null && record.state() == JobState.CANCELLED && !job.cancelled) {
             cancel(job, nowMicros);
         } else if (job != null) {
             job.version = version;
-        } else if (row.state() == JobState.CANCELLED) {
+        } else if (record.state() == JobState.CANCELLED) {
             ledgers.cancelledBeforeStart(id);
         }
     }
 
-    /** A job's final row that is in the state service. */
+    /** A job's final record that is in the state service. */
     public record EndedJob(String id, StoredRecord.JobRecord record, long version) {}
 
     /** Final rows that this leader knows to be stored since the last call: jobs may wait for them. */
     public List<EndedJob> takeEndedJobs() {
-        List<EndedJob> result = List.copyOf(takeEndedJobs);
-        takeEndedJobs.clear();
+        List<EndedJob> result = List.copyOf(endedJobs);
+        endedJobs.clear();
         return result;
     }
 
     public void writeResolved(long nowMicros) {
-        JobLedgers.WriteBatch round = inFlight;
+        JobLedgers.WriteBatch batch = inFlight;
         inFlight = null;
-        for (ProvisioningRequests.Request booking : round.provisioningRequests()) {
-            booking.writing = false;
+        for (ProvisioningRequests.Request request : batch.provisioningRequests()) {
+            request.writing = false;
         }
-        ledgers.writeResolved(round, nowMicros);
+        ledgers.writeResolved(batch, nowMicros);
     }
 
     // ---- the cloud
@@ -1066,57 +1070,59 @@
     }
 
     public List<CloudCall> cloudCalls(long nowMicros) {
-        return nowMicros < holdsUntilMicros && mayJudge(nowMicros) ? renter.nextCalls(nowMicros) : List.of();
+        return nowMicros < leaseHeldUntilMicros && mayDetectFailures(nowMicros)
+                ? autoscaler.nextCalls(nowMicros)
+                : List.of();
     }
 
-    public void machinesRented(String booking, List<String> names, long nowMicros) {
-        renter.machinesRented(booking, names, nowMicros);
+    public void machinesRented(String request, List<String> names, long nowMicros) {
+        autoscaler.machinesRented(request, names, nowMicros);
     }
 
-    public void noCapacity(String booking, long nowMicros) {
-        renter.noCapacity(booking, nowMicros);
+    public void noCapacity(String request, long nowMicros) {
+        autoscaler.noCapacity(request, nowMicros);
     }
 
-    public void provisioningUnanswered(String booking, long nowMicros) {
-        renter.requestUnanswered(booking, nowMicros);
+    public void provisioningUnanswered(String request, long nowMicros) {
+        autoscaler.requestUnanswered(request, nowMicros);
     }
 
     /** A request that the cloud refused without executing it may be sent again under the same name. */
-    public void provisioningNotExecuted(String booking) {
-        renter.requestNotExecuted(booking);
+    public void provisioningNotExecuted(String request) {
+        autoscaler.requestNotExecuted(request);
     }
 
     public void machinesDeleted(List<String> names, long nowMicros) {
         for (String name : names) {
             Machine machine = fleet.get(name);
             if (machine != null) {
-                if (machine.delaysRecovery) {
-                    recovery.machineReconciled(nowMicros);
+                if (machine.awaitedAfterFailover) {
+                    failoverProgress.machineReconciled(nowMicros);
                 }
                 for (Placement placement : List.copyOf(machine.placements)) {
                     remove(placement);
                 }
             }
-            returns.machineDeleted(name, nowMicros);
+            machineDeletions.machineDeleted(name, nowMicros);
             fleet.markDeleted(name, nowMicros);
-            settle(name, nowMicros);
+            reconcileMachine(name, nowMicros);
         }
     }
 
     public void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
-        renter.machinesListed(machines, askedMicros, nowMicros);
+        autoscaler.machinesListed(machines, askedMicros, nowMicros);
     }
 
     // ---- what others show
 
     /** How this term got back what the one before knew. */
     public FailoverTimings failoverTimings() {
-        return recovery;
+        return failoverProgress;
     }
 
-    /** What this leader has learned and no row holds, for those who may follow it. */
+    /** What this leader has learned and no record holds, for those who may follow it. */
     public List<Hint> hints(long nowMicros) {
-        return Hints.snapshot(fleet, ledgers.jobs(), runTimes, nowMicros);
+        return Hints.snapshot(fleet, ledgers.jobs(), runtimeEstimator, nowMicros);
     }
 
     /**
@@ -1125,15 +1131,15 @@
      * @param kept as rows keep it: older than what an heir was told, which it leaves as it is
      */
     public void hintsReceived(List<Hint> earlier, boolean kept, long nowMicros) {
-        hints.add(earlier, kept, runTimes);
+        hints.add(earlier, kept, runtimeEstimator);
         if (!loading) {
-            hintsKnown(nowMicros);
+            applyHints(nowMicros);
         }
     }
 
     /** Of what lasts beyond a take-over without an heir: run times, suspicions, slow, faulty and returned machines. */
     public List<Hint> durableHints(long nowMicros) {
-        return Hints.durableSnapshot(fleet, ledgers.jobs(), runTimes, nowMicros);
+        return Hints.durableSnapshot(fleet, ledgers.jobs(), runtimeEstimator, nowMicros);
     }
 
     /** Tasks done and running of every open job, for display. */
@@ -1156,12 +1162,12 @@
 
     /** Lines for the log on jobs and machines that came under suspicion since the last call. */
     public List<String> takeNotices() {
-        String recovered = recovery.logLine();
+        String recovered = failoverProgress.logLine();
         if (recovered != null) {
-            takeNotices.add(recovered);
+            notices.add(recovered);
         }
-        List<String> lines = List.copyOf(takeNotices);
-        takeNotices.clear();
+        List<String> lines = List.copyOf(notices);
+        notices.clear();
         return lines;
     }
 
@@ -1185,7 +1191,7 @@
                     Micros.toSeconds(nowMicros - job.readyMicros),
                     job.spec.taskCount(),
                     starts,
-                    Micros.toSeconds(runTimes.expectedMicros(job))));
+                    Micros.toSeconds(runtimeEstimator.expectedMicros(job))));
         }
         completed.clear();
         return lines;
@@ -1194,6 +1200,6 @@
     /** One line for the log. */
     public String summary(long nowMicros) {
         return new TermSummary(fleet, ledgers, settings, nowMicros)
-                .line(pipelines.waitingJobs(), planner, slowFound, rentals);
+                .line(dagInheritance.waitingJobCount(), planner, slowMachinesFound, provisioningRequests);
     }
 }
--- a/src/main/java/io/micatide/scheduler/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -9,19 +9,19 @@
 final class TermSummary {
     private final Fleet fleet;
     private final JobLedgers ledgers;
-    private int confirmed;
-    private int usable;
-    private int booting;
+    private int reconciledMachines;
+    private int schedulableMachines;
+    private int bootingMachines;
     private int replicas;
-    private int serving;
-    private Resources size = Resources.NONE;
+    private int machinesWithReplicas;
+    private Resources capacity = Resources.NONE;
     private Resources used = Resources.NONE;
     private long spotCpus;
     private long runningCpus;
-    private int waiting;
-    private int unsettled;
-    private int suspect;
-    private int full;
+    private int pendingTasks;
+    private int unreconciledJobs;
+    private int quarantinedJobs;
+    private int fullLedgers;
 
     TermSummary(Fleet fleet, JobLedgers ledgers, Settings settings, long nowMicros) {
         this.fleet = fleet;
@@ -35,11 +35,11 @@
     }
 
     private void count(Machine machine, boolean isUsable) {
-        confirmed += machine.reconciled ? 1 : 0;
-        booting += machine.lastAnsweredMicros < 0 ? 1 : 0;
+        reconciledMachines += machine.reconciled ? 1 : 0;
+        bootingMachines += machine.lastHeartbeatMicros < 0 ? 1 : 0;
         if (isUsable) {
-            usable++;
-            size = size.plus(machine.capacity());
+            schedulableMachines++;
+            capacity = capacity.plus(machine.capacity());
             used = used.plus(machine.used);
             spotCpus += machine.spot ? machine.capacity().cpus() : 0;
         }
@@ -50,14 +50,14 @@
                 runningCpus += placement.job.spec.taskResources().cpus();
             }
         }
-        serving += replicas > before ? 1 : 0;
+        machinesWithReplicas += replicas > before ? 1 : 0;
     }
 
     private void count(Job job) {
-        full += ledgers.isFull(job) ? 1 : 0;
-        suspect += job.quarantined ? 1 : 0;
-        waiting += job.pendingCount();
-        unsettled += job.hasUnreconciledMachines() ? 1 : 0;
+        fullLedgers += ledgers.isFull(job) ? 1 : 0;
+        quarantinedJobs += job.quarantined ? 1 : 0;
+        pendingTasks += job.pendingCount();
+        unreconciledJobs += job.hasUnreconciledMachines() ? 1 : 0;
     }
 
     /**
@@ -69,23 +69,23 @@
     String line(int awaiting, PlacementPlanner planner, int slowFound, ProvisioningRequests rentals) {
         return "jobs=" + ledgers.jobs().size()
                 + " awaiting=" + awaiting
-                + " waiting=" + waiting
-                + " unsettled=" + unsettled
+                + " waiting=" + pendingTasks
+                + " unsettled=" + unreconciledJobs
                 + " machines=" + fleet.machines().size()
-                + " confirmed=" + confirmed
-                + " usable=" + usable
-                + " cpus=" + used.cpus() / 1000 + "/" + size.cpus() / 1000
+                + " confirmed=" + reconciledMachines
+                + " usable=" + schedulableMachines
+                + " cpus=" + used.cpus() / 1000 + "/" + capacity.cpus() / 1000
                 + " running=" + runningCpus / 1000
                 + " spot=" + spotCpus / 1000
-                + " booting=" + booting
+                + " booting=" + bootingMachines
                 + " replicas=" + replicas
-                + " serving=" + serving
+                + " serving=" + machinesWithReplicas
                 + " looked=" + planner.machinesExamined()
                 + " cut=" + planner.truncatedPlans()
                 + " evicted=" + planner.evictionCounts()
                 + " slow=" + slowFound
-                + " suspect=" + suspect
-                + " full=" + full
+                + " suspect=" + quarantinedJobs
+                + " full=" + fullLedgers
                 + " bookings=" + rentals.requests.size();
     }
 }
--- a/src/test/java/io/micatide/scheduler/DeadlineFeasibilityTest.java
+++ b/src/test/java/io/micatide/scheduler/DeadlineFeasibilityTest.java
@@ -43,8 +43,8 @@
                     part.length > 3 ? Integer.parseInt(part[3]) : 1));
         }
         List<String> kept = new ArrayList<>();
-        for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, cpus, 0)) {
-            if (entry.onTime) {
+        for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.markFeasible(entries, cpus, 0)) {
+            if (entry.feasible) {
                 kept.add(String.valueOf(entry.dueMicros / Micros.SECOND));
             }
         }
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -109,7 +109,7 @@
                         job,
                         waiting,
                         guaranteed,
-                        entry == null || entry.onTime,
+                        entry == null || entry.feasible,
                         entry == null ? job.readyMicros : entry.latestStartMicros()));
             }
         }
@@ -151,12 +151,12 @@
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
             double most = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, team.maxCpus());
-            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.decide(entries, most, nowMicros)) {
-                (entry.onTime ? possible : result).add(entry);
+            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.markFeasible(entries, most, nowMicros)) {
+                (entry.feasible ? possible : result).add(entry);
             }
         });
-        result.addAll(DeadlineFeasibility.decide(possible, cpus, nowMicros));
-        result.addAll(DeadlineFeasibility.decide(lowest, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.markFeasible(possible, cpus, nowMicros));
+        result.addAll(DeadlineFeasibility.markFeasible(lowest, cpus, nowMicros));
         return result;
     }
 
@@ -332,7 +332,7 @@
             return;
         }
         for (Job job = next(machine, nowMicros); job != null; job = next(machine, nowMicros)) {
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -491,7 +491,7 @@
             if (machine == null) {
                 return;
             }
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -559,7 +559,7 @@
                     open.removeIf(each -> !least.fitsIn(each.freeCapacity()));
                     return;
                 }
-                scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+                scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
         open.removeIf(each -> !least.fitsIn(each.freeCapacity()));
@@ -610,7 +610,7 @@
                 }
                 if (victims != null) {
                     evict(job, victims, nowMicros);
-                    scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+                    scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
                     left--;
                     progress = true;
                 }
@@ -696,7 +696,7 @@
                 }
                 return;
             }
-            scheduler.place(job, index, machine, nowMicros);
+            scheduler.placeTask(job, index, machine, nowMicros);
         }
     }
 
@@ -769,7 +769,7 @@
                     job.capacityAwaitedUntilMicros = Math.max(
                             job.capacityAwaitedUntilMicros,
                             nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
-                    scheduler.stopToSave(victim, nowMicros);
+                    scheduler.stopWithCheckpoint(victim, nowMicros);
                 }
                 return;
             }
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -54,7 +54,7 @@
     }
 
     private String after(BiConsumer<Scheduler, Placement> what) {
-        scheduler.place(job, job.nextPendingTask(), machine, 0);
+        scheduler.placeTask(job, job.nextPendingTask(), machine, 0);
         Placement placement = machine.placements.get(0);
         blocked().full(EquivalenceClass.of(job.spec));
         blocked().findsNothing(queued());
@@ -67,7 +67,7 @@
     void whatCouldMatterIsForgotten() {
         Map<String, BiConsumer<Scheduler, Placement>> events = Map.of(
                 "nothing", (s, placement) -> {},
-                "placed", (s, placement) -> s.place(job, job.nextPendingTask(), machine, 0),
+                "placed", (s, placement) -> s.placeTask(job, job.nextPendingTask(), machine, 0),
                 "stopped", (s, placement) -> s.stop(placement, 0, 0),
                 "removed", (s, placement) -> s.remove(placement));
         Map<String, String> expected = Map.of(
