--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -206,6 +206,22 @@
         }
     }
 
+    /** A copy of all its live attempts, task by task, which stays as it is while they are removed. */
+    List<Placement> livePlacements() {
+        List<Placement> result = new ArrayList<>();
+        liveAttempts.values().forEach(result::addAll);
+        return result;
+    }
+
+    /** A task of it is to be started. */
+    void startDecided(long nowMicros) {
+        if (firstStartMicros < 0) {
+            firstStartMicros = nowMicros;
+        }
+        lastStartMicros = nowMicros;
+        attempts++;
+    }
+
     /** The attempt that all tasks of a gang share, or 0 when none is live. */
     long liveGangAttempt() {
         for (List<Placement> list : liveAttempts.values()) {
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -20,7 +20,7 @@
  * What runs where. The rule is the design's: a fitting machine that has the image, else the fitting one with most
  * room. Around it stand priorities, guarantees, limits, preemption, and which kind of machine suits which job.
  */
-class PlacementPlanner {
+class PlacementPlanner implements PlacementListener {
     /** An image that takes longer than this to fetch is worth stopping other work for. */
     private static final long LONG_FETCH_MICROS = 1_500 * Micros.MILLISECOND;
 
@@ -48,7 +48,7 @@
     private static final Comparator<Machine> MOST_ROOM =
             Comparator.comparing((Machine machine) -> -machine.freeCapacity().cpus());
 
-    private final Scheduler scheduler;
+    private final PlacementActions placements;
     private final Settings settings;
     private final Fleet fleet;
     private final JobLedgers ledgers;
@@ -77,14 +77,18 @@
     private long machinesExamined;
 
     PlacementPlanner(
-            Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes) {
-        this.scheduler = scheduler;
+            PlacementActions placements,
+            Settings settings,
+            Fleet fleet,
+            JobLedgers ledgers,
+            RuntimeEstimator runTimes) {
+        this.placements = placements;
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
         this.queue = new JobQueue(settings, fleet, ledgers, runTimes);
         this.pass = new PlanningPass(settings.cores());
-        this.preemption = new Preemption(settings, scheduler::teamUsage);
+        this.preemption = new Preemption(settings, placements::teamUsage);
         long patience = GUARANTEE_PATIENCE_MICROS;
         for (Settings.Objective objective : settings.objectives()) {
             if (objective.kind().equals("guarantee") && objective.withinMicros() > 0) {
@@ -142,7 +146,8 @@
     }
 
     /** A task was placed on the machine. */
-    void taskPlaced(Machine machine) {
+    @Override
+    public void taskPlaced(Machine machine) {
         if (!least.fitsIn(machine.freeCapacity())) {
             filled.add(machine);
         }
@@ -150,12 +155,14 @@
     }
 
     /** Tasks were taken from a machine: what did not fit may fit now. */
-    void capacityFreed() {
+    @Override
+    public void capacityFreed() {
         unschedulable.roomFreed();
     }
 
     /** Something was placed or stopped: what could not be freed may be free to take now. */
-    void usageChanged() {
+    @Override
+    public void usageChanged() {
         unschedulable.useChanged();
     }
 
@@ -218,7 +225,7 @@
             return;
         }
         for (Job job = next(machine, nowMicros); job != null; job = next(machine, nowMicros)) {
-            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
+            placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -249,14 +256,14 @@
                 && suits(job, machine, nowMicros)
                 && teamAllows(job)
                 && ledgers.get(job.id()) == job
-                && scheduler.mayRecordMachine(job, machine, nowMicros)
+                && placements.mayRecordMachine(job, machine, nowMicros)
                 && zoneAllows(job, machine);
     }
 
     private boolean teamAllows(Job job) {
         Team team = settings.teams().get(job.spec.team());
         return team == null
-                || team.isWithinLimit(scheduler
+                || team.isWithinLimit(placements
                         .teamUsage(team.name())
                         .plus(unknown.getOrDefault(team.name(), Resources.NONE))
                         .plus(job.spec.taskResources()));
@@ -271,7 +278,7 @@
             return count;
         }
         Resources each = job.spec.taskResources();
-        Resources there = scheduler
+        Resources there = placements
                 .teamUsage(team.name())
                 .plus(unknown.getOrDefault(team.name(), Resources.NONE))
                 .plus(others);
@@ -361,7 +368,7 @@
     private List<Machine> namable(Job job, List<Machine> machines, long nowMicros) {
         List<Machine> result = new ArrayList<>();
         for (Machine machine : machines) {
-            if (scheduler.mayRecordMachine(job, machine, nowMicros)) {
+            if (placements.mayRecordMachine(job, machine, nowMicros)) {
                 result.add(machine);
             }
         }
@@ -397,7 +404,7 @@
             if (machine == null) {
                 return;
             }
-            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
+            placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -460,11 +467,11 @@
         for (Machine machine : ready) {
             while (job.spec.taskResources().fitsIn(machine.freeCapacity())
                     && zoneAllows(job, machine)
-                    && scheduler.mayRecordMachine(job, machine, nowMicros)) {
+                    && placements.mayRecordMachine(job, machine, nowMicros)) {
                 if (job.placeableCount() == 0 || !teamAllows(job)) {
                     return;
                 }
-                scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
+                placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
         if (job.failedMachines.isEmpty()
@@ -489,7 +496,7 @@
             return true;
         }
         for (Team team : settings.teams().values()) {
-            if (!team.name().equals(job.spec.team()) && !team.isWithinGuarantee(scheduler.teamUsage(team.name()))) {
+            if (!team.name().equals(job.spec.team()) && !team.isWithinGuarantee(placements.teamUsage(team.name()))) {
                 return true;
             }
         }
@@ -539,7 +546,7 @@
                 }
                 if (victims != null) {
                     evict(job, victims, nowMicros);
-                    scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
+                    placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
                     left--;
                     progress = true;
                 }
@@ -555,9 +562,9 @@
         }
         for (Placement victim : victims) {
             if (victim.isUnsent()) {
-                scheduler.remove(victim);
+                placements.remove(victim);
             } else {
-                scheduler.stop(victim, 0, nowMicros);
+                placements.stop(victim, 0, nowMicros);
             }
         }
     }
@@ -569,7 +576,7 @@
         boolean ended = job.gangBroken || (job.gangStarted && !job.liveAttempts.isEmpty());
         if (ended
                 || (team != null
-                        && !team.isWithinLimit(scheduler
+                        && !team.isWithinLimit(placements
                                 .teamUsage(spec.team())
                                 .plus(unknown.getOrDefault(spec.team(), Resources.NONE))
                                 .plus(spec.taskResources().times(missing))))) {
@@ -602,13 +609,13 @@
                 for (List<Placement> list : List.copyOf(job.liveAttempts.values())) {
                     for (Placement placement : List.copyOf(list)) {
                         if (placement.isUnsent()) {
-                            scheduler.remove(placement);
+                            placements.remove(placement);
                         }
                     }
                 }
                 return;
             }
-            scheduler.placeTask(job, index, machine, nowMicros);
+            placements.placeTask(job, index, machine, nowMicros);
         }
     }
 
@@ -719,7 +726,7 @@
                     job.capacityAwaitedUntilMicros = Math.max(
                             job.capacityAwaitedUntilMicros,
                             nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
-                    scheduler.stopWithCheckpoint(victim, nowMicros);
+                    placements.stopWithCheckpoint(victim, nowMicros);
                 }
                 return;
             }
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -45,6 +45,7 @@
     private final long termStartMicros;
     private final JobLedgers ledgers;
     private final Fleet fleet = new Fleet();
+    private final PlacementTable placements;
     private final ProvisioningRequests provisioningRequests;
     private final PlacementPlanner planner;
     private final MachineDeletions machineDeletions;
@@ -53,14 +54,12 @@
     private final DagInheritance dagInheritance;
     private final FailureAttribution failureAttribution = new FailureAttribution(runtimeEstimator);
     private final Hints hints = new Hints();
-    private final Map<String, Resources> teamUsage = new HashMap<>();
     private final List<Transaction.Write> orphanedLedgerDeletions = new ArrayList<>();
     private long storeReadMicros;
     private long leaseHeldUntilMicros = Long.MAX_VALUE;
     /** When this process went on after it had stood still. */
     private long resumedMicros = Long.MIN_VALUE / 2;
 
-    private long attemptCounter;
     private long featureStagesVersion;
     private JobLedgers.WriteBatch inFlight;
     private double writeTokens;
@@ -83,7 +82,11 @@
     @FunctionalInterface
     interface PlannerFactory {
         PlacementPlanner create(
-                Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes);
+                PlacementActions placements,
+                Settings settings,
+                Fleet fleet,
+                JobLedgers ledgers,
+                RuntimeEstimator runtimeEstimator);
     }
 
     public Scheduler(Settings settings, Tuning tuning, long fencingToken, long nowMicros) {
@@ -99,7 +102,9 @@
         this.dagInheritance = new DagInheritance(ledgers, runtimeEstimator);
         this.provisioningRequests = new ProvisioningRequests(settings, fencingToken);
         this.machineDeletions = new MachineDeletions(settings, fencingToken);
-        this.planner = planners.create(this, settings, fleet, ledgers, runtimeEstimator);
+        this.placements = new PlacementTable(settings, fencingToken, ledgers);
+        this.planner = planners.create(placements, settings, fleet, ledgers, runtimeEstimator);
+        placements.setListener(planner);
         this.autoscaler = new Autoscaler(settings, tuning, fleet, provisioningRequests, planner, machineDeletions);
         this.writeTokens = leaderWriteRate();
         this.maxTransactionWrites = settings.maxTransactionWrites();
@@ -160,21 +165,8 @@
 
     private void cancel(Job job, long nowMicros) {
         job.cancelled = true;
-        for (Placement placement : allOf(job)) {
-            if (placement.isUnsent()) {
-                remove(placement);
-            } else {
-                stop(placement, 0, nowMicros);
-            }
-        }
-        writeLedgerOnceStopped(job, nowMicros);
-    }
-
-    /** The ledger of a cancelled job stays until nothing of it can be on a machine. */
-    private void writeLedgerOnceStopped(Job job, long nowMicros) {
-        if (job.cancelled && !job.mayBeRunning()) {
-            ledgers.markDirty(job, nowMicros);
-        }
+        placements.removeOrStopAll(job, 0, nowMicros);
+        placements.markLedgerIfStopped(job, nowMicros);
     }
 
     /**
@@ -262,7 +254,7 @@
                 Machine machine = fleet.getOrAdd(name, nowMicros);
                 machine.awaitedAfterFailover = true;
             }
-            writeLedgerOnceStopped(job, nowMicros);
+            placements.markLedgerIfStopped(job, nowMicros);
         }
         applyHints(nowMicros);
         failoverProgress.stateLoaded(
@@ -418,7 +410,7 @@
     private void reconcileMachine(String machineName, long nowMicros) {
         for (Job job : ledgers.reconcileMachine(machineName)) {
             // Not at each machine: written anew for each of them, all ledgers together took the write rate for seconds.
-            writeLedgerOnceStopped(job, nowMicros);
+            placements.markLedgerIfStopped(job, nowMicros);
             ledgers.markDirty(job, nowMicros);
         }
     }
@@ -449,10 +441,10 @@
                 placement = new Placement(
                         job, status.taskIndex(), status.attempt(), machine, Placement.Phase.REPORTED, nowMicros);
                 placement.adopted = true;
-                add(placement);
+                placements.add(placement);
                 if (job.cancelled
                         || (job.spec.kind() != JobKind.SERVICE && job.finishedTasks.get(status.taskIndex()))) {
-                    stop(placement, 0, nowMicros);
+                    placements.stop(placement, 0, nowMicros);
                 }
             }
             placement.transitionTo(Placement.Phase.REPORTED);
@@ -477,7 +469,7 @@
                 lost.add(placement);
             }
         }
-        lost.forEach(this::remove);
+        lost.forEach(placements::remove);
         return commands;
     }
 
@@ -513,11 +505,7 @@
                 }
                 for (Placement other : List.copyOf(job.liveAttempts.getOrDefault(status.taskIndex(), List.of()))) {
                     if (other != placement) {
-                        if (other.isUnsent()) {
-                            remove(other);
-                        } else {
-                            stop(other, 0, nowMicros);
-                        }
+                        placements.removeOrStop(other, 0, nowMicros);
                     }
                 }
             }
@@ -531,7 +519,7 @@
             commands.add(new Command.Reap(status.job(), status.taskIndex(), status.attempt()));
         }
         if (placement != null) {
-            remove(placement);
+            placements.remove(placement);
             if (placement.job.spec.kind() == JobKind.GANG
                     && status.cause() != ExitCause.NO_ROOM
                     && status.cause() != ExitCause.BUSY
@@ -548,7 +536,7 @@
                 boolean drainingBefore = machine.quarantined;
                 failureAttribution.taskFailed(machine, job, fleet.machines(), nowMicros);
                 if (job.quarantined) {
-                    removeUnsent(job);
+                    placements.removeUnsent(job);
                 }
                 if (job.quarantined && !suspectBefore) {
                     notices.add(String.format(
@@ -568,14 +556,6 @@
         }
     }
 
-    private void removeUnsent(Job job) {
-        for (Placement placement : allOf(job)) {
-            if (placement.isUnsent()) {
-                remove(placement);
-            }
-        }
-    }
-
     private void recordRuntime(Machine machine, Placement placement, long nowMicros) {
         if (placement != null && placement.runningSinceMicros >= 0) {
             failureAttribution.recordPace(machine, placement, nowMicros);
@@ -615,31 +595,10 @@
     private void evictForSpotNotice(Machine machine, long nowMicros) {
         for (Placement placement : List.copyOf(machine.placements)) {
             if (placement.isUnsent()) {
-                remove(placement);
+                placements.remove(placement);
             } else if (placement.job.spec.checkpointIntervalMicros() > 0) {
-                stopWithCheckpoint(placement, nowMicros);
-            }
-        }
-    }
-
-    /** A gang saves only together: all its tasks have to be told within the time that they wait for one another. */
-    void stopWithCheckpoint(Placement placement, long nowMicros) {
-        Job job = placement.job;
-        long grace = Micros.withDrift(job.spec.saveMicros()) + Micros.SECOND;
-        if (job.spec.kind() == JobKind.GANG) {
-            for (Placement each : allOf(job)) {
-                if (each.isUnsent()) {
-                    remove(each);
-                } else {
-                    stop(each, grace + settings.gangPeerTimeoutMicros(), nowMicros);
-                }
+                placements.stopWithCheckpoint(placement, nowMicros);
             }
-            // Of two tasks that have to yield at once the first takes the whole gang away: with nothing left of it
-            // there is nothing to
-            // wait for. A gang that was held to be broken then was never placed again.
-            job.gangBroken = !job.liveAttempts.isEmpty();
-        } else {
-            stop(placement, grace, nowMicros);
         }
     }
 
@@ -655,11 +614,11 @@
             boolean incomplete = job.gangStarted && job.liveAttempts.size() < job.spec.taskCount();
             if (incomplete || job.gangBroken) {
                 job.gangBroken = true;
-                for (Placement each : allOf(job)) {
+                for (Placement each : job.livePlacements()) {
                     if (each.isUnsent()) {
-                        remove(each);
+                        placements.remove(each);
                     } else if (!each.isStopping()) {
-                        stop(each, 0, nowMicros);
+                        placements.stop(each, 0, nowMicros);
                     }
                 }
             }
@@ -677,82 +636,13 @@
         return null;
     }
 
-    private static List<Placement> allOf(Job job) {
-        List<Placement> result = new ArrayList<>();
-        job.liveAttempts.values().forEach(result::addAll);
-        return result;
-    }
-
-    private void add(Placement placement) {
-        placement.machine.add(placement);
-        placement.job.add(placement);
-        teamUsage.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
-        planner.taskPlaced(placement.machine);
-    }
-
-    void remove(Placement placement) {
-        placement.machine.remove(placement);
-        placement.job.remove(placement);
-        teamUsage.merge(
-                placement.job.spec.team(), Resources.NONE.minus(placement.job.spec.taskResources()), Resources::plus);
-        planner.capacityFreed();
-        if (placement.job.liveAttempts.isEmpty()) {
-            placement.job.gangStarted = false;
-            placement.job.gangBroken = false;
-        }
-        if (placement.job.cancelled) {
-            writeLedgerOnceStopped(placement.job, placement.createdMicros);
-        }
-    }
-
-    void stop(Placement placement, long graceMicros, long nowMicros) {
-        planner.usageChanged();
-        if (!placement.isStopping()) {
-            placement.stopRequestedMicros = nowMicros;
-            placement.stopGraceMicros = graceMicros;
-            placement.machine.capacityChanged();
-        } else if (graceMicros < placement.stopGraceMicros) {
-            placement.stopGraceMicros = graceMicros;
-            placement.machine.capacityChanged();
-        }
-    }
-
-    /** Decides a start. Its attempt carries the token, so that it is unique without being written. */
-    void placeTask(Job job, int index, Machine machine, long nowMicros) {
-        long attempt = (fencingToken << 20) + ++attemptCounter;
-        if (job.spec.kind() == JobKind.GANG) {
-            long live = job.liveGangAttempt();
-            attempt = live != 0 ? live : attempt;
-            job.gangAttempt = attempt;
-        }
-        boolean recorded = job.ledgerMachines.contains(machine.name);
-        add(new Placement(
-                job,
-                index,
-                attempt,
-                machine,
-                recorded ? Placement.Phase.READY : Placement.Phase.AWAITING_LEDGER,
-                nowMicros));
-        ledgers.recordMachine(job, machine, nowMicros);
-        if (job.firstStartMicros < 0) {
-            job.firstStartMicros = nowMicros;
-        }
-        job.lastStartMicros = nowMicros;
-        job.attempts++;
-    }
-
-    /** Whether the job may be placed on that machine as far as its ledger goes. */
-    boolean mayRecordMachine(Job job, Machine machine, long nowMicros) {
-        return ledgers.mayRecordMachine(job, machine, nowMicros);
-    }
-
     /** Machines that plans looked at in this term. */
     long machinesExamined() {
         return planner.machinesExamined();
     }
 
     Resources teamUsage(String team) {
-        return teamUsage.getOrDefault(team, Resources.NONE);
+        return placements.teamUsage(team);
     }
 
     // ---- time
@@ -785,9 +675,9 @@
     private void removeUnrecordedPlacements(Job job, long nowMicros) {
         job.ledgerFull = false;
         job.ledgerFullUntilMicros = nowMicros + Micros.SECOND;
-        for (Placement placement : allOf(job)) {
+        for (Placement placement : job.livePlacements()) {
             if (placement.phase == Placement.Phase.AWAITING_LEDGER) {
-                remove(placement);
+                placements.remove(placement);
             }
         }
         job.machinesToRecord.clear();
@@ -801,16 +691,16 @@
                 continue;
             }
             if (placement.isUnsent()) {
-                remove(placement);
+                placements.remove(placement);
             } else if (!placement.job.evictedAsSlow.get(placement.taskIndex)) {
                 // One that was long elsewhere too is long itself: of an array whose tasks take very different times the
                 // long ones made
                 // each machine seem slow, and were started over without end.
                 placement.job.evictedAsSlow.set(placement.taskIndex);
                 if (placement.job.spec.checkpointIntervalMicros() > 0) {
-                    stopWithCheckpoint(placement, nowMicros);
+                    placements.stopWithCheckpoint(placement, nowMicros);
                 } else {
-                    stop(placement, 0, nowMicros);
+                    placements.stop(placement, 0, nowMicros);
                 }
             }
         }
@@ -823,13 +713,13 @@
         if (machine.lastHeartbeatMicros >= 0 && !machine.isResponsive(nowMicros, settings)) {
             for (Placement placement : List.copyOf(machine.placements)) {
                 if (placement.isUnsent()) {
-                    remove(placement);
+                    placements.remove(placement);
                 }
             }
         }
         if (machine.reconciled && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros()) {
             for (Placement placement : List.copyOf(machine.placements)) {
-                remove(placement);
+                placements.remove(placement);
             }
         }
     }
@@ -1100,7 +990,7 @@
                     failoverProgress.machineReconciled(nowMicros);
                 }
                 for (Placement placement : List.copyOf(machine.placements)) {
-                    remove(placement);
+                    placements.remove(placement);
                 }
             }
             machineDeletions.machineDeleted(name, nowMicros);
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -47,7 +47,7 @@
     private static final Comparator<Machine> MOST_ROOM =
             Comparator.comparing((Machine machine) -> -machine.freeCapacity().cpus());
 
-    private final Scheduler scheduler;
+    private final PlacementActions placements;
     private final Settings settings;
     private final Fleet fleet;
     private final JobLedgers ledgers;
@@ -66,9 +66,13 @@
     private Map<String, Resources> unknown = Map.of();
 
     ReferencePlacementPlanner(
-            Scheduler scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes) {
-        super(scheduler, settings, fleet, ledgers, runTimes);
-        this.scheduler = scheduler;
+            PlacementActions placements,
+            Settings settings,
+            Fleet fleet,
+            JobLedgers ledgers,
+            RuntimeEstimator runTimes) {
+        super(placements, settings, fleet, ledgers, runTimes);
+        this.placements = placements;
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
@@ -332,7 +336,7 @@
             return;
         }
         for (Job job = next(machine, nowMicros); job != null; job = next(machine, nowMicros)) {
-            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
+            placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -360,7 +364,7 @@
                 && ledgers.get(job.id()) == job
                 && isStartable(job, nowMicros)
                 && suits(job, machine, nowMicros)
-                && scheduler.mayRecordMachine(job, machine, nowMicros)
+                && placements.mayRecordMachine(job, machine, nowMicros)
                 && job.spec.taskResources().fitsIn(machine.freeCapacity())
                 && zoneAllows(job, machine)
                 && teamAllows(job);
@@ -369,7 +373,7 @@
     private boolean teamAllows(Job job) {
         Team team = settings.teams().get(job.spec.team());
         return team == null
-                || team.isWithinLimit(scheduler
+                || team.isWithinLimit(placements
                         .teamUsage(team.name())
                         .plus(unknown.getOrDefault(team.name(), Resources.NONE))
                         .plus(job.spec.taskResources()));
@@ -385,7 +389,7 @@
             return count;
         }
         Resources each = job.spec.taskResources();
-        Resources there = scheduler
+        Resources there = placements
                 .teamUsage(team.name())
                 .plus(unknown.getOrDefault(team.name(), Resources.NONE))
                 .plus(others);
@@ -476,7 +480,7 @@
     private List<Machine> suitable(Job job, List<Machine> machines, long nowMicros) {
         List<Machine> result = new ArrayList<>();
         for (Machine machine : machines) {
-            if (suits(job, machine, nowMicros) && scheduler.mayRecordMachine(job, machine, nowMicros)) {
+            if (suits(job, machine, nowMicros) && placements.mayRecordMachine(job, machine, nowMicros)) {
                 result.add(machine);
             }
         }
@@ -491,7 +495,7 @@
             if (machine == null) {
                 return;
             }
-            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
+            placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
@@ -554,12 +558,12 @@
         for (Machine machine : ready) {
             while (job.spec.taskResources().fitsIn(machine.freeCapacity())
                     && zoneAllows(job, machine)
-                    && scheduler.mayRecordMachine(job, machine, nowMicros)) {
+                    && placements.mayRecordMachine(job, machine, nowMicros)) {
                 if (job.placeableCount() == 0 || !teamAllows(job)) {
                     open.removeIf(each -> !least.fitsIn(each.freeCapacity()));
                     return;
                 }
-                scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
+                placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
         open.removeIf(each -> !least.fitsIn(each.freeCapacity()));
@@ -571,7 +575,7 @@
             return true;
         }
         for (Team team : settings.teams().values()) {
-            if (!team.name().equals(job.spec.team()) && !team.isWithinGuarantee(scheduler.teamUsage(team.name()))) {
+            if (!team.name().equals(job.spec.team()) && !team.isWithinGuarantee(placements.teamUsage(team.name()))) {
                 return true;
             }
         }
@@ -610,7 +614,7 @@
                 }
                 if (victims != null) {
                     evict(job, victims, nowMicros);
-                    scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
+                    placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
                     left--;
                     progress = true;
                 }
@@ -626,9 +630,9 @@
         }
         for (Placement victim : victims) {
             if (victim.isUnsent()) {
-                scheduler.remove(victim);
+                placements.remove(victim);
             } else {
-                scheduler.stop(victim, 0, nowMicros);
+                placements.stop(victim, 0, nowMicros);
             }
         }
     }
@@ -640,7 +644,7 @@
         boolean ended = job.gangBroken || (job.gangStarted && !job.liveAttempts.isEmpty());
         if (ended
                 || (team != null
-                        && !team.isWithinLimit(scheduler
+                        && !team.isWithinLimit(placements
                                 .teamUsage(spec.team())
                                 .plus(unknown.getOrDefault(spec.team(), Resources.NONE))
                                 .plus(spec.taskResources().times(missing))))) {
@@ -690,13 +694,13 @@
                 for (List<Placement> list : List.copyOf(job.liveAttempts.values())) {
                     for (Placement placement : List.copyOf(list)) {
                         if (placement.isUnsent()) {
-                            scheduler.remove(placement);
+                            placements.remove(placement);
                         }
                     }
                 }
                 return;
             }
-            scheduler.placeTask(job, index, machine, nowMicros);
+            placements.placeTask(job, index, machine, nowMicros);
         }
     }
 
@@ -769,7 +773,7 @@
                     job.capacityAwaitedUntilMicros = Math.max(
                             job.capacityAwaitedUntilMicros,
                             nowMicros + victim.job.spec.saveMicros() + 5 * Micros.SECOND);
-                    scheduler.stopWithCheckpoint(victim, nowMicros);
+                    placements.stopWithCheckpoint(victim, nowMicros);
                 }
                 return;
             }
@@ -861,7 +865,7 @@
         if (team == null) {
             return true;
         }
-        Resources use = scheduler.teamUsage(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
+        Resources use = placements.teamUsage(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
         return !team.isWithinGuarantee(use);
     }
 }
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -23,15 +23,16 @@
 
     private final List<PlacementPlanner> planners = new ArrayList<>();
     private final Settings settings = new SchedulerHarness(1, 0).settings;
-    private Scheduler scheduler;
+    private PlacementActions placements;
     private Job job;
     private Machine machine;
 
     @BeforeEach
     void begin() {
         planners.clear();
-        scheduler = new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0, (s, its, fleet, ledgers, times) -> {
-            PlacementPlanner planner = new PlacementPlanner(s, its, fleet, ledgers, times);
+        new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0, (actions, its, fleet, ledgers, times) -> {
+            placements = actions;
+            PlacementPlanner planner = new PlacementPlanner(actions, its, fleet, ledgers, times);
             planners.add(planner);
             machine = fleet.getOrAdd("i-1", 0);
             job = ledgers.add(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
@@ -53,23 +54,23 @@
                 + (blocked().room(job, true) != null ? "room" : "");
     }
 
-    private String after(BiConsumer<Scheduler, Placement> what) {
-        scheduler.placeTask(job, job.nextPendingTask(), machine, 0);
+    private String after(BiConsumer<PlacementActions, Placement> what) {
+        placements.placeTask(job, job.nextPendingTask(), machine, 0);
         Placement placement = machine.placements.get(0);
         blocked().full(EquivalenceClass.of(job.spec));
         blocked().findsNothing(queued());
         blocked().room(job, true, new HashMap<>());
-        what.accept(scheduler, placement);
+        what.accept(placements, placement);
         return remembered();
     }
 
     @Test
     void whatCouldMatterIsForgotten() {
-        Map<String, BiConsumer<Scheduler, Placement>> events = Map.of(
-                "nothing", (s, placement) -> {},
-                "placed", (s, placement) -> s.placeTask(job, job.nextPendingTask(), machine, 0),
-                "stopped", (s, placement) -> s.stop(placement, 0, 0),
-                "removed", (s, placement) -> s.remove(placement));
+        Map<String, BiConsumer<PlacementActions, Placement>> events = Map.of(
+                "nothing", (actions, placement) -> {},
+                "placed", (actions, placement) -> actions.placeTask(job, job.nextPendingTask(), machine, 0),
+                "stopped", (actions, placement) -> actions.stop(placement, 0, 0),
+                "removed", (actions, placement) -> actions.remove(placement));
         Map<String, String> expected = Map.of(
                 "nothing", "full nothing room",
                 "placed", "full room",
