--- a/src/main/java/io/micatide/model/ExitCause.java
+++ b/src/main/java/io/micatide/model/ExitCause.java
@@ -9,5 +9,14 @@
     ERROR,
     NO_ROOM,
     BUSY,
-    UNKNOWN
+    UNKNOWN;
+
+    /**
+     * Whether the task never ran, since the worker refused its start.
+     *
+     * @return true for the last three causes
+     */
+    public boolean isRefusedStart() {
+        return this == NO_ROOM || this == BUSY || this == UNKNOWN;
+    }
 }
--- /dev/null
+++ b/src/main/java/io/micatide/scheduler/EndedJob.java
@@ -0,0 +1,12 @@
+package io.micatide.scheduler;
+
+import io.micatide.store.StoredRecord;
+
+/**
+ * A job whose final record is in the store.
+ *
+ * @param id of the job
+ * @param record the final record
+ * @param version of the record
+ */
+public record EndedJob(String id, StoredRecord.JobRecord record, long version) {}
--- a/src/main/java/io/micatide/scheduler/Fleet.java
+++ b/src/main/java/io/micatide/scheduler/Fleet.java
@@ -73,6 +73,17 @@
         return machineTypes;
     }
 
+    /** The machine's type, null if the machine does not tell it or the cloud has not listed it yet. */
+    MachineType typeOf(Machine machine) {
+        return machine.type == null ? null : machineTypes.get(machine.type);
+    }
+
+    /** The machine has the image of the job in its cache, used now. */
+    void recordImage(Machine machine, Job job) {
+        MachineType type = typeOf(machine);
+        machine.touchImage(job.spec.image(), job.spec.imageGb(), type == null ? 0 : type.cacheGb());
+    }
+
     void describe(Machine machine, String type, String zone, boolean spot) {
         machine.type = type;
         machine.zone = zone;
--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -5,6 +5,7 @@
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
 import io.micatide.model.Priority;
+import io.micatide.model.TaskState;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -213,6 +214,20 @@
         return result;
     }
 
+    /** How many of its tasks have been reported with their image fetched. */
+    int runningCount() {
+        int running = 0;
+        for (List<Placement> attempts : liveAttempts.values()) {
+            for (Placement placement : attempts) {
+                if (placement.phase == Placement.Phase.REPORTED && placement.state != TaskState.FETCHING) {
+                    running++;
+                    break;
+                }
+            }
+        }
+        return running;
+    }
+
     /** A task of it is to be started. */
     void startDecided(long nowMicros) {
         if (firstStartMicros < 0) {
--- /dev/null
+++ b/src/main/java/io/micatide/scheduler/JobReconciler.java
@@ -0,0 +1,109 @@
+package io.micatide.scheduler;
+
+import io.micatide.jobs.JobCache;
+import io.micatide.model.JobState;
+import io.micatide.store.StoredRecord;
+
+/**
+ * Squares the open jobs with their records in the store.
+ *
+ * <p>Invariants: a job is open here exactly while its record says so and nothing that it depends on is unfinished. A cancelled job stays until nothing of it
+ * can be on a machine; it starts nothing, and all that it has is stopped.
+ */
+final class JobReconciler {
+    private final JobLedgers ledgers;
+    private final PlacementTable placements;
+    private final DagInheritance dagInheritance;
+    private final FailoverRecovery recovery;
+    private final JobOutcomes jobOutcomes;
+
+    JobReconciler(
+            ClusterState cluster, DagInheritance dagInheritance, FailoverRecovery recovery, JobOutcomes jobOutcomes) {
+        this.ledgers = cluster.ledgers();
+        this.placements = cluster.placements();
+        this.dagInheritance = dagInheritance;
+        this.recovery = recovery;
+        this.jobOutcomes = jobOutcomes;
+    }
+
+    /**
+     * A record of a job was read, or what it depends on has changed.
+     *
+     * @param wallMicros the time of day, used only for the ages of jobs
+     * @param nowMicros the time, steady clock
+     */
+    void jobChanged(JobCache.View view, long wallMicros, long nowMicros) {
+        String id = view.id();
+        StoredRecord.JobRecord record = view.record();
+        long submittedMicros = nowMicros - Math.max(0, wallMicros - record.submittedWall());
+        if (view.state() == JobState.OPEN && view.hasUnfinishedDependencies()) {
+            dagInheritance.jobWaits(record.spec(), view.version(), submittedMicros);
+            return;
+        }
+        dagInheritance.jobNoLongerWaits(id);
+        if (record.state() == JobState.OPEN && view.state() == JobState.CANCELLED) {
+            ledgers.cancelBeforeStart(id, record, view.version());
+            return;
+        }
+        ledgers.cancelledBeforeStart(id);
+        if (record.state() == JobState.OPEN) {
+            long readyMicros = nowMicros - Math.max(0, wallMicros - view.readyWall());
+            jobOpen(view, submittedMicros, readyMicros);
+        } else {
+            jobEnded(id, record, nowMicros);
+        }
+    }
+
+    private void jobOpen(JobCache.View view, long submittedMicros, long readyMicros) {
+        Job job = ledgers.get(view.id());
+        if (job != null) {
+            job.version = view.version();
+            return;
+        }
+        StoredRecord.JobRecord record = view.record();
+        ledgers.add(record.spec(), view.version(), record.submittedWall(), submittedMicros, readyMicros);
+        dagInheritance.jobAdded();
+    }
+
+    private void jobEnded(String id, StoredRecord.JobRecord record, long nowMicros) {
+        Job job = ledgers.get(id);
+        boolean isCancelled = record.state() == JobState.CANCELLED;
+        if (job == null) {
+            if (recovery.isLoading() && isCancelled && record.spec() != null) {
+                recovery.jobCancelledBeforeTerm(id, record);
+            }
+        } else if (!job.cancelled) {
+            if (isCancelled) {
+                cancel(job, nowMicros);
+            } else if (!job.writeInFlight) {
+                // Only a leader writes this, so it was our own write whose answer is still to come or was lost.
+                ledgers.drop(job);
+            }
+        }
+    }
+
+    private void cancel(Job job, long nowMicros) {
+        job.cancelled = true;
+        placements.removeOrStopAll(job, 0, nowMicros);
+        placements.markLedgerIfStopped(job, nowMicros);
+    }
+
+    /**
+     * A record of a job was read back after a write of unknown outcome: our own completion of it, a cancellation, or still open.
+     *
+     * @param version of the record
+     */
+    void jobReadBack(String id, StoredRecord.JobRecord record, long version, long nowMicros) {
+        Job job = ledgers.get(id);
+        if (job != null && record.state() == JobState.DONE) {
+            ledgers.drop(job);
+            jobOutcomes.finalRecordStored(id, record, version);
+        } else if (job != null && record.state() == JobState.CANCELLED && !job.cancelled) {
+            cancel(job, nowMicros);
+        } else if (job != null) {
+            job.version = version;
+        } else if (record.state() == JobState.CANCELLED) {
+            ledgers.cancelledBeforeStart(id);
+        }
+    }
+}
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -1,10 +1,12 @@
 package io.micatide.scheduler;
 
+import io.micatide.model.Heartbeat;
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
 import io.micatide.model.Micros;
 import io.micatide.model.Resources;
 import io.micatide.model.Settings;
+import io.micatide.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -140,6 +142,25 @@
                 && receivesResponses;
     }
 
+    /** Its newest heartbeat came. */
+    void heartbeatReceived(Heartbeat heartbeat, long nowMicros) {
+        incarnation = heartbeat.incarnation();
+        sequence = heartbeat.sequence();
+        messageReceived(heartbeat.sequence());
+        address = heartbeat.address();
+        lastHeartbeatMicros = nowMicros;
+    }
+
+    /** The placement that a line of its heartbeat is about, null if it is not known. */
+    Placement placementOf(TaskStatus status) {
+        for (Placement placement : placements) {
+            if (placement.matches(status)) {
+                return placement;
+            }
+        }
+        return null;
+    }
+
     /** A message with this number came. */
     void messageReceived(long number) {
         receivesResponses = number <= highestSequence + 1;
--- a/src/main/java/io/micatide/scheduler/Placement.java
+++ b/src/main/java/io/micatide/scheduler/Placement.java
@@ -23,10 +23,6 @@
     final Machine machine;
     Phase phase;
     TaskState state = TaskState.FETCHING;
-    /** The report in whose answer the start went out: a newer report settles it. */
-    long sentIncarnation;
-
-    long sentSequence;
     /** The newest report that listed it. */
     long lastListedSequence = -1;
 
--- a/src/main/java/io/micatide/scheduler/PlacementTable.java
+++ b/src/main/java/io/micatide/scheduler/PlacementTable.java
@@ -5,6 +5,7 @@
 import io.micatide.model.Resources;
 import io.micatide.model.Settings;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 
 /**
@@ -69,6 +70,13 @@
         }
     }
 
+    /** Removes everything from a machine on which nothing runs any more. */
+    void removeAll(Machine machine) {
+        for (Placement placement : List.copyOf(machine.placements)) {
+            remove(placement);
+        }
+    }
+
     @Override
     public void stop(Placement placement, long graceMicros, long nowMicros) {
         listener.usageChanged();
--- /dev/null
+++ b/src/main/java/io/micatide/scheduler/TaskOutcomes.java
@@ -0,0 +1,138 @@
+package io.micatide.scheduler;
+
+import io.micatide.model.Command;
+import io.micatide.model.ExitCause;
+import io.micatide.model.JobKind;
+import io.micatide.model.Micros;
+import io.micatide.model.TaskStatus;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * What follows from the end of a task: its job advances or its failure is attributed, what was learned from it is kept, and the worker is told when it may
+ * forget the task.
+ *
+ * <p>Invariant: a worker may forget a completed task only once a confirmed write holds it; until then its heartbeats are the only record of it.
+ */
+final class TaskOutcomes {
+    private final Fleet fleet;
+    private final JobLedgers ledgers;
+    private final PlacementTable placements;
+    private final FailureAttribution failureAttribution;
+    private final RuntimeEstimator runtimeEstimator;
+    private final List<String> notices = new ArrayList<>();
+
+    TaskOutcomes(ClusterState cluster, FailureAttribution failureAttribution, RuntimeEstimator runtimeEstimator) {
+        this.fleet = cluster.fleet();
+        this.ledgers = cluster.ledgers();
+        this.placements = cluster.placements();
+        this.failureAttribution = failureAttribution;
+        this.runtimeEstimator = runtimeEstimator;
+    }
+
+    /**
+     * A heartbeat shows a task that has exited.
+     *
+     * @param job of the task, null if it is over
+     * @param commands for the machine, to be added to
+     */
+    void taskExited(Machine machine, Job job, TaskStatus status, List<Command> commands, long nowMicros) {
+        Placement placement = machine.placementOf(status);
+        if (hasCompleted(job, status)) {
+            if (!job.finishedTasks.get(status.taskIndex())) {
+                taskCompleted(machine, job, status.taskIndex(), placement, nowMicros);
+            }
+            if (job.recordedTasks.get(status.taskIndex())) {
+                commands.add(reapCommand(status));
+            }
+        } else {
+            if (placement != null && job != null) {
+                taskFailed(machine, job, status.cause(), nowMicros);
+            }
+            commands.add(reapCommand(status));
+        }
+        if (placement != null) {
+            removeExited(placement, status.cause());
+        }
+    }
+
+    private static boolean hasCompleted(Job job, TaskStatus status) {
+        return status.cause() == ExitCause.DONE && job != null && job.spec.kind() != JobKind.SERVICE && !job.cancelled;
+    }
+
+    private static Command reapCommand(TaskStatus status) {
+        return new Command.Reap(status.job(), status.taskIndex(), status.attempt());
+    }
+
+    private void taskCompleted(Machine machine, Job job, int taskIndex, Placement placement, long nowMicros) {
+        recordRuntime(machine, placement, nowMicros);
+        failureAttribution.taskSucceeded(machine, job);
+        fleet.recordImage(machine, job);
+        if (job.spec.kind() == JobKind.GANG) {
+            // A gang completes together, so one heartbeat tells of all, also of those that are lost now.
+            for (int index = 0; index < job.spec.taskCount(); index++) {
+                ledgers.taskFinished(job, index, nowMicros);
+            }
+        } else {
+            ledgers.taskFinished(job, taskIndex, nowMicros);
+        }
+        for (Placement other : List.copyOf(job.liveAttempts.getOrDefault(taskIndex, List.of()))) {
+            if (other != placement) {
+                placements.removeOrStop(other, 0, nowMicros);
+            }
+        }
+    }
+
+    private void recordRuntime(Machine machine, Placement placement, long nowMicros) {
+        if (placement == null || placement.runningSinceMicros < 0) {
+            return;
+        }
+        failureAttribution.recordPace(machine, placement, nowMicros);
+        if (machine.slowUntilMicros < nowMicros && !placement.adopted) {
+            runtimeEstimator.taskFinished(placement.job, nowMicros - placement.runningSinceMicros);
+        }
+    }
+
+    private void removeExited(Placement placement, ExitCause cause) {
+        placements.remove(placement);
+        Job job = placement.job;
+        if (job.spec.kind() == JobKind.GANG && !cause.isRefusedStart()) {
+            job.gangBroken = !job.liveAttempts.isEmpty();
+        }
+    }
+
+    private void taskFailed(Machine machine, Job job, ExitCause cause, long nowMicros) {
+        if (cause == ExitCause.ERROR) {
+            attributeFailure(machine, job, nowMicros);
+        } else if (cause.isRefusedStart()) {
+            job.backoffUntilMicros = nowMicros + Micros.SECOND;
+        }
+    }
+
+    private void attributeFailure(Machine machine, Job job, long nowMicros) {
+        boolean wasJobQuarantined = job.quarantined;
+        boolean wasMachineQuarantined = machine.quarantined;
+        failureAttribution.taskFailed(machine, job, fleet.machines(), nowMicros);
+        if (job.quarantined) {
+            placements.removeUnsent(job);
+        }
+        if (job.quarantined && !wasJobQuarantined) {
+            notices.add(String.format(
+                    "%s (%s) is quarantined: it failed on %d machines and never succeeded; it is only probed now",
+                    job.id(), job.spec.jobClass(), job.failedMachines.size()));
+        }
+        if (machine.quarantined && !wasMachineQuarantined) {
+            notices.add(String.format(
+                    "%s is quarantined: %d failures of jobs that succeed elsewhere, %d jobs that never succeeded"
+                            + " failed on it",
+                    machine.name, machine.failures, machine.unattributedJobs.size()));
+        }
+    }
+
+    /** Lines for the log on jobs and machines that were quarantined since the last call, a list of the caller's own. */
+    List<String> takeNotices() {
+        List<String> lines = new ArrayList<>(notices);
+        notices.clear();
+        return lines;
+    }
+}
