--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -5,6 +5,7 @@
 import io.micatide.model.JobKind;
 import io.micatide.model.JobSpec;
 import io.micatide.model.Priority;
+import io.micatide.model.TaskState;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -206,6 +207,36 @@
         }
     }
 
+    /** A copy of all its live attempts, task by task, which stays as it is while they are removed. */
+    List<Placement> livePlacements() {
+        List<Placement> result = new ArrayList<>();
+        liveAttempts.values().forEach(result::addAll);
+        return result;
+    }
+
+    /** How many of its tasks have been reported with their image fetched. */
+    int runningCount() {
+        int running = 0;
+        for (List<Placement> attempts : liveAttempts.values()) {
+            for (Placement placement : attempts) {
+                if (placement.phase == Placement.Phase.REPORTED && placement.state != TaskState.FETCHING) {
+                    running++;
+                    break;
+                }
+            }
+        }
+        return running;
+    }
+
+    /** A task of it is to be started. */
+    void startDecided(long nowMicros) {
+        if (firstStartMicros < 0) {
+            firstStartMicros = nowMicros;
+        }
+        lastStartMicros = nowMicros;
+        attempts++;
+    }
+
     /** The attempt that all tasks of a gang share, or 0 when none is live. */
     long liveGangAttempt() {
         for (List<Placement> list : liveAttempts.values()) {
