--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -50,7 +50,7 @@
      */
     void send(CloudCall call, long nowMicros) {
         long fencingToken = scheduler.fencingToken();
-        Consumer<Reply> answer = owner.answer(reply -> new TermMessage.CloudAnswered(reply, fencingToken, call));
+        Consumer<Reply> answer = owner.answer(reply -> new TermMessage.CloudCallAnswered(reply, fencingToken, call));
         if (call instanceof CloudCall.Rent rent) {
             String kind = rent.spot() ? "spot" : "on-demand";
             LOG.info("requests {} {} machines of type {} in {}", rent.count(), kind, rent.type(), rent.zone());
@@ -161,6 +161,7 @@
      * @param before what the pages before it held
      */
     private void requestListPage(String after, long fencingToken, long askedMicros, List<ListedMachine> before) {
-        cloud.list(after, owner.answer(reply -> new TermMessage.ListRead(reply, fencingToken, askedMicros, before)));
+        cloud.list(
+                after, owner.answer(reply -> new TermMessage.MachinesListed(reply, fencingToken, askedMicros, before)));
     }
 }
--- a/src/main/java/io/micatide/scheduler/ArrayPlacement.java
+++ b/src/main/java/io/micatide/scheduler/ArrayPlacement.java
@@ -14,7 +14,7 @@
  * began, and on none of those again once an array has had its turn and left them full, also if work is preempted there.
  */
 final class ArrayPlacement {
-    private final Scheduler scheduler;
+    private final PlacementActions scheduler;
     private final TeamQuota quota;
     private final MachineSelection selection;
     private final UnschedulableClasses unschedulable;
@@ -95,7 +95,7 @@
             if (job.placeableCount() == 0 || !quota.allowsTask(job)) {
                 return false;
             }
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
         return true;
     }
--- a/src/main/java/io/micatide/scheduler/ArrayPreemption.java
+++ b/src/main/java/io/micatide/scheduler/ArrayPreemption.java
@@ -67,7 +67,7 @@
             Machine machine = option.machine();
             if (MachineSelection.zoneAllows(job, machine)
                     && context.preemptionExecutor().freeCapacity(job, machine, scope(queued), nowMicros)) {
-                context.scheduler().place(job, job.nextPendingTask(), machine, nowMicros);
+                context.scheduler().placeTask(job, job.nextPendingTask(), machine, nowMicros);
                 placed++;
             }
         }
--- a/src/main/java/io/micatide/scheduler/Autoscaler.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -58,14 +58,11 @@
         }
         plannedMicros = nowMicros;
         deadMachines.markDeadMachines(nowMicros, termStartMicros);
-
         if (nowMicros - termStartMicros <= firstHeartbeatsMicros()) {
             return;
         }
         if (scaleOut.requestMissing(nowMicros)) {
-
             scaleIn.deleteUnusable(nowMicros);
-
         } else {
             scaleIn.deleteUnneeded(nowMicros);
         }
@@ -83,7 +80,6 @@
 
     /** The calls that are due; they count as made. */
     List<CloudCall> nextCalls(long nowMicros) {
-
         return calls.nextCalls(nowMicros);
     }
 
--- a/src/main/java/io/micatide/scheduler/CloudReconciliation.java
+++ b/src/main/java/io/micatide/scheduler/CloudReconciliation.java
@@ -73,7 +73,7 @@
         if (machine.type == null) {
             fleet.describe(machine, listed.type(), listed.zone(), listed.spot());
         }
-        boolean isKnownToBoot = machine.bootStartedMicros >= 0 || machine.lastAnsweredMicros >= 0;
+        boolean isKnownToBoot = machine.bootStartedMicros >= 0 || machine.lastHeartbeatMicros >= 0;
         if (!isKnownToBoot && listed.state() == ListedMachine.State.BOOTING) {
             machine.bootStartedMicros = nowMicros - listed.ageMicros();
         }
@@ -84,14 +84,14 @@
 
     /** Whether a machine that is not in the list is certainly gone. */
     private boolean isGone(Machine machine, long askedMicros, long nowMicros) {
-        boolean isSilent = machine.lastAnsweredMicros >= 0
-                && nowMicros - machine.lastAnsweredMicros > settings.workerLeaseExpiryMicros();
+        boolean isSilent = machine.lastHeartbeatMicros >= 0
+                && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros();
         return (machine.listedByCloud && isSilent) || wasNeverThere(machine, askedMicros);
     }
 
     /** A ledger names it, nobody has heard of it, and a list from well after the term began does not have it. */
     private boolean wasNeverThere(Machine machine, long askedMicros) {
-        return machine.lastAnsweredMicros < 0
+        return machine.lastHeartbeatMicros < 0
                 && machine.bootStartedMicros < 0
                 && askedMicros - machine.knownSinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND;
     }
--- a/src/main/java/io/micatide/scheduler/CloudRecords.java
+++ b/src/main/java/io/micatide/scheduler/CloudRecords.java
@@ -109,12 +109,12 @@
     }
 
     /** The batch was certainly not executed. */
-    void deletionsNotWritten(JobLedgers.WriteBatch batch) {
+    void deletionsNotWritten(WriteBatch batch) {
         deletionsOf(batch).forEach(machineDeletions::notWritten);
     }
 
     /** The batch is confirmed: its provisioning requests are recorded, or gone if they were done. */
-    void requestsWritten(JobLedgers.WriteBatch batch, long revision) {
+    void requestsWritten(WriteBatch batch, long revision) {
         boolean fenceMoved = batch.transaction().writes().stream()
                 .anyMatch(write -> write.record() instanceof StoredRecord.ProvisioningFence);
         if (fenceMoved) {
@@ -131,14 +131,14 @@
     }
 
     /** The outcome of the batch is known by other means. */
-    void requestsResolved(JobLedgers.WriteBatch batch) {
+    void requestsResolved(WriteBatch batch) {
         for (ProvisioningRequests.Request request : batch.provisioningRequests()) {
             request.writing = false;
         }
     }
 
     /** The batch was refused for these keys; those of this part are unknown until they are read back. */
-    void conflicted(JobLedgers.WriteBatch batch, List<String> failedKeys) {
+    void conflicted(WriteBatch batch, List<String> failedKeys) {
         requestsResolved(batch);
         provisioningRequests.markUnknown(
                 failedKeys.stream().filter(ProvisioningRequests::owns).toList());
@@ -160,7 +160,7 @@
         }
     }
 
-    private static List<Transaction.Write> deletionsOf(JobLedgers.WriteBatch batch) {
+    private static List<Transaction.Write> deletionsOf(WriteBatch batch) {
         return batch.transaction().writes().stream()
                 .filter(write -> MachineDeletions.owns(write.key()))
                 .toList();
--- a/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
+++ b/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
@@ -82,7 +82,7 @@
         if (missesFirstHeartbeatOfTerm(machine, nowMicros, termStartMicros)) {
             survey.unresponsive.add(machine);
         }
-        if (machine.lastAnsweredMicros >= 0) {
+        if (machine.lastHeartbeatMicros >= 0) {
             examineHeardFrom(machine, survey, nowMicros);
         } else if (machine.bootStartedMicros >= 0) {
             if (nowMicros - machine.bootStartedMicros > bootTimeoutMicros(machine)) {
@@ -96,14 +96,14 @@
 
     /** A ledger names it, and it has not found the new leader. */
     private boolean missesFirstHeartbeatOfTerm(Machine machine, long nowMicros, long termStartMicros) {
-        long lastHeardMicros = Math.max(termStartMicros, machine.lastAnsweredMicros);
-        return machine.delaysRecovery
+        long lastHeardMicros = Math.max(termStartMicros, machine.lastHeartbeatMicros);
+        return machine.awaitedAfterFailover
                 && !machine.deletionRequested
                 && nowMicros - lastHeardMicros > unresponsiveAfterMicros() + Micros.SECOND;
     }
 
     private void examineHeardFrom(Machine machine, Survey survey, long nowMicros) {
-        long silentMicros = nowMicros - machine.lastAnsweredMicros;
+        long silentMicros = nowMicros - machine.lastHeartbeatMicros;
         survey.heardFrom++;
         if (machine.reconciled && !machine.deletionRequested && silentMicros > unresponsiveAfterMicros()) {
             survey.unresponsive.add(machine);
@@ -141,7 +141,7 @@
         for (Machine machine : survey.unresponsive) {
             boolean isLeaderReachable = areFew || (machine.zone != null && reachableZones.contains(machine.zone));
             // Not for tasks of arrays alone: a machine that hangs is there again before another one has booted.
-            if (isLeaderReachable && (machine.delaysRecovery || hasReplica(machine))) {
+            if (isLeaderReachable && (machine.awaitedAfterFailover || hasReplica(machine))) {
                 machine.deletionRequested = true;
             }
         }
@@ -157,10 +157,10 @@
         Multiset<String> known = HashMultiset.create();
         Multiset<String> reporting = HashMultiset.create();
         for (Machine machine : fleet.machines()) {
-            boolean hasReported = machine.lastAnsweredMicros >= 0;
-            if (machine.zone != null && !machine.deletionRequested && (hasReported || machine.delaysRecovery)) {
+            boolean hasReported = machine.lastHeartbeatMicros >= 0;
+            if (machine.zone != null && !machine.deletionRequested && (hasReported || machine.awaitedAfterFailover)) {
                 known.add(machine.zone);
-                if (hasReported && nowMicros - machine.lastAnsweredMicros < unresponsiveAfterMicros() / 2) {
+                if (hasReported && nowMicros - machine.lastHeartbeatMicros < unresponsiveAfterMicros() / 2) {
                     reporting.add(machine.zone);
                 }
             }
--- a/src/main/java/io/micatide/scheduler/FailoverRecovery.java
+++ b/src/main/java/io/micatide/scheduler/FailoverRecovery.java
@@ -3,6 +3,7 @@
 import io.micatide.model.Hint;
 import io.micatide.model.MachineType;
 import io.micatide.model.TermAnnouncement;
+import io.micatide.store.StoreKeys;
 import io.micatide.store.StoredRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -57,12 +58,12 @@
      * @return whether it belongs to a job; otherwise it is to be deleted
      */
     boolean ledgerLoaded(String key, StoredRecord.Ledger ledger, long version, long nowMicros) {
-        String id = JobLedgers.jobOf(key);
+        String id = StoreKeys.jobIdOf(key);
         hasFoundLedgers = true;
         if (ledgers.get(id) == null) {
             addCancelledBeforeTerm(id, nowMicros);
         }
-        return ledgers.load(key, ledger, version);
+        return ledgers.loadLedger(key, ledger, version);
     }
 
     /**
@@ -76,7 +77,7 @@
         if (record == null) {
             return null;
         }
-        Job job = ledgers.add(record.spec(), 0, record.submittedWall(), nowMicros, nowMicros);
+        Job job = ledgers.addJob(record.spec(), 0, record.submittedWall(), nowMicros, nowMicros);
         job.cancelled = true;
         return job;
     }
--- a/src/main/java/io/micatide/scheduler/FleetForecast.java
+++ b/src/main/java/io/micatide/scheduler/FleetForecast.java
@@ -55,7 +55,7 @@
 
     /** Whether the machine boots and is not so late that it may never come up. */
     private boolean isBooting(Machine machine, long nowMicros) {
-        if (machine.deletionRequested || machine.lastAnsweredMicros >= 0 || machine.capacity() == null) {
+        if (machine.deletionRequested || machine.lastHeartbeatMicros >= 0 || machine.capacity() == null) {
             return false;
         }
         MachineType type = fleet.machineTypes().get(machine.type);
@@ -65,7 +65,7 @@
     /** Whether the machine sends heartbeats and has not confirmed this leader's fencing token yet. */
     private boolean isUnreconciled(Machine machine, long nowMicros) {
         return !machine.reconciled
-                && machine.lastAnsweredMicros >= 0
+                && machine.lastHeartbeatMicros >= 0
                 && machine.capacity() != null
                 && !machine.deletionRequested
                 && machine.isResponsive(nowMicros, settings);
--- a/src/main/java/io/micatide/scheduler/GangPlacement.java
+++ b/src/main/java/io/micatide/scheduler/GangPlacement.java
@@ -10,7 +10,7 @@
  * machines for nothing.
  */
 final class GangPlacement {
-    private final Scheduler scheduler;
+    private final PlacementActions scheduler;
     private final TeamQuota quota;
     private final MachineSelection selection;
     private final Preemption preemption;
@@ -78,7 +78,7 @@
                 removeUnsent(job);
                 return;
             }
-            scheduler.place(job, index, machine, nowMicros);
+            scheduler.placeTask(job, index, machine, nowMicros);
         }
     }
 
--- a/src/main/java/io/micatide/scheduler/JobReconciler.java
+++ b/src/main/java/io/micatide/scheduler/JobReconciler.java
@@ -61,7 +61,7 @@
             return;
         }
         StoredRecord.JobRecord record = view.record();
-        ledgers.add(record.spec(), view.version(), record.submittedWall(), submittedMicros, readyMicros);
+        ledgers.addJob(record.spec(), view.version(), record.submittedWall(), submittedMicros, readyMicros);
         dagInheritance.jobAdded();
     }
 
@@ -77,7 +77,7 @@
                 cancel(job, nowMicros);
             } else if (!job.writeInFlight) {
                 // Only a leader writes this, so it was our own write whose answer is still to come or was lost.
-                ledgers.drop(job);
+                ledgers.removeJob(job);
             }
         }
     }
@@ -96,7 +96,7 @@
     void jobReadBack(String id, StoredRecord.JobRecord record, long version, long nowMicros) {
         Job job = ledgers.get(id);
         if (job != null && record.state() == JobState.DONE) {
-            ledgers.drop(job);
+            ledgers.removeJob(job);
             jobOutcomes.finalRecordStored(id, record, version);
         } else if (job != null && record.state() == JobState.CANCELLED && !job.cancelled) {
             cancel(job, nowMicros);
--- a/src/main/java/io/micatide/scheduler/MachineRefill.java
+++ b/src/main/java/io/micatide/scheduler/MachineRefill.java
@@ -16,12 +16,12 @@
     /** A job whose image is on the machine goes before one of its rank that is due less than this before it. */
     private static final long IMAGE_PRECEDENCE_MICROS = 5 * Micros.SECOND;
 
-    private final Scheduler scheduler;
+    private final PlacementActions scheduler;
     private final Settings settings;
     private final JobLedgers ledgers;
     private final TeamQuota quota;
 
-    MachineRefill(Scheduler scheduler, Settings settings, JobLedgers ledgers, TeamQuota quota) {
+    MachineRefill(PlacementActions scheduler, Settings settings, JobLedgers ledgers, TeamQuota quota) {
         this.scheduler = scheduler;
         this.settings = settings;
         this.ledgers = ledgers;
@@ -38,7 +38,7 @@
         }
         Job job = nextJob(queue, machine, nowMicros);
         while (job != null) {
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
             job = nextJob(queue, machine, nowMicros);
         }
     }
--- a/src/main/java/io/micatide/scheduler/MachineSelection.java
+++ b/src/main/java/io/micatide/scheduler/MachineSelection.java
@@ -25,12 +25,12 @@
     static final Comparator<Machine> MOST_FREE_CAPACITY_FIRST =
             Comparator.comparing((Machine machine) -> -machine.freeCapacity().cpus());
 
-    private final Scheduler scheduler;
+    private final PlacementActions scheduler;
     private final Settings settings;
     private final Fleet fleet;
     private long machinesExamined;
 
-    MachineSelection(Scheduler scheduler, Settings settings, Fleet fleet) {
+    MachineSelection(PlacementActions scheduler, Settings settings, Fleet fleet) {
         this.scheduler = scheduler;
         this.settings = settings;
         this.fleet = fleet;
--- a/src/main/java/io/micatide/scheduler/PlanningContext.java
+++ b/src/main/java/io/micatide/scheduler/PlanningContext.java
@@ -11,7 +11,7 @@
  * @param unschedulable what was found not to fit in the present plan
  */
 record PlanningContext(
-        Scheduler scheduler,
+        PlacementActions scheduler,
         TeamQuota quota,
         MachineSelection selection,
         Preemption preemption,
--- a/src/main/java/io/micatide/scheduler/PreemptionExecutor.java
+++ b/src/main/java/io/micatide/scheduler/PreemptionExecutor.java
@@ -16,13 +16,13 @@
     /** Beyond the time that the work needs to save; a job does not ask again before that. */
     private static final long CHECKPOINT_MARGIN_MICROS = 5 * Micros.SECOND;
 
-    private final Scheduler scheduler;
+    private final PlacementActions scheduler;
     private final MachineSelection selection;
     private final Preemption preemption;
     private int attemptsForServices;
     private int attemptsForOthers;
 
-    PreemptionExecutor(Scheduler scheduler, MachineSelection selection, Preemption preemption) {
+    PreemptionExecutor(PlacementActions scheduler, MachineSelection selection, Preemption preemption) {
         this.scheduler = scheduler;
         this.selection = selection;
         this.preemption = preemption;
@@ -107,7 +107,7 @@
             job.capacityAwaitedUntilMicros = Math.max(
                     job.capacityAwaitedUntilMicros,
                     nowMicros + victim.job.spec.saveMicros() + CHECKPOINT_MARGIN_MICROS);
-            scheduler.stopToSave(victim, nowMicros);
+            scheduler.stopWithCheckpoint(victim, nowMicros);
         }
     }
 }
--- a/src/main/java/io/micatide/scheduler/PreemptionPolicy.java
+++ b/src/main/java/io/micatide/scheduler/PreemptionPolicy.java
@@ -19,13 +19,13 @@
     /** A job that can be on time is urgent once its latest start is nearer than this. */
     static final long URGENT_WITHIN_MICROS = 5 * Micros.SECOND;
 
-    private final Scheduler scheduler;
+    private final PlacementActions scheduler;
     private final Settings settings;
     private final JobLedgers ledgers;
     private final long guaranteeWaitMicros;
     private boolean isLowPriorityRunning;
 
-    PreemptionPolicy(Scheduler scheduler, Settings settings, JobLedgers ledgers) {
+    PreemptionPolicy(PlacementActions scheduler, Settings settings, JobLedgers ledgers) {
         this.scheduler = scheduler;
         this.settings = settings;
         this.ledgers = ledgers;
--- a/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
+++ b/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
@@ -21,7 +21,7 @@
     /** Work that may be lost to place a replica beside others though another machine has capacity. */
     private static final long MAX_LOSS_FOR_GATHERING_MICROS = 10 * Micros.SECOND;
 
-    private final Scheduler scheduler;
+    private final PlacementActions scheduler;
     private final TeamQuota quota;
     private final MachineSelection selection;
     private final Preemption preemption;
@@ -61,7 +61,7 @@
             if (machine == null) {
                 return;
             }
-            scheduler.place(job, job.nextPendingTask(), machine, nowMicros);
+            scheduler.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
--- a/src/main/java/io/micatide/scheduler/ScaleIn.java
+++ b/src/main/java/io/micatide/scheduler/ScaleIn.java
@@ -104,9 +104,9 @@
         MachineType type = machine.type == null ? null : fleet.machineTypes().get(machine.type);
         return type != null
                 && !machine.deletionRequested
-                && machine.lastAnsweredMicros < 0
+                && machine.lastHeartbeatMicros < 0
                 && machine.bootStartedMicros >= 0
-                && !machine.delaysRecovery
+                && !machine.awaitedAfterFailover
                 && nowMicros - machine.bootStartedMicros > LATE_BOOT_FACTOR * type.bootMicros();
     }
 }
--- a/src/main/java/io/micatide/scheduler/ScaleOut.java
+++ b/src/main/java/io/micatide/scheduler/ScaleOut.java
@@ -77,7 +77,7 @@
     private boolean requestForFiniteJobs(Resources expected, long nowMicros) {
         List<DeadlineFeasibility.Entry> jobs = planner.queue().finiteJobs(nowMicros);
         double available = planner.queue().cpusForFiniteJobs(nowMicros) + expected.cpus();
-        double wanted = DeadlineFeasibility.wanted(jobs, FETCH_MICROS, LATE_JOB_WITHIN_MICROS, nowMicros);
+        double wanted = DeadlineFeasibility.requiredCpus(jobs, FETCH_MICROS, LATE_JOB_WITHIN_MICROS, nowMicros);
         // More processors than tasks that may run at once are of no use.
         double missing = Math.min(wanted, usableCpus(jobs)) - available;
         if (missing <= 0) {
@@ -114,7 +114,8 @@
     private static DeadlineFeasibility.Entry largestReconciled(List<DeadlineFeasibility.Entry> jobs) {
         DeadlineFeasibility.Entry largest = null;
         for (DeadlineFeasibility.Entry entry : jobs) {
-            if (!entry.job.hasUnreconciledMachines() && (largest == null || entry.work > largest.work)) {
+            if (!entry.job.hasUnreconciledMachines()
+                    && (largest == null || entry.remainingWork > largest.remainingWork)) {
                 largest = entry;
             }
         }
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -27,7 +27,6 @@
  */
 public final class Scheduler
         implements HeartbeatHandler, StoredStateListener, WriteBatchSource, CloudCallSource, TermStatus {
-
     private final TermComponents term;
 
     /**
@@ -79,7 +78,6 @@
 
     @Override
     public void provisioningFenceRead(long version, long number) {
-
         term.provisioningRequests.fenceRead(version, number);
     }
 
@@ -90,7 +88,6 @@
 
     @Override
     public void machineDeletionLoaded(String key, StoredRecord.MachinesToDelete record, long version, long nowMicros) {
-
         term.machineDeletions.load(key, record.machines(), version);
         record.machines().forEach(name -> term.fleet.getOrAdd(name, nowMicros).deletionRequested = true);
     }
@@ -108,7 +105,6 @@
     @Override
     public void allRecordsLoaded(long nowMicros) {
         if (!term.recovery.hasFoundLedgers() && term.provisioningRequests.requests.isEmpty()) {
-
             term.autoscaler.noteFirstTerm();
         }
         term.recovery.allRecordsLoaded(nowMicros);
@@ -120,7 +116,6 @@
      * @param askedMicros when the read was asked for
      */
     public void storeReadAt(long askedMicros) {
-
         term.startGuard.storeReadAt(askedMicros);
     }
 
@@ -140,7 +135,6 @@
      * @param nowMicros when it went on
      */
     public void processResumed(long nowMicros) {
-
         term.startGuard.processResumed(nowMicros);
     }
 
@@ -151,11 +145,9 @@
 
     @Override
     public List<Command> handleHeartbeat(Heartbeat heartbeat, long nowMicros) {
-
         List<Command> commands = new ArrayList<>();
         Machine machine = term.heartbeatReconciler.apply(heartbeat, commands, nowMicros);
         if (machine != null) {
-
             if (machine.reconciled && mayPlaceTasks(nowMicros)) {
                 term.planner.refill(machine, nowMicros);
             }
@@ -168,10 +160,8 @@
     public void announcementAnswered(Heartbeat heartbeat, long nowMicros) {
         Machine machine = term.fleet.get(heartbeat.machine());
         if (machine == null || !machine.reconciled) {
-
             term.heartbeatReconciler.apply(heartbeat, new ArrayList<>(), nowMicros);
         } else {
-
             machine.highestSequence = Math.max(machine.highestSequence, heartbeat.sequence());
         }
     }
@@ -196,10 +186,8 @@
         term.dagInheritance.refresh(nowMicros);
         term.evictions.removeFromFullLedgers(nowMicros);
         if (mayPlaceTasks(nowMicros)) {
-
             term.planner.plan(nowMicros);
         }
-
         term.autoscaler.plan(nowMicros, term.termStartMicros);
     }
 
@@ -215,7 +203,6 @@
 
     @Override
     public List<String> unresolvedWriteKeys() {
-
         return term.writeBatches.unresolvedKeys();
     }
 
@@ -231,7 +218,6 @@
 
     @Override
     public void writeNotExecuted(long nowMicros) {
-
         term.writeBatches.notExecuted(nowMicros);
     }
 
@@ -264,7 +250,7 @@
 
     @Override
     public void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version) {
-        term.ledgers.readBack(key, ledger, version);
+        term.ledgers.ledgerReadBack(key, ledger, version);
     }
 
     @Override
@@ -274,7 +260,6 @@
 
     @Override
     public int spareWriteBudget(long nowMicros) {
-
         return term.writeBatches.spareWrites(nowMicros);
     }
 
@@ -295,25 +280,21 @@
 
     @Override
     public void machinesRented(String request, List<String> names, long nowMicros) {
-
         term.autoscaler.machinesRented(request, names, nowMicros);
     }
 
     @Override
     public void noCapacity(String request, long nowMicros) {
-
         term.autoscaler.noCapacity(request, nowMicros);
     }
 
     @Override
     public void provisioningUnanswered(String request, long nowMicros) {
-
         term.autoscaler.requestUnanswered(request, nowMicros);
     }
 
     @Override
     public void provisioningNotExecuted(String request) {
-
         term.autoscaler.requestNotExecuted(request);
     }
 
@@ -325,17 +306,14 @@
                 term.recovery.machineDeleted(machine, nowMicros);
                 term.placements.removeAll(machine);
             }
-
             term.machineDeletions.machineDeleted(name, nowMicros);
             term.fleet.markDeleted(name, nowMicros);
-
             term.recovery.reconcileLedgers(name, nowMicros);
         }
     }
 
     @Override
     public void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
-
         term.autoscaler.machinesListed(machines, askedMicros, nowMicros);
     }
 
--- a/src/main/java/io/micatide/scheduler/TaskOutcomes.java
+++ b/src/main/java/io/micatide/scheduler/TaskOutcomes.java
@@ -71,10 +71,10 @@
         if (job.spec.kind() == JobKind.GANG) {
             // A gang completes together, so one heartbeat tells of all, also of those that are lost now.
             for (int index = 0; index < job.spec.taskCount(); index++) {
-                ledgers.taskFinished(job, index, nowMicros);
+                ledgers.markTaskFinished(job, index, nowMicros);
             }
         } else {
-            ledgers.taskFinished(job, taskIndex, nowMicros);
+            ledgers.markTaskFinished(job, taskIndex, nowMicros);
         }
         for (Placement other : List.copyOf(job.liveAttempts.getOrDefault(taskIndex, List.of()))) {
             if (other != placement) {
--- a/src/main/java/io/micatide/scheduler/TeamQuota.java
+++ b/src/main/java/io/micatide/scheduler/TeamQuota.java
@@ -12,12 +12,12 @@
  * task that may still run on a machine which has not reported to this leader.
  */
 final class TeamQuota {
-    private final Scheduler scheduler;
+    private final PlacementActions scheduler;
     private final Settings settings;
     private final JobLedgers ledgers;
     private Map<String, Resources> unreconciledUsage = Map.of();
 
-    TeamQuota(Scheduler scheduler, Settings settings, JobLedgers ledgers) {
+    TeamQuota(PlacementActions scheduler, Settings settings, JobLedgers ledgers) {
         this.scheduler = scheduler;
         this.settings = settings;
         this.ledgers = ledgers;
--- a/src/main/java/io/micatide/scheduler/WriteBatches.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatches.java
@@ -23,7 +23,7 @@
     /** Deletions of ledgers without an open job. */
     private final List<Transaction.Write> orphanedLedgerDeletions = new ArrayList<>();
     /** Null if none is. */
-    private JobLedgers.WriteBatch inFlight;
+    private WriteBatch inFlight;
 
     WriteBatches(
             ClusterState cluster,
@@ -74,15 +74,14 @@
                 orphanedLedgerDeletions.subList(0, Math.min(orphanedLedgerDeletions.size(), limit / 2));
         CloudRecords.Part cloudPart = cloudRecords.nextPart(cluster.fleet().machines(), orphans, limit, nowMicros);
         planner.beginWriteBatch(nowMicros);
-        JobLedgers.WriteBatch batch = ledgers.nextWriteBatch(
-                nowMicros,
-                wallMicros,
-                limit,
-                budget.deferrableLimit(),
-                cloudPart.requests(),
-                cloudPart.writes(),
-                cloudPart.conditions(),
-                (job, maxMachines) -> planner.candidateMachines(job, maxMachines, nowMicros));
+        WriteBatch batch = ledgers.nextWriteBatch(
+                        nowMicros,
+                        wallMicros,
+                        new WriteBatch.Limits(limit, budget.deferrableLimit()),
+                        new WriteBatch.AdditionalWrites(
+                                cloudPart.requests(), cloudPart.writes(), cloudPart.conditions()),
+                        (job, maxMachines) -> planner.candidateMachines(job, maxMachines, nowMicros))
+                .orElse(null);
         if (batch == null) {
             cloudRecords.notComposed(cloudPart);
             return null;
@@ -95,7 +94,7 @@
 
     /** The batch was executed with this revision. */
     void confirmed(long revision, long nowMicros) {
-        JobLedgers.WriteBatch batch = takeInFlight();
+        WriteBatch batch = takeInFlight();
         for (Transaction.Write write : batch.transaction().writes()) {
             if (MachineDeletions.owns(write.key())) {
                 cloudRecords.deletionWritten(write, revision);
@@ -108,9 +107,9 @@
         cloudRecords.requestsWritten(batch, revision);
     }
 
-    private void recordOutcomes(JobLedgers.WriteBatch batch, long revision) {
-        for (JobLedgers.JobWrite jobWrite : batch.jobWrites()) {
-            if (jobWrite.last() && !jobWrite.job().cancelled) {
+    private void recordOutcomes(WriteBatch batch, long revision) {
+        for (WriteBatch.JobWrite jobWrite : batch.jobWrites()) {
+            if (jobWrite.endsJob() && !jobWrite.job().cancelled) {
                 jobOutcomes.jobCompleted(jobWrite.job());
             }
         }
@@ -141,7 +140,7 @@
 
     /** All keys of the batch are read back. */
     void resolved(long nowMicros) {
-        JobLedgers.WriteBatch batch = takeInFlight();
+        WriteBatch batch = takeInFlight();
         cloudRecords.requestsResolved(batch);
         ledgers.writeResolved(batch, nowMicros);
     }
@@ -153,13 +152,13 @@
      * @return the keys to be read back
      */
     List<String> conflicted(List<String> failedKeys, long nowMicros) {
-        JobLedgers.WriteBatch batch = takeInFlight();
+        WriteBatch batch = takeInFlight();
         cloudRecords.conflicted(batch, failedKeys);
         return ledgers.writeConflicted(batch, failedKeys, nowMicros);
     }
 
-    private JobLedgers.WriteBatch takeInFlight() {
-        JobLedgers.WriteBatch batch = inFlight;
+    private WriteBatch takeInFlight() {
+        WriteBatch batch = inFlight;
         inFlight = null;
         return batch;
     }
--- a/src/test/java/io/micatide/archive/StoredJobs.java
+++ b/src/test/java/io/micatide/archive/StoredJobs.java
@@ -78,7 +78,7 @@
         return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + new String(value.json(), StandardCharsets.UTF_8)
                                 + ",\"stamp\":" + value.version() + "}")
                         .getBytes(StandardCharsets.UTF_8))
-                .row();
+                .record();
     }
 
     /** A record of an open job as a former version puts it: on condition of the record alone. */
--- a/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
+++ b/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
@@ -26,7 +26,7 @@
             Machine machine = fleet.getOrAdd("i-" + i, 0);
             fleet.describe(machine, SchedulerHarness.TYPE.name(), "a", false);
             machine.reconciled = true;
-            machine.lastAnsweredMicros = NOW;
+            machine.lastHeartbeatMicros = NOW;
         }
     }
 
@@ -41,7 +41,7 @@
     @CsvSource({"0, 0", "1, 1", "5, 5", "6, 0", "10, 0"})
     void moreThanHalfSilentMeansThatTheLeaderIsCutOff(int silent, int deleted) {
         for (int i = 0; i < silent; i++) {
-            fleet.get("i-" + i).lastAnsweredMicros = NOW - 5 * settings.workerLeaseExpiryMicros();
+            fleet.get("i-" + i).lastHeartbeatMicros = NOW - 5 * settings.workerLeaseExpiryMicros();
         }
         assertEquals(deleted, deleted());
     }
@@ -57,9 +57,9 @@
 
     @Test
     void hungMachineIsDeletedEarlyOnlyIfRecoveryWaitsForIt() {
-        fleet.get("i-0").lastAnsweredMicros = NOW - 8 * Micros.SECOND;
+        fleet.get("i-0").lastHeartbeatMicros = NOW - 8 * Micros.SECOND;
         assertEquals(0, deleted());
-        fleet.get("i-0").delaysRecovery = true;
+        fleet.get("i-0").awaitedAfterFailover = true;
         assertEquals(1, deleted());
     }
 }
