--- a/src/clients/java/io/micatide/clients/LibraryTest.java
+++ b/src/clients/java/io/micatide/clients/LibraryTest.java
@@ -128,12 +128,12 @@
     static void start() throws Exception {
         service = new LocalDeployment(3, 0, false, new SimulatedWorker.Witness() {
             @Override
-            public void started(String task, long attempt, String machine) {
+            public void taskStarted(String task, long attempt, String machine) {
                 RUNS.merge(task, 1, Integer::sum);
             }
 
             @Override
-            public void over(String task, long attempt, String machine, ExitCause cause) {
+            public void taskEnded(String task, long attempt, String machine, ExitCause cause) {
                 // Only starts are counted.
             }
         });
