--- a/src/main/java/io/micatide/scheduler/HeartbeatHandler.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatListener.java
@@ -10,7 +10,7 @@
  *
  * <p>Called by the leader's actor alone. Times are microseconds of the leader's steady clock.
  */
-public interface HeartbeatHandler {
+public interface HeartbeatListener {
     /**
      * Applies a heartbeat and answers it.
      *
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -26,8 +26,8 @@
  * behavior. Times are microseconds of the leader's steady clock, but for the wall time of jobs. Not thread-safe: called by the leader's actor alone.
  */
 public final class Scheduler
-        implements HeartbeatHandler, StoredStateListener, WriteBatchSource, CloudCallSource, TermStatus {
-    private final TermComponents term;
+        implements HeartbeatListener, StoredStateListener, WriteBatchSource, CloudCallSource, TermStatus {
+    private final SchedulerComponents term;
 
     /**
      * A term that begins.
@@ -46,8 +46,8 @@
             Tuning tuning,
             long fencingToken,
             long nowMicros,
-            TermComponents.PlannerFactory plannerFactory) {
-        this.term = new TermComponents(settings, tuning, fencingToken, nowMicros, plannerFactory);
+            SchedulerComponents.PlannerFactory plannerFactory) {
+        this.term = new SchedulerComponents(settings, tuning, fencingToken, nowMicros, plannerFactory);
     }
 
     /**
--- a/src/main/java/io/micatide/scheduler/TermComponents.java
+++ b/src/main/java/io/micatide/scheduler/SchedulerComponents.java
@@ -7,7 +7,7 @@
  * The parts of one term of leadership, wired. Each owns its state and knows only those before it; {@link Scheduler} calls them in the order that a message
  * needs.
  */
-final class TermComponents {
+final class SchedulerComponents {
     final Settings settings;
     final long fencingToken;
     final long termStartMicros;
@@ -49,7 +49,8 @@
                 RuntimeEstimator runtimeEstimator);
     }
 
-    TermComponents(Settings settings, Tuning tuning, long fencingToken, long nowMicros, PlannerFactory plannerFactory) {
+    SchedulerComponents(
+            Settings settings, Tuning tuning, long fencingToken, long nowMicros, PlannerFactory plannerFactory) {
         this.settings = settings;
         this.fencingToken = fencingToken;
         this.termStartMicros = nowMicros;
--- a/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
@@ -52,7 +52,7 @@
                 number > 0 && random.nextInt(6) == 0 ? List.of("wk-" + random.nextInt(number)) : List.of());
     }
 
-    private static List<String> play(long seed, TermComponents.PlannerFactory planners) {
+    private static List<String> play(long seed, SchedulerComponents.PlannerFactory planners) {
         Random random = new Random(seed);
         SchedulerHarness world = new SchedulerHarness(seed, 2 + random.nextInt(12));
         List<String> decisions = new ArrayList<>();
--- a/src/test/java/io/micatide/scheduler/SchedulerHarness.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -66,7 +66,7 @@
     private int machineNumber;
 
     /** How leaders plan. */
-    TermComponents.PlannerFactory planners = PlacementPlanner::new;
+    SchedulerComponents.PlannerFactory planners = PlacementPlanner::new;
     /** Takes what leaders decide: commands and transactions, in their order. */
     Consumer<String> decisions = decision -> {};
     /** Takes the same as it goes over the wire. */
