--- a/src/main/java/io/micatide/simulation/StartupBenchmark.java
+++ b/src/main/java/io/micatide/simulation/StartupBenchmark.java
@@ -117,7 +117,7 @@
                 processes.get(0).destroyForcibly().waitFor();
                 TimeUnit.SECONDS.sleep(10);
                 log.addAll(Files.readAllLines(second.toPath()));
-                takeOver = between(log, "became leader with fencing token", "rebuilt");
+                takeOver = between(log, "became leader with fencing token", " loaded: ");
                 second.delete();
             }
         } finally {
