--- a/src/test/java/io/micatide/DocumentationTest.java
+++ b/src/test/java/io/micatide/DocumentationTest.java
@@ -17,12 +17,15 @@
 import org.junit.jupiter.api.DisplayName;
 import org.junit.jupiter.api.Test;
 
-/** The pages name classes as the sources do. */
+/** The pages name classes as the sources do, and link only to pages that exist. */
 class DocumentationTest {
     /** {@code ClassName} or {@code ClassName.member}: two capitals at least, so that words and constants are passed over. */
     private static final Pattern CODE_NAME =
             Pattern.compile("`([A-Z][a-z]+(?:[A-Z][A-Za-z0-9]+)+)(?:\\.(\\w+))?[^`]*`");
 
+    /** A link to a file of the repository: neither an address nor a place on the same page. */
+    private static final Pattern LOCAL_LINK = Pattern.compile("\\]\\((?!https?:|#)([^)#\\s]+)(?:#[^)]*)?\\)");
+
     private static final Pattern DECLARED = Pattern.compile("\\b(?:class|interface|enum|record)\\s+([A-Z]\\w*)");
 
     /** Names of the Java platform and of tools that pages may mention. */
@@ -38,6 +41,37 @@
         return result;
     }
 
+    /** Links of a page to files that do not exist, each with its page. */
+    private static List<String> brokenLinks(Path page, String text) {
+        Path folder = page.toAbsolutePath().getParent();
+        return LOCAL_LINK
+                .matcher(text)
+                .results()
+                .map(link -> link.group(1))
+                .filter(target -> !Files.exists(folder.resolve(target)))
+                .map(target -> page + ": " + target)
+                .toList();
+    }
+
+    @Test
+    @DisplayName("every link of a page leads to a file that exists")
+    void linkedPagesExist() throws IOException {
+        List<String> broken = new ArrayList<>();
+        for (Path page : files(".md", Path.of("docs"), Path.of("README.md"))) {
+            broken.addAll(brokenLinks(page, Files.readString(page)));
+        }
+        assertEquals(List.of(), broken);
+    }
+
+    @Test
+    @DisplayName("a link to a file that does not exist is found, other links are not")
+    void brokenLinkIsFound() {
+        String text =
+                "[a](missing.md), [b](missing.md#part), [c](https://example.org), [d](#here), [e](README.md#try-it)";
+        assertEquals(
+                List.of("README.md: missing.md", "README.md: missing.md"), brokenLinks(Path.of("README.md"), text));
+    }
+
     @Test
     @DisplayName("every class that a page names is in the sources")
     void namesOfClassesExist() throws IOException {
