--- a/src/main/java/io/micatide/scheduler/ArrayPlacement.java
+++ b/src/main/java/io/micatide/scheduler/ArrayPlacement.java
@@ -45,7 +45,7 @@
     }
 
     /** An array has had its turn: machines that are full now get no array in this plan. */
-    void closeFilledMachines(QueueSnapshot queue) {
+    void excludeFilledMachines(QueueSnapshot queue) {
         for (Machine machine : filledMachines) {
             if (!queue.mayFitIn(machine)) {
                 machinesWithCapacity.remove(machine);
--- a/src/main/java/io/micatide/scheduler/ArrayPreemption.java
+++ b/src/main/java/io/micatide/scheduler/ArrayPreemption.java
@@ -57,11 +57,11 @@
     }
 
     /** Places at most {@code most} tasks, at most one on each machine; returns how many it placed. */
-    private int placeOncePerMachine(JobQueue.QueuedJob queued, List<Option> options, int most, long nowMicros) {
+    private int placeOncePerMachine(JobQueue.QueuedJob queued, List<Option> options, int limit, long nowMicros) {
         Job job = queued.job();
         int placed = 0;
         for (Option option : options) {
-            if (placed == most || job.pendingCount() == 0 || !context.quota().allowsTask(job)) {
+            if (placed == limit || job.pendingCount() == 0 || !context.quota().allowsTask(job)) {
                 break;
             }
             Machine machine = option.machine();
@@ -96,7 +96,7 @@
 
     /** Whoever is within the guarantee of the team may preempt other teams' work of the same priority too. */
     private static Preemption.Scope scope(JobQueue.QueuedJob queued) {
-        return queued.guaranteed() ? Preemption.Scope.SAME_PRIORITY : Preemption.Scope.LOWER_PRIORITY;
+        return queued.isGuaranteed() ? Preemption.Scope.SAME_PRIORITY : Preemption.Scope.LOWER_PRIORITY;
     }
 
     /** All pending tasks; at ordinary priority the share that has them all placed in one and a half times the wait. */
--- a/src/main/java/io/micatide/scheduler/CandidateMachines.java
+++ b/src/main/java/io/micatide/scheduler/CandidateMachines.java
@@ -36,16 +36,16 @@
     /**
      * Names of machines for a job: all that suit, or where there are too many those with the most free capacity.
      *
-     * @param suits whether a machine suits the job
-     * @param isNamed whether the job's ledger names a machine already; of the same free capacity these go first
-     * @param most how many names are returned at most
+     * @param isSuitable whether a machine suits the job
+     * @param isInLedger whether the job's ledger names a machine already; of the same free capacity these go first
+     * @param limit how many names are returned at most
      */
-    List<String> machines(Predicate<Machine> suits, Predicate<Machine> isNamed, int most) {
-        List<Machine> suitable = suitable(usable(), suits, most + 1);
-        if (suitable.size() <= most) {
+    List<String> machines(Predicate<Machine> isSuitable, Predicate<Machine> isInLedger, int limit) {
+        List<Machine> suitable = suitable(usable(), isSuitable, limit + 1);
+        if (suitable.size() <= limit) {
             return names(suitable);
         }
-        return withMostFreeCapacity(suits, isNamed, most);
+        return withMostFreeCapacity(isSuitable, isInLedger, limit);
     }
 
     private List<Machine> usable() {
@@ -60,33 +60,33 @@
         return usable;
     }
 
-    private static List<Machine> suitable(List<Machine> machines, Predicate<Machine> suits, int most) {
+    private static List<Machine> suitable(List<Machine> machines, Predicate<Machine> isSuitable, int limit) {
         List<Machine> result = new ArrayList<>();
         for (Machine machine : machines) {
-            if (result.size() == most) {
+            if (result.size() == limit) {
                 break;
             }
-            if (suits.test(machine)) {
+            if (isSuitable.test(machine)) {
                 result.add(machine);
             }
         }
         return result;
     }
 
-    private List<String> withMostFreeCapacity(Predicate<Machine> suits, Predicate<Machine> isNamed, int most) {
+    private List<String> withMostFreeCapacity(Predicate<Machine> isSuitable, Predicate<Machine> isInLedger, int limit) {
         if (byFreeCapacity == null) {
             byFreeCapacity = new ArrayList<>(usable());
             byFreeCapacity.sort(MOST_FREE_CAPACITY_FIRST);
         }
         List<Machine> chosen = new ArrayList<>();
-        for (int from = 0; from < byFreeCapacity.size() && chosen.size() < most; ) {
+        for (int from = 0; from < byFreeCapacity.size() && chosen.size() < limit; ) {
             int to = endOfEqualFreeCapacity(from);
-            List<Machine> equal = suitable(byFreeCapacity.subList(from, to), suits, to - from);
-            addMatching(equal, isNamed, chosen);
-            addMatching(equal, isNamed.negate(), chosen);
+            List<Machine> equal = suitable(byFreeCapacity.subList(from, to), isSuitable, to - from);
+            addMatching(equal, isInLedger, chosen);
+            addMatching(equal, isInLedger.negate(), chosen);
             from = to;
         }
-        return names(chosen.subList(0, Math.min(most, chosen.size())));
+        return names(chosen.subList(0, Math.min(limit, chosen.size())));
     }
 
     private static void addMatching(List<Machine> machines, Predicate<Machine> condition, List<Machine> to) {
--- a/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
+++ b/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
@@ -67,14 +67,14 @@
 
     /** Machines come and go all the time: slots that are free are closed up before there are more. */
     private void compactSlots() {
-        Machine[] former = slots;
+        Machine[] previousSlots = slots;
         int end = nextSlot;
         slots = new Machine[Math.max(MIN_SLOTS, 2 * machines.size())];
         nextSlot = 0;
         for (int i = 0; i < end; i++) {
-            if (former[i] != null) {
-                former[i].indexSlot = nextSlot;
-                slots[nextSlot++] = former[i];
+            if (previousSlots[i] != null) {
+                previousSlots[i].indexSlot = nextSlot;
+                slots[nextSlot++] = previousSlots[i];
             }
         }
         trackedRequests.clear();
@@ -129,7 +129,7 @@
                 .values()
                 .removeIf(matching -> nowMicros - matching.lastRequestedMicros > UNUSED_REQUEST_EXPIRY_MICROS);
         if (trackedRequests.size() >= MAX_TRACKED_REQUESTS) {
-            forgetOldest();
+            evictLeastRecentlyRequested();
         }
 
         MatchingMachines matching = new MatchingMachines();
@@ -143,7 +143,7 @@
         return matching;
     }
 
-    private void forgetOldest() {
+    private void evictLeastRecentlyRequested() {
         CapacityRequest oldest = null;
         long oldestMicros = Long.MAX_VALUE;
         for (Map.Entry<CapacityRequest, MatchingMachines> entry : trackedRequests.entrySet()) {
@@ -165,9 +165,9 @@
 
     private void refresh(Machine machine) {
         machinesExamined++;
-        Map<CapacityRequest.Source, Map<Priority, Resources>> available = new EnumMap<>(CapacityRequest.Source.class);
+        Map<CapacityRequest.Source, Map<Priority, Resources>> availableBySource = new EnumMap<>(CapacityRequest.Source.class);
         trackedRequests.forEach((request, matching) -> {
-            Resources capacity = available
+            Resources capacity = availableBySource
                     .computeIfAbsent(request.source(), key -> new EnumMap<>(Priority.class))
                     .computeIfAbsent(
                             request.priority(), priority -> availableCapacity(machine, request.source(), priority));
--- a/src/main/java/io/micatide/scheduler/GangPlacement.java
+++ b/src/main/java/io/micatide/scheduler/GangPlacement.java
@@ -65,8 +65,8 @@
         if (!job.liveAttempts.isEmpty()) {
             return false;
         }
-        Map<String, Long> atMost = unschedulable.tasksFittingPerZone(job, source);
-        return atMost != null && !fits(job.spec, missing, zoneThatFits(missing, atMost), atMost);
+        Map<String, Long> maxTasksPerZone = unschedulable.tasksFittingPerZone(job, source);
+        return maxTasksPerZone != null && !fits(job.spec, missing, zoneThatFits(missing, maxTasksPerZone), maxTasksPerZone);
     }
 
     private void placeAllOrNone(
@@ -75,7 +75,7 @@
             int index = job.nextPendingTask();
             Machine machine = index < 0 ? null : findMachine(job, candidates, source, nowMicros);
             if (machine == null) {
-                removeUnsent(job);
+                removeUnsentPlacements(job);
                 return;
             }
             scheduler.placeTask(job, index, machine, nowMicros);
@@ -88,7 +88,7 @@
                 : singleTasks.findOrPreempt(job, candidates, nowMicros);
     }
 
-    private void removeUnsent(Job job) {
+    private void removeUnsentPlacements(Job job) {
         for (List<Placement> attempts : List.copyOf(job.liveAttempts.values())) {
             for (Placement placement : List.copyOf(attempts)) {
                 if (placement.isUnsent()) {
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -30,7 +30,7 @@
     private static final Comparator<QueuedJob> ORDER = Comparator.comparing(
                     (QueuedJob queued) -> queued.job().priority())
             .thenComparing(queued -> !queued.isService())
-            .thenComparing(queued -> !queued.guaranteed())
+            .thenComparing(queued -> !queued.isGuaranteed())
             .thenComparing(queued -> !queued.canMeetDeadline())
             .thenComparing(QueuedJob::dueMicros)
             .thenComparing(queued -> queued.job().readyMicros);
@@ -38,29 +38,29 @@
     private final Settings settings;
     private final Fleet fleet;
     private final JobLedgers ledgers;
-    private final RuntimeEstimator runTimes;
+    private final RuntimeEstimator runtimes;
 
-    JobQueue(Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes) {
+    JobQueue(Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runtimes) {
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
-        this.runTimes = runTimes;
+        this.runtimes = runtimes;
     }
 
     /**
      * A job with tasks to place and where it stands in the queue.
      *
      * @param pendingTasks how many tasks are to be placed
-     * @param guaranteed whether all that its team requests up to this job is within the team's guarantee
+     * @param isGuaranteed whether all that its team requests up to this job is within the team's guarantee
      * @param canMeetDeadline whether it can be on time
      * @param dueMicros the latest start with which it is on time; earlier is better
      */
-    record QueuedJob(Job job, int pendingTasks, boolean guaranteed, boolean canMeetDeadline, long dueMicros) {
+    record QueuedJob(Job job, int pendingTasks, boolean isGuaranteed, boolean canMeetDeadline, long dueMicros) {
         /** Whether only the times tell which of the two goes first. */
-        boolean sameRank(QueuedJob other) {
+        boolean hasSameRank(QueuedJob other) {
             return job.priority() == other.job.priority()
                     && isService() == other.isService()
-                    && guaranteed == other.guaranteed
+                    && isGuaranteed == other.isGuaranteed
                     && canMeetDeadline == other.canMeetDeadline;
         }
 
@@ -87,13 +87,13 @@
                 continue;
             }
             if (job.quarantined) {
-                queueProbe(job, result);
+                addProbe(job, result);
                 continue;
             }
             Resources requested = requestedByTeam.merge(
                     job.spec.team(), job.spec.taskResources().times(job.unfinishedCount()), Resources::plus);
             if (job.pendingCount() > 0) {
-                result.add(queued(job, isWithinGuarantee(job, requested), deadlines.get(job)));
+                result.add(toQueuedJob(job, isWithinGuarantee(job, requested), deadlines.get(job)));
             }
         }
         result.sort(ORDER);
@@ -106,14 +106,14 @@
     }
 
     /** @param deadline null for a job that never ends */
-    private static QueuedJob queued(Job job, boolean guaranteed, DeadlineFeasibility.Entry deadline) {
+    private static QueuedJob toQueuedJob(Job job, boolean guaranteed, DeadlineFeasibility.Entry deadline) {
         return deadline == null
                 ? new QueuedJob(job, job.pendingCount(), guaranteed, true, job.readyMicros)
                 : new QueuedJob(job, job.pendingCount(), guaranteed, deadline.feasible, deadline.latestStartMicros());
     }
 
     /** A job that fails wherever it is tried holds no guarantee and no place among what can be on time. */
-    private static void queueProbe(Job job, List<QueuedJob> queue) {
+    private static void addProbe(Job job, List<QueuedJob> queue) {
         if (job.placeableCount() > 0) {
             queue.add(new QueuedJob(job, job.placeableCount(), false, false, Long.MAX_VALUE));
         }
@@ -159,12 +159,12 @@
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
-                long slowestMicros = runTimes.slowestMicros(job);
+                long slowestTaskMicros = runtimes.slowestMicros(job);
                 result.add(new DeadlineFeasibility.Entry(
                         job,
                         remainingWork(job),
-                        slowestMicros,
-                        dueMicros(job, slowestMicros, nowMicros),
+                        slowestTaskMicros,
+                        dueMicros(job, slowestTaskMicros, nowMicros),
                         weight(job.spec.jobClass())));
             }
         }
@@ -175,7 +175,7 @@
     private double remainingWork(Job job) {
         int pending = job.pendingCount();
         return job.spec.taskResources().cpus()
-                * (double) runTimes.expectedMicros(job)
+                * (double) runtimes.expectedMicros(job)
                 * (pending + REMAINING_SHARE_OF_RUNNING_TASK * (job.unfinishedCount() - pending));
     }
 
@@ -209,9 +209,9 @@
     }
 
     /** The earliest time at which users expect the job and that it can still reach. */
-    private long dueMicros(Job job, long lengthMicros, long nowMicros) {
+    private long dueMicros(Job job, long slowestTaskMicros, long nowMicros) {
         JobSpec spec = job.spec;
-        long reachableMicros = nowMicros + lengthMicros;
+        long reachableMicros = nowMicros + slowestTaskMicros;
         long dueMicros = Long.MAX_VALUE;
         if (spec.deadlineMicros() >= 0 && job.deadlineMicros() >= reachableMicros) {
             dueMicros = job.deadlineMicros();
--- a/src/main/java/io/micatide/scheduler/MachineRefill.java
+++ b/src/main/java/io/micatide/scheduler/MachineRefill.java
@@ -47,7 +47,7 @@
     private Job nextJob(QueueSnapshot queue, Machine machine, long nowMicros) {
         JobQueue.QueuedJob first = null;
         for (JobQueue.QueuedJob queued : queue.jobs()) {
-            if (first != null && !mayGoBefore(queued, first)) {
+            if (first != null && !mayPrecede(queued, first)) {
                 break;
             }
             if (mayPlace(queued.job(), machine, nowMicros)) {
@@ -61,8 +61,8 @@
     }
 
     /** Whether a later job may go before the first if its image is on the machine. */
-    private static boolean mayGoBefore(JobQueue.QueuedJob later, JobQueue.QueuedJob first) {
-        return first.sameRank(later) && later.dueMicros() - first.dueMicros() < IMAGE_PRECEDENCE_MICROS;
+    private static boolean mayPrecede(JobQueue.QueuedJob later, JobQueue.QueuedJob first) {
+        return first.hasSameRank(later) && later.dueMicros() - first.dueMicros() < IMAGE_PRECEDENCE_MICROS;
     }
 
     /** Asked of every waiting job at every heartbeat, so what rules out most for the least comes first. */
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -35,11 +35,11 @@
     private CandidateMachines candidateMachines;
 
     PlacementPlanner(
-            PlacementActions scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runTimes) {
+            PlacementActions scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runtimes) {
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
-        this.queue = new JobQueue(settings, fleet, ledgers, runTimes);
+        this.queue = new JobQueue(settings, fleet, ledgers, runtimes);
         this.pass = new PlanningPass(settings.cores());
         this.quota = new TeamQuota(scheduler, settings, ledgers);
         this.selection = new MachineSelection(scheduler, settings, fleet);
@@ -75,18 +75,18 @@
         replicas.beginPlan(ledgers.jobs());
         unschedulable.clear();
         arrays.beginPlan(lastQueue, nowMicros);
-        pass.begin(machinesExamined());
+        pass.beginPlan(machinesExamined());
         for (JobQueue.QueuedJob queued : lastQueue.jobs()) {
             if (isStartable(queued.job(), nowMicros) && pass.isPending(queued.job())) {
-                if (pass.isOver(machinesExamined())) {
-                    pass.truncate();
+                if (pass.hasReachedLimit(machinesExamined())) {
+                    pass.truncatePlan();
                     return;
                 }
                 placeJob(queued, nowMicros);
                 pass.markVisited(queued.job());
             }
         }
-        pass.end();
+        pass.completePass();
     }
 
     private void placeJob(JobQueue.QueuedJob queued, long nowMicros) {
@@ -100,7 +100,7 @@
             case SERVICE -> replicas.place(queued, nowMicros);
             case ARRAY -> {
                 arrays.place(queued.job(), nowMicros);
-                arrays.closeFilledMachines(lastQueue);
+                arrays.excludeFilledMachines(lastQueue);
                 if (mayPreempt) {
                     arrayPreemption.placeIfDue(queued, nowMicros);
                 }
@@ -164,17 +164,17 @@
      * Machines on which pending tasks may be placed later. With the ledger naming them before, such a start goes out with
      * the response to the heartbeat that told of free capacity, instead of waiting for a ledger write first.
      *
-     * @param most how many names are returned at most
+     * @param limit how many names are returned at most
      * @return names; empty for all but arrays with pending tasks
      */
-    List<String> candidateMachines(Job job, int most, long nowMicros) {
+    List<String> candidateMachines(Job job, int limit, long nowMicros) {
         if (job.spec.kind() != JobKind.ARRAY || job.pendingCount() == 0 || job.quarantined) {
             return List.of();
         }
         return candidateMachines.machines(
                 machine -> MachineSelection.isFeasible(job, machine, nowMicros),
                 machine -> job.ledgerMachines.contains(machine.name),
-                most);
+                limit);
     }
 
     /** Machines examined so far in this term, here and in the index. */
@@ -189,6 +189,6 @@
 
     /** Attempts that were evicted in this term, for the log: for services, and for gangs and arrays. */
     String evictionCounts() {
-        return preemptionExecutor.counts();
+        return preemptionExecutor.evictionCounts();
     }
 }
--- a/src/main/java/io/micatide/scheduler/PlanningPass.java
+++ b/src/main/java/io/micatide/scheduler/PlanningPass.java
@@ -37,7 +37,7 @@
      *
      * @param machinesExamined in this term so far
      */
-    void begin(long machinesExamined) {
+    void beginPlan(long machinesExamined) {
         examinedAtBegin = machinesExamined;
         isFirstJob = true;
     }
@@ -52,7 +52,7 @@
      *
      * @param machinesExamined in this term so far
      */
-    boolean isOver(long machinesExamined) {
+    boolean hasReachedLimit(long machinesExamined) {
         return !isFirstJob && machinesExamined - examinedAtBegin > maxMachinesExamined;
     }
 
@@ -63,12 +63,12 @@
     }
 
     /** The plan ends here; the next one goes on with the rest. */
-    void truncate() {
+    void truncatePlan() {
         truncations++;
     }
 
     /** The pass has come to all jobs; the next plan begins another one. */
-    void end() {
+    void completePass() {
         visited.clear();
     }
 
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -26,7 +26,7 @@
     static final long IMPOSSIBLE = Long.MAX_VALUE;
 
     /** Those first that lose the least: what was not sent yet, then what has run for the shortest time. */
-    private static final Comparator<Placement> LEAST_LOSS_FIRST = Comparator.comparing(
+    private static final Comparator<Placement> LEAST_LOST_WORK_FIRST = Comparator.comparing(
                     (Placement placement) -> !placement.isUnsent())
             .thenComparing(placement -> -placement.createdMicros);
 
@@ -60,14 +60,14 @@
      *
      *
      * @param isPossible whether it could at all
-     * @param sentVictims attempts among the victims that were sent
+     * @param sentVictimCount attempts among the victims that were sent
      * @param createdSumMicros when these were created, summed up
      * @param tasksFitting how many such tasks fit if all that may be preempted is
      *
      */
-    private record Estimate(boolean isPossible, int sentVictims, long createdSumMicros, long tasksFitting) {
+    private record Estimate(boolean isPossible, int sentVictimCount, long createdSumMicros, long tasksFitting) {
         long lostWorkMicros(long nowMicros) {
-            return isPossible ? sentVictims * (Micros.SECOND + nowMicros) - createdSumMicros : IMPOSSIBLE;
+            return isPossible ? sentVictimCount * (Micros.SECOND + nowMicros) - createdSumMicros : IMPOSSIBLE;
         }
     }
 
@@ -79,13 +79,13 @@
 
         private Estimate lastEstimate;
         /** Whether there are arrays that are not being stopped, by the ordinal of their priority; null if not known. */
-        private boolean[] arraysOfPriority;
+        private boolean[] hasArraysOfPriority;
 
         /** Something on the machine has changed. */
         void clear() {
             byRequest.clear();
             lastRequest = null;
-            arraysOfPriority = null;
+            hasArraysOfPriority = null;
         }
     }
 
@@ -181,15 +181,15 @@
     /** Whether there are arrays of the job's own priority on the machine; its own team's count as well. */
     private static boolean hasArraysOfSamePriority(Job job, Machine machine) {
         Estimates estimates = machine.estimates;
-        if (estimates.arraysOfPriority == null) {
-            estimates.arraysOfPriority = new boolean[Priority.values().length];
+        if (estimates.hasArraysOfPriority == null) {
+            estimates.hasArraysOfPriority = new boolean[Priority.values().length];
             for (Placement placement : machine.placements) {
                 if (!placement.isStopping() && placement.job.spec.kind() == JobKind.ARRAY) {
-                    estimates.arraysOfPriority[placement.job.priority().ordinal()] = true;
+                    estimates.hasArraysOfPriority[placement.job.priority().ordinal()] = true;
                 }
             }
         }
-        return estimates.arraysOfPriority[job.priority().ordinal()];
+        return estimates.hasArraysOfPriority[job.priority().ordinal()];
     }
 
     /**
@@ -210,7 +210,7 @@
                 preemptible.add(placement);
             }
         }
-        preemptible.sort(LEAST_LOSS_FIRST);
+        preemptible.sort(LEAST_LOST_WORK_FIRST);
         List<Placement> victims = new ArrayList<>();
         Map<String, Resources> freedByTeam = new HashMap<>();
         for (Placement placement : preemptible) {
--- a/src/main/java/io/micatide/scheduler/PreemptionExecutor.java
+++ b/src/main/java/io/micatide/scheduler/PreemptionExecutor.java
@@ -19,8 +19,8 @@
     private final PlacementActions scheduler;
     private final MachineSelection selection;
     private final Preemption preemption;
-    private int attemptsForServices;
-    private int attemptsForOthers;
+    private int evictionsForServices;
+    private int evictionsForOtherJobs;
 
     PreemptionExecutor(PlacementActions scheduler, MachineSelection selection, Preemption preemption) {
         this.scheduler = scheduler;
@@ -29,8 +29,8 @@
     }
 
     /** Attempts that were evicted in this term, for the log: for services, and for gangs and arrays. */
-    String counts() {
-        return attemptsForServices + "/" + attemptsForOthers;
+    String evictionCounts() {
+        return evictionsForServices + "/" + evictionsForOtherJobs;
     }
 
     /**
@@ -50,9 +50,9 @@
 
     private void evict(Job job, List<Placement> victims, long nowMicros) {
         if (job.spec.kind() == JobKind.SERVICE) {
-            attemptsForServices += victims.size();
+            evictionsForServices += victims.size();
         } else {
-            attemptsForOthers += victims.size();
+            evictionsForOtherJobs += victims.size();
         }
         for (Placement victim : victims) {
             if (victim.isUnsent()) {
--- a/src/main/java/io/micatide/scheduler/PreemptionPolicy.java
+++ b/src/main/java/io/micatide/scheduler/PreemptionPolicy.java
@@ -71,7 +71,7 @@
 
     private boolean mayPreemptAfterWait(JobQueue.QueuedJob queued, long nowMicros) {
         return nowMicros - queued.job().readyMicros > guaranteeWaitMicros
-                && (queued.guaranteed() || mayPreemptLowPriority(queued, nowMicros));
+                && (queued.isGuaranteed() || mayPreemptLowPriority(queued, nowMicros));
     }
 
     /**
--- a/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
+++ b/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
@@ -19,7 +19,7 @@
 
     private static final int MIN_LIMIT_PER_MACHINE = 2;
     /** Work that may be lost to place a replica beside others though another machine has capacity. */
-    private static final long MAX_LOSS_FOR_GATHERING_MICROS = 10 * Micros.SECOND;
+    private static final long MAX_LOST_WORK_FOR_COLOCATION_MICROS = 10 * Micros.SECOND;
 
     private final PlacementActions scheduler;
     private final TeamQuota quota;
@@ -52,11 +52,11 @@
     /** Places as many missing replicas of the service as there is capacity for. */
     void place(JobQueue.QueuedJob queued, long nowMicros) {
         Job job = queued.job();
-        if (!mayPlaceAnother(job)) {
+        if (!mayPlaceReplica(job)) {
             return;
         }
         List<Machine> candidates = selection.candidates(job, CapacityRequest.Source.SAME_PRIORITY, nowMicros);
-        for (int missing = queued.pendingTasks(); missing > 0 && mayPlaceAnother(job); missing--) {
+        for (int missing = queued.pendingTasks(); missing > 0 && mayPlaceReplica(job); missing--) {
             Machine machine = findMachine(job, candidates, nowMicros);
             if (machine == null) {
                 return;
@@ -65,23 +65,23 @@
         }
     }
 
-    private boolean mayPlaceAnother(Job job) {
+    private boolean mayPlaceReplica(Job job) {
         return job.placeableCount() > 0 && quota.allowsTask(job);
     }
 
     private Machine findMachine(Job job, List<Machine> candidates, long nowMicros) {
-        Machine machine = findBesideReplicas(job, candidates, nowMicros);
+        Machine machine = findMachineWithReplicas(job, candidates, nowMicros);
         return machine != null ? machine : singleTasks.findOrPreempt(job, candidates, nowMicros);
     }
 
     /** A machine with the image that has replicas already, the one with most; work that ends is preempted there. */
-    private Machine findBesideReplicas(Job job, List<Machine> candidates, long nowMicros) {
+    private Machine findMachineWithReplicas(Job job, List<Machine> candidates, long nowMicros) {
         Machine best = null;
         long bestScore = 0;
         for (Machine machine : candidates) {
             if (MachineSelection.hasImage(machine, job) && MachineSelection.zoneAllows(job, machine)) {
-                long score = gatheringScore(job, machine);
-                if (score > bestScore && (fits(job, machine) || isPreemptedCheaply(job, machine, nowMicros))) {
+                long score = colocationScore(job, machine);
+                if (score > bestScore && (fits(job, machine) || isCheapToPreempt(job, machine, nowMicros))) {
                     best = machine;
                     bestScore = score;
                 }
@@ -94,7 +94,7 @@
     }
 
     /** How good it is to place a replica beside those on the machine; 0 if there are none, too many or no capacity. */
-    private long gatheringScore(Job job, Machine machine) {
+    private long colocationScore(Job job, Machine machine) {
         Resources request = job.spec.taskResources();
         Resources usedByReplicas = Resources.NONE;
         int replicas = 0;
@@ -116,8 +116,8 @@
         return job.spec.taskResources().fitsIn(machine.freeCapacity());
     }
 
-    private boolean isPreemptedCheaply(Job job, Machine machine, long nowMicros) {
+    private boolean isCheapToPreempt(Job job, Machine machine, long nowMicros) {
         return preemption.lostWork(job, machine, Preemption.Scope.SAME_PRIORITY, nowMicros)
-                < MAX_LOSS_FOR_GATHERING_MICROS;
+                < MAX_LOST_WORK_FOR_COLOCATION_MICROS;
     }
 }
--- a/src/main/java/io/micatide/scheduler/SingleTaskSelection.java
+++ b/src/main/java/io/micatide/scheduler/SingleTaskSelection.java
@@ -29,7 +29,7 @@
      */
     Machine findOrPreempt(Job job, List<Machine> candidates, long nowMicros) {
         Machine fitting = MachineSelection.bestFitting(job, candidates);
-        if (fitting != null && !hasLongFetch(job, fitting)) {
+        if (fitting != null && !needsLongFetch(job, fitting)) {
             return fitting;
         }
         Machine cheapest = cheapestToPreempt(job, candidates, fitting != null, nowMicros);
@@ -38,12 +38,12 @@
             return cheapest;
         }
         if (fitting == null) {
-            preemptionExecutor.requestCheckpoints(job, onlyZone(job, candidates), nowMicros);
+            preemptionExecutor.requestCheckpoints(job, requiredZone(job, candidates), nowMicros);
         }
         return fitting;
     }
 
-    private boolean hasLongFetch(Job job, Machine machine) {
+    private boolean needsLongFetch(Job job, Machine machine) {
         return !MachineSelection.hasImage(machine, job) && selection.fetchMicros(machine, job) > LONG_FETCH_MICROS;
     }
 
@@ -72,7 +72,7 @@
     }
 
     /** The zone that all candidates are in since the job has to be in one, or null. */
-    private static String onlyZone(Job job, List<Machine> candidates) {
+    private static String requiredZone(Job job, List<Machine> candidates) {
         return job.spec.kind() == JobKind.GANG && job.spec.singleZone() ? candidates.get(0).zone : null;
     }
 }
--- a/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
+++ b/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
@@ -30,11 +30,11 @@
 
     /** Arrays for which the same work may be preempted. */
     private record PreemptorClass(
-            EquivalenceClass equivalenceClass, Priority priority, String team, boolean guaranteed) {
+            EquivalenceClass equivalenceClass, Priority priority, String team, boolean isGuaranteed) {
         static PreemptorClass of(JobQueue.QueuedJob queued) {
             Job job = queued.job();
             return new PreemptorClass(
-                    EquivalenceClass.of(job.spec), job.priority(), job.spec.team(), queued.guaranteed());
+                    EquivalenceClass.of(job.spec), job.priority(), job.spec.team(), queued.isGuaranteed());
         }
     }
 
--- a/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
+++ b/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
@@ -17,14 +17,14 @@
 
     private final Fleet fleet = new Fleet();
     private final Random random = new Random(5);
-    private int machinesNamed;
+    private int addedMachines;
 
     private void changeFleet(int step) {
-        int what = random.nextInt(10);
-        if (what < 4 || fleet.machines().isEmpty()) {
-            Machine machine = fleet.getOrAdd("i-" + machinesNamed++, step);
+        int action = random.nextInt(10);
+        if (action < 4 || fleet.machines().isEmpty()) {
+            Machine machine = fleet.getOrAdd("i-" + addedMachines++, step);
             fleet.describe(machine, TYPE.name(), "a", false);
-        } else if (what < 7) {
+        } else if (action < 7) {
             fleet.markDeleted(randomMachine().name, step);
         } else if (randomMachine().placements.isEmpty()) {
             Machine machine = randomMachine();
@@ -44,25 +44,25 @@
 
     /** Hundreds of machines come and go, so that slots are compacted many times. */
     @Test
-    void answersEqualAFullScan() {
+    void resultsEqualAFullScan() {
         fleet.setMachineTypes(List.of(TYPE));
-        CapacityRequest whole = CapacityRequest.free(TYPE.resources());
-        CapacityRequest freed =
+        CapacityRequest freeRequest = CapacityRequest.free(TYPE.resources());
+        CapacityRequest preemptingRequest =
                 new CapacityRequest(TYPE.resources(), CapacityRequest.Source.LOWER_PRIORITY, Priority.HIGH);
         for (int step = 0; step < 4_000; step++) {
             changeFleet(step);
             List<Machine> empty = fleet.machines().stream()
                     .filter(machine -> machine.placements.isEmpty())
                     .toList();
-            assertEquals(empty, fleet.freeCapacityIndex().machinesWithCapacity(whole, step));
+            assertEquals(empty, fleet.freeCapacityIndex().machinesWithCapacity(freeRequest, step));
             assertEquals(
-                    List.copyOf(fleet.machines()), fleet.freeCapacityIndex().machinesWithCapacity(freed, step));
+                    List.copyOf(fleet.machines()), fleet.freeCapacityIndex().machinesWithCapacity(preemptingRequest, step));
         }
     }
 
     /** With more kinds of tasks than it tracks it forgets the one that was asked for longest ago, and is exact all the same. */
     @Test
-    void answersStayExactBeyondTheTrackedRequests() {
+    void resultsStayExactBeyondTheTrackedRequests() {
         fleet.setMachineTypes(List.of(TYPE));
         for (int step = 0; step < 60; step++) {
             changeFleet(step);
--- a/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
+++ b/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void imageGoesBeforeFreeCapacity() {
+    void imagePrecedesFreeCapacity() {
         Machine full = machine("full", 1, true);
         Machine large = machine("large", 16, false);
         Machine small = machine("small", 4, false);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void equalMachinesRankInTheirOrder() {
+    void equalMachinesRankInListOrder() {
         Machine first = machine("first", 8, false);
         Machine second = machine("second", 8, false);
         assertEquals(first, MachineSelection.bestFitting(job, List.of(first, second)));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void spotMachinesWithTheImageGoFirst() {
+    void spotMachinesWithTheImageRankFirst() {
         Machine onDemand = machine("on-demand", 2, true);
         Machine spot = machine("spot", 16, true);
         spot.spot = true;
--- a/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
@@ -35,8 +35,8 @@
                 deadlineSeconds * Micros.SECOND);
     }
 
-    private static long runningTasks(SchedulerHarness world, String job) {
-        return world.workers.values().stream()
+    private static long runningTasks(SchedulerHarness harness, String job) {
+        return harness.workers.values().stream()
                 .filter(worker -> !worker.deleted)
                 .flatMap(worker -> worker.tasks.values().stream())
                 .filter(task -> task.job.equals(job) && task.cause == null)
@@ -54,18 +54,18 @@
         "ARRAY, NORMAL, 5, 5",
         "SERVICE, HIGH, 3, 3",
     })
-    void preemptsNoMoreThanItNeeds(JobKind kind, Priority priority, int tasks, int preempted) {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.cloudOutage = true;
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 300));
-        world.run(20 * Micros.SECOND);
-        assertEquals(8, runningTasks(world, "wk-1"));
-        world.submit(SchedulerHarness.job("wk-2", kind, "red", priority, tasks, 100));
-        world.run(12 * Micros.SECOND);
-        assertEquals(tasks, runningTasks(world, "wk-2"));
-        assertEquals(8 - preempted, runningTasks(world, "wk-1"));
-        assertEquals(8 + tasks, world.starts, "what was preempted was started again without capacity");
+    void preemptsNoMoreThanNeeded(JobKind kind, Priority priority, int tasks, int preempted) {
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.cloudOutage = true;
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 300));
+        harness.run(20 * Micros.SECOND);
+        assertEquals(8, runningTasks(harness, "wk-1"));
+        harness.submit(SchedulerHarness.job("wk-2", kind, "red", priority, tasks, 100));
+        harness.run(12 * Micros.SECOND);
+        assertEquals(tasks, runningTasks(harness, "wk-2"));
+        assertEquals(8 - preempted, runningTasks(harness, "wk-1"));
+        assertEquals(8 + tasks, harness.starts, "what was preempted was started again without capacity");
     }
 
     /**
@@ -75,17 +75,17 @@
     @ParameterizedTest
     @CsvSource({"LOW, 160, 5", "LOW, 500, 0", "NORMAL, 160, 0"})
     void lowPriorityWorkIsPreemptedOnlyForUrgentJobs(Priority running, int deadlineSeconds, int started) {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.cloudOutage = true;
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", running, 8, 300));
-        world.run(20 * Micros.SECOND);
-        assertEquals(8, runningTasks(world, "wk-1"));
-        world.submit(withDeadline(
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.cloudOutage = true;
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", running, 8, 300));
+        harness.run(20 * Micros.SECOND);
+        assertEquals(8, runningTasks(harness, "wk-1"));
+        harness.submit(withDeadline(
                 SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 5, 100), deadlineSeconds));
-        world.run(30 * Micros.SECOND);
-        assertEquals(started, runningTasks(world, "wk-2"));
-        assertEquals(8 - started, runningTasks(world, "wk-1"));
+        harness.run(30 * Micros.SECOND);
+        assertEquals(started, runningTasks(harness, "wk-2"));
+        assertEquals(8 - started, runningTasks(harness, "wk-1"));
     }
 
     /**
@@ -94,44 +94,44 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 2", "2, 2"})
-    void replicasGatherOnFewMachines(int replicas, int together) {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.cloudOutage = true;
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
-        world.run(10 * Micros.SECOND);
+    void replicasAreColocatedOnFewMachines(int replicas, int expectedPerMachine) {
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.cloudOutage = true;
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
+        harness.run(10 * Micros.SECOND);
         for (int i = 0; i < replicas; i++) {
-            world.submit(SchedulerHarness.job("wk-2" + i, JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
-            world.run(3 * Micros.SECOND);
+            harness.submit(SchedulerHarness.job("wk-2" + i, JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
+            harness.run(3 * Micros.SECOND);
         }
-        world.submit(SchedulerHarness.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 4 - replicas, 300));
-        world.run(4 * Micros.SECOND);
-        world.submit(SchedulerHarness.job("wk-29", JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
-        world.run(6 * Micros.SECOND);
-        assertEquals(4 - replicas, runningTasks(world, "wk-3"));
-        long most = world.workers.values().stream()
+        harness.submit(SchedulerHarness.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 4 - replicas, 300));
+        harness.run(4 * Micros.SECOND);
+        harness.submit(SchedulerHarness.job("wk-29", JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
+        harness.run(6 * Micros.SECOND);
+        assertEquals(4 - replicas, runningTasks(harness, "wk-3"));
+        long maxPerMachine = harness.workers.values().stream()
                 .mapToLong(worker -> worker.tasks.values().stream()
                         .filter(task -> task.job.startsWith("wk-2"))
                         .count())
                 .max()
                 .orElse(0);
-        assertEquals(together, most);
+        assertEquals(expectedPerMachine, maxPerMachine);
     }
 
     /** The response to the heartbeat that tells of free capacity carries the next start, without a plan or a ledger write. */
     @Test
     void machinesAreRefilledAtTheirHeartbeats() {
-        SchedulerHarness world = new SchedulerHarness(1, 1);
-        world.cloudOutage = true;
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 2));
-        long from = world.now;
-        while (world.state("wk-1") == JobState.OPEN) {
-            world.run(SchedulerHarness.STEP);
-            assertTrue(world.now - from < 60 * Micros.SECOND, "it never ends");
+        SchedulerHarness harness = new SchedulerHarness(1, 1);
+        harness.cloudOutage = true;
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 2));
+        long startedMicros = harness.now;
+        while (harness.state("wk-1") == JobState.OPEN) {
+            harness.run(SchedulerHarness.STEP);
+            assertTrue(harness.now - startedMicros < 60 * Micros.SECOND, "it never ends");
         }
         // Ten rounds of four tasks, each of 2 s and up to one heartbeat interval of 0.8 s.
-        assertTrue(world.now - from < 31 * Micros.SECOND, Micros.toSeconds(world.now - from) + " s");
+        assertTrue(harness.now - startedMicros < 31 * Micros.SECOND, Micros.toSeconds(harness.now - startedMicros) + " s");
     }
 
     /**
@@ -140,18 +140,18 @@
      */
     @ParameterizedTest
     @CsvSource({"1, false", "20, true"})
-    void lateMachinesAreDeletedOnceNothingWaits(int bootFactor, boolean deleted) {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.bootFactor = bootFactor;
-        world.takeOver();
-        world.submit(withDeadline(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 44, 6), 30));
-        for (int second = 0; second < 120 && world.state("wk-1") == JobState.OPEN; second++) {
-            world.run(Micros.SECOND);
+    void lateMachinesAreDeletedOnceNoTasksArePending(int bootFactor, boolean deleted) {
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.bootFactor = bootFactor;
+        harness.takeOver();
+        harness.submit(withDeadline(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 44, 6), 30));
+        for (int second = 0; second < 120 && harness.state("wk-1") == JobState.OPEN; second++) {
+            harness.run(Micros.SECOND);
         }
-        assertEquals(JobState.DONE, world.state("wk-1"));
-        world.run(6 * Micros.SECOND);
-        assertTrue(world.workers.size() > 2, "none was rented");
-        long remaining = world.workers.values().stream()
+        assertEquals(JobState.DONE, harness.state("wk-1"));
+        harness.run(6 * Micros.SECOND);
+        assertTrue(harness.workers.size() > 2, "none was rented");
+        long remaining = harness.workers.values().stream()
                 .skip(2)
                 .filter(worker -> !worker.deleted)
                 .count();
--- a/src/test/java/io/micatide/scheduler/PlanningCostTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningCostTest.java
@@ -20,29 +20,29 @@
     private static final int TICKS = 50;
 
     /** Machines full of arrays that run on, and gangs that each want whole machines of which there are none. */
-    private static SchedulerHarness harnessWithFullMachines(int machines, Priority gangs, boolean arraysSave) {
-        SchedulerHarness world = new SchedulerHarness(1, machines);
-        world.cloudOutage = true;
-        world.marked = true;
-        world.takeOver();
-        int wanted = machines * TASKS_PER_MACHINE;
-        for (int job = 0; job * TASKS_PER_JOB < wanted; job++) {
-            world.submit(array(job, Math.min(TASKS_PER_JOB, wanted - job * TASKS_PER_JOB), arraysSave));
+    private static SchedulerHarness harnessWithFullMachines(int machines, Priority gangPriority, boolean arraysCheckpoint) {
+        SchedulerHarness harness = new SchedulerHarness(1, machines);
+        harness.cloudOutage = true;
+        harness.marked = true;
+        harness.takeOver();
+        int expectedStarts = machines * TASKS_PER_MACHINE;
+        for (int job = 0; job * TASKS_PER_JOB < expectedStarts; job++) {
+            harness.submit(array(job, Math.min(TASKS_PER_JOB, expectedStarts - job * TASKS_PER_JOB), arraysCheckpoint));
         }
-        for (int second = 0; second < 120 && world.starts < wanted; second++) {
-            world.run(Micros.SECOND);
+        for (int second = 0; second < 120 && harness.starts < expectedStarts; second++) {
+            harness.run(Micros.SECOND);
         }
-        assertEquals(wanted, world.starts);
+        assertEquals(expectedStarts, harness.starts);
         for (int gang = 0; gang < GANGS; gang++) {
-            world.submit(gang(gang, gangs));
+            harness.submit(gang(gang, gangPriority));
         }
-        world.run(3 * Micros.SECOND);
-        return world;
+        harness.run(3 * Micros.SECOND);
+        return harness;
     }
 
-    private static JobSpec array(int number, int tasks, boolean saves) {
+    private static JobSpec array(int number, int tasks, boolean checkpoints) {
         long second = Micros.SECOND;
-        return spec("wk-a" + number, JobKind.ARRAY, Priority.NORMAL, tasks, 2, saves ? second : 0);
+        return spec("wk-a" + number, JobKind.ARRAY, Priority.NORMAL, tasks, 2, checkpoints ? second : 0);
     }
 
     private static JobSpec gang(int number, Priority priority) {
@@ -71,12 +71,12 @@
                 -1);
     }
 
-    private static long machinesExaminedPerPlan(int machines, Priority gangs, boolean arraysSave) {
-        SchedulerHarness world = harnessWithFullMachines(machines, gangs, arraysSave);
-        long before = world.leader.machinesExamined();
-        world.run(TICKS * SchedulerHarness.STEP);
-        assertEquals(machines * TASKS_PER_MACHINE, world.starts, "a gang was placed");
-        return (world.leader.machinesExamined() - before) / TICKS;
+    private static long machinesExaminedPerPlan(int machines, Priority gangPriority, boolean arraysCheckpoint) {
+        SchedulerHarness harness = harnessWithFullMachines(machines, gangPriority, arraysCheckpoint);
+        long before = harness.leader.machinesExamined();
+        harness.run(TICKS * SchedulerHarness.STEP);
+        assertEquals(machines * TASKS_PER_MACHINE, harness.starts, "a gang was placed");
+        return (harness.leader.machinesExamined() - before) / TICKS;
     }
 
     /** Each waiting gang once cost a walk over all machines: 1,680,000 were examined in a plan at 2,800 machines. */
@@ -86,10 +86,10 @@
         "NORMAL, false",
         "HIGH, true",
     })
-    void waitingGangsCostNoFullScans(Priority gangs, boolean arraysSave) {
-        long small = machinesExaminedPerPlan(350, gangs, arraysSave);
+    void pendingGangsCauseNoFullScans(Priority gangPriority, boolean arraysCheckpoint) {
+        long small = machinesExaminedPerPlan(350, gangPriority, arraysCheckpoint);
         for (int machines : new int[] {700, 1_400, 2_800}) {
-            long examined = machinesExaminedPerPlan(machines, gangs, arraysSave);
+            long examined = machinesExaminedPerPlan(machines, gangPriority, arraysCheckpoint);
             assertTrue(
                     examined <= 2 * small + 10,
                     examined + " examined at " + machines + " machines, " + small + " at 350");
--- a/src/test/java/io/micatide/scheduler/PlanningPassTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningPassTest.java
@@ -18,38 +18,38 @@
     private static final int MACHINES = 2_000;
     private static final int JOBS = 60;
 
-    private final SchedulerHarness world = new SchedulerHarness(1, MACHINES);
+    private final SchedulerHarness harness = new SchedulerHarness(1, MACHINES);
     private final List<PlacementPlanner> planners = new ArrayList<>();
-    private int number;
+    private int submittedJobs;
 
     @BeforeEach
-    void allMachinesAreThere() {
-        world.cloudOutage = true;
-        world.planners = (scheduler, settings, fleet, ledgers, times) -> {
+    void startLeaderWithAllMachines() {
+        harness.cloudOutage = true;
+        harness.planners = (scheduler, settings, fleet, ledgers, times) -> {
             planners.add(new PlacementPlanner(scheduler, settings, fleet, ledgers, times));
             return planners.get(0);
         };
-        world.takeOver();
-        world.run(3 * Micros.SECOND);
+        harness.takeOver();
+        harness.run(3 * Micros.SECOND);
     }
 
     private String submit(Priority priority) {
-        String id = "wk-" + number++;
-        world.submit(SchedulerHarness.job(id, JobKind.ARRAY, "blue", priority, 1, 100));
+        String id = "wk-" + submittedJobs++;
+        harness.submit(SchedulerHarness.job(id, JobKind.ARRAY, "blue", priority, 1, 100));
         return id;
     }
 
     /** Jobs whose tasks the plan still has to place, after a tick without any heartbeat. */
     private List<String> pendingJobsAfterTick() {
-        world.now += SchedulerHarness.STEP;
-        world.leader.tick(world.now);
-        return planners.get(0).queue().order(world.now).stream()
+        harness.now += SchedulerHarness.STEP;
+        harness.leader.tick(harness.now);
+        return planners.get(0).queue().order(harness.now).stream()
                 .map(queued -> queued.job().id())
                 .toList();
     }
 
     @Test
-    void truncatedPlanGoesOnInTheNextTicks() {
+    void truncatedPlanContinuesInTheNextTicks() {
         for (int i = 0; i < JOBS; i++) {
             submit(Priority.NORMAL);
         }
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void highPriorityGoesFirstInATruncatedPass() {
+    void highPriorityIsPlacedFirstInATruncatedPass() {
         for (int i = 0; i < JOBS; i++) {
             submit(Priority.NORMAL);
         }
@@ -79,7 +79,7 @@
     @Test
     void unschedulableJobsDelayNoOthers() {
         for (int i = 0; i < JOBS; i++) {
-            world.submit(tooLarge(i));
+            harness.submit(tooLarge(i));
         }
         for (int i = 0; i < JOBS; i++) {
             submit(Priority.NORMAL);
@@ -115,17 +115,17 @@
     }
 
     @Test
-    void eachPlanPlacesOneJobAtLeast() {
+    void eachPlanPlacesAtLeastOneJob() {
         PlanningPass pass = new PlanningPass(0);
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 1, 1), 1, 0, 0, 0);
-        pass.begin(5_000);
-        assertEquals(false, pass.isOver(9_000));
+        pass.beginPlan(5_000);
+        assertEquals(false, pass.hasReachedLimit(9_000));
         pass.markVisited(job);
-        assertEquals(true, pass.isOver(9_000));
-        pass.begin(9_000);
+        assertEquals(true, pass.hasReachedLimit(9_000));
+        pass.beginPlan(9_000);
         assertEquals(false, pass.isPending(job));
-        assertEquals(false, pass.isOver(12_000));
-        pass.end();
+        assertEquals(false, pass.hasReachedLimit(12_000));
+        pass.completePass();
         assertEquals(true, pass.isPending(job));
     }
 }
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -121,7 +121,7 @@
         }
         result.sort(Comparator.comparing((JobQueue.QueuedJob q) -> q.job().priority())
                 .thenComparing(q -> q.job().spec.kind() == JobKind.SERVICE ? 0 : 1)
-                .thenComparing(q -> !q.guaranteed())
+                .thenComparing(q -> !q.isGuaranteed())
                 .thenComparing(q -> !q.canMeetDeadline())
                 .thenComparing(JobQueue.QueuedJob::dueMicros)
                 .thenComparing(q -> q.job().readyMicros));
@@ -347,7 +347,7 @@
         JobQueue.QueuedJob first = null;
         for (JobQueue.QueuedJob queued : order) {
             if (first != null
-                    && (!first.sameRank(queued) || queued.dueMicros() - first.dueMicros() >= PRECEDENCE_MICROS)) {
+                    && (!first.hasSameRank(queued) || queued.dueMicros() - first.dueMicros() >= PRECEDENCE_MICROS)) {
                 break;
             }
             if (mayRefill(queued.job(), machine, nowMicros)) {
@@ -462,7 +462,7 @@
         boolean waited = nowMicros - job.readyMicros > guaranteePatienceMicros;
         boolean preempts = !job.quarantined
                 && (spec.kind() == JobKind.SERVICE
-                        || ((queued.guaranteed() || mayEvictLowest(queued, nowMicros)) && waited)
+                        || ((queued.isGuaranteed() || mayEvictLowest(queued, nowMicros)) && waited)
                         || (spec.priority() == job.priority()
                                 ? spec.priority() != Priority.NORMAL
                                 : isUrgent(queued, nowMicros)));
@@ -599,7 +599,7 @@
         record Option(Machine machine, boolean image, long loss) {}
         List<Option> options = new ArrayList<>();
         for (Machine machine : candidates) {
-            List<Placement> victims = victims(job, machine, queued.guaranteed());
+            List<Placement> victims = victims(job, machine, queued.isGuaranteed());
             if (victims != null) {
                 options.add(new Option(machine, hasImage(machine, job), loss(victims, nowMicros)));
             }
@@ -610,7 +610,7 @@
             for (Option option : options) {
                 Machine machine = option.machine();
                 List<Placement> victims =
-                        left > 0 && zoneAllows(job, machine) ? victims(job, machine, queued.guaranteed()) : null;
+                        left > 0 && zoneAllows(job, machine) ? victims(job, machine, queued.isGuaranteed()) : null;
                 if (job.pendingCount() == 0 || !teamAllows(job)) {
                     return;
                 }
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -28,11 +28,11 @@
     private Machine machine;
 
     @BeforeEach
-    void begin() {
+    void createScheduler() {
         planners.clear();
-        new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0, (actions, its, fleet, ledgers, times) -> {
+        new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0, (actions, schedulerSettings, fleet, ledgers, times) -> {
             placements = actions;
-            PlacementPlanner planner = new PlacementPlanner(actions, its, fleet, ledgers, times);
+            PlacementPlanner planner = new PlacementPlanner(actions, schedulerSettings, fleet, ledgers, times);
             planners.add(planner);
             machine = fleet.getOrAdd("i-1", 0);
             job = ledgers.addJob(
@@ -49,7 +49,7 @@
         return new JobQueue.QueuedJob(job, 1, true, true, 0);
     }
 
-    private String remembered() {
+    private String recordedResults() {
         return (unschedulable().isFull(EquivalenceClass.of(job.spec)) ? "full " : "")
                 + (unschedulable().isPreemptionFutile(queued()) ? "nothing " : "")
                 + (unschedulable().tasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY) != null
@@ -57,18 +57,18 @@
                         : "");
     }
 
-    private String rememberedAfter(BiConsumer<PlacementActions, Placement> what) {
+    private String recordedResultsAfter(BiConsumer<PlacementActions, Placement> event) {
         placements.placeTask(job, job.nextPendingTask(), machine, 0);
         Placement placement = machine.placements.get(0);
         unschedulable().markFull(EquivalenceClass.of(job.spec));
         unschedulable().markPreemptionFutile(queued());
         unschedulable().recordTasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY, new HashMap<>());
-        what.accept(placements, placement);
-        return remembered();
+        event.accept(placements, placement);
+        return recordedResults();
     }
 
     @Test
-    void eventsForgetWhatTheyMayChange() {
+    void eventsDiscardTheResultsTheyMayChange() {
         Map<String, BiConsumer<PlacementActions, Placement>> events = Map.of(
                 "nothing",
                 (actions, placement) -> {},
@@ -82,15 +82,15 @@
                 Map.of("nothing", "full nothing room", "placed", "full room", "stopped", "full room", "removed", "");
         Map<String, String> actual = new HashMap<>();
         events.forEach((name, event) -> {
-            begin();
-            actual.put(name, rememberedAfter(event).trim());
+            createScheduler();
+            actual.put(name, recordedResultsAfter(event).trim());
         });
         assertEquals(expected, actual);
     }
 
     /** The classes tell apart what the answer depends on. */
     @Test
-    void otherTeamsAndScopesAreNotAffected() {
+    void otherTeamsAndCapacitySourcesAreNotAffected() {
         unschedulable().markFull(EquivalenceClass.of(job.spec));
         unschedulable().markPreemptionFutile(queued());
         unschedulable().recordTasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY, new HashMap<>());
