--- a/src/main/java/io/micatide/scheduler/ArrayPlacement.java
+++ b/src/main/java/io/micatide/scheduler/ArrayPlacement.java
@@ -7,11 +7,12 @@
 import java.util.Set;
 
 /**
- * Places the tasks of arrays. Fills one machine after another, since each further one has to fetch the image and to be
- * recorded.
+ * Places the tasks of arrays. Fills one machine before it uses the next, since each additional machine has to fetch the
+ * image and to be recorded in the ledger.
  *
- * <p>Invariant: within a plan arrays are placed only on machines that had free capacity for some waiting task when it
- * began, and on none of those again once an array has had its turn and left them full, also if work is preempted there.
+ * <p>Invariant: within a plan, arrays are placed only on machines that had free capacity for some pending task when the
+ * plan began. A machine that is full after the turn of an array gets no further array tasks by this class in the plan,
+ * even if work is preempted there.
  */
 final class ArrayPlacement {
     private final PlacementActions scheduler;
@@ -19,7 +20,7 @@
     private final MachineSelection selection;
     private final UnschedulableClasses unschedulable;
     private final Set<Machine> machinesWithCapacity = new HashSet<>();
-    /** Machines that something was placed on since an array had its turn and that were full after it. */
+    /** Machines on which a task was placed since the last turn of an array and that were full afterwards. */
     private final Set<Machine> filledMachines = new HashSet<>();
 
     ArrayPlacement(PlanningContext context) {
@@ -29,7 +30,7 @@
         this.unschedulable = context.unschedulable();
     }
 
-    /** A plan begins. */
+    /** Begins a plan. */
     void beginPlan(QueueSnapshot queue, long nowMicros) {
         machinesWithCapacity.clear();
         filledMachines.clear();
@@ -37,14 +38,16 @@
                 selection.schedulableMachines(CapacityRequest.free(queue.smallestRequest()), nowMicros));
     }
 
-    /** A task of any job was placed on the machine. */
+    /** Records that a task of any job was placed on the machine. */
     void taskPlaced(QueueSnapshot queue, Machine machine) {
         if (!queue.mayFitIn(machine)) {
             filledMachines.add(machine);
         }
     }
 
-    /** An array has had its turn: machines that are full now get no array in this plan. */
+    /**
+     * Ends the turn of an array: excludes the machines that are full now from array placement for the rest of the plan.
+     */
     void excludeFilledMachines(QueueSnapshot queue) {
         for (Machine machine : filledMachines) {
             if (!queue.mayFitIn(machine)) {
@@ -54,7 +57,7 @@
         filledMachines.clear();
     }
 
-    /** Places as many pending tasks of the array as there is free capacity for. */
+    /** Places as many pending tasks of the array as fit into free capacity. */
     void place(Job job, long nowMicros) {
         EquivalenceClass equivalenceClass = EquivalenceClass.of(job.spec);
         if (job.placeableCount() == 0 || !quota.allowsTask(job) || unschedulable.isFull(equivalenceClass)) {
@@ -71,7 +74,10 @@
         }
     }
 
-    /** Machines with the image, the fullest first; then the others, those with the most free capacity first. */
+    /**
+     * Returns machines with the image, those with the least free capacity first, then the others, those with the most
+     * first.
+     */
     private List<Machine> rankedMachines(Job job, long nowMicros) {
         List<Machine> withImage = new ArrayList<>();
         List<Machine> withoutImage = new ArrayList<>();
@@ -86,7 +92,9 @@
         return withImage;
     }
 
-    /** Places tasks on the machine while they fit; returns false once the job may place no more tasks anywhere. */
+    /**
+     * Places tasks on the machine while they fit; returns false once the job may place no more tasks on any machine.
+     */
     private boolean fill(Job job, Machine machine, long nowMicros) {
         Resources request = job.spec.taskResources();
         while (request.fitsIn(machine.freeCapacity())
--- a/src/main/java/io/micatide/scheduler/ArrayPreemption.java
+++ b/src/main/java/io/micatide/scheduler/ArrayPreemption.java
@@ -7,12 +7,12 @@
 import java.util.List;
 
 /**
- * Preempts other work for arrays that found no free capacity: those attempts first that lose the least, where the image
- * is.
+ * Preempts other work for arrays that found no free capacity, on machines with the image first and then by least lost
+ * work.
  *
- * <p>Invariant: for one array work is preempted at most every half second. Capacity that comes free by itself serves most
- * of a job, so an array of ordinary priority is given a part at a time: taking all at once lost one start in ten, and some
- * tasks were started fifteen times.
+ * <p>Invariant: for each array, work is preempted at most once per {@link #INTERVAL_MICROS}. Most of a job is served by
+ * capacity that becomes free anyway, so an array of normal priority is given its capacity in parts: taking all of it at
+ * once lost one start in ten, and some tasks were started fifteen times.
  */
 final class ArrayPreemption {
     private static final long INTERVAL_MICROS = 500 * Micros.MILLISECOND;
@@ -26,7 +26,9 @@
     /**
      * A machine on which capacity for a task can be freed.
      *
-     * @param lossMicros what is lost by it, in microseconds of work
+     * @param machine the machine
+     * @param hasImage whether the machine has the image or is fetching it for the job
+     * @param lossMicros work lost by freeing the capacity, in microseconds
      */
     private record Option(Machine machine, boolean hasImage, long lossMicros) {}
 
@@ -35,7 +37,7 @@
         this.policy = policy;
     }
 
-    /** Preempts for the array, unless that was done shortly before or there can be nothing to preempt. */
+    /** Preempts work for the array, unless that was done within the last interval or no work can be preempted. */
     void placeIfDue(JobQueue.QueuedJob queued, long nowMicros) {
         Job job = queued.job();
         if (job.pendingCount() > 0 && nowMicros >= job.nextPreemptionMicros && policy.isAnyWorkPreemptible(job)) {
@@ -56,7 +58,7 @@
         } while (placed > 0 && remaining > 0);
     }
 
-    /** Places at most {@code most} tasks, at most one on each machine; returns how many it placed. */
+    /** Places at most {@code limit} tasks, at most one on each machine; returns how many it placed. */
     private int placeOncePerMachine(JobQueue.QueuedJob queued, List<Option> options, int limit, long nowMicros) {
         Job job = queued.job();
         int placed = 0;
@@ -86,7 +88,7 @@
                 options.add(new Option(machine, MachineSelection.hasOrFetchesImage(machine, job), lossMicros));
             }
         }
-        // Only what does not depend on this job's own ledger and failures tells anything about others of its class.
+        // The result applies to other jobs of the class only if it does not depend on this job's ledger and failures.
         if (options.isEmpty() && candidates.size() == feasible.size() && job.failedMachines.isEmpty()) {
             context.unschedulable().markPreemptionFutile(queued);
         }
@@ -94,12 +96,15 @@
         return options;
     }
 
-    /** Whoever is within the guarantee of the team may preempt other teams' work of the same priority too. */
+    /** Jobs within the guarantee of their team may also preempt work of other teams of the same priority. */
     private static Preemption.Scope scope(JobQueue.QueuedJob queued) {
         return queued.isGuaranteed() ? Preemption.Scope.SAME_PRIORITY : Preemption.Scope.LOWER_PRIORITY;
     }
 
-    /** All pending tasks; at ordinary priority the share that has them all placed in one and a half times the wait. */
+    /**
+     * Returns all pending tasks; at normal priority the share with which all are placed within 1.5 times the guarantee
+     * wait after the job became ready.
+     */
     private int maxTasksAtOnce(Job job, long nowMicros) {
         int pending = job.pendingCount();
         if (job.priority() != Priority.NORMAL) {
--- a/src/main/java/io/micatide/scheduler/CandidateMachines.java
+++ b/src/main/java/io/micatide/scheduler/CandidateMachines.java
@@ -6,9 +6,11 @@
 import java.util.function.Predicate;
 
 /**
- * Machines that ledgers name before anything is placed there, as they are when a batch of ledger writes begins. Invariant:
- * the usable ones are listed and sorted once a batch and not once a job: a batch of a dozen jobs took 0.8 s at 2,800
- * machines on a quarter of a core.
+ * Selects the machines that ledgers name in advance of any placement, from the state at the beginning of a batch of
+ * ledger writes.
+ *
+ * <p>Invariant: the usable machines are listed and sorted once per batch rather than once per job. Doing it per job
+ * took 0.8 s for a batch of a dozen jobs at 2,800 machines on a quarter of a core.
  */
 final class CandidateMachines {
     private static final Comparator<Machine> MOST_FREE_CAPACITY_FIRST = Comparator.comparingLong(
@@ -16,17 +18,19 @@
 
     private final Iterable<Machine> machines;
     private final Predicate<Machine> isUsable;
-    /** In the order in which they became known; null until a job asks. */
+    /** Usable machines in the order in which they were added; null until the first call of {@link #machines}. */
     private List<Machine> usable;
 
-    /** By free capacity; null until a job asks that more machines suit than its ledger may name. */
+    /**
+     * Usable machines by most free capacity; null until more machines are suitable for a job than its ledger may name.
+     */
     private List<Machine> byFreeCapacity;
 
     /**
-     * Lists nothing before it is asked.
+     * Creates the selection; machines are listed on the first call of {@link #machines}.
      *
      * @param machines all machines, a live view
-     * @param isUsable whether a machine may be used, as of now
+     * @param isUsable whether a machine may be used now
      */
     CandidateMachines(Iterable<Machine> machines, Predicate<Machine> isUsable) {
         this.machines = machines;
@@ -34,11 +38,13 @@
     }
 
     /**
-     * Names of machines for a job: all that suit, or where there are too many those with the most free capacity.
+     * Returns the names of machines for a job: all suitable machines, or those with the most free capacity if there are
+     * more than {@code limit}.
      *
-     * @param isSuitable whether a machine suits the job
-     * @param isInLedger whether the job's ledger names a machine already; of the same free capacity these go first
-     * @param limit how many names are returned at most
+     * @param isSuitable whether a machine is suitable for the job
+     * @param isInLedger whether the job's ledger already names a machine; these precede others of the same free
+     *     capacity
+     * @param limit maximum number of names returned
      */
     List<String> machines(Predicate<Machine> isSuitable, Predicate<Machine> isInLedger, int limit) {
         List<Machine> suitable = suitable(usable(), isSuitable, limit + 1);
@@ -97,7 +103,9 @@
         }
     }
 
-    /** The end, exclusive, of the machines that have as much free capacity as the one at {@code from}. */
+    /**
+     * Returns the exclusive end of the range of machines that have as much free capacity as the one at {@code from}.
+     */
     private int endOfEqualFreeCapacity(int from) {
         long freeCpus = byFreeCapacity.get(from).freeCapacity().cpus();
         int to = from + 1;
--- a/src/main/java/io/micatide/scheduler/EquivalenceClass.java
+++ b/src/main/java/io/micatide/scheduler/EquivalenceClass.java
@@ -5,28 +5,29 @@
 import java.util.List;
 
 /**
- * What decides which machines a job can use: jobs of one equivalence class are examined once where the answer does not
- * depend on the job itself.
+ * The properties of a job that determine which machines it can use. Jobs of one equivalence class are examined only
+ * once where the result does not depend on the individual job.
  *
- *
- * @param taskResources what one of its tasks requests
+ * @param taskResources resources that one task requests
  * @param machineTypes allowed machine types, empty for any
- *
- * @param zone the only allowed zone, or null
+ * @param zone the only allowed zone, or null for any
  * @param spotAllowed whether spot machines are allowed
  */
 record EquivalenceClass(Resources taskResources, List<String> machineTypes, String zone, boolean spotAllowed) {
-    /** The class of a job. */
+    /** Returns the class of a job. */
     static EquivalenceClass of(JobSpec spec) {
         return new EquivalenceClass(spec.taskResources(), spec.machineTypes(), spec.zone(), spec.spotAllowed());
     }
 
-    /** Whether jobs of this class may use the machine, whatever its size. */
+    /** Returns whether jobs of this class may use the machine, regardless of its capacity. */
     boolean allowsMachine(Machine machine) {
         return allowsMachine(machine.type, machine.zone, machine.spot);
     }
 
-    /** Whether jobs of this class may use machines of this type in this zone, whatever their size. */
+    /**
+     * Returns whether jobs of this class may use machines of the given type in the given zone, regardless of their
+     * capacity.
+     */
     boolean allowsMachine(String type, String inZone, boolean onSpot) {
         return (machineTypes.isEmpty() || machineTypes.contains(type))
                 && (zone == null || zone.equals(inZone))
--- a/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
+++ b/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
@@ -17,19 +17,19 @@
 import java.util.Set;
 
 /**
- * Index of the machines that have capacity for a task, kept by the events that change it instead of by a walk over all
- * machines.
+ * Index of the machines that have capacity for a task. It is updated by the events that change capacity, which avoids a
+ * scan over all machines for each request.
  *
- * <p>Invariant: after {@link #machinesWithCapacity} has taken in what changed, the answer holds exactly the machines whose
- * free capacity, with what the request counts besides, takes one such task. Whether a machine may be used now and suits the
- * job is not known here; the caller tests the few that are left. What could be preempted is an upper bound: a caller that
- * preempts work still selects victims one by one.
+ * <p>Invariant: after {@link #machinesWithCapacity} has applied the pending changes, its result holds exactly the
+ * machines whose free capacity, plus the capacity that the source of the request adds, fits one task. The index does
+ * not know whether a machine may be used now or is feasible for the job; the caller checks the returned machines.
+ * Preemptible capacity is an upper bound: a caller that preempts work still selects victims one by one.
  *
- * <p>A request is tracked from the first time that it is asked, with one walk, and forgotten when nobody has asked it for a
- * while.
+ * <p>A request is tracked from the first time it is made, at the cost of one scan, and dropped when it has not been
+ * made for {@link #UNUSED_REQUEST_EXPIRY_MICROS}.
  */
 final class FreeCapacityIndex {
-    /** With more kinds of tasks the one that was asked for longest ago is forgotten, and walked for when asked again. */
+    /** Above this number the least recently made request is dropped; making it again costs another scan. */
     private static final int MAX_TRACKED_REQUESTS = 128;
 
     private static final int MIN_SLOTS = 64;
@@ -38,7 +38,7 @@
     private final Collection<Machine> machines;
     private final Map<CapacityRequest, MatchingMachines> trackedRequests = new HashMap<>();
     private final Set<Machine> changedMachines = new LinkedHashSet<>();
-    /** Machines in the order in which they became known; null where one is gone. */
+    /** Machines in the order in which they were added; null where a machine was removed. */
     private Machine[] slots = new Machine[MIN_SLOTS];
 
     private int nextSlot;
@@ -50,12 +50,12 @@
         long lastRequestedMicros;
     }
 
-    /** @param machines the machines that are known, a live view */
+    /** @param machines the known machines, a live view */
     FreeCapacityIndex(Collection<Machine> machines) {
         this.machines = machines;
     }
 
-    /** A machine has become known, after all others that are. */
+    /** Adds a machine, after all known machines. */
     void machineAdded(Machine machine) {
         if (nextSlot == slots.length) {
             compactSlots();
@@ -65,7 +65,10 @@
         changedMachines.add(machine);
     }
 
-    /** Machines come and go all the time: slots that are free are closed up before there are more. */
+    /**
+     * Closes the gaps left by removed machines before the array grows, since machines are added and removed
+     * continuously. Slots change, so all tracked requests are dropped.
+     */
     private void compactSlots() {
         Machine[] previousSlots = slots;
         int end = nextSlot;
@@ -80,12 +83,15 @@
         trackedRequests.clear();
     }
 
-    /** Something on the machine that counts as capacity has changed: a placement, a stop, its size or a job's priority. */
+    /**
+     * Marks a machine for re-examination after a change that affects its capacity: a placement, a stop, its size or the
+     * priority of a job.
+     */
     void machineChanged(Machine machine) {
         changedMachines.add(machine);
     }
 
-    /** A machine is not known any more. */
+    /** Removes a machine. */
     void machineRemoved(Machine machine) {
         changedMachines.remove(machine);
         slots[machine.indexSlot] = null;
@@ -95,9 +101,12 @@
     }
 
     /**
-     * Machines with capacity for one task.
+     * Returns the machines with capacity for one task.
      *
-     * @return in the order in which they became known; a copy, so that placing may go on
+     * @param request the requested capacity
+     * @param nowMicros current time, steady clock
+     * @return machines in the order in which they were added; a copy, so that the caller may place tasks while
+     *     iterating
      */
     List<Machine> machinesWithCapacity(CapacityRequest request, long nowMicros) {
         refresh();
@@ -107,7 +116,7 @@
             matching = startTracking(request, nowMicros);
         }
         matching.lastRequestedMicros = nowMicros;
-        assert isExact(request, matching) : request + " differs from a walk over all machines";
+        assert isExact(request, matching) : request + " differs from a scan over all machines";
         return machinesOf(matching);
     }
 
@@ -119,7 +128,7 @@
         return result;
     }
 
-    /** How many machines were examined in this term to keep the index. */
+    /** Returns the number of machines examined in this term to maintain the index. */
     long machinesExamined() {
         return machinesExamined;
     }
@@ -155,7 +164,7 @@
         trackedRequests.remove(oldest);
     }
 
-    /** Takes in what has changed on machines since the last time. */
+    /** Applies the changes of machines since the last call. */
     private void refresh() {
         for (Iterator<Machine> changed = changedMachines.iterator(); changed.hasNext(); ) {
             refresh(changed.next());
@@ -165,7 +174,8 @@
 
     private void refresh(Machine machine) {
         machinesExamined++;
-        Map<CapacityRequest.Source, Map<Priority, Resources>> availableBySource = new EnumMap<>(CapacityRequest.Source.class);
+        Map<CapacityRequest.Source, Map<Priority, Resources>> availableBySource =
+                new EnumMap<>(CapacityRequest.Source.class);
         trackedRequests.forEach((request, matching) -> {
             Resources capacity = availableBySource
                     .computeIfAbsent(request.source(), key -> new EnumMap<>(Priority.class))
--- a/src/main/java/io/micatide/scheduler/GangPlacement.java
+++ b/src/main/java/io/micatide/scheduler/GangPlacement.java
@@ -6,8 +6,10 @@
 import java.util.Map;
 
 /**
- * Gang scheduling. Invariant: all missing tasks of a gang are placed at once or none is, since a part of it would hold its
- * machines for nothing.
+ * Gang scheduling.
+ *
+ * <p>Invariant: either all missing tasks of a gang are placed at once or none, since a partially placed gang would
+ * occupy its machines without making progress.
  */
 final class GangPlacement {
     private final PlacementActions scheduler;
@@ -29,8 +31,8 @@
     /**
      * Places the missing tasks of a gang if all of them fit.
      *
-     * @param source {@link CapacityRequest.Source#FREE}, or {@link CapacityRequest.Source#SAME_PRIORITY} if other work may
-     *     be preempted
+     * @param source {@link CapacityRequest.Source#FREE}, or {@link CapacityRequest.Source#SAME_PRIORITY} if other work
+     *     may be preempted
      */
     void place(JobQueue.QueuedJob queued, CapacityRequest.Source source, long nowMicros) {
         Job job = queued.job();
@@ -41,7 +43,7 @@
         List<Machine> feasible = selection.feasibleMachines(job, source, nowMicros);
         List<Machine> candidates = selection.recordableMachines(job, feasible, nowMicros);
         Map<String, Long> tasksPerZone = tasksFittingPerZone(job, candidates, source);
-        // Only what does not depend on this job's own ledger and failures tells anything about others of its class.
+        // The result applies to other jobs of the class only if it does not depend on this job's ledger and failures.
         if (candidates.size() == feasible.size() && job.failedMachines.isEmpty()) {
             unschedulable.recordTasksFittingPerZone(job, source, tasksPerZone);
         }
@@ -55,18 +57,19 @@
         placeAllOrNone(job, missing, candidates, source, nowMicros);
     }
 
-    /** Whether the gang has lost a task, or runs and waits for the end of what is left of it. */
+    /** Returns whether the gang lost a task, or has started and still has live attempts that must end first. */
     private static boolean isEnding(Job job) {
         return job.gangBroken || (job.gangStarted && !job.liveAttempts.isEmpty());
     }
 
-    /** Whether a gang of this class was counted in this plan already, and there was too little capacity. */
+    /** Returns whether this plan has already recorded that a gang of this class has too little capacity. */
     private boolean isKnownNotToFit(Job job, int missing, CapacityRequest.Source source) {
         if (!job.liveAttempts.isEmpty()) {
             return false;
         }
         Map<String, Long> maxTasksPerZone = unschedulable.tasksFittingPerZone(job, source);
-        return maxTasksPerZone != null && !fits(job.spec, missing, zoneThatFits(missing, maxTasksPerZone), maxTasksPerZone);
+        return maxTasksPerZone != null
+                && !fits(job.spec, missing, zoneThatFits(missing, maxTasksPerZone), maxTasksPerZone);
     }
 
     private void placeAllOrNone(
@@ -109,7 +112,7 @@
         return tasksPerZone;
     }
 
-    /** A zone that has capacity for so many tasks, or null. */
+    /** Returns a zone with capacity for the given number of tasks, or null. */
     private static String zoneThatFits(int tasks, Map<String, Long> tasksPerZone) {
         for (Map.Entry<String, Long> entry : tasksPerZone.entrySet()) {
             if (entry.getValue() >= tasks) {
@@ -124,9 +127,9 @@
     }
 
     /**
-     * Whether the missing tasks fit under the gang's rules on zones.
+     * Returns whether the missing tasks fit under the zone rules of the gang.
      *
-     * @param zone where all of them have to go if they have to be in one; null if none has the capacity
+     * @param zone the zone of all tasks if the gang requires a single zone; null if no zone has the capacity
      */
     private static boolean fits(JobSpec spec, int missing, String zone, Map<String, Long> tasksPerZone) {
         if (spec.singleZone()) {
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -15,16 +15,21 @@
 import java.util.Map;
 
 /**
- * The order in which jobs with pending tasks get capacity: by priority, services first, then what is within its team's
- * guarantee, then what can be on time, by the latest start with which it still is. Decides nothing about machines.
- * Invariant: the order depends only on the ledgers, the settings and what is known of run times.
+ * Determines the order in which jobs with pending tasks get capacity: by priority, then services first, then jobs
+ * within the guarantee of their team, then jobs that can meet their deadline, then by the latest start that still meets
+ * it. Does not choose machines.
+ *
+ * <p>Invariant: the order depends only on the ledgers, the settings, the machines and the estimated run times.
  */
 final class JobQueue {
-    /** A job without an objective, or beyond all of them, is due so long after it became ready. */
+    /**
+     * A job without an objective, or one that can no longer meet any of its objectives, is due this long after it
+     * became ready.
+     */
     private static final long DUE_WITHOUT_OBJECTIVE_MICROS = 900 * Micros.SECOND;
-    /** For which it counts as ready so long ago at most. */
+    /** Maximum age since becoming ready that counts for {@link #DUE_WITHOUT_OBJECTIVE_MICROS}. */
     private static final long MAX_READY_AGE_MICROS = 600 * Micros.SECOND;
-    /** Of a task that runs, on average so much is left. */
+    /** Average share of its run time that a running task still has left. */
     private static final double REMAINING_SHARE_OF_RUNNING_TASK = 0.5;
 
     private static final Comparator<QueuedJob> ORDER = Comparator.comparing(
@@ -48,15 +53,18 @@
     }
 
     /**
-     * A job with tasks to place and where it stands in the queue.
+     * A job with tasks to place, and the values that determine its position in the queue.
      *
-     * @param pendingTasks how many tasks are to be placed
-     * @param isGuaranteed whether all that its team requests up to this job is within the team's guarantee
-     * @param canMeetDeadline whether it can be on time
-     * @param dueMicros the latest start with which it is on time; earlier is better
+     * @param job the job
+     * @param pendingTasks number of tasks to place
+     * @param isGuaranteed whether everything that its team requests, up to and including this job, is within the team's
+     *     guarantee
+     * @param canMeetDeadline whether the job can still finish by the time at which it is due
+     * @param dueMicros latest start with which the job still meets its deadline, for a service the time at which it
+     *     became ready; earlier times come first
      */
     record QueuedJob(Job job, int pendingTasks, boolean isGuaranteed, boolean canMeetDeadline, long dueMicros) {
-        /** Whether only the times tell which of the two goes first. */
+        /** Returns whether the two jobs differ at most in their times. */
         boolean hasSameRank(QueuedJob other) {
             return job.priority() == other.job.priority()
                     && isService() == other.isService()
@@ -69,12 +77,12 @@
         }
     }
 
-    /** Whether tasks of the job may be started now, as far as the job itself goes. */
+    /** Returns whether tasks of the job may be started now, considering only the state of the job itself. */
     static boolean isStartable(Job job, long nowMicros) {
         return !job.cancelled && job.backoffUntilMicros <= nowMicros && !job.hasUnreconciledMachines();
     }
 
-    /** Jobs with pending tasks in the order in which they get capacity. */
+    /** Returns the jobs with pending tasks in the order in which they get capacity. */
     List<QueuedJob> order(long nowMicros) {
         Map<String, Resources> requestedByTeam = new HashMap<>();
         List<QueuedJob> result = new ArrayList<>();
@@ -105,14 +113,17 @@
         return team != null && team.guaranteedCpus() > 0 && team.isWithinGuarantee(requested);
     }
 
-    /** @param deadline null for a job that never ends */
-    private static QueuedJob toQueuedJob(Job job, boolean guaranteed, DeadlineFeasibility.Entry deadline) {
+    /** @param deadline null for a service, which never ends */
+    private static QueuedJob toQueuedJob(Job job, boolean isGuaranteed, DeadlineFeasibility.Entry deadline) {
         return deadline == null
-                ? new QueuedJob(job, job.pendingCount(), guaranteed, true, job.readyMicros)
-                : new QueuedJob(job, job.pendingCount(), guaranteed, deadline.feasible, deadline.latestStartMicros());
+                ? new QueuedJob(job, job.pendingCount(), isGuaranteed, true, job.readyMicros)
+                : new QueuedJob(job, job.pendingCount(), isGuaranteed, deadline.feasible, deadline.latestStartMicros());
     }
 
-    /** A job that fails wherever it is tried holds no guarantee and no place among what can be on time. */
+    /**
+     * Adds a quarantined job as a probe that ranks last among the services or the other jobs of its priority: a job
+     * that fails on every machine must not use its team's guarantee or delay jobs that can meet their deadline.
+     */
     private static void addProbe(Job job, List<QueuedJob> queue) {
         if (job.placeableCount() > 0) {
             queue.add(new QueuedJob(job, job.placeableCount(), false, false, Long.MAX_VALUE));
@@ -120,8 +131,8 @@
     }
 
     /**
-     * What can be on time: first within each team's limit, since capacity beyond it helps none of the team's jobs, then with
-     * all processors.
+     * Determines which jobs can meet their deadline: first within the limit of each team, since capacity beyond it
+     * helps none of the team's jobs, then with all CPUs.
      */
     private List<DeadlineFeasibility.Entry> assessDeadlines(long nowMicros) {
         double cpus = cpusForFiniteJobs(nowMicros);
@@ -129,7 +140,8 @@
         List<DeadlineFeasibility.Entry> lowPriority = new ArrayList<>();
         for (DeadlineFeasibility.Entry entry : finiteJobs(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
-                // It gets what is left: a large job of a rare class would count for more than many of the others.
+                // Low priority gets the remaining CPUs: one large job of a rare class would otherwise outweigh many
+                // other jobs.
                 lowPriority.add(entry);
             } else {
                 byTeam.computeIfAbsent(entry.job.spec.team(), team -> new ArrayList<>())
@@ -154,7 +166,7 @@
         return team == null || team.maxCpus() == 0 ? Double.MAX_VALUE : team.maxCpus();
     }
 
-    /** What is left of every job that ends. */
+    /** Returns the remaining work of every unfinished job that is not a service. */
     List<DeadlineFeasibility.Entry> finiteJobs(long nowMicros) {
         List<DeadlineFeasibility.Entry> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
@@ -171,7 +183,7 @@
         return result;
     }
 
-    /** In thousandths of a processor times microseconds. */
+    /** Returns the remaining work in thousandths of a CPU times microseconds. */
     private double remainingWork(Job job) {
         int pending = job.pendingCount();
         return job.spec.taskResources().cpus()
@@ -179,7 +191,10 @@
                 * (pending + REMAINING_SHARE_OF_RUNNING_TASK * (job.unfinishedCount() - pending));
     }
 
-    /** Objectives are shares of a class: the fewer jobs it has, and the more objectives, the more one of them counts. */
+    /**
+     * Returns the weight of one job of the class. Objectives are shares of a class, so a job counts for more the fewer
+     * jobs and the more objectives its class has.
+     */
     private double weight(String jobClass) {
         int objectives = 1;
         for (Settings.Objective objective : settings.objectives()) {
@@ -188,7 +203,7 @@
         return objectives / (double) Math.max(1, ledgers.jobsSeenOfClass(jobClass));
     }
 
-    /** Processors, in thousandths, that are there for jobs that end. */
+    /** Returns the CPUs available to jobs other than services, in thousandths. */
     double cpusForFiniteJobs(long nowMicros) {
         double cpus = 0;
         for (Machine machine : fleet.machines()) {
@@ -208,7 +223,7 @@
                 && machine.isResponsive(nowMicros, settings);
     }
 
-    /** The earliest time at which users expect the job and that it can still reach. */
+    /** Returns the earliest time at which users expect the job and that it can still reach. */
     private long dueMicros(Job job, long slowestTaskMicros, long nowMicros) {
         JobSpec spec = job.spec;
         long reachableMicros = nowMicros + slowestTaskMicros;
@@ -227,7 +242,7 @@
                 }
             }
         }
-        // Without an objective, or beyond all of them: soon, but after what can still be on time.
+        // Without an objective that can still be met, the job is due soon, but later than jobs that can meet theirs.
         return dueMicros < Long.MAX_VALUE
                 ? dueMicros
                 : Math.max(job.readyMicros, nowMicros - MAX_READY_AGE_MICROS) + DUE_WITHOUT_OBJECTIVE_MICROS;
--- a/src/main/java/io/micatide/scheduler/MachineRefill.java
+++ b/src/main/java/io/micatide/scheduler/MachineRefill.java
@@ -5,15 +5,16 @@
 import io.micatide.model.Settings;
 
 /**
- * Gives capacity that came free on one machine to the next jobs of the queue, so that their tasks go out with the response
- * to the heartbeat that told of it. Planning for all machines at every heartbeat once took more than the whole share of a
- * core with 373 of them, and the leader lost its lease.
+ * Gives newly freed capacity of one machine to the next jobs in the queue, so that their tasks are sent in the response
+ * to the heartbeat that reported the capacity. Planning for all machines at every heartbeat took more than the leader's
+ * whole share of a core at 373 machines, and the leader lost its lease.
  *
- * <p>Invariant: it preempts nothing, places no gang, and goes by the order of the last plan only while that is recent.
+ * <p>Invariant: it preempts nothing, places no gangs, and uses the order of the last plan only while that plan is at
+ * most {@link #MAX_QUEUE_AGE_MICROS} old.
  */
 final class MachineRefill {
     private static final long MAX_QUEUE_AGE_MICROS = Micros.SECOND;
-    /** A job whose image is on the machine goes before one of its rank that is due less than this before it. */
+    /** A job whose image is on the machine precedes jobs of the same rank that are due earlier by less than this. */
     private static final long IMAGE_PRECEDENCE_MICROS = 5 * Micros.SECOND;
 
     private final PlacementActions scheduler;
@@ -43,7 +44,7 @@
         }
     }
 
-    /** The job that gets capacity on this machine next, or null. */
+    /** Returns the next job to get capacity on this machine, or null. */
     private Job nextJob(QueueSnapshot queue, Machine machine, long nowMicros) {
         JobQueue.QueuedJob first = null;
         for (JobQueue.QueuedJob queued : queue.jobs()) {
@@ -60,12 +61,12 @@
         return first == null ? null : first.job();
     }
 
-    /** Whether a later job may go before the first if its image is on the machine. */
+    /** Returns whether a later job may precede the first one if its image is on the machine. */
     private static boolean mayPrecede(JobQueue.QueuedJob later, JobQueue.QueuedJob first) {
         return first.hasSameRank(later) && later.dueMicros() - first.dueMicros() < IMAGE_PRECEDENCE_MICROS;
     }
 
-    /** Asked of every waiting job at every heartbeat, so what rules out most for the least comes first. */
+    /** Called for every job in the queue at every heartbeat, so cheap checks that rule out many jobs come first. */
     private boolean mayPlace(Job job, Machine machine, long nowMicros) {
         return mayUseFreeCapacity(job, machine)
                 && JobQueue.isStartable(job, nowMicros)
@@ -81,7 +82,10 @@
                 && job.placeableCount() > 0;
     }
 
-    /** The job may have ended since the plan. */
+    /**
+     * Returns whether the job is still open, since it may have finished after the plan, and its ledger can name the
+     * machine.
+     */
     private boolean mayRecord(Job job, Machine machine, long nowMicros) {
         return ledgers.get(job.id()) == job && scheduler.mayRecordMachine(job, machine, nowMicros);
     }
--- a/src/main/java/io/micatide/scheduler/MachineSelection.java
+++ b/src/main/java/io/micatide/scheduler/MachineSelection.java
@@ -11,17 +11,24 @@
 import java.util.List;
 
 /**
- * Feasibility and ranking of machines for a job. Places nothing and evicts nothing. Invariant: lists of machines are in
- * the order in which the machines became known, so that the same state gives the same decisions, and every machine
- * that is tested for a job is counted.
+ * Determines which machines are feasible for a job and ranks them. Places and evicts nothing.
+ *
+ * <p>Invariant: lists of machines are in the order in which the machines were added, so that the same state gives the
+ * same decisions, and every machine that is checked for a job is counted.
  */
 final class MachineSelection {
-    /** Fills up spot machines first, and of those the fullest: whole machines stay free for large tasks. */
+    /**
+     * Orders spot machines first, then by least free capacity: filling machines up keeps whole machines free for large
+     * tasks.
+     */
     static final Comparator<Machine> LEAST_FREE_CAPACITY_FIRST = Comparator.comparing(
                     (Machine machine) -> !machine.spot)
             .thenComparing(machine -> machine.freeCapacity().cpus());
 
-    /** A machine that has to fetch the image first should take many of the tasks that need it. */
+    /**
+     * Orders by most free capacity: a machine that has to fetch the image first should take many of the tasks that need
+     * it.
+     */
     static final Comparator<Machine> MOST_FREE_CAPACITY_FIRST =
             Comparator.comparing((Machine machine) -> -machine.freeCapacity().cpus());
 
@@ -36,12 +43,12 @@
         this.fleet = fleet;
     }
 
-    /** Machines examined in this term, here and in the index of free capacity. */
+    /** Returns the number of machines examined in this term, by this class and by the free capacity index. */
     long machinesExamined() {
         return machinesExamined + fleet.freeCapacityIndex().machinesExamined();
     }
 
-    /** Machines that may be used now and have the requested capacity, whatever job it is for. */
+    /** Returns the machines that may be used now and have the requested capacity, for any job. */
     List<Machine> schedulableMachines(CapacityRequest request, long nowMicros) {
         List<Machine> machines = fleet.freeCapacityIndex().machinesWithCapacity(request, nowMicros);
         machinesExamined += machines.size();
@@ -50,7 +57,7 @@
     }
 
     /**
-     * Machines that the job may use now and that have capacity for one of its tasks.
+     * Returns the machines that the job may use now and that have capacity for one of its tasks.
      *
      * @param source what counts as capacity
      */
@@ -63,7 +70,7 @@
         return machines;
     }
 
-    /** Those of the machines that the job's ledger names or still can name. */
+    /** Returns those of the given machines that the job's ledger already names or has space to name. */
     List<Machine> recordableMachines(Job job, List<Machine> machines, long nowMicros) {
         List<Machine> recordable = new ArrayList<>();
         for (Machine machine : machines) {
@@ -74,12 +81,15 @@
         return recordable;
     }
 
-    /** Feasible machines that the job's ledger names or still can name. */
+    /** Returns the feasible machines that the job's ledger already names or has space to name. */
     List<Machine> candidates(Job job, CapacityRequest.Source source, long nowMicros) {
         return recordableMachines(job, feasibleMachines(job, source, nowMicros), nowMicros);
     }
 
-    /** Whether the job may use a machine of this kind and with this history, full as it may be now. */
+    /**
+     * Returns whether the job may use the machine, considering its type, zone, speed and earlier failures of the job
+     * there, but not its free capacity.
+     */
     static boolean isFeasible(Job job, Machine machine, long nowMicros) {
         JobSpec spec = job.spec;
         return spec.allowsMachine(machine.type, machine.zone, machine.spot)
@@ -87,17 +97,17 @@
                 && (spec.kind() == JobKind.SERVICE || machine.slowUntilMicros < nowMicros);
     }
 
-    /** Whether the job's image is on the machine, or is being fetched for another task of the job. */
+    /** Returns whether the machine has the job's image, or is fetching it for another task of the job. */
     static boolean hasOrFetchesImage(Machine machine, Job job) {
         return hasImage(machine, job) || job.liveMachines.contains(machine.name);
     }
 
-    /** Whether the job's image is on the machine. */
+    /** Returns whether the machine has the job's image. */
     static boolean hasImage(Machine machine, Job job) {
         return machine.images.containsKey(job.spec.image());
     }
 
-    /** How long the machine needs to fetch the job's image; 0 if its type tells no rate. */
+    /** Returns how long the machine needs to fetch the job's image; 0 if the fetch rate of its type is not known. */
     long fetchMicros(Machine machine, Job job) {
         MachineType type = fleet.machineTypes().get(machine.type);
         return type == null || type.fetchGbPerSecond() <= 0
@@ -105,7 +115,7 @@
                 : Micros.ofSeconds(job.spec.imageGb() / type.fetchGbPerSecond());
     }
 
-    /** Whether the job's rules on zones allow one more of its tasks on the machine. */
+    /** Returns whether the job's zone rules allow one more of its tasks on the machine. */
     static boolean zoneAllows(Job job, Machine machine) {
         if (!job.spec.singleZone() && !job.spec.spreadOverZones()) {
             return true;
@@ -128,7 +138,8 @@
     }
 
     /**
-     * The design's rule: a machine with free capacity that has the image, else the one with the most free capacity.
+     * Returns the best machine by the rule of the design: a machine with free capacity that has the image, else the
+     * machine with the most free capacity.
      *
      * @return null if none of the candidates has free capacity for one of the job's tasks
      */
--- a/src/main/java/io/micatide/scheduler/PlacementListener.java
+++ b/src/main/java/io/micatide/scheduler/PlacementListener.java
@@ -1,13 +1,15 @@
 package io.micatide.scheduler;
 
-/** Hears of what may make a decision of the planner come out differently: it keeps what it found unschedulable until then. */
+/**
+ * Receives events that may change a decision of the planner, which until then keeps what it found to be unschedulable.
+ */
 interface PlacementListener {
-    /** A placement was added to the machine, whose free capacity shows it already. */
+    /** A placement was added to the machine; the free capacity of the machine already reflects it. */
     void taskPlaced(Machine machine);
 
-    /** A placement was taken from a machine: what did not fit may fit now. */
+    /** A placement was removed from a machine: tasks that did not fit may fit now. */
     void capacityFreed();
 
-    /** Something was asked to stop: what could not be preempted may be preempted now. */
+    /** A placement was requested to stop: work that could not be preempted may be preemptible now. */
     void usageChanged();
 }
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * The pass over the queue that decides what runs where. The rule is the design's: a fitting machine that has the image,
- * else the fitting one with the most free capacity. What is particular to gangs, services and arrays, and quotas and
- * preemption, are the concern of its collaborators.
+ * Decides which pending tasks run on which machines. The rule of the design: a feasible machine that has the image,
+ * else the feasible machine with the most free capacity. Collaborators handle what is specific to gangs, services and
+ * arrays, and quotas and preemption.
  *
- * <p>Invariant: jobs get capacity in the order of {@link JobQueue}; what was found not to fit is forgotten whenever
- * capacity is freed or usage changes.
+ * <p>Invariant: jobs get capacity in the order of {@link JobQueue}, and recorded negative results ({@link
+ * UnschedulableClasses}) are discarded whenever freed capacity or changed usage may make them outdated.
  */
 class PlacementPlanner implements PlacementListener {
     private final Settings settings;
@@ -28,7 +28,7 @@
     private final ArrayPlacement arrays;
     private final ArrayPreemption arrayPreemption;
     private final MachineRefill machineRefill;
-    /** What was found not to fit in the present plan. */
+    /** Classes of jobs that were found not to fit in the current plan. */
     final UnschedulableClasses unschedulable = new UnschedulableClasses();
 
     private QueueSnapshot lastQueue = QueueSnapshot.NONE;
@@ -56,14 +56,14 @@
         this.machineRefill = new MachineRefill(scheduler, settings, ledgers, quota);
     }
 
-    /** Whether tasks of the job may be started now, as far as the job itself goes. */
+    /** Returns whether tasks of the job may be started now, considering only the state of the job itself. */
     boolean isStartable(Job job, long nowMicros) {
         return JobQueue.isStartable(job, nowMicros);
     }
 
     /**
-     * Places pending tasks on all machines. The order of the queue that it finds is what {@link #refill} goes by until the
-     * next plan.
+     * Places pending tasks on all machines. Until the next plan, {@link #refill} uses the order of the queue that this
+     * plan determined.
      */
     void plan(long nowMicros) {
         lastQueue = QueueSnapshot.of(queue.order(nowMicros), nowMicros);
@@ -108,64 +108,70 @@
         }
     }
 
-    /** Gives capacity that came free on one machine to the next in the queue. */
+    /** Places tasks of the next jobs in the queue on one machine that has newly freed capacity. */
     void refill(Machine machine, long nowMicros) {
         machineRefill.refill(lastQueue, machine, nowMicros);
     }
 
-    /** A task was placed on the machine. */
+    /** Records that a task was placed on the machine. */
     @Override
     public void taskPlaced(Machine machine) {
         arrays.taskPlaced(lastQueue, machine);
         unschedulable.usageChanged();
     }
 
-    /** Tasks were taken from a machine: what did not fit may fit now. */
+    /** Records that capacity was freed on a machine, so that tasks which did not fit may fit now. */
     @Override
     public void capacityFreed() {
         unschedulable.capacityFreed();
     }
 
-    /** Something was placed or stopped: what could not be preempted may be preempted now. */
+    /** Records that a task was placed or stopped, so that work which could not be preempted may be preemptible now. */
     @Override
     public void usageChanged() {
         unschedulable.usageChanged();
     }
 
-    /** In which order jobs get capacity. */
+    /** Returns the queue that determines in which order jobs get capacity. */
     JobQueue queue() {
         return queue;
     }
 
-    /** The jobs with pending tasks as of the last plan, in their order. */
+    /** Returns the jobs that had pending tasks at the last plan, in queue order. */
     List<JobQueue.QueuedJob> order() {
         return lastQueue.jobs();
     }
 
     /**
-     * How many of a job's tasks its team's limit allows.
+     * Returns how many tasks of a job the limit of its team allows.
      *
-     * @param job whose tasks they are
-     * @param count tasks that are asked for
-     * @param alsoPlanned what the team is to get besides what it uses
-     * @return at most {@code count}; of a gang all or none
+     * @param job the job that the tasks belong to
+     * @param count the number of tasks requested
+     * @param alsoPlanned resources planned for the team in addition to its current usage
+     * @return at most {@code count}; for a gang either {@code count} or 0
      */
     int tasksWithinLimit(Job job, int count, Resources alsoPlanned) {
         return quota.tasksWithinLimit(job, count, alsoPlanned);
     }
 
-    /** A batch of ledger writes begins: candidate machines are named for its jobs as they are now. */
+    /**
+     * Begins a batch of ledger writes. Candidate machines of its jobs are chosen from the machines that are schedulable
+     * now.
+     */
     void beginWriteBatch(long nowMicros) {
         candidateMachines =
                 new CandidateMachines(fleet.machines(), machine -> machine.isSchedulable(nowMicros, settings));
     }
 
     /**
-     * Machines on which pending tasks may be placed later. With the ledger naming them before, such a start goes out with
-     * the response to the heartbeat that told of free capacity, instead of waiting for a ledger write first.
+     * Returns machines on which pending tasks may be placed later. If the ledger names a machine in advance, a start
+     * there is sent in the response to the heartbeat that reported the free capacity, instead of waiting for a ledger
+     * write first.
      *
-     * @param limit how many names are returned at most
-     * @return names; empty for all but arrays with pending tasks
+     * @param job the job whose ledger is written
+     * @param limit maximum number of names returned
+     * @param nowMicros current time, steady clock
+     * @return machine names; empty unless the job is an array with pending tasks that is not quarantined
      */
     List<String> candidateMachines(Job job, int limit, long nowMicros) {
         if (job.spec.kind() != JobKind.ARRAY || job.pendingCount() == 0 || job.quarantined) {
@@ -177,17 +183,17 @@
                 limit);
     }
 
-    /** Machines examined so far in this term, here and in the index. */
+    /** Returns the number of machines examined in this term so far, by the planner and by the free capacity index. */
     long machinesExamined() {
         return selection.machinesExamined();
     }
 
-    /** Plans of this term that went on in the next tick, for the log. */
+    /** Returns the number of plans of this term that were truncated and continued in the next tick, for the log. */
     int truncatedPlans() {
         return pass.truncations();
     }
 
-    /** Attempts that were evicted in this term, for the log: for services, and for gangs and arrays. */
+    /** Returns the number of attempts evicted in this term, for the log: for services, and for gangs and arrays. */
     String evictionCounts() {
         return preemptionExecutor.evictionCounts();
     }
--- a/src/main/java/io/micatide/scheduler/PlanningContext.java
+++ b/src/main/java/io/micatide/scheduler/PlanningContext.java
@@ -1,14 +1,14 @@
 package io.micatide.scheduler;
 
 /**
- * What the placement of every kind of job works with during a term.
+ * The collaborators that the placement of each kind of job shares during a term.
  *
- * @param scheduler carries placements out
- * @param quota the teams' limits
+ * @param scheduler applies placements
+ * @param quota limits of the teams
  * @param selection feasibility and ranking of machines
- * @param preemption which work may be preempted and what is lost by it
- * @param preemptionExecutor carries preemption out
- * @param unschedulable what was found not to fit in the present plan
+ * @param preemption which work may be preempted and how much work that loses
+ * @param preemptionExecutor carries out preemption
+ * @param unschedulable classes of jobs that were found not to fit in the current plan
  */
 record PlanningContext(
         PlacementActions scheduler,
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -15,17 +15,20 @@
 import java.util.function.Function;
 
 /**
- * Which work may be preempted for which job, and what is lost by it. Only decides; {@link PreemptionExecutor} carries it out.
+ * Selects work that may be preempted for a job, and estimates how much work is lost. {@link PreemptionExecutor} carries
+ * out the preemption.
  *
- * <p>Invariant: what a machine could free for work of a higher priority is kept with the machine until something on it
- * changes, and equals what a new computation would give; where work of the same priority may be preempted, the teams' usage
- * decides, and it is computed anew each time.
+ * <p>Invariant: the estimate of what a machine could free for work of a higher priority is cached with the machine
+ * until something on the machine changes, and always equals a new computation. Where work of the same priority may be
+ * preempted, the result depends on the usage of the teams and is computed each time.
  */
 final class Preemption {
-    /** The loss where preemption frees too little capacity. */
+    /** The lost work where preemption frees too little capacity. */
     static final long IMPOSSIBLE = Long.MAX_VALUE;
 
-    /** Those first that lose the least: what was not sent yet, then what has run for the shortest time. */
+    /**
+     * Orders placements by how much work stopping them loses: unsent placements first, then the most recently created.
+     */
     private static final Comparator<Placement> LEAST_LOST_WORK_FIRST = Comparator.comparing(
                     (Placement placement) -> !placement.isUnsent())
             .thenComparing(placement -> -placement.createdMicros);
@@ -46,24 +49,22 @@
             this.capacitySource = capacitySource;
         }
 
-        /** What counts as capacity when machines are looked for on which such work can be preempted. */
+        /** Returns the capacity to request when searching for machines on which work of this scope can be preempted. */
         CapacityRequest.Source capacitySource() {
             return capacitySource;
         }
     }
 
-    /** Which tasks an estimate is for. */
+    /** The tasks that an estimate applies to. */
     private record PreemptionRequest(Resources taskResources, Priority priority) {}
 
     /**
-     * What a machine could free for one task by preempting work of lower priorities only.
-     *
-     *
-     * @param isPossible whether it could at all
-     * @param sentVictimCount attempts among the victims that were sent
-     * @param createdSumMicros when these were created, summed up
-     * @param tasksFitting how many such tasks fit if all that may be preempted is
+     * What a machine could free for one task by preempting only work of lower priorities.
      *
+     * @param isPossible whether enough capacity can be freed
+     * @param sentVictimCount number of victims that were sent to the machine
+     * @param createdSumMicros sum of the creation times of these victims
+     * @param tasksFitting number of tasks that fit if everything preemptible is preempted
      */
     private record Estimate(boolean isPossible, int sentVictimCount, long createdSumMicros, long tasksFitting) {
         long lostWorkMicros(long nowMicros) {
@@ -71,17 +72,17 @@
         }
     }
 
-    /** The estimates of one machine; forgotten when something on it changes. */
+    /** The cached estimates of one machine, cleared when something on the machine changes. */
     static final class Estimates {
         private final Map<PreemptionRequest, Estimate> byRequest = new HashMap<>();
-        /** The request that was asked last, which is most likely the next one as well, and its estimate. */
+        /** The most recent request, which is likely to be the next one as well, and its estimate. */
         private PreemptionRequest lastRequest;
 
         private Estimate lastEstimate;
-        /** Whether there are arrays that are not being stopped, by the ordinal of their priority; null if not known. */
+        /** Whether the machine has arrays that are not stopping, by ordinal of their priority; null if not known. */
         private boolean[] hasArraysOfPriority;
 
-        /** Something on the machine has changed. */
+        /** Discards the estimates, since something on the machine has changed. */
         void clear() {
             byRequest.clear();
             lastRequest = null;
@@ -89,13 +90,13 @@
         }
     }
 
-    /** @param teamUsage what a team of that name uses now */
+    /** @param teamUsage returns the current usage of the team with the given name */
     Preemption(Settings settings, Function<String, Resources> teamUsage) {
         this.settings = settings;
         this.teamUsage = teamUsage;
     }
 
-    /** What is lost by stopping the victims, in microseconds of work. */
+    /** Returns the work lost by stopping the victims, in microseconds. */
     private static long lostWork(List<Placement> victims, long nowMicros) {
         long lossMicros = 0;
         for (Placement victim : victims) {
@@ -107,7 +108,7 @@
     }
 
     /**
-     * What is lost on this machine by freeing capacity for one task of the job.
+     * Returns the work lost by freeing capacity on the machine for one task of the job.
      *
      * @param scope which work may be preempted
      * @return microseconds of work, or {@link #IMPOSSIBLE}
@@ -126,7 +127,7 @@
         return victims == null ? IMPOSSIBLE : lostWork(victims, nowMicros);
     }
 
-    /** How many tasks of a gang fit on the machine if all is preempted that may be preempted for it. */
+    /** Returns how many tasks of a gang fit on the machine if everything is preempted that may be preempted for it. */
     long tasksFittingAfterPreemption(Job job, Machine machine) {
         if (hasArraysOfSamePriority(job, machine)) {
             return countTasks(job, machine);
@@ -178,7 +179,7 @@
         return new Estimate(true, sent, createdSumMicros, tasks);
     }
 
-    /** Whether there are arrays of the job's own priority on the machine; its own team's count as well. */
+    /** Returns whether the machine has arrays of the job's priority, including arrays of the job's own team. */
     private static boolean hasArraysOfSamePriority(Job job, Machine machine) {
         Estimates estimates = machine.estimates;
         if (estimates.hasArraysOfPriority == null) {
@@ -193,10 +194,12 @@
     }
 
     /**
-     * Selects work that ends at once when it is stopped, so that a start in the same response finds capacity.
+     * Selects work that ends immediately when it is stopped, so that a start in the same response finds the capacity
+     * free.
      *
      * @param scope which work may be preempted
-     * @return the fewest that lose the least, empty if there is capacity already; null if all of it is not enough
+     * @return as few victims as needed, those with the least lost work first; empty if there is enough free capacity
+     *     already; null if preempting everything would not be enough
      */
     List<Placement> selectVictims(Job job, Machine machine, Scope scope) {
         Resources request = job.spec.taskResources();
@@ -204,7 +207,8 @@
         List<Placement> preemptible = new ArrayList<>();
         for (Placement placement : machine.placements) {
             if (placement.isStopping() && placement.stopGraceMicros == 0) {
-                // Stopped for others that were placed here since: without this each further task preempted more.
+                // This capacity is being freed for tasks that have been placed here since. Unless it counts as
+                // available, each further task would preempt more work than needed.
                 available = available.plus(placement.job.spec.taskResources());
             } else if (!placement.isStopping() && isPreemptible(placement, job)) {
                 preemptible.add(placement);
@@ -226,7 +230,9 @@
         return request.fitsIn(available) ? victims : null;
     }
 
-    /** Whether the job may ever preempt the attempt; gangs and work with checkpoints cannot end at once. */
+    /**
+     * Returns whether the job may ever preempt the placement. Gangs and work with checkpoints cannot end immediately.
+     */
     private static boolean isPreemptible(Placement placement, Job job) {
         JobSpec running = placement.job.spec;
         if (running.kind() == JobKind.GANG || running.checkpointIntervalMicros() > 0) {
@@ -242,7 +248,7 @@
                 && job.priority() == placement.job.priority();
     }
 
-    /** @param freedByTeam what the victims that were selected before use */
+    /** @param freedByTeam resources used by the victims selected so far, by team */
     private boolean isInScope(Placement placement, Job job, Scope scope, Map<String, Resources> freedByTeam) {
         return placement.job.priority() != job.priority()
                 || (scope == Scope.SAME_PRIORITY && isOverGuarantee(placement, freedByTeam));
--- a/src/main/java/io/micatide/scheduler/PreemptionExecutor.java
+++ b/src/main/java/io/micatide/scheduler/PreemptionExecutor.java
@@ -8,12 +8,16 @@
 import java.util.List;
 
 /**
- * Carries out preemption: ends the attempts that {@link Preemption} has chosen, and asks work with checkpoints to save and
- * end. Invariant: an attempt that was never sent is forgotten and loses nothing; one that was sent is stopped, since it may
- * run.
+ * Carries out preemption: evicts the attempts that {@link Preemption} selected, and requests that work with checkpoints
+ * saves and ends.
+ *
+ * <p>Invariant: an attempt that was never sent is removed and loses no work; an attempt that was sent is stopped, since
+ * it may be running.
  */
 final class PreemptionExecutor {
-    /** Beyond the time that the work needs to save; a job does not ask again before that. */
+    /**
+     * Added to the time that the work needs to save; until both have passed, the job requests no further checkpoints.
+     */
     private static final long CHECKPOINT_MARGIN_MICROS = 5 * Micros.SECOND;
 
     private final PlacementActions scheduler;
@@ -28,7 +32,7 @@
         this.preemption = preemption;
     }
 
-    /** Attempts that were evicted in this term, for the log: for services, and for gangs and arrays. */
+    /** Returns the number of attempts evicted in this term, for the log: for services, and for gangs and arrays. */
     String evictionCounts() {
         return evictionsForServices + "/" + evictionsForOtherJobs;
     }
@@ -37,7 +41,7 @@
      * Frees capacity for one task of the job on the machine.
      *
      * @param scope which work may be preempted
-     * @return whether there is capacity now
+     * @return whether the machine has the capacity now
      */
     boolean freeCapacity(Job job, Machine machine, Preemption.Scope scope, long nowMicros) {
         List<Placement> victims = preemption.selectVictims(job, machine, scope);
@@ -64,10 +68,10 @@
     }
 
     /**
-     * Asks work with checkpoints on one machine to save and end, so that one task of the job fits there later. Nothing
-     * more is asked for the job until that capacity can have come free.
+     * Requests that work with checkpoints on one machine saves and ends, so that one task of the job fits there later.
+     * No further requests are made for the job until that capacity can have become free.
      *
-     * @param zone the only zone in which the capacity is of use, or null for any
+     * @param zone the only zone in which the job can use the capacity, or null for any
      */
     void requestCheckpoints(Job job, String zone, long nowMicros) {
         if (job.capacityAwaitedUntilMicros > nowMicros) {
@@ -84,7 +88,9 @@
         }
     }
 
-    /** Work of lower priorities that makes a task fit once it has saved and ended; empty if that is not enough. */
+    /**
+     * Returns work of lower priorities that has to save and end so that a task fits; empty if that would not be enough.
+     */
     private static List<Placement> checkpointableVictims(Job job, Machine machine) {
         Resources request = job.spec.taskResources();
         Resources available = machine.freeCapacity();
--- a/src/main/java/io/micatide/scheduler/PreemptionPolicy.java
+++ b/src/main/java/io/micatide/scheduler/PreemptionPolicy.java
@@ -7,16 +7,16 @@
 import io.micatide.model.Team;
 
 /**
- * Which waiting jobs may have other work preempted. Capacity comes free all the time, and what is first in the queue gets
- * it; so preemption is for services, for other priorities than the ordinary one, for teams that have waited for their
- * guarantee, and for what would be late otherwise. Which work is preempted is the concern of {@link Preemption}.
+ * Decides which jobs in the queue may have other work preempted. Capacity becomes free continuously and goes to the
+ * first job in the queue, so preemption is limited to services, jobs of a priority other than normal, teams that have
+ * waited for their guarantee, and jobs that would otherwise be late. {@link Preemption} selects the work to preempt.
  */
 final class PreemptionPolicy {
     private static final long DEFAULT_GUARANTEE_WAIT_MICROS = 2_500 * Micros.MILLISECOND;
-    /** The share of an objective's time for which a team waits for its guarantee before others are preempted. */
+    /** Share of the time of the objective for guarantees for which a team waits before work of others is preempted. */
     private static final double GUARANTEE_WAIT_SHARE = 0.5;
 
-    /** A job that can be on time is urgent once its latest start is nearer than this. */
+    /** A job that can meet its deadline is urgent if its latest start is less than this away. */
     static final long URGENT_WITHIN_MICROS = 5 * Micros.SECOND;
 
     private final PlacementActions scheduler;
@@ -42,12 +42,12 @@
         return waitMicros;
     }
 
-    /** How long a team waits for its guarantee before others are preempted, in microseconds. */
+    /** Returns how long a team waits for its guarantee before work of others is preempted, in microseconds. */
     long guaranteeWaitMicros() {
         return guaranteeWaitMicros;
     }
 
-    /** Looks anew whether work of the lowest priority runs. Done once a plan. */
+    /** Determines whether work of the lowest priority is running. Called once per plan. */
     void refresh() {
         isLowPriorityRunning = false;
         for (Job job : ledgers.jobs()) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Whether other work may be preempted for the job. */
+    /** Returns whether other work may be preempted for the job. */
     boolean mayPreempt(JobQueue.QueuedJob queued, long nowMicros) {
         Job job = queued.job();
         if (job.quarantined) {
@@ -75,26 +75,27 @@
     }
 
     /**
-     * Work of the lowest priority is preempted for what would be late otherwise, not for all that waits: hundreds of its
-     * tasks of 150 s were once started over for jobs that had time.
+     * Returns whether work of the lowest priority may be preempted for the job: only for jobs that would otherwise be
+     * late. When it was preempted for any queued job, hundreds of tasks of 150 s were restarted for jobs that had time
+     * left.
      */
     private boolean mayPreemptLowPriority(JobQueue.QueuedJob queued, long nowMicros) {
         return isLowPriorityRunning && isUrgent(queued, nowMicros);
     }
 
-    /** A job that has inherited its priority from a dependent may preempt only while it is urgent. */
+    /** A job that inherited its priority from a dependent may preempt only while it is urgent. */
     private static boolean mayPreemptByPriority(JobQueue.QueuedJob queued, long nowMicros) {
         Priority submitted = queued.job().spec.priority();
         boolean isInherited = submitted != queued.job().priority();
         return isInherited ? isUrgent(queued, nowMicros) : submitted != Priority.NORMAL;
     }
 
-    /** Whether the job can be on time, but only if it starts about now. */
+    /** Returns whether the job can meet its deadline, but only if it starts about now. */
     private static boolean isUrgent(JobQueue.QueuedJob queued, long nowMicros) {
         return queued.canMeetDeadline() && queued.dueMicros() - nowMicros < URGENT_WITHIN_MICROS;
     }
 
-    /** Whether there can be any work that may be preempted for a task of this job. */
+    /** Returns whether any work may exist that can be preempted for a task of this job. */
     boolean isAnyWorkPreemptible(Job job) {
         if (job.priority() != Priority.NORMAL || isLowPriorityRunning) {
             return true;
--- a/src/main/java/io/micatide/scheduler/QueueSnapshot.java
+++ b/src/main/java/io/micatide/scheduler/QueueSnapshot.java
@@ -4,25 +4,25 @@
 import java.util.List;
 
 /**
- * The queue as one plan found it.
+ * The queue as determined by one plan.
  *
- * @param jobs jobs with pending tasks in the order in which they are given capacity
- * @param smallestRequest the smallest amount of each resource that a task of any of these jobs requests;
- *     {@link Resources#NONE} if there are no jobs
- * @param createdMicros when the order was determined
+ * @param jobs jobs with pending tasks in the order in which they get capacity
+ * @param smallestRequest the smallest amount of each resource that a task of any of these jobs requests; {@link
+ *     Resources#NONE} if there are no jobs
+ * @param createdMicros time at which the order was determined
  */
 record QueueSnapshot(List<JobQueue.QueuedJob> jobs, Resources smallestRequest, long createdMicros) {
-    /** Before any time that a leader can see, and far enough from the end of the range to be subtracted. */
+    /** Earlier than any time of the steady clock; half of the minimum, so that subtracting it does not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    /** What there is before the first plan. */
+    /** The snapshot before the first plan. */
     static final QueueSnapshot NONE = new QueueSnapshot(List.of(), Resources.NONE, NEVER_MICROS);
 
     /**
-     * Takes the queue as it is.
+     * Creates a snapshot of the queue.
      *
-     * @param jobs in their order; not copied
-     * @param nowMicros the time of the plan
+     * @param jobs in queue order; not copied
+     * @param nowMicros time of the plan
      */
     static QueueSnapshot of(List<JobQueue.QueuedJob> jobs, long nowMicros) {
         return new QueueSnapshot(jobs, smallestRequest(jobs), nowMicros);
@@ -43,7 +43,10 @@
         return jobs.isEmpty();
     }
 
-    /** Whether the machine has free capacity for a task of any of the jobs, as far as each resource by itself tells. */
+    /**
+     * Returns whether the machine may have free capacity for a task of any of the jobs. Each resource is compared
+     * separately, so true does not guarantee that a task fits.
+     */
     boolean mayFitIn(Machine machine) {
         return smallestRequest.fitsIn(machine.freeCapacity());
     }
--- a/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
+++ b/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
@@ -6,19 +6,21 @@
 import java.util.List;
 
 /**
- * Places the replicas of services. They gather on few machines, since they live for minutes, and spread over the fleet
- * each of them kept a machine that would have been returned. Invariant: a replica joins others only on a machine that has
- * fewer than the greatest number of replicas for one machine.
+ * Places the replicas of services. Replicas are colocated on few machines: they run for minutes, and replicas spread
+ * over the fleet each kept a machine that would otherwise have been returned.
+ *
+ * <p>Invariant: a replica is colocated with others only on a machine that has fewer replicas than the limit per
+ * machine.
  */
 final class ReplicaPlacement {
     /**
-     * The share of all replicas that gather on one machine: it may hang. On a fleet of 40 a large machine once took most
-     * of them, and 0.93 were up in the worst 30 s.
+     * Maximum share of all replicas on one machine, since a machine may hang. On a fleet of 40 machines one large
+     * machine held most replicas, and only a share of 0.93 were up in the worst 30 s.
      */
     private static final double MAX_SHARE_PER_MACHINE = 0.05;
 
     private static final int MIN_LIMIT_PER_MACHINE = 2;
-    /** Work that may be lost to place a replica beside others though another machine has capacity. */
+    /** Maximum work lost to colocate a replica with others although another machine has free capacity. */
     private static final long MAX_LOST_WORK_FOR_COLOCATION_MICROS = 10 * Micros.SECOND;
 
     private final PlacementActions scheduler;
@@ -38,7 +40,7 @@
         this.singleTasks = singleTasks;
     }
 
-    /** A plan begins: how many replicas may gather follows from how many there are. */
+    /** Begins a plan: computes the limit of replicas per machine from the current number of replicas. */
     void beginPlan(Iterable<Job> jobs) {
         int replicas = 0;
         for (Job job : jobs) {
@@ -74,7 +76,10 @@
         return machine != null ? machine : singleTasks.findOrPreempt(job, candidates, nowMicros);
     }
 
-    /** A machine with the image that has replicas already, the one with most; work that ends is preempted there. */
+    /**
+     * Returns the machine with the image and the highest colocation score, or null; preempts finite work there if
+     * needed.
+     */
     private Machine findMachineWithReplicas(Job job, List<Machine> candidates, long nowMicros) {
         Machine best = null;
         long bestScore = 0;
@@ -93,7 +98,10 @@
         return best;
     }
 
-    /** How good it is to place a replica beside those on the machine; 0 if there are none, too many or no capacity. */
+    /**
+     * Returns the score of colocating a replica with those on the machine; 0 if it has none, too many or too little
+     * capacity.
+     */
     private long colocationScore(Job job, Machine machine) {
         Resources request = job.spec.taskResources();
         Resources usedByReplicas = Resources.NONE;
--- a/src/main/java/io/micatide/scheduler/SingleTaskSelection.java
+++ b/src/main/java/io/micatide/scheduler/SingleTaskSelection.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * Finds the machine for one task of a gang or a service, and frees capacity there if the job may preempt. Invariant: a
- * machine that is returned has capacity for the task at once.
+ * Finds the machine for one task of a gang or a service, and frees capacity there if the job may preempt.
+ *
+ * <p>Invariant: a returned machine has capacity for the task immediately.
  */
 final class SingleTaskSelection {
-    /** Other work is preempted on a machine with the image rather than to fetch an image for longer than this. */
+    /** If fetching the image takes longer than this, other work is preempted on a machine that has the image. */
     private static final long LONG_FETCH_MICROS = 1_500 * Micros.MILLISECOND;
 
     private final MachineSelection selection;
@@ -23,9 +24,9 @@
     }
 
     /**
-     * The best machine with free capacity, else one on which the least is lost by preemption.
+     * Returns the best machine with free capacity, else the machine on which preemption loses the least work.
      *
-     * @return null if there is none; work with checkpoints has then been asked to save and end
+     * @return null if there is none; work with checkpoints has then been requested to save and end
      */
     Machine findOrPreempt(Job job, List<Machine> candidates, long nowMicros) {
         Machine fitting = MachineSelection.bestFitting(job, candidates);
@@ -48,9 +49,10 @@
     }
 
     /**
-     * The machine on which the least is lost, counting the time to fetch the image; null if nothing helps on any.
+     * Returns the machine on which preemption loses the least, including the time to fetch the image; null if there is
+     * none.
      *
-     * @param needsImage whether only machines with the image count
+     * @param needsImage whether only machines with the image are considered
      */
     private Machine cheapestToPreempt(Job job, List<Machine> candidates, boolean needsImage, long nowMicros) {
         Machine cheapest = null;
@@ -71,7 +73,7 @@
         return cheapest;
     }
 
-    /** The zone that all candidates are in since the job has to be in one, or null. */
+    /** Returns the zone of the candidates if all tasks of the gang have to be in one zone, else null. */
     private static String requiredZone(Job job, List<Machine> candidates) {
         return job.spec.kind() == JobKind.GANG && job.spec.singleZone() ? candidates.get(0).zone : null;
     }
--- a/src/main/java/io/micatide/scheduler/TeamQuota.java
+++ b/src/main/java/io/micatide/scheduler/TeamQuota.java
@@ -8,8 +8,10 @@
 import java.util.Map;
 
 /**
- * The teams' limits. Invariant: a placement that this class allows keeps its team within its limit, also counting every
- * task that may still run on a machine which has not reported to this leader.
+ * Enforces the limits of the teams.
+ *
+ * <p>Invariant: a placement allowed by this class keeps its team within its limit, including all tasks that may still
+ * run on machines that have not yet been reconciled by this leader.
  */
 final class TeamQuota {
     private final PlacementActions scheduler;
@@ -23,7 +25,7 @@
         this.ledgers = ledgers;
     }
 
-    /** Counts anew what may run on machines that have not reported to this leader. Done once a plan. */
+    /** Recomputes the usage that may exist on machines not yet reconciled by this leader. Called once per plan. */
     void refreshUnreconciledUsage() {
         Map<String, Resources> usage = new HashMap<>();
         for (Job job : ledgers.jobs()) {
@@ -35,12 +37,12 @@
         unreconciledUsage = usage;
     }
 
-    /** Whether the limit of the job's team allows one more of its tasks. */
+    /** Returns whether the limit of the job's team allows one more of its tasks. */
     boolean allowsTask(Job job) {
         return allows(job, job.spec.taskResources());
     }
 
-    /** Whether the limit of the job's team allows so many more of its tasks at once. */
+    /** Returns whether the limit of the job's team allows the given number of additional tasks at once. */
     boolean allowsTasks(Job job, int tasks) {
         return allows(job, job.spec.taskResources().times(tasks));
     }
@@ -55,12 +57,12 @@
     }
 
     /**
-     * How many of a job's tasks its team's limit allows.
+     * Returns how many tasks of a job the limit of its team allows.
      *
-     * @param job whose tasks they are
-     * @param count tasks that are asked for
-     * @param alsoPlanned what the team is to get besides what it uses
-     * @return at most {@code count}; of a gang all or none
+     * @param job the job that the tasks belong to
+     * @param count the number of tasks requested
+     * @param alsoPlanned resources planned for the team in addition to its current usage
+     * @return at most {@code count}; for a gang either {@code count} or 0
      */
     int tasksWithinLimit(Job job, int count, Resources alsoPlanned) {
         Team team = settings.teams().get(job.spec.team());
--- a/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
+++ b/src/main/java/io/micatide/scheduler/UnschedulableClasses.java
@@ -7,17 +7,19 @@
 import java.util.Set;
 
 /**
- * What was found not to fit during one plan, so that jobs that ask for the same are not tried again until it could matter.
+ * Records which classes of jobs did not fit during one plan, so that jobs with the same requirements are not tried
+ * again until the result may have changed.
  *
- * <p>Invariant: free capacity only shrinks while a plan places, so what is remembered stays true; where capacity grows, all
- * of it is forgotten, and where a team's usage changes, what was found about preemption.
+ * <p>Invariant: placing only reduces free capacity, so recorded results stay valid. All are cleared when capacity is
+ * freed, and those about preemption also when the usage of a team changes.
  */
 final class UnschedulableClasses {
     /**
      * Gangs for which the same capacity counts.
      *
-     * @param priority null where nothing is preempted: then the team does not matter either
-     * @param team null likewise
+     * @param equivalenceClass determines which machines the gangs can use
+     * @param priority null if nothing is preempted, as the priority is irrelevant then
+     * @param team null if nothing is preempted, as the team is irrelevant then
      */
     private record GangClass(EquivalenceClass equivalenceClass, Priority priority, String team) {
         static GangClass of(Job job, CapacityRequest.Source source) {
@@ -42,58 +44,64 @@
     private final Set<PreemptorClass> futilePreemptors = new HashSet<>();
     private final Map<GangClass, Map<String, Long>> tasksFittingPerZone = new HashMap<>();
 
-    /** A plan begins. */
+    /** Clears all results at the beginning of a plan. */
     void clear() {
         capacityFreed();
     }
 
-    /** Something left a machine. */
+    /** Clears all results, since a placement was removed from a machine. */
     void capacityFreed() {
         fullClasses.clear();
         futilePreemptors.clear();
         tasksFittingPerZone.clear();
     }
 
-    /** Something was placed or stopped: a team may use more than its guarantee now, and its work be preempted. */
+    /**
+     * Clears the results about preemption: after a placement or a stop, a team may exceed its guarantee, which makes
+     * its work preemptible.
+     */
     void usageChanged() {
         futilePreemptors.clear();
     }
 
-    /** Records that no machine which arrays of this class may use has free capacity for a task. */
+    /** Records that no machine available to arrays of this class has free capacity for a task. */
     void markFull(EquivalenceClass equivalenceClass) {
         fullClasses.add(equivalenceClass);
     }
 
-    /** Whether {@link #markFull} was called for the class and no capacity was freed since. */
+    /** Returns whether {@link #markFull} was called for the class and no capacity was freed since. */
     boolean isFull(EquivalenceClass equivalenceClass) {
         return fullClasses.contains(equivalenceClass);
     }
 
-    /** Records that an array like this one found nothing to preempt. */
+    /** Records that an array of this class found no work to preempt. */
     void markPreemptionFutile(JobQueue.QueuedJob queued) {
         futilePreemptors.add(PreemptorClass.of(queued));
     }
 
-    /** Whether {@link #markPreemptionFutile} was called for an array like this one and nothing has changed since. */
+    /**
+     * Returns whether {@link #markPreemptionFutile} was called for an array of this class and its result is still
+     * valid.
+     */
     boolean isPreemptionFutile(JobQueue.QueuedJob queued) {
         return futilePreemptors.contains(PreemptorClass.of(queued));
     }
 
     /**
-     * Records how many tasks of a gang like this one fit into each zone.
+     * Records how many tasks of a gang of this class fit into each zone.
      *
-     * @param source what was counted as capacity: what is free, or also what could be preempted
-     * @param tasksPerZone by zone; kept, not copied
+     * @param source what was counted as capacity: only free capacity, or also capacity that could be preempted
+     * @param tasksPerZone number of tasks by zone; kept without copying
      */
     void recordTasksFittingPerZone(Job job, CapacityRequest.Source source, Map<String, Long> tasksPerZone) {
         tasksFittingPerZone.put(GangClass.of(job, source), tasksPerZone);
     }
 
     /**
-     * How many tasks of a gang like this one fit into each zone at most: there is no more capacity than when it was
-     * recorded.
+     * Returns the maximum number of tasks of a gang of this class that fit into each zone. It is an upper bound, since
+     * capacity has at most shrunk since it was recorded.
      *
-     * @return null if it was not recorded since capacity grew
+     * @return null if nothing was recorded since capacity was last freed
      */
     Map<String, Long> tasksFittingPerZone(Job job, CapacityRequest.Source source) {
         return tasksFittingPerZone.get(GangClass.of(job, source));
--- a/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
+++ b/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
@@ -11,7 +11,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The index holds, whatever is added, removed and changed, the machines that a full scan finds, in the same order. */
+/**
+ * Checks that after random additions, removals and changes of machines the index returns the same machines as a full
+ * scan, in the same order.
+ */
 class FreeCapacityIndexTest {
     private static final MachineType TYPE = SchedulerHarness.TYPE;
 
@@ -42,7 +45,7 @@
         return all.get(random.nextInt(all.size()));
     }
 
-    /** Hundreds of machines come and go, so that slots are compacted many times. */
+    /** Hundreds of machines are added and removed, so that slots are compacted many times. */
     @Test
     void resultsEqualAFullScan() {
         fleet.setMachineTypes(List.of(TYPE));
@@ -56,11 +59,15 @@
                     .toList();
             assertEquals(empty, fleet.freeCapacityIndex().machinesWithCapacity(freeRequest, step));
             assertEquals(
-                    List.copyOf(fleet.machines()), fleet.freeCapacityIndex().machinesWithCapacity(preemptingRequest, step));
+                    List.copyOf(fleet.machines()),
+                    fleet.freeCapacityIndex().machinesWithCapacity(preemptingRequest, step));
         }
     }
 
-    /** With more kinds of tasks than it tracks it forgets the one that was asked for longest ago, and is exact all the same. */
+    /**
+     * With more distinct requests than the index tracks, it drops the least recently made ones, and its results stay
+     * exact.
+     */
     @Test
     void resultsStayExactBeyondTheTrackedRequests() {
         fleet.setMachineTypes(List.of(TYPE));
--- a/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
+++ b/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The design's rule: a fitting machine that has the image, else the fitting one with the most free capacity. */
+/**
+ * Tests the rule of the design: a feasible machine that has the image, else the feasible machine with the most free
+ * capacity.
+ */
 class MachineSelectionTest {
     private final Fleet fleet = new Fleet();
     private final Job job =
--- a/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
@@ -44,8 +44,9 @@
     }
 
     /**
-     * Machines are full of work beyond its team's guarantee. Whoever may preempt it gets its capacity after a while, and no
-     * more of it ends than has to: capacity that was freed for one task once was not counted for the next.
+     * The machines are full of work beyond the guarantee of its team. A job that may preempt it gets the capacity after
+     * a delay, and no more work is stopped than needed. Guards against preempting too much because capacity freed for
+     * one task was not counted for the next one.
      */
     @ParameterizedTest
     @CsvSource({
@@ -65,12 +66,12 @@
         harness.run(12 * Micros.SECOND);
         assertEquals(tasks, runningTasks(harness, "wk-2"));
         assertEquals(8 - preempted, runningTasks(harness, "wk-1"));
-        assertEquals(8 + tasks, harness.starts, "what was preempted was started again without capacity");
+        assertEquals(8 + tasks, harness.starts, "preempted tasks were started again without capacity");
     }
 
     /**
-     * Work of the lowest priority, long and everywhere, is preempted for what would be late otherwise, and only for that; work
-     * of the same priority is not preempted for a team without a guarantee.
+     * Long-running work of the lowest priority occupies all machines. It is preempted only for jobs that would
+     * otherwise be late, and work of the same priority is not preempted for a team without a guarantee.
      */
     @ParameterizedTest
     @CsvSource({"LOW, 160, 5", "LOW, 500, 0", "NORMAL, 160, 0"})
@@ -89,8 +90,8 @@
     }
 
     /**
-     * Replicas gather though another machine has free capacity and the image, since each machine with one has to be kept; but
-     * no more than a few, since it may hang.
+     * Replicas are colocated although another machine has free capacity and the image, since each machine with a
+     * replica has to be kept. Their number per machine is limited, since a machine may hang.
      */
     @ParameterizedTest
     @CsvSource({"1, 2", "2, 2"})
@@ -118,7 +119,10 @@
         assertEquals(expectedPerMachine, maxPerMachine);
     }
 
-    /** The response to the heartbeat that tells of free capacity carries the next start, without a plan or a ledger write. */
+    /**
+     * The response to the heartbeat that reports free capacity carries the next start, without a plan or a ledger
+     * write.
+     */
     @Test
     void machinesAreRefilledAtTheirHeartbeats() {
         SchedulerHarness harness = new SchedulerHarness(1, 1);
@@ -128,15 +132,16 @@
         long startedMicros = harness.now;
         while (harness.state("wk-1") == JobState.OPEN) {
             harness.run(SchedulerHarness.STEP);
-            assertTrue(harness.now - startedMicros < 60 * Micros.SECOND, "it never ends");
+            assertTrue(harness.now - startedMicros < 60 * Micros.SECOND, "the job was still open after 60 s");
         }
-        // Ten rounds of four tasks, each of 2 s and up to one heartbeat interval of 0.8 s.
-        assertTrue(harness.now - startedMicros < 31 * Micros.SECOND, Micros.toSeconds(harness.now - startedMicros) + " s");
+        // The 40 tasks run four at a time in ten groups, each taking 2 s and up to one heartbeat interval of 0.8 s.
+        assertTrue(
+                harness.now - startedMicros < 31 * Micros.SECOND, Micros.toSeconds(harness.now - startedMicros) + " s");
     }
 
     /**
-     * Machines that are several times late are deleted once nothing waits for them any more, before they come up to stand idle;
-     * those that are in time work.
+     * Machines that take several times the expected boot time are deleted once no task is pending, before they become
+     * ready and stand idle. Machines that boot in time run tasks.
      */
     @ParameterizedTest
     @CsvSource({"1, false", "20, true"})
@@ -150,7 +155,7 @@
         }
         assertEquals(JobState.DONE, harness.state("wk-1"));
         harness.run(6 * Micros.SECOND);
-        assertTrue(harness.workers.size() > 2, "none was rented");
+        assertTrue(harness.workers.size() > 2, "no machine was rented");
         long remaining = harness.workers.values().stream()
                 .skip(2)
                 .filter(worker -> !worker.deleted)
--- a/src/test/java/io/micatide/scheduler/PlanningCostTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningCostTest.java
@@ -12,15 +12,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How many machines a plan examines follows from what changed, not from how many machines and waiting jobs there are. */
+/**
+ * Checks that the number of machines a plan examines depends on what changed, not on the number of machines and pending
+ * jobs.
+ */
 class PlanningCostTest {
     private static final int GANGS = 600;
     private static final int TASKS_PER_MACHINE = 4;
     private static final int TASKS_PER_JOB = 700;
     private static final int TICKS = 50;
 
-    /** Machines full of arrays that run on, and gangs that each want whole machines of which there are none. */
-    private static SchedulerHarness harnessWithFullMachines(int machines, Priority gangPriority, boolean arraysCheckpoint) {
+    /**
+     * Returns a harness with machines full of long-running arrays, and pending gangs whose tasks each need a whole
+     * machine.
+     */
+    private static SchedulerHarness harnessWithFullMachines(
+            int machines, Priority gangPriority, boolean arraysCheckpoint) {
         SchedulerHarness harness = new SchedulerHarness(1, machines);
         harness.cloudOutage = true;
         harness.marked = true;
@@ -79,10 +86,13 @@
         return (harness.leader.machinesExamined() - before) / TICKS;
     }
 
-    /** Each waiting gang once cost a walk over all machines: 1,680,000 were examined in a plan at 2,800 machines. */
+    /**
+     * Guards against a scan over all machines per pending gang, which examined 1,680,000 machines in one plan at 2,800
+     * machines.
+     */
     @ParameterizedTest
     @CsvSource({
-        // gangs' priority, whether the arrays around them write checkpoints
+        // priority of the gangs, whether the arrays write checkpoints
         "NORMAL, false",
         "HIGH, true",
     })
--- a/src/test/java/io/micatide/scheduler/PlanningPassTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningPassTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A plan that would examine more machines than its share goes on in the next ticks, and nothing urgent waits for it. */
+/**
+ * Tests that a plan that would examine more machines than its share continues in the next ticks, without delaying
+ * urgent jobs.
+ */
 class PlanningPassTest {
     private static final int MACHINES = 2_000;
     private static final int JOBS = 60;
@@ -39,7 +42,7 @@
         return id;
     }
 
-    /** Jobs whose tasks the plan still has to place, after a tick without any heartbeat. */
+    /** Returns the jobs with pending tasks after a tick without heartbeats. */
     private List<String> pendingJobsAfterTick() {
         harness.now += SchedulerHarness.STEP;
         harness.leader.tick(harness.now);
@@ -75,7 +78,10 @@
         assertEquals(false, pendingJobsAfterTick().contains(urgent));
     }
 
-    /** Gangs of many classes that fit nowhere, each a walk over all machines, stand before the arrays in every plan. */
+    /**
+     * Gangs of many classes that fit nowhere precede the arrays in every plan, and each of them costs a scan over all
+     * machines.
+     */
     @Test
     void unschedulableJobsDelayNoOthers() {
         for (int i = 0; i < JOBS; i++) {
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What was found not to fit during a plan is forgotten by each event that could change it. Random fleets hardly ever show it:
- * what is freed within a plan is taken by the job that it was freed for.
+ * Checks that each event that could change a recorded result discards it. Randomized fleets rarely detect a missing
+ * discard, since capacity freed within a plan is used by the job that it was freed for.
  */
 class UnschedulableClassesTest {
     private static final long TOKEN = 7;
@@ -30,15 +30,16 @@
     @BeforeEach
     void createScheduler() {
         planners.clear();
-        new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0, (actions, schedulerSettings, fleet, ledgers, times) -> {
-            placements = actions;
-            PlacementPlanner planner = new PlacementPlanner(actions, schedulerSettings, fleet, ledgers, times);
-            planners.add(planner);
-            machine = fleet.getOrAdd("i-1", 0);
-            job = ledgers.addJob(
-                    SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
-            return planner;
-        });
+        new Scheduler(
+                settings, Tuning.defaults(settings), TOKEN, 0, (actions, schedulerSettings, fleet, ledgers, times) -> {
+                    placements = actions;
+                    PlacementPlanner planner = new PlacementPlanner(actions, schedulerSettings, fleet, ledgers, times);
+                    planners.add(planner);
+                    machine = fleet.getOrAdd("i-1", 0);
+                    job = ledgers.addJob(
+                            SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
+                    return planner;
+                });
     }
 
     private UnschedulableClasses unschedulable() {
@@ -88,7 +89,7 @@
         assertEquals(expected, actual);
     }
 
-    /** The classes tell apart what the answer depends on. */
+    /** Each class includes everything that its result depends on. */
     @Test
     void otherTeamsAndCapacitySourcesAreNotAffected() {
         unschedulable().markFull(EquivalenceClass.of(job.spec));
