--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -64,7 +64,7 @@
      *     became ready; earlier times come first
      */
     record QueuedJob(Job job, int pendingTasks, boolean isGuaranteed, boolean canMeetDeadline, long dueMicros) {
-        /** Returns whether the two jobs differ at most in their times. */
+        /** Returns whether the two jobs have the same rank, so that only their times determine which comes first. */
         boolean hasSameRank(QueuedJob other) {
             return job.priority() == other.job.priority()
                     && isService() == other.isService()
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * Decides which pending tasks run on which machines. The rule of the design: a feasible machine that has the image,
- * else the feasible machine with the most free capacity. Collaborators handle what is specific to gangs, services and
- * arrays, and quotas and preemption.
+ * Decides which pending tasks run on which machines. The rule of the design: a machine with enough free capacity that
+ * has the image, else the machine with the most free capacity. Collaborators handle what is specific to gangs, services
+ * and arrays, and quotas and preemption.
  *
  * <p>Invariant: jobs get capacity in the order of {@link JobQueue}, and recorded negative results ({@link
  * UnschedulableClasses}) are discarded whenever freed capacity or changed usage may make them outdated.
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -198,7 +198,7 @@
      * free.
      *
      * @param scope which work may be preempted
-     * @return as few victims as needed, those with the least lost work first; empty if there is enough free capacity
+     * @return victims in the order of least lost work, only until the task fits; empty if there is enough free capacity
      *     already; null if preempting everything would not be enough
      */
     List<Placement> selectVictims(Job job, Machine machine, Scope scope) {
--- a/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
+++ b/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests the rule of the design: a feasible machine that has the image, else the feasible machine with the most free
- * capacity.
+ * Tests the rule of the design: a machine with enough free capacity that has the image, else the machine with the most
+ * free capacity.
  */
 class MachineSelectionTest {
     private final Fleet fleet = new Fleet();
--- a/src/test/java/io/micatide/scheduler/PlanningCostTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningCostTest.java
@@ -23,8 +23,8 @@
     private static final int TICKS = 50;
 
     /**
-     * Returns a harness with machines full of long-running arrays, and pending gangs whose tasks each need a whole
-     * machine.
+     * Returns a harness with machines full of long-running arrays, and pending gangs whose tasks each need a whole free
+     * machine, of which there are none.
      */
     private static SchedulerHarness harnessWithFullMachines(
             int machines, Priority gangPriority, boolean arraysCheckpoint) {
--- a/src/test/java/io/micatide/scheduler/PlanningPassTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningPassTest.java
@@ -28,8 +28,8 @@
     @BeforeEach
     void startLeaderWithAllMachines() {
         harness.cloudOutage = true;
-        harness.planners = (scheduler, settings, fleet, ledgers, times) -> {
-            planners.add(new PlacementPlanner(scheduler, settings, fleet, ledgers, times));
+        harness.planners = (scheduler, settings, fleet, ledgers, runtimes) -> {
+            planners.add(new PlacementPlanner(scheduler, settings, fleet, ledgers, runtimes));
             return planners.get(0);
         };
         harness.takeOver();
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -31,9 +31,14 @@
     void createScheduler() {
         planners.clear();
         new Scheduler(
-                settings, Tuning.defaults(settings), TOKEN, 0, (actions, schedulerSettings, fleet, ledgers, times) -> {
+                settings,
+                Tuning.defaults(settings),
+                TOKEN,
+                0,
+                (actions, schedulerSettings, fleet, ledgers, runtimes) -> {
                     placements = actions;
-                    PlacementPlanner planner = new PlacementPlanner(actions, schedulerSettings, fleet, ledgers, times);
+                    PlacementPlanner planner =
+                            new PlacementPlanner(actions, schedulerSettings, fleet, ledgers, runtimes);
                     planners.add(planner);
                     machine = fleet.getOrAdd("i-1", 0);
                     job = ledgers.addJob(
