--- a/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
+++ b/src/main/java/io/micatide/scheduler/ReplicaPlacement.java
@@ -6,20 +6,22 @@
 import java.util.List;
 
 /**
- * Places the replicas of services. They gather on few machines, since they live for minutes, and spread over the fleet
- * each of them kept a machine that would have been returned. Invariant: a replica joins others only on a machine that has
- * fewer than the greatest number of replicas for one machine.
+ * Places the replicas of services. Replicas are colocated on few machines: they run for minutes, and replicas spread
+ * over the fleet each kept a machine that would otherwise have been returned.
+ *
+ * <p>Invariant: a replica is colocated with others only on a machine that has fewer replicas than the limit per
+ * machine.
  */
 final class ReplicaPlacement {
     /**
-     * The share of all replicas that gather on one machine: it may hang. On a fleet of 40 a large machine once took most
-     * of them, and 0.93 were up in the worst 30 s.
+     * Maximum share of all replicas on one machine, since a machine may hang. On a fleet of 40 machines one large
+     * machine held most replicas, and only a share of 0.93 were up in the worst 30 s.
      */
     private static final double MAX_SHARE_PER_MACHINE = 0.05;
 
     private static final int MIN_LIMIT_PER_MACHINE = 2;
-    /** Work that may be lost to place a replica beside others though another machine has capacity. */
-    private static final long MAX_LOSS_FOR_GATHERING_MICROS = 10 * Micros.SECOND;
+    /** Maximum work lost to colocate a replica with others although another machine has free capacity. */
+    private static final long MAX_LOST_WORK_FOR_COLOCATION_MICROS = 10 * Micros.SECOND;
 
     private final PlacementActions scheduler;
     private final TeamQuota quota;
@@ -38,7 +40,7 @@
         this.singleTasks = singleTasks;
     }
 
-    /** A plan begins: how many replicas may gather follows from how many there are. */
+    /** Begins a plan: computes the limit of replicas per machine from the current number of replicas. */
     void beginPlan(Iterable<Job> jobs) {
         int replicas = 0;
         for (Job job : jobs) {
@@ -52,11 +54,11 @@
     /** Places as many missing replicas of the service as there is capacity for. */
     void place(JobQueue.QueuedJob queued, long nowMicros) {
         Job job = queued.job();
-        if (!mayPlaceAnother(job)) {
+        if (!mayPlaceReplica(job)) {
             return;
         }
         List<Machine> candidates = selection.candidates(job, CapacityRequest.Source.SAME_PRIORITY, nowMicros);
-        for (int missing = queued.pendingTasks(); missing > 0 && mayPlaceAnother(job); missing--) {
+        for (int missing = queued.pendingTasks(); missing > 0 && mayPlaceReplica(job); missing--) {
             Machine machine = findMachine(job, candidates, nowMicros);
             if (machine == null) {
                 return;
@@ -65,23 +67,26 @@
         }
     }
 
-    private boolean mayPlaceAnother(Job job) {
+    private boolean mayPlaceReplica(Job job) {
         return job.placeableCount() > 0 && quota.allowsTask(job);
     }
 
     private Machine findMachine(Job job, List<Machine> candidates, long nowMicros) {
-        Machine machine = findBesideReplicas(job, candidates, nowMicros);
+        Machine machine = findMachineWithReplicas(job, candidates, nowMicros);
         return machine != null ? machine : singleTasks.findOrPreempt(job, candidates, nowMicros);
     }
 
-    /** A machine with the image that has replicas already, the one with most; work that ends is preempted there. */
-    private Machine findBesideReplicas(Job job, List<Machine> candidates, long nowMicros) {
+    /**
+     * Returns the machine with the image and the highest colocation score, or null; preempts finite work there if
+     * needed.
+     */
+    private Machine findMachineWithReplicas(Job job, List<Machine> candidates, long nowMicros) {
         Machine best = null;
         long bestScore = 0;
         for (Machine machine : candidates) {
             if (MachineSelection.hasImage(machine, job) && MachineSelection.zoneAllows(job, machine)) {
-                long score = gatheringScore(job, machine);
-                if (score > bestScore && (fits(job, machine) || isPreemptedCheaply(job, machine, nowMicros))) {
+                long score = colocationScore(job, machine);
+                if (score > bestScore && (fits(job, machine) || isCheapToPreempt(job, machine, nowMicros))) {
                     best = machine;
                     bestScore = score;
                 }
@@ -93,8 +98,11 @@
         return best;
     }
 
-    /** How good it is to place a replica beside those on the machine; 0 if there are none, too many or no capacity. */
-    private long gatheringScore(Job job, Machine machine) {
+    /**
+     * Returns the score of colocating a replica with those on the machine; 0 if it has none, too many or too little
+     * capacity.
+     */
+    private long colocationScore(Job job, Machine machine) {
         Resources request = job.spec.taskResources();
         Resources usedByReplicas = Resources.NONE;
         int replicas = 0;
@@ -116,8 +124,8 @@
         return job.spec.taskResources().fitsIn(machine.freeCapacity());
     }
 
-    private boolean isPreemptedCheaply(Job job, Machine machine, long nowMicros) {
+    private boolean isCheapToPreempt(Job job, Machine machine, long nowMicros) {
         return preemption.lostWork(job, machine, Preemption.Scope.SAME_PRIORITY, nowMicros)
-                < MAX_LOSS_FOR_GATHERING_MICROS;
+                < MAX_LOST_WORK_FOR_COLOCATION_MICROS;
     }
 }
--- a/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
+++ b/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The design's rule: a fitting machine that has the image, else the fitting one with the most free capacity. */
+/**
+ * Tests the rule of the design: a machine with enough free capacity that has the image, else the machine with the most
+ * free capacity.
+ */
 class MachineSelectionTest {
     private final Fleet fleet = new Fleet();
     private final Job job =
@@ -24,7 +27,7 @@
     }
 
     @Test
-    void imageGoesBeforeFreeCapacity() {
+    void imagePrecedesFreeCapacity() {
         Machine full = machine("full", 1, true);
         Machine large = machine("large", 16, false);
         Machine small = machine("small", 4, false);
@@ -37,7 +40,7 @@
     }
 
     @Test
-    void equalMachinesRankInTheirOrder() {
+    void equalMachinesRankInListOrder() {
         Machine first = machine("first", 8, false);
         Machine second = machine("second", 8, false);
         assertEquals(first, MachineSelection.bestFitting(job, List.of(first, second)));
@@ -45,7 +48,7 @@
     }
 
     @Test
-    void spotMachinesWithTheImageGoFirst() {
+    void spotMachinesWithTheImageRankFirst() {
         Machine onDemand = machine("on-demand", 2, true);
         Machine spot = machine("spot", 16, true);
         spot.spot = true;
--- a/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
@@ -35,8 +35,8 @@
                 deadlineSeconds * Micros.SECOND);
     }
 
-    private static long runningTasks(SchedulerHarness world, String job) {
-        return world.workers.values().stream()
+    private static long runningTasks(SchedulerHarness harness, String job) {
+        return harness.workers.values().stream()
                 .filter(worker -> !worker.deleted)
                 .flatMap(worker -> worker.tasks.values().stream())
                 .filter(task -> task.job.equals(job) && task.cause == null)
@@ -44,8 +44,9 @@
     }
 
     /**
-     * Machines are full of work beyond its team's guarantee. Whoever may preempt it gets its capacity after a while, and no
-     * more of it ends than has to: capacity that was freed for one task once was not counted for the next.
+     * The machines are full of work beyond the guarantee of its team. A job that may preempt it gets the capacity after
+     * a delay, and no more work is stopped than needed. Guards against preempting too much because capacity freed for
+     * one task was not counted for the next one.
      */
     @ParameterizedTest
     @CsvSource({
@@ -54,104 +55,108 @@
         "ARRAY, NORMAL, 5, 5",
         "SERVICE, HIGH, 3, 3",
     })
-    void preemptsNoMoreThanItNeeds(JobKind kind, Priority priority, int tasks, int preempted) {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.cloudOutage = true;
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 300));
-        world.run(20 * Micros.SECOND);
-        assertEquals(8, runningTasks(world, "wk-1"));
-        world.submit(SchedulerHarness.job("wk-2", kind, "red", priority, tasks, 100));
-        world.run(12 * Micros.SECOND);
-        assertEquals(tasks, runningTasks(world, "wk-2"));
-        assertEquals(8 - preempted, runningTasks(world, "wk-1"));
-        assertEquals(8 + tasks, world.starts, "what was preempted was started again without capacity");
+    void preemptsNoMoreThanNeeded(JobKind kind, Priority priority, int tasks, int preempted) {
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.cloudOutage = true;
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 300));
+        harness.run(20 * Micros.SECOND);
+        assertEquals(8, runningTasks(harness, "wk-1"));
+        harness.submit(SchedulerHarness.job("wk-2", kind, "red", priority, tasks, 100));
+        harness.run(12 * Micros.SECOND);
+        assertEquals(tasks, runningTasks(harness, "wk-2"));
+        assertEquals(8 - preempted, runningTasks(harness, "wk-1"));
+        assertEquals(8 + tasks, harness.starts, "preempted tasks were started again without capacity");
     }
 
     /**
-     * Work of the lowest priority, long and everywhere, is preempted for what would be late otherwise, and only for that; work
-     * of the same priority is not preempted for a team without a guarantee.
+     * Long-running work of the lowest priority occupies all machines. It is preempted only for jobs that would
+     * otherwise be late, and work of the same priority is not preempted for a team without a guarantee.
      */
     @ParameterizedTest
     @CsvSource({"LOW, 160, 5", "LOW, 500, 0", "NORMAL, 160, 0"})
     void lowPriorityWorkIsPreemptedOnlyForUrgentJobs(Priority running, int deadlineSeconds, int started) {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.cloudOutage = true;
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", running, 8, 300));
-        world.run(20 * Micros.SECOND);
-        assertEquals(8, runningTasks(world, "wk-1"));
-        world.submit(withDeadline(
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.cloudOutage = true;
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", running, 8, 300));
+        harness.run(20 * Micros.SECOND);
+        assertEquals(8, runningTasks(harness, "wk-1"));
+        harness.submit(withDeadline(
                 SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 5, 100), deadlineSeconds));
-        world.run(30 * Micros.SECOND);
-        assertEquals(started, runningTasks(world, "wk-2"));
-        assertEquals(8 - started, runningTasks(world, "wk-1"));
+        harness.run(30 * Micros.SECOND);
+        assertEquals(started, runningTasks(harness, "wk-2"));
+        assertEquals(8 - started, runningTasks(harness, "wk-1"));
     }
 
     /**
-     * Replicas gather though another machine has free capacity and the image, since each machine with one has to be kept; but
-     * no more than a few, since it may hang.
+     * Replicas are colocated although another machine has free capacity and the image, since each machine with a
+     * replica has to be kept. Their number per machine is limited, since a machine may hang.
      */
     @ParameterizedTest
     @CsvSource({"1, 2", "2, 2"})
-    void replicasGatherOnFewMachines(int replicas, int together) {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.cloudOutage = true;
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
-        world.run(10 * Micros.SECOND);
+    void replicasAreColocatedOnFewMachines(int replicas, int expectedPerMachine) {
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.cloudOutage = true;
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
+        harness.run(10 * Micros.SECOND);
         for (int i = 0; i < replicas; i++) {
-            world.submit(SchedulerHarness.job("wk-2" + i, JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
-            world.run(3 * Micros.SECOND);
+            harness.submit(SchedulerHarness.job("wk-2" + i, JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
+            harness.run(3 * Micros.SECOND);
         }
-        world.submit(SchedulerHarness.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 4 - replicas, 300));
-        world.run(4 * Micros.SECOND);
-        world.submit(SchedulerHarness.job("wk-29", JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
-        world.run(6 * Micros.SECOND);
-        assertEquals(4 - replicas, runningTasks(world, "wk-3"));
-        long most = world.workers.values().stream()
+        harness.submit(SchedulerHarness.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 4 - replicas, 300));
+        harness.run(4 * Micros.SECOND);
+        harness.submit(SchedulerHarness.job("wk-29", JobKind.SERVICE, "blue", Priority.HIGH, 1, 0));
+        harness.run(6 * Micros.SECOND);
+        assertEquals(4 - replicas, runningTasks(harness, "wk-3"));
+        long maxPerMachine = harness.workers.values().stream()
                 .mapToLong(worker -> worker.tasks.values().stream()
                         .filter(task -> task.job.startsWith("wk-2"))
                         .count())
                 .max()
                 .orElse(0);
-        assertEquals(together, most);
+        assertEquals(expectedPerMachine, maxPerMachine);
     }
 
-    /** The response to the heartbeat that tells of free capacity carries the next start, without a plan or a ledger write. */
+    /**
+     * The response to the heartbeat that reports free capacity carries the next start, without a plan or a ledger
+     * write.
+     */
     @Test
     void machinesAreRefilledAtTheirHeartbeats() {
-        SchedulerHarness world = new SchedulerHarness(1, 1);
-        world.cloudOutage = true;
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 2));
-        long from = world.now;
-        while (world.state("wk-1") == JobState.OPEN) {
-            world.run(SchedulerHarness.STEP);
-            assertTrue(world.now - from < 60 * Micros.SECOND, "it never ends");
+        SchedulerHarness harness = new SchedulerHarness(1, 1);
+        harness.cloudOutage = true;
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 2));
+        long startedMicros = harness.now;
+        while (harness.state("wk-1") == JobState.OPEN) {
+            harness.run(SchedulerHarness.STEP);
+            assertTrue(harness.now - startedMicros < 60 * Micros.SECOND, "the job was still open after 60 s");
         }
-        // Ten rounds of four tasks, each of 2 s and up to one heartbeat interval of 0.8 s.
-        assertTrue(world.now - from < 31 * Micros.SECOND, Micros.toSeconds(world.now - from) + " s");
+        // The 40 tasks run four at a time in ten groups, each taking 2 s and up to one heartbeat interval of 0.8 s.
+        assertTrue(
+                harness.now - startedMicros < 31 * Micros.SECOND, Micros.toSeconds(harness.now - startedMicros) + " s");
     }
 
     /**
-     * Machines that are several times late are deleted once nothing waits for them any more, before they come up to stand idle;
-     * those that are in time work.
+     * Machines that take several times the expected boot time are deleted once no task is pending, before they become
+     * ready and stand idle. Machines that boot in time run tasks.
      */
     @ParameterizedTest
     @CsvSource({"1, false", "20, true"})
-    void lateMachinesAreDeletedOnceNothingWaits(int bootFactor, boolean deleted) {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.bootFactor = bootFactor;
-        world.takeOver();
-        world.submit(withDeadline(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 44, 6), 30));
-        for (int second = 0; second < 120 && world.state("wk-1") == JobState.OPEN; second++) {
-            world.run(Micros.SECOND);
+    void lateMachinesAreDeletedOnceNoTasksArePending(int bootFactor, boolean deleted) {
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.bootFactor = bootFactor;
+        harness.takeOver();
+        harness.submit(withDeadline(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 44, 6), 30));
+        for (int second = 0; second < 120 && harness.state("wk-1") == JobState.OPEN; second++) {
+            harness.run(Micros.SECOND);
         }
-        assertEquals(JobState.DONE, world.state("wk-1"));
-        world.run(6 * Micros.SECOND);
-        assertTrue(world.workers.size() > 2, "none was rented");
-        long remaining = world.workers.values().stream()
+        assertEquals(JobState.DONE, harness.state("wk-1"));
+        harness.run(6 * Micros.SECOND);
+        assertTrue(harness.workers.size() > 2, "no machine was rented");
+        long remaining = harness.workers.values().stream()
                 .skip(2)
                 .filter(worker -> !worker.deleted)
                 .count();
--- a/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
+++ b/src/test/java/io/micatide/scheduler/UnschedulableClassesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What was found not to fit during a plan is forgotten by each event that could change it. Random fleets hardly ever show it:
- * what is freed within a plan is taken by the job that it was freed for.
+ * Checks that each event that could change a recorded result discards it. Randomized fleets rarely detect a missing
+ * discard, since capacity freed within a plan is used by the job that it was freed for.
  */
 class UnschedulableClassesTest {
     private static final long TOKEN = 7;
@@ -28,17 +28,23 @@
     private Machine machine;
 
     @BeforeEach
-    void begin() {
+    void createScheduler() {
         planners.clear();
-        new Scheduler(settings, Tuning.defaults(settings), TOKEN, 0, (actions, its, fleet, ledgers, times) -> {
-            placements = actions;
-            PlacementPlanner planner = new PlacementPlanner(actions, its, fleet, ledgers, times);
-            planners.add(planner);
-            machine = fleet.getOrAdd("i-1", 0);
-            job = ledgers.addJob(
-                    SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
-            return planner;
-        });
+        new Scheduler(
+                settings,
+                Tuning.defaults(settings),
+                TOKEN,
+                0,
+                (actions, schedulerSettings, fleet, ledgers, runtimes) -> {
+                    placements = actions;
+                    PlacementPlanner planner =
+                            new PlacementPlanner(actions, schedulerSettings, fleet, ledgers, runtimes);
+                    planners.add(planner);
+                    machine = fleet.getOrAdd("i-1", 0);
+                    job = ledgers.addJob(
+                            SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 10), 1, 0, 0, 0);
+                    return planner;
+                });
     }
 
     private UnschedulableClasses unschedulable() {
@@ -49,7 +55,7 @@
         return new JobQueue.QueuedJob(job, 1, true, true, 0);
     }
 
-    private String remembered() {
+    private String recordedResults() {
         return (unschedulable().isFull(EquivalenceClass.of(job.spec)) ? "full " : "")
                 + (unschedulable().isPreemptionFutile(queued()) ? "nothing " : "")
                 + (unschedulable().tasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY) != null
@@ -57,18 +63,18 @@
                         : "");
     }
 
-    private String rememberedAfter(BiConsumer<PlacementActions, Placement> what) {
+    private String recordedResultsAfter(BiConsumer<PlacementActions, Placement> event) {
         placements.placeTask(job, job.nextPendingTask(), machine, 0);
         Placement placement = machine.placements.get(0);
         unschedulable().markFull(EquivalenceClass.of(job.spec));
         unschedulable().markPreemptionFutile(queued());
         unschedulable().recordTasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY, new HashMap<>());
-        what.accept(placements, placement);
-        return remembered();
+        event.accept(placements, placement);
+        return recordedResults();
     }
 
     @Test
-    void eventsForgetWhatTheyMayChange() {
+    void eventsDiscardTheResultsTheyMayChange() {
         Map<String, BiConsumer<PlacementActions, Placement>> events = Map.of(
                 "nothing",
                 (actions, placement) -> {},
@@ -82,15 +88,15 @@
                 Map.of("nothing", "full nothing room", "placed", "full room", "stopped", "full room", "removed", "");
         Map<String, String> actual = new HashMap<>();
         events.forEach((name, event) -> {
-            begin();
-            actual.put(name, rememberedAfter(event).trim());
+            createScheduler();
+            actual.put(name, recordedResultsAfter(event).trim());
         });
         assertEquals(expected, actual);
     }
 
-    /** The classes tell apart what the answer depends on. */
+    /** Each class includes everything that its result depends on. */
     @Test
-    void otherTeamsAndScopesAreNotAffected() {
+    void otherTeamsAndCapacitySourcesAreNotAffected() {
         unschedulable().markFull(EquivalenceClass.of(job.spec));
         unschedulable().markPreemptionFutile(queued());
         unschedulable().recordTasksFittingPerZone(job, CapacityRequest.Source.SAME_PRIORITY, new HashMap<>());
