--- a/src/main/java/io/micatide/scheduler/Autoscaler.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -8,12 +8,13 @@
 import java.util.List;
 
 /**
- * Scales the fleet out and in: plans every half second which machines to request and to delete, and tells the calls to the
- * cloud that are due. Invariant: a new leader decides nothing about capacity before it can have heard from the workers.
+ * Scales the fleet out and in: plans every half second which machines to request and to delete, and returns the calls to the cloud that are due.
+ *
+ * <p>Invariant: a new leader neither scales out nor in before the workers had time to send their first heartbeats of the term.
  */
 final class Autoscaler {
     private static final long PLAN_INTERVAL_MICROS = 500 * Micros.MILLISECOND;
-    /** Before any time that a leader can see, and far enough from the end of the range to be subtracted. */
+    /** A time before every time that a leader can observe; subtracting it from such a time does not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final Settings settings;
@@ -22,9 +23,9 @@
     private final DeadMachineDetector deadMachines;
     private final ScaleOut scaleOut;
     private final ScaleIn scaleIn;
-    private final CloudCallPacer calls;
+    private final CloudCallScheduler cloudCalls;
     private final CloudReconciliation reconciliation;
-    private long plannedMicros = NEVER_MICROS;
+    private long lastPlanMicros = NEVER_MICROS;
     private boolean isFirstTerm;
 
     Autoscaler(
@@ -41,27 +42,27 @@
         this.deadMachines = new DeadMachineDetector(settings, fleet);
         this.scaleOut = new ScaleOut(settings, planner, forecast, new OfferSelection(fleet, requests));
         this.scaleIn = new ScaleIn(tuning, fleet, planner, forecast);
-        this.calls = new CloudCallPacer(settings, fleet, requests, deletions);
+        this.cloudCalls = new CloudCallScheduler(settings, fleet, requests, deletions);
         this.reconciliation = new CloudReconciliation(settings, fleet, requests);
     }
 
-    /** No leader before this one has placed anything. */
-    void noteFirstTerm() {
+    /** Marks the term as the first one: no earlier leader has placed anything. */
+    void markFirstTerm() {
         isFirstTerm = true;
     }
 
-    /** Decides which machines are dead, missing or no longer needed, if the last time was long enough ago. */
+    /** Decides which machines are dead, missing or no longer needed, if the plan interval has passed since the last time. */
     void plan(long nowMicros, long termStartMicros) {
-        if (nowMicros - plannedMicros < PLAN_INTERVAL_MICROS
+        if (nowMicros - lastPlanMicros < PLAN_INTERVAL_MICROS
                 || fleet.machineTypes().isEmpty()) {
             return;
         }
-        plannedMicros = nowMicros;
+        lastPlanMicros = nowMicros;
         deadMachines.markDeadMachines(nowMicros, termStartMicros);
-        if (nowMicros - termStartMicros <= firstHeartbeatsMicros()) {
+        if (nowMicros - termStartMicros <= firstHeartbeatWindowMicros()) {
             return;
         }
-        if (scaleOut.requestMissing(nowMicros)) {
+        if (scaleOut.requestMissingCapacity(nowMicros)) {
             scaleIn.deleteUnusable(nowMicros);
         } else {
             scaleIn.deleteUnneeded(nowMicros);
@@ -69,26 +70,26 @@
     }
 
     /**
-     * Within what time of a term all workers have been heard from: what waits may be running until then. Where no ledger was
-     * found nothing does.
+     * Returns the time from the start of the term within which all workers send a heartbeat. Until then, tasks that seem to wait may be running.
+     * The time is shorter in the first term, since no task is running if no ledger was found.
      */
-    private long firstHeartbeatsMicros() {
+    private long firstHeartbeatWindowMicros() {
         return isFirstTerm
                 ? 5 * settings.heartbeatIntervalMicros() / 4
                 : 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
     }
 
-    /** The calls that are due; they count as made. */
+    /** Returns the calls that are due, and marks them as sent. */
     List<CloudCall> nextCalls(long nowMicros) {
-        return calls.nextCalls(nowMicros);
+        return cloudCalls.nextCalls(nowMicros);
     }
 
-    /** A request was answered with machines, which may be fewer than requested. */
+    /** Applies the answer to a request: machines, which may be fewer than requested. */
     void machinesRented(String name, List<String> machines, long nowMicros) {
         reconciliation.machinesRented(name, machines, nowMicros);
     }
 
-    /** A request was answered: the cloud has no such machines now. */
+    /** Applies the answer to a request that the cloud has no machines of its offer now. */
     void noCapacity(String name, long nowMicros) {
         ProvisioningRequests.Request request = requests.requests.get(name);
         if (request != null) {
@@ -96,15 +97,15 @@
         }
     }
 
-    /** A request was not answered: it may have been executed or not. */
+    /** Marks a request that was not answered: it may or may not have been executed. */
     void requestUnanswered(String name, long nowMicros) {
         ProvisioningRequests.Request request = requests.requests.get(name);
         if (request != null) {
-            requests.outcomeUnknown(request, nowMicros);
+            requests.markOutcomeUnknown(request, nowMicros);
         }
     }
 
-    /** A request was certainly not executed and may be sent again under its name. */
+    /** Marks a request that was certainly not executed, so that it is sent again under the same name. */
     void requestNotExecuted(String name) {
         ProvisioningRequests.Request request = requests.requests.get(name);
         if (request != null) {
@@ -113,15 +114,15 @@
     }
 
     /**
-     * The call for the list of machines has ended.
+     * Applies the end of the call for the list of machines.
      *
      * @param machines the whole list, or null after a failed call
-     * @param askedMicros when the list was asked for
+     * @param listRequestedMicros when the list was requested
      */
-    void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
-        calls.listEnded();
+    void machinesListed(List<ListedMachine> machines, long listRequestedMicros, long nowMicros) {
+        cloudCalls.listEnded();
         if (machines != null) {
-            reconciliation.machinesListed(machines, askedMicros, nowMicros);
+            reconciliation.machinesListed(machines, listRequestedMicros, nowMicros);
         }
     }
 }
--- a/src/main/java/io/micatide/scheduler/CapacityRequest.java
+++ b/src/main/java/io/micatide/scheduler/CapacityRequest.java
@@ -4,28 +4,26 @@
 import io.micatide.model.Resources;
 
 /**
- * Capacity for one task of a kind: free capacity, with or without what could be freed for it.
- *
+ * A search for capacity for one task: free capacity, with or without capacity that preemption could free.
  *
  * @param taskResources what the task requests
  * @param source what counts as capacity
- *
- * @param priority of the job that asks; of no account for {@link Source#FREE}
+ * @param priority of the job that the task belongs to; not used with {@link Source#FREE}
  */
 record CapacityRequest(Resources taskResources, Source source, Priority priority) {
     /** What counts as capacity. */
     enum Source {
-        /** What is free now. */
+        /** Free capacity only. */
         FREE,
-        /** Also what work of a lower priority uses that ends at once when it is stopped. */
+        /** Free capacity, and that used by tasks of a lower priority that end at once when they are stopped. */
         LOWER_PRIORITY,
-        /** Also what arrays of the same priority use, for a team that gets its guarantee back. */
+        /** As {@link #LOWER_PRIORITY}, and capacity used by arrays of the same priority, for a team that reclaims its guarantee. */
         SAME_PRIORITY,
-        /** What is free now, and what work of a lower priority uses that has to write a checkpoint first. */
+        /** Free capacity, and that used by tasks of a lower priority that have to write a checkpoint before they end. */
         CHECKPOINTABLE
     }
 
-    /** Free capacity for one task. */
+    /** Returns a request for free capacity for one task. */
     static CapacityRequest free(Resources taskResources) {
         return new CapacityRequest(taskResources, Source.FREE, Priority.LOW);
     }
--- a/src/main/java/io/micatide/scheduler/CloudCallPacer.java
+++ b/src/main/java/io/micatide/scheduler/CloudCallScheduler.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * Which calls to the cloud are due. Invariant: at most one list of machines is under way, a deletion is asked for again only
- * after a pause, and a request goes out only after its row is confirmed.
+ * Decides which calls to the cloud are due. Invariant: at most one call for the list of machines is in flight, a deletion is repeated only after
+ * a pause, and a provisioning request is sent only after its record is confirmed.
  */
-final class CloudCallPacer {
+final class CloudCallScheduler {
     private static final long DELETION_RETRY_MICROS = 3 * Micros.SECOND;
     private static final long LIST_TYPES_INTERVAL_MICROS = 60 * Micros.SECOND;
-    /** As long as no machine type is known, nothing can be placed. */
+    /** Shorter interval while no machine type is known, since nothing can be placed until then. */
     private static final long LIST_UNKNOWN_TYPES_INTERVAL_MICROS = 2 * Micros.SECOND;
-    /** Before any time that a leader can see, and far enough from the end of the range to be subtracted. */
+    /** A time before every time that a leader can observe; subtracting it from such a time does not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final Settings settings;
@@ -23,30 +23,30 @@
     private final ProvisioningRequests requests;
     private final MachineDeletions deletions;
     private long machinesListedMicros = NEVER_MICROS;
-    private boolean isListUnderWay;
+    private boolean isListInFlight;
     private long typesListedMicros = NEVER_MICROS;
 
-    CloudCallPacer(Settings settings, Fleet fleet, ProvisioningRequests requests, MachineDeletions deletions) {
+    CloudCallScheduler(Settings settings, Fleet fleet, ProvisioningRequests requests, MachineDeletions deletions) {
         this.settings = settings;
         this.fleet = fleet;
         this.requests = requests;
         this.deletions = deletions;
     }
 
-    /** The calls that are due; they count as made. */
+    /** Returns the calls that are due, and marks them as sent. */
     List<CloudCall> nextCalls(long nowMicros) {
         List<CloudCall> calls = new ArrayList<>();
         for (ProvisioningRequests.Request request : requests.requestsToSubmit()) {
-            request.sinceMicros = nowMicros;
+            request.stateChangedMicros = nowMicros;
             calls.add(new CloudCall.Rent(request.name, request.type, request.zone, request.spot, request.count));
         }
         List<String> machinesToDelete = nextDeletions(nowMicros);
         if (!machinesToDelete.isEmpty()) {
             calls.add(new CloudCall.Delete(machinesToDelete));
         }
-        if (!isListUnderWay && nowMicros - machinesListedMicros > settings.listLagMicros() / 2) {
+        if (!isListInFlight && nowMicros - machinesListedMicros > settings.listLagMicros() / 2) {
             machinesListedMicros = nowMicros;
-            isListUnderWay = true;
+            isListInFlight = true;
             calls.add(new CloudCall.ListMachines());
         }
         if (nowMicros - typesListedMicros > listTypesIntervalMicros()) {
@@ -79,8 +79,8 @@
         return fleet.machineTypes().isEmpty() ? LIST_UNKNOWN_TYPES_INTERVAL_MICROS : LIST_TYPES_INTERVAL_MICROS;
     }
 
-    /** The list of machines was answered, or has failed. */
+    /** Marks the call for the list of machines as ended, by an answer or a failure. */
     void listEnded() {
-        isListUnderWay = false;
+        isListInFlight = false;
     }
 }
--- a/src/main/java/io/micatide/scheduler/CloudCallSource.java
+++ b/src/main/java/io/micatide/scheduler/CloudCallSource.java
@@ -6,74 +6,74 @@
 import java.util.List;
 
 /**
- * Gives out the calls of the cloud that a leader makes, and is told of their outcomes.
+ * Supplies the calls to the cloud that a leader sends, and receives their outcomes.
  *
- * <p>Calls are not fenced, so they are given out only while the lease is certainly held. Called by the leader's actor alone. Times are microseconds of the
- * leader's steady clock.
+ * <p>Calls are not fenced, so they are requested from here only while the lease is certainly held. Only the leader's actor calls these methods.
+ * Times are microseconds of the leader's monotonic clock.
  */
 public interface CloudCallSource {
     /**
-     * The cloud has answered which machine types it offers.
+     * Applies the answer of the cloud to the call for its machine types.
      *
-     * @param types all of them
-     * @param nowMicros the time
+     * @param types all machine types that the cloud offers
+     * @param nowMicros the current time
      */
     void machineTypesChanged(List<MachineType> types, long nowMicros);
 
     /**
-     * The calls of the cloud that are due.
+     * Returns the calls to the cloud that are due, and marks them as sent.
      *
-     * @param nowMicros the time
-     * @return calls to send now, each to be followed by its outcome
+     * @param nowMicros the current time
+     * @return calls to send now; the outcome of each has to be reported to this object
      */
     List<CloudCall> cloudCalls(long nowMicros);
 
     /**
-     * A provisioning request was answered with machines, as many as were asked for or fewer.
+     * Applies the answer to a provisioning request that gave machines, at most as many as requested.
      *
-     * @param request its name
+     * @param request name of the request
      * @param names of the machines
-     * @param nowMicros the time
+     * @param nowMicros the current time
      */
     void machinesRented(String request, List<String> names, long nowMicros);
 
     /**
-     * A provisioning request was refused for want of machines.
+     * Applies the refusal of a provisioning request for lack of machines.
      *
-     * @param request its name
-     * @param nowMicros the time
+     * @param request name of the request
+     * @param nowMicros the current time
      */
     void noCapacity(String request, long nowMicros);
 
     /**
-     * A provisioning request has no answer; a later list of machines shows what became of it.
+     * Marks a provisioning request that got no answer; a later list of machines shows whether it was executed.
      *
-     * @param request its name
-     * @param nowMicros the time
+     * @param request name of the request
+     * @param nowMicros the current time
      */
     void provisioningUnanswered(String request, long nowMicros);
 
     /**
-     * A provisioning request was refused without being executed; it may be sent again under the same name.
+     * Marks a provisioning request that was refused without being executed; it may be sent again under the same name.
      *
-     * @param request its name
+     * @param request name of the request
      */
     void provisioningNotExecuted(String request);
 
     /**
-     * The deletion of machines was answered: nothing can be on them any more.
+     * Applies the answer to the deletion of machines: no task can run on them any longer.
      *
      * @param names of the machines
-     * @param nowMicros the time
+     * @param nowMicros the current time
      */
     void machinesDeleted(List<String> names, long nowMicros);
 
     /**
-     * The cloud has listed the machines.
+     * Applies the end of the call for the list of machines.
      *
-     * @param machines all of them, null after a call that failed
-     * @param askedMicros when the list was asked for
-     * @param nowMicros the time
+     * @param machines all machines that the cloud lists, or null after a failed call
+     * @param listRequestedMicros when the list was requested
+     * @param nowMicros the current time
      */
-    void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros);
+    void machinesListed(List<ListedMachine> machines, long listRequestedMicros, long nowMicros);
 }
--- a/src/main/java/io/micatide/scheduler/CloudReconciliation.java
+++ b/src/main/java/io/micatide/scheduler/CloudReconciliation.java
@@ -64,7 +64,7 @@
                 machine.deletionRequested = true;
             }
         }
-        requests.settleUnknownRequests(askedMicros);
+        requests.resolveUnknownRequests(askedMicros);
     }
 
     private void machineListed(ListedMachine listed, long nowMicros) {
--- a/src/main/java/io/micatide/scheduler/CloudRecords.java
+++ b/src/main/java/io/micatide/scheduler/CloudRecords.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /**
- * The part of a write batch that records what is asked of the cloud: provisioning requests with their fence, and machines that are to be deleted.
+ * Adds the records of calls to the cloud to write batches: provisioning requests with their fence, and machines that are to be deleted.
  *
- * <p>Invariant: whatever is written on condition of a version is also written on condition of the feature stages, by which other versions of the
- * program tell how these records are written.
+ * <p>Invariant: whatever is written on condition of a record's version is also written on condition of the version of the feature stages, which
+ * determine for all versions of the program how these records are written.
  */
 final class CloudRecords {
     private final ProvisioningRequests provisioningRequests;
@@ -19,14 +19,14 @@
     private long featureStagesVersion;
 
     /**
-     * What a batch writes of this.
+     * The writes of a batch so far, and which of them are records of calls to the cloud.
      *
-     * @param requests that are written
-     * @param deletions among the writes, those of machines to delete
-     * @param writes all so far, a list to be added to
-     * @param conditions of these, a list to be added to
+     * @param requests whose records are put or deleted
+     * @param deletions those of the writes that concern records of machines to delete
+     * @param writes all writes of the batch so far; the caller may append to the list
+     * @param conditions of these writes; the caller may append to the list
      */
-    record Part(
+    record BatchPart(
             List<ProvisioningRequests.Request> requests,
             List<Transaction.Write> deletions,
             List<Transaction.Write> writes,
@@ -37,31 +37,33 @@
         this.machineDeletions = machineDeletions;
     }
 
-    /** Whether the key is of a provisioning request, of their fence, or of machines to delete. */
+    /** Whether the key is that of a provisioning request, of the provisioning fence, or of a record of machines to delete. */
     static boolean owns(String key) {
         return ProvisioningRequests.owns(key) || MachineDeletions.owns(key);
     }
 
     /**
-     * How the records are written from now on.
+     * Sets how the records are written from now on.
      *
      * @param version of the record of the feature stages
-     * @param fenced whether provisioning requests are written on condition of their versions and of their fence
-     * @param recorded whether a machine is named in a record before its deletion is asked for
+     * @param areRequestsFenced whether provisioning requests are written on condition of their versions and of their fence
+     * @param areDeletionsRecorded whether a record has to name a machine before its deletion may be requested
      */
-    void featureFlagsChanged(long version, boolean fenced, boolean recorded) {
+    void featureFlagsChanged(long version, boolean areRequestsFenced, boolean areDeletionsRecorded) {
         featureStagesVersion = version;
-        provisioningRequests.setFenced(fenced);
-        machineDeletions.setRecorded(recorded);
+        provisioningRequests.setFenced(areRequestsFenced);
+        machineDeletions.setRecordRequired(areDeletionsRecorded);
     }
 
     /**
-     * What the next batch writes of this.
+     * Returns the writes that the next batch begins with.
      *
-     * @param otherWrites that the batch begins with
-     * @param limit writes that the batch may have in all
+     * @param machines the fleet
+     * @param otherWrites first writes of the batch
+     * @param limit greatest number of writes of the whole batch
      */
-    Part nextPart(Collection<Machine> machines, List<Transaction.Write> otherWrites, int limit, long nowMicros) {
+    BatchPart nextBatchPart(
+            Collection<Machine> machines, List<Transaction.Write> otherWrites, int limit, long nowMicros) {
         List<Transaction.Write> writes = new ArrayList<>(otherWrites);
         List<ProvisioningRequests.Request> requests = provisioningRequests.mayWrite()
                 ? provisioningRequests.requestsToWrite(Math.max(1, limit / 2), nowMicros)
@@ -75,11 +77,11 @@
         if (!conditions.isEmpty()) {
             conditions.add(new Transaction.Condition(StoreKeys.FEATURE_STAGES, featureStagesVersion));
         }
-        Transaction.Write fence = provisioningRequests.fence(requests);
-        if (fence != null) {
-            writes.add(fence);
+        Transaction.Write fenceWrite = provisioningRequests.fenceWrite(requests);
+        if (fenceWrite != null) {
+            writes.add(fenceWrite);
         }
-        return new Part(requests, deletions, writes, conditions);
+        return new BatchPart(requests, deletions, writes, conditions);
     }
 
     private static Transaction.Write writeOf(ProvisioningRequests.Request request) {
@@ -93,51 +95,51 @@
         return request.state == ProvisioningRequests.State.DONE;
     }
 
-    /** The part is in no batch. */
-    void notComposed(Part part) {
+    /** Reverts a part that became part of no batch. */
+    void partDiscarded(BatchPart part) {
         part.deletions().forEach(machineDeletions::notWritten);
     }
 
-    /** The part goes out with a batch. */
-    void sent(Part part) {
-        part.requests().forEach(request -> request.writing = true);
+    /** Marks the requests of a part as being written, since its batch is sent. */
+    void partSent(BatchPart part) {
+        part.requests().forEach(request -> request.isWriteInFlight = true);
     }
 
-    /** The batch with this write of machines to delete is confirmed. */
+    /** Applies the confirmation of a batch with the given write of a record of machines to delete. */
     void deletionWritten(Transaction.Write write, long revision) {
         machineDeletions.written(write, revision);
     }
 
-    /** The batch was certainly not executed. */
+    /** Reverts the records of machines to delete of a batch that was certainly not executed. */
     void deletionsNotWritten(WriteBatch batch) {
         deletionsOf(batch).forEach(machineDeletions::notWritten);
     }
 
-    /** The batch is confirmed: its provisioning requests are recorded, or gone if they were done. */
+    /** Applies the confirmation of a batch to its provisioning requests: their records are stored, or deleted if the requests were done. */
     void requestsWritten(WriteBatch batch, long revision) {
-        boolean fenceMoved = batch.transaction().writes().stream()
+        boolean isFenceIncremented = batch.transaction().writes().stream()
                 .anyMatch(write -> write.record() instanceof StoredRecord.ProvisioningFence);
-        if (fenceMoved) {
-            provisioningRequests.fenceMoved(revision);
+        if (isFenceIncremented) {
+            provisioningRequests.fenceIncremented(revision);
         }
         for (ProvisioningRequests.Request request : batch.provisioningRequests()) {
-            request.writing = false;
+            request.isWriteInFlight = false;
             request.version = isDone(request) ? 0 : revision;
-            request.recorded = !isDone(request);
+            request.isStored = !isDone(request);
             if (isDone(request)) {
                 provisioningRequests.requests.remove(request.name);
             }
         }
     }
 
-    /** The outcome of the batch is known by other means. */
+    /** Marks the provisioning requests of a batch as no longer being written, when its outcome was found out otherwise than by a confirmation. */
     void requestsResolved(WriteBatch batch) {
         for (ProvisioningRequests.Request request : batch.provisioningRequests()) {
-            request.writing = false;
+            request.isWriteInFlight = false;
         }
     }
 
-    /** The batch was refused for these keys; those of this part are unknown until they are read back. */
+    /** Applies the rejection of a batch because of the given keys: the versions of their records are unknown until they have been read back. */
     void conflicted(WriteBatch batch, List<String> failedKeys) {
         requestsResolved(batch);
         provisioningRequests.markUnknown(
@@ -151,7 +153,7 @@
         }
     }
 
-    /** A record as read back; null with version 0 if there is none. */
+    /** Applies a record that was read back; null with version 0 if the store has none under the key. */
     void readBack(String key, StoredRecord record, long version) {
         if (MachineDeletions.owns(key)) {
             machineDeletions.readBack(key, version);
--- a/src/main/java/io/micatide/scheduler/FailureAttribution.java
+++ b/src/main/java/io/micatide/scheduler/FailureAttribution.java
@@ -7,32 +7,42 @@
 import java.util.List;
 
 /**
- * Tells faulty machines from faulty jobs, and slow machines from long tasks. One bad machine holds up every job that
- * has a task on it, and one bad job fails on every machine: each must not be taken for the other.
+ * Distinguishes faulty machines from faulty jobs, and slow machines from long tasks. A faulty machine delays every job that has a task on it, and
+ * a faulty job fails on every machine: neither must be mistaken for the other.
  */
 final class FailureAttribution {
     private static final long CHECK_INTERVAL_MICROS = Micros.SECOND;
-    private static final long SLOW_FOR_MICROS = 60 * Micros.SECOND;
-    /** A machine is slow if its tasks take this many times as long as others of their jobs, on (geometric) average. */
+    /** Time for which a machine counts as slow after it was found to be. */
+    private static final long SLOW_DURATION_MICROS = 60 * Micros.SECOND;
+    /** A machine is slow if its tasks take this many times as long as expected for their jobs, by the geometric mean. */
     private static final double SLOW_RATIO = 1.8;
 
+    /** Completed tasks that a job needs for its other tasks to be judged, and samples that a machine needs to be found slow. */
     private static final int MIN_TASKS_FOR_PACE = 3;
-    /** How much of what completed tasks showed is left after a second. */
+    /** Factor on the weight of completed tasks for each check interval, so that old samples fade. */
     private static final double PACE_DECAY = 0.97;
 
+    /** Limits of the ratio of a task's run time to the expected one, so that no single task decides. */
     private static final double MIN_RATIO = 0.25;
+
     private static final double MAX_RATIO = 8;
+    /** Failed jobs that succeed elsewhere that quarantine a machine. */
     private static final int JOBS_TO_QUARANTINE_MACHINE = 2;
+    /** Failures of jobs that succeed elsewhere, since the last success on the machine, that quarantine it. */
     private static final int FAILURES_TO_QUARANTINE_MACHINE = 3;
-    /** So many jobs of unknown worth are hardly all faulty. */
+    /** Failed jobs without any success so far that quarantine a machine: this many jobs are unlikely to be all faulty. */
     private static final int UNATTRIBUTED_JOBS_TO_QUARANTINE_MACHINE = 4;
 
+    /** Machines on which a job without any success has to fail to be quarantined. */
     private static final int MACHINES_TO_QUARANTINE_JOB = 2;
-    /** A probe goes to other machines than the last ones did, until so many have been tried. */
+    /** A probe task is placed on a machine on which the job has not failed yet, until it has failed on this many. */
     private static final int MACHINES_TO_PROBE = 6;
 
+    /** Pause before the first probe of a quarantined job; it doubles with each failed probe. */
     private static final long FIRST_BACKOFF_MICROS = 2 * Micros.SECOND;
+
     private static final long MAX_BACKOFF_MICROS = 30 * Micros.SECOND;
+    /** Run time after which a service replica counts as a success. */
     private static final long REPLICA_SUCCESS_MICROS = 5 * Micros.SECOND;
 
     private final RuntimeEstimator runTimes;
@@ -42,6 +52,7 @@
         this.runTimes = runTimes;
     }
 
+    /** Records a success, which clears the suspicion of both the machine and the job. A machine that is quarantined already stays so. */
     void taskSucceeded(Machine machine, Job job) {
         machine.failedJobs.clear();
         machine.unattributedJobs.clear();
@@ -51,7 +62,7 @@
         job.failedProbes = 0;
     }
 
-    /** A replica never completes; one that keeps running shows as much. */
+    /** Records a success for a quarantined service whose replica has kept running, since replicas never complete. */
     void replicaRunning(Placement placement, long nowMicros) {
         if (placement.job.quarantined
                 && placement.job.spec.kind() == JobKind.SERVICE
@@ -61,30 +72,34 @@
         }
     }
 
-    /** A completed task tells the machine's pace, if the job's other tasks have shown how long they take. */
+    /** Adds a completed task to the machine's pace samples if enough other tasks of its job have completed to know their run time. */
     void recordPace(Machine machine, Placement placement, long nowMicros) {
-        if (tellsPace(placement)) {
+        if (isPaceSample(placement)) {
             machine.paceSamples++;
-            machine.paceLogSum += Math.log(ratio(placement, nowMicros));
+            machine.paceLogSum += Math.log(runtimeRatio(placement, nowMicros));
         }
     }
 
-    private static boolean tellsPace(Placement placement) {
+    /** Whether the run time of the task says how fast its machine is. Of an adopted task, the start is not known. */
+    private static boolean isPaceSample(Placement placement) {
         return placement.job.spec.kind() == JobKind.ARRAY
                 && placement.runningSinceMicros >= 0
                 && !placement.adopted
                 && placement.job.completedTasks >= MIN_TASKS_FOR_PACE;
     }
 
-    private double ratio(Placement placement, long nowMicros) {
+    /** Returns the ratio of the task's run time so far to the expected one, within the limits. */
+    private double runtimeRatio(Placement placement, long nowMicros) {
         double ratio = (nowMicros - placement.runningSinceMicros) / (double) runTimes.expectedMicros(placement.job);
         return Math.max(MIN_RATIO, Math.min(MAX_RATIO, ratio));
     }
 
     /**
-     * A task failed. A job of which nothing ever succeeded and that fails on several machines is suspected: it clears the
-     * machines that it failed on, and is only probed from then on. A machine is given back when jobs fail on it that
-     * succeed elsewhere. Healthy machines were once returned because the first tasks of two faulty jobs met there.
+     * Records a failed task and attributes the failure to the job or to the machine.
+     *
+     * <p>A job without any success that fails on several machines is quarantined: its failures no longer count against the machines, and it is
+     * only probed from then on. A machine is quarantined when jobs fail on it that succeed elsewhere. A job without any success does not count
+     * like those: healthy machines were deleted because the first tasks of two faulty jobs happened to run on them.
      */
     void taskFailed(Machine machine, Job job, Iterable<Machine> machines, long nowMicros) {
         job.failedMachines.add(machine.name);
@@ -104,9 +119,10 @@
     private static void quarantine(Job job, Iterable<Machine> machines, long nowMicros) {
         if (!job.quarantined) {
             job.quarantined = true;
-            machines.forEach(each -> each.unattributedJobs.remove(job.id()));
+            machines.forEach(machine -> machine.unattributedJobs.remove(job.id()));
         }
-        // Many of its tasks may be out and fail one after the other: only what fails after the pause is a probe.
+        // Many tasks of the job may be running and fail one after the other: only a failure after the pause is that of
+        // a probe.
         if (nowMicros >= job.backoffUntilMicros) {
             long pause = Math.min(MAX_BACKOFF_MICROS, FIRST_BACKOFF_MICROS << Math.min(10, job.failedProbes++));
             job.backoffUntilMicros = nowMicros + pause;
@@ -116,7 +132,7 @@
         }
     }
 
-    /** Machines that were found slow just now; work that can start over elsewhere is better off there. */
+    /** Returns the machines newly found to be slow; the caller moves tasks away that can be restarted elsewhere. */
     List<Machine> findSlowMachines(Iterable<Machine> machines, long nowMicros) {
         List<Machine> found = new ArrayList<>();
         if (nowMicros - lastCheckMicros < CHECK_INTERVAL_MICROS) {
@@ -129,10 +145,13 @@
             double tasks = machine.paceSamples;
             double sum = machine.paceLogSum;
             for (Placement placement : machine.placements) {
-                // Those that run on say that it is at least so slow; a machine is not judged by two tasks in 32 that
-                // take long by themselves: six large ones were once emptied for nothing within 90 s.
-                if (placement.state == TaskState.RUNNING && !placement.isStopping() && tellsPace(placement)) {
-                    double ratio = ratio(placement, nowMicros);
+                // A task that still runs only shows a lower bound of its run time, so it counts once it is later than
+                // expected.
+                // The mean over all tasks decides: two tasks in 32 that took long by themselves once caused six large
+                // machines
+                // to be emptied within 90 s for no reason.
+                if (placement.state == TaskState.RUNNING && !placement.isStopping() && isPaceSample(placement)) {
+                    double ratio = runtimeRatio(placement, nowMicros);
                     if (ratio > 1) {
                         tasks++;
                         sum += Math.log(ratio);
@@ -143,7 +162,7 @@
                 if (machine.slowUntilMicros < nowMicros) {
                     found.add(machine);
                 }
-                machine.slowUntilMicros = nowMicros + SLOW_FOR_MICROS;
+                machine.slowUntilMicros = nowMicros + SLOW_DURATION_MICROS;
                 machine.paceSamples = 0;
                 machine.paceLogSum = 0;
             }
--- a/src/main/java/io/micatide/scheduler/FleetForecast.java
+++ b/src/main/java/io/micatide/scheduler/FleetForecast.java
@@ -5,11 +5,11 @@
 import io.micatide.model.Settings;
 
 /**
- * The machines that the fleet has or is about to have, for decisions to scale out or in. Invariant: what is expected counts
- * nothing that tasks can be placed on already, and no machine that is about to be deleted.
+ * Determines the capacity that the fleet has or is about to have, for decisions to scale out or in. Invariant: expected capacity includes neither
+ * machines on which tasks can be placed already nor machines that are to be deleted.
  */
 final class FleetForecast {
-    /** Free capacity that is on its way, by the kind of machine. */
+    /** Free capacity that becomes available soon, separately for on-demand and spot machines. */
     record ExpectedCapacity(Resources onDemand, Resources spot) {
         Resources total() {
             return onDemand.plus(spot);
@@ -26,7 +26,7 @@
         this.requests = requests;
     }
 
-    /** Free capacity of machines that are requested, booting, or have not confirmed the leader yet. */
+    /** Returns the free capacity of machines that are requested, booting, or not reconciled yet. */
     ExpectedCapacity expectedCapacity(long nowMicros) {
         Resources onDemand = Resources.NONE;
         Resources spot = Resources.NONE;
@@ -53,7 +53,7 @@
         return new ExpectedCapacity(onDemand, spot);
     }
 
-    /** Whether the machine boots and is not so late that it may never come up. */
+    /** Whether the machine is booting, for less than twice the boot time of its type; after that it may never come up. */
     private boolean isBooting(Machine machine, long nowMicros) {
         if (machine.deletionRequested || machine.lastHeartbeatMicros >= 0 || machine.capacity() == null) {
             return false;
@@ -62,7 +62,7 @@
         return machine.bootStartedMicros >= 0 && nowMicros - machine.bootStartedMicros < 2 * type.bootMicros();
     }
 
-    /** Whether the machine sends heartbeats and has not confirmed this leader's fencing token yet. */
+    /** Whether the machine sends heartbeats, but none has confirmed this leader's fencing token yet. */
     private boolean isUnreconciled(Machine machine, long nowMicros) {
         return !machine.reconciled
                 && machine.lastHeartbeatMicros >= 0
@@ -71,8 +71,8 @@
                 && machine.isResponsive(nowMicros, settings);
     }
 
-    /** Whether jobs of this class could ever run on some machine, full as it may be now. */
-    boolean isAnyUsable(EquivalenceClass equivalenceClass, long nowMicros) {
+    /** Whether jobs of this class could run on any machine if it had enough free capacity. */
+    boolean isAnyMachineUsable(EquivalenceClass equivalenceClass, long nowMicros) {
         for (Machine machine : fleet.machines()) {
             if (isUsable(equivalenceClass, machine, nowMicros)) {
                 return true;
@@ -81,7 +81,7 @@
         return false;
     }
 
-    /** Whether jobs of this class could ever run on the machine, full as it may be now. */
+    /** Whether jobs of this class could run on the machine if it had enough free capacity. */
     boolean isUsable(EquivalenceClass equivalenceClass, Machine machine, long nowMicros) {
         return machine.capacity() != null
                 && !machine.deletionRequested
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -10,23 +10,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** Takes hints from what a leader knows, and gives a new leader what an earlier one hinted at, each once its subject is there. */
+/**
+ * Creates hints from what a leader knows, and holds the hints of earlier leaders until the job or machine that they are about is known. Hints are
+ * advisory: a leader without them learns the same again.
+ */
 final class Hints {
-    /** More than the largest fleets planned for: what is beyond is learned anew. */
+    /** Limit of the hints in a snapshot, above the size of the largest planned fleets; a new leader has to learn the rest itself. */
     private static final int MAX_HINTS = 8_000;
-    /** Of a large cache the images used last. */
+    /** Images in the hint of a machine: the most recently used ones of a large cache. */
     private static final int MAX_IMAGES = 24;
-    /** Small changes are not worth a message. */
+    /** Steps to which values are rounded while they grow by the factor e, so that small changes cause no message. */
     private static final double STEPS_PER_E_FOLD = 20;
 
-    private static final long SLOW_FOR_MICROS = 30 * Micros.SECOND;
+    /** Time for which a machine counts as slow after a hint says so. */
+    private static final long SLOW_DURATION_MICROS = 30 * Micros.SECOND;
 
-    private final Map<String, Hint.MachineHint> machines = new HashMap<>();
-    private final Map<String, Hint.JobHint> jobs = new HashMap<>();
+    private final Map<String, Hint.MachineHint> machineHints = new HashMap<>();
+    private final Map<String, Hint.JobHint> jobHints = new HashMap<>();
 
-    static List<Hint> snapshot(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
+    /** Returns hints for the next leader about job classes, jobs, machines and deleted machines. */
+    static List<Hint> snapshot(Fleet fleet, Collection<Job> openJobs, RuntimeEstimator runTimes, long nowMicros) {
         List<Hint> result = new ArrayList<>(runTimes.hints());
-        for (Job job : open) {
+        for (Job job : openJobs) {
             if (result.size() < MAX_HINTS && (job.quarantined || job.completedTasks > 0)) {
                 long mean = job.completedTasks == 0 ? 0 : job.completedRuntimeMicros / job.completedTasks;
                 result.add(new Hint.JobHint(
@@ -60,10 +65,14 @@
         return result;
     }
 
-    /** The same without what changes by the second or is seen with the first report: images, addresses, jobs that go well. */
-    static List<Hint> durableSnapshot(Fleet fleet, Collection<Job> open, RuntimeEstimator runTimes, long nowMicros) {
+    /**
+     * Returns the hints worth storing. Leaves out what changes every second or is known from a machine's first heartbeat: images, addresses, and
+     * jobs that are not quarantined.
+     */
+    static List<Hint> durableSnapshot(
+            Fleet fleet, Collection<Job> openJobs, RuntimeEstimator runTimes, long nowMicros) {
         List<Hint> result = new ArrayList<>(runTimes.hints());
-        for (Job job : open) {
+        for (Job job : openJobs) {
             if (job.quarantined) {
                 result.add(new Hint.JobHint(job.id(), 0, 0, true, job.failedProbes));
             }
@@ -81,33 +90,38 @@
         return result;
     }
 
-    /** To the nearest twentieth of its size. */
+    /** Rounds a value to the nearest step, which is about a twentieth of the value; returns 0 for values that are not positive. */
     static double roundToStep(double value) {
         return value <= 0 ? 0 : Math.exp(Math.round(Math.log(value) * STEPS_PER_E_FOLD) / STEPS_PER_E_FOLD);
     }
 
-    /** What the leader before knew; later hints replace earlier ones, but for {@code kept} ones. */
-    void add(List<Hint> hints, boolean kept, RuntimeEstimator runTimes) {
+    /**
+     * Adds hints of an earlier leader.
+     *
+     * @param keepsKnown whether hints about the same machine or job that were added before are kept, not replaced
+     * @param runTimes receives the hints about job classes
+     */
+    void add(List<Hint> hints, boolean keepsKnown, RuntimeEstimator runTimes) {
         for (Hint hint : hints) {
-            if (hint instanceof Hint.MachineHint each) {
-                machines.merge(each.name(), each, (known, told) -> kept ? known : told);
-            } else if (hint instanceof Hint.JobHint each) {
-                jobs.merge(each.name(), each, (known, told) -> kept ? known : told);
-            } else if (hint instanceof Hint.JobClassHint each) {
-                runTimes.hintReceived(each);
+            if (hint instanceof Hint.MachineHint machineHint) {
+                machineHints.merge(machineHint.name(), machineHint, (known, received) -> keepsKnown ? known : received);
+            } else if (hint instanceof Hint.JobHint jobHint) {
+                jobHints.merge(jobHint.name(), jobHint, (known, received) -> keepsKnown ? known : received);
+            } else if (hint instanceof Hint.JobClassHint classHint) {
+                runTimes.hintReceived(classHint);
             }
         }
     }
 
-    /** The job was read from the rows. What this leader has seen of it itself counts more. */
+    /** Applies the hint about a job that was read from its ledger, unless this leader knows something of the job by itself. */
     void apply(Job job) {
-        Hint.JobHint hint = jobs.remove(job.id());
+        Hint.JobHint hint = jobHints.remove(job.id());
         if (hint == null || job.completedTasks > 0 || job.quarantined || job.attempts > 0) {
             return;
         }
         job.completedRuntimeMicros = hint.meanRuntimeMicros() * hint.completedTasks();
         job.completedTasks = hint.completedTasks();
-        // Something of it may have succeeded since that the rows tell of.
+        // A task may have succeeded since the hint was made, which the ledger shows.
         if (hint.quarantined() && job.finishedCount() == 0) {
             job.quarantined = true;
             job.failedProbes = hint.failedProbes();
@@ -115,37 +129,44 @@
     }
 
     /**
-     * Whether the leader before had the deletion of this machine answered. A ledger names a machine until it is written anew, and jobs
-     * wait for it; its deletion, asked for again, is answered at once and settles it. Without this they waited until a list of
-     * the cloud showed that it is not there: 11 to 21 s after a take-over that followed on a wave of returns.
+     * Whether the deletion of the given machine was answered to an earlier leader.
+     *
+     * <p>A ledger names a machine until the ledger is written again, and after a failover its jobs wait for the machine. Requesting the deletion again is
+     * answered at once, which ends the wait. Without this hint, jobs waited until a list of the cloud showed that the machine does not exist: 11 to
+     * 21 s after a failover that followed the deletion of many machines.
      */
     boolean wasDeleted(String machine) {
-        Hint.MachineHint hint = machines.get(machine);
+        Hint.MachineHint hint = machineHints.get(machine);
         return hint != null && hint.deleted();
     }
 
-    /** Where a machine that has not reported is to be greeted, null if that is not known. */
+    /** Returns the announcement of the term for a machine that has sent no heartbeat yet, or null if its address is not known. */
     TermAnnouncement announcementFor(String machine) {
-        Hint.MachineHint hint = machines.get(machine);
+        Hint.MachineHint hint = machineHints.get(machine);
         return hint == null || hint.deleted() || hint.address().isEmpty()
                 ? null
                 : new TermAnnouncement(machine, hint.address(), hint.incarnation());
     }
 
-    /** The machine is confirmed by its own report. */
+    /**
+     * Applies the hint about a machine that was reconciled by its own heartbeat. Images that the hint names count as used before those that
+     * the machine already has.
+     *
+     * @param cacheGb size of the machine's image cache
+     */
     void apply(Machine machine, double cacheGb, long nowMicros) {
-        Hint.MachineHint hint = machines.remove(machine.name);
+        Hint.MachineHint hint = machineHints.remove(machine.name);
         if (hint == null) {
             return;
         }
-        Map<String, Double> seen = new LinkedHashMap<>(machine.images);
+        Map<String, Double> seenImages = new LinkedHashMap<>(machine.images);
         machine.images.clear();
         for (int i = 0; i < hint.images().size(); i++) {
             machine.touchImage(hint.images().get(i), hint.imageSizesGb().get(i), cacheGb);
         }
-        seen.forEach((image, gb) -> machine.touchImage(image, gb, cacheGb));
+        seenImages.forEach((image, gb) -> machine.touchImage(image, gb, cacheGb));
         if (hint.slow()) {
-            machine.slowUntilMicros = nowMicros + SLOW_FOR_MICROS;
+            machine.slowUntilMicros = nowMicros + SLOW_DURATION_MICROS;
         }
         machine.quarantined |= hint.quarantined();
     }
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -15,55 +15,57 @@
 import java.util.Set;
 
 /**
- * Machines that are being deleted. What is asked of the cloud is not fenced: a deletion may be carried out minutes after the
- * leader that asked for it was replaced, and would take whatever its successor has placed there since.
+ * Records which machines are being deleted. Calls to the cloud are not fenced: a deletion may be executed minutes after the leader that
+ * requested it was replaced, and would stop the tasks that its successor has placed on the machine since.
  *
- * <p>Invariant: a row names a machine before its deletion is asked for, and no leader of any term places anything on a
- * machine that a row names; it asks for its deletion again, until that is answered. The row stays for a while after that,
- * since ledgers may name the machine still, and a leader that nobody told settles it by asking once more.
+ * <p>Invariant: a record names a machine before its deletion is requested, and no leader of any term places anything on a machine that a record
+ * names; it repeats the request until the cloud answers. The record stays for a while after the answer, because ledgers may still name the
+ * machine: a leader that has no hint of the deletion finds out about the machine by requesting its deletion once more.
  */
 final class MachineDeletions {
-    /** How long a row stays after all its deletions were answered. */
+    /** Time for which a record stays after the deletion of all its machines was answered. */
     private static final long RETENTION_MICROS = 60 * Micros.SECOND;
-    /** Deletions that nobody waits for are gathered for so long, so that a trickle of idle machines costs few rows. */
+    /** Least time between records for machines that no job waits for, so that idle machines found one by one share a record. */
     private static final long BATCH_WINDOW_MICROS = 500 * Micros.MILLISECOND;
-    /** The cloud's limit for a call. */
+    /** The cloud's limit for the machines of one deletion call. */
     static final int MAX_MACHINES_PER_CALL = 100;
 
-    /** Of a row without any names. */
-    private static final int ROW_OVERHEAD_BYTES = 32;
-    /** Of each name in a row. */
+    /** Encoded size of a record without names. */
+    private static final int RECORD_OVERHEAD_BYTES = 32;
+    /** Encoded size of a name in a record beyond its characters. */
     private static final int NAME_OVERHEAD_BYTES = 3;
-    /** Before any time that a leader can see, and far enough from the end of the range to be subtracted. */
+    /** A time before every time that a leader can observe; subtracting it from such a time does not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    /** A row and the machines that it names. */
-    private static final class DeletionRow {
-        /** Machines whose deletion was not answered yet. */
+    /** A record in the store, or one being written, with the state of the machines that it names. */
+    private static final class DeletionRecord {
+        /** Named machines whose deletion has not been answered yet. */
         final Set<String> remainingMachines;
 
+        /** Last known version in the store, 0 before its write is confirmed. */
         long version;
+
         boolean isStored;
         boolean isBeingRemoved;
-        /** When the last deletion was answered, -1 before. */
+        /** Time at which the cloud last answered the deletion of one of its machines, or -1. */
         long answeredMicros = -1;
 
-        DeletionRow(Collection<String> names) {
+        DeletionRecord(Collection<String> names) {
             remainingMachines = new HashSet<>(names);
         }
     }
 
     private final Settings settings;
     private final long fencingToken;
-    /** By key, in the order in which they were made or read. */
-    private final Map<String, DeletionRow> rows = new LinkedHashMap<>();
-    /** Keys of rows by the names of machines whose deletion was not answered yet. */
-    private final Map<String, String> rowByMachine = new HashMap<>();
-    /** Keys of rows that are being read back. */
-    private final Set<String> rowsBeingReadBack = new HashSet<>();
-
-    private boolean requiresRow;
-    private int counter;
+    /** Records by key, in the order in which they were created or loaded. */
+    private final Map<String, DeletionRecord> records = new LinkedHashMap<>();
+    /** Keys of records, by the name of a machine whose deletion has not been answered yet. */
+    private final Map<String, String> keyByMachine = new HashMap<>();
+    /** Keys of records whose version is unknown until they have been read back. */
+    private final Set<String> keysBeingReadBack = new HashSet<>();
+
+    private boolean requiresRecord;
+    private int lastRecordNumber;
     private long lastWriteMicros = NEVER_MICROS;
 
     MachineDeletions(Settings settings, long fencingToken) {
@@ -71,75 +73,70 @@
         this.fencingToken = fencingToken;
     }
 
-    /** Whether the key is that of such a row. */
+    /** Whether the key is that of a record of machines to delete. */
     static boolean owns(String key) {
         return key.startsWith(StoreKeys.MACHINE_DELETIONS);
     }
 
-    /** Whether from now on a row has to name a machine before its deletion is asked for. */
-    void setRecorded(boolean recorded) {
-        requiresRow = recorded;
+    /** Sets whether a record has to name a machine before its deletion may be requested. */
+    void setRecordRequired(boolean isRequired) {
+        requiresRecord = isRequired;
     }
 
-    /** Takes in a row of an earlier leader, whatever the feature flags say now. */
+    /** Adds a record of an earlier leader, whether or not the feature flags require records now. */
     void load(String key, List<String> names, long version) {
-
-        DeletionRow row = new DeletionRow(names);
-        row.version = version;
-        row.isStored = true;
-        rows.put(key, row);
-        names.forEach(name -> rowByMachine.put(name, key));
+        DeletionRecord deletionRecord = new DeletionRecord(names);
+        deletionRecord.version = version;
+        deletionRecord.isStored = true;
+        records.put(key, deletionRecord);
+        names.forEach(name -> keyByMachine.put(name, key));
     }
 
-    /** Whether the machine's deletion may be asked for now. */
+    /** Whether the deletion of the machine may be requested now: its record is in the store, or none is required. */
     boolean mayRequest(Machine machine) {
-        if (!requiresRow) {
+        if (!requiresRecord) {
             return true;
         }
-
-        DeletionRow row = rows.get(rowByMachine.get(machine.name));
-        return row != null && row.isStored;
+        DeletionRecord deletionRecord = records.get(keyByMachine.get(machine.name));
+        return deletionRecord != null && deletionRecord.isStored;
     }
 
-    /** The cloud has answered the machine's deletion. */
+    /** Applies the cloud's answer to the deletion of the given machine. */
     void machineDeleted(String machine, long nowMicros) {
-
-        DeletionRow row = rows.get(rowByMachine.remove(machine));
-        if (row != null) {
-            row.remainingMachines.remove(machine);
-            row.answeredMicros = nowMicros;
+        DeletionRecord deletionRecord = records.get(keyByMachine.remove(machine));
+        if (deletionRecord != null) {
+            deletionRecord.remainingMachines.remove(machine);
+            deletionRecord.answeredMicros = nowMicros;
         }
     }
 
     /**
-     * What the next transaction writes of this: at most one row that names machines, and one that is deleted.
+     * Returns what the next transaction writes: at most one new record of machines to delete, and the deletion of at most one old record.
      *
      * @param machines the fleet
-     * @param most how many writes there may be
+     * @param limit greatest number of writes
      */
-    List<Transaction.Write> nextWrites(Collection<Machine> machines, int most, long nowMicros) {
+    List<Transaction.Write> nextWrites(Collection<Machine> machines, int limit, long nowMicros) {
         List<Transaction.Write> writes = new ArrayList<>();
-        if (!requiresRow || !rowsBeingReadBack.isEmpty()) {
+        if (!requiresRecord || !keysBeingReadBack.isEmpty()) {
             return writes;
         }
         List<Machine> unrecorded = unrecordedMachines(machines);
-        if (!unrecorded.isEmpty() && most > 0 && isDue(unrecorded, nowMicros)) {
-            writes.add(createRow(unrecorded, nowMicros));
+        if (!unrecorded.isEmpty() && limit > 0 && isDue(unrecorded, nowMicros)) {
+            writes.add(createRecord(unrecorded, nowMicros));
         }
-        if (writes.size() < most) {
-            deleteOneRow(writes, nowMicros);
+        if (writes.size() < limit) {
+            deleteOneRecord(writes, nowMicros);
         }
         return writes;
     }
 
-    /** Machines that are to be deleted and that no row names, as many as one row may name. */
+    /** Returns machines that are to be deleted and that no record names, at most as many as one record may name. */
     private List<Machine> unrecordedMachines(Collection<Machine> machines) {
         List<Machine> unrecorded = new ArrayList<>();
-
-        int bytes = ROW_OVERHEAD_BYTES;
+        int bytes = RECORD_OVERHEAD_BYTES;
         for (Machine machine : machines) {
-            if (machine.deletionRequested && !rowByMachine.containsKey(machine.name)) {
-
+            if (machine.deletionRequested && !keyByMachine.containsKey(machine.name)) {
                 bytes += machine.name.length() + NAME_OVERHEAD_BYTES;
                 if (unrecorded.size() == MAX_MACHINES_PER_CALL || bytes > settings.maxWritableValueBytes()) {
                     break;
@@ -150,6 +147,7 @@
         return unrecorded;
     }
 
+    /** Whether to write a record now: the batch window has passed, or jobs wait for one of the machines to be deleted. */
     private boolean isDue(List<Machine> unrecorded, long nowMicros) {
         boolean isDue = nowMicros - lastWriteMicros >= BATCH_WINDOW_MICROS;
         for (Machine machine : unrecorded) {
@@ -158,93 +156,91 @@
         return isDue;
     }
 
-    private Transaction.Write createRow(List<Machine> machines, long nowMicros) {
+    private Transaction.Write createRecord(List<Machine> machines, long nowMicros) {
         lastWriteMicros = nowMicros;
-        String key = StoreKeys.machineDeletion(fencingToken, ++counter);
+        String key = StoreKeys.machineDeletion(fencingToken, ++lastRecordNumber);
         List<String> names = new ArrayList<>();
         for (Machine machine : machines) {
             names.add(machine.name);
-            rowByMachine.put(machine.name, key);
+            keyByMachine.put(machine.name, key);
         }
-        rows.put(key, new DeletionRow(names));
+        records.put(key, new DeletionRecord(names));
         return new Transaction.Write(key, new StoredRecord.MachinesToDelete(List.copyOf(names)), 0);
     }
 
-    private void deleteOneRow(List<Transaction.Write> writes, long nowMicros) {
-        for (Map.Entry<String, DeletionRow> entry : rows.entrySet()) {
-
-            DeletionRow row = entry.getValue();
-            if (row.isStored
-                    && !row.isBeingRemoved
-                    && row.remainingMachines.isEmpty()
-                    && nowMicros - row.answeredMicros > RETENTION_MICROS) {
-                row.isBeingRemoved = true;
+    private void deleteOneRecord(List<Transaction.Write> writes, long nowMicros) {
+        for (Map.Entry<String, DeletionRecord> entry : records.entrySet()) {
+            DeletionRecord deletionRecord = entry.getValue();
+            if (deletionRecord.isStored
+                    && !deletionRecord.isBeingRemoved
+                    && deletionRecord.remainingMachines.isEmpty()
+                    && nowMicros - deletionRecord.answeredMicros > RETENTION_MICROS) {
+                deletionRecord.isBeingRemoved = true;
                 writes.add(new Transaction.Write(entry.getKey(), null, 0));
                 return;
             }
         }
     }
 
-    /** The conditions under which these writes may be executed: each row is as it was known. */
+    /** Returns the conditions of a transaction with these writes: each record still has its last known version. */
     List<Transaction.Condition> conditions(List<Transaction.Write> writes) {
         List<Transaction.Condition> conditions = new ArrayList<>();
-        writes.forEach(write -> conditions.add(new Transaction.Condition(write.key(), rows.get(write.key()).version)));
+        writes.forEach(
+                write -> conditions.add(new Transaction.Condition(write.key(), records.get(write.key()).version)));
         return conditions;
     }
 
     /**
-     * The transaction with this write is confirmed.
+     * Applies the confirmation of the transaction with the given write.
      *
-     * @param revision of the store that the transaction made
+     * @param revision of the store that the transaction created
      */
     void written(Transaction.Write write, long revision) {
         if (write.record() == null) {
-            rows.remove(write.key());
+            records.remove(write.key());
         } else {
-
-            DeletionRow row = rows.get(write.key());
-            row.version = revision;
-            row.isStored = true;
+            DeletionRecord deletionRecord = records.get(write.key());
+            deletionRecord.version = revision;
+            deletionRecord.isStored = true;
         }
     }
 
-    /** The transaction with this write was certainly not executed. */
+    /** Reverts the given write, whose transaction was certainly not executed. */
     void notWritten(Transaction.Write write) {
         if (write.record() == null) {
-            rows.get(write.key()).isBeingRemoved = false;
+            records.get(write.key()).isBeingRemoved = false;
         } else {
             forget(write.key());
         }
     }
 
     private void forget(String key) {
-        rows.remove(key);
-        rowByMachine.values().removeIf(key::equals);
+        records.remove(key);
+        keyByMachine.values().removeIf(key::equals);
     }
 
-    /** The row is not as it was known: nothing is written before it is read back. */
+    /** Marks the version of the given record as unknown: nothing is written before the record has been read back. */
     void markUnknown(String key) {
-        rowsBeingReadBack.add(key);
+        keysBeingReadBack.add(key);
     }
 
     /**
-     * A row was read back.
+     * Applies a record that was read back.
      *
-     * @param version 0 if there is none
+     * @param version 0 if the store has no record under the key
      */
     void readBack(String key, long version) {
-        rowsBeingReadBack.remove(key);
-
-        DeletionRow row = rows.get(key);
-        if (row == null) {
+        keysBeingReadBack.remove(key);
+        DeletionRecord deletionRecord = records.get(key);
+        if (deletionRecord == null) {
             return;
         }
         if (version == 0) {
             forget(key);
         } else {
-            row.version = version;
-            row.isStored = true;
-            row.isBeingRemoved = false;
+            deletionRecord.version = version;
+            deletionRecord.isStored = true;
+            deletionRecord.isBeingRemoved = false;
         }
     }
 }
--- a/src/main/java/io/micatide/scheduler/OfferSelection.java
+++ b/src/main/java/io/micatide/scheduler/OfferSelection.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /**
- * Chooses among the cloud's offers and requests machines. Invariant: at most one request is under way for an offer, and none
- * is made for an offer that the cloud has just refused.
+ * Chooses among the cloud's offers and requests machines. Invariant: at most one request is in flight for an offer, and no offer is requested
+ * that the cloud has recently refused.
  */
 final class OfferSelection {
-    /** The cloud's own limit: a fleet of hundreds in tens took 20 s to rent, and its boots began as late. */
+    /** The cloud's own limit. With calls for ten machines, renting a fleet of hundreds took 20 s, which delayed the boots by as much. */
     private static final int MAX_MACHINES_PER_CALL = 50;
-    /** What each machine that is in a zone already adds to the prices there, so that a fleet spreads over zones. */
+    /** Share that each machine in a zone adds to the prices compared for that zone, so that the fleet spreads over zones. */
     private static final double PRICE_SHARE_PER_MACHINE_IN_ZONE = 0.001;
 
     private final Fleet fleet;
     private final ProvisioningRequests requests;
 
-    /** An offer with its price for one task, and how many tasks fit into one machine. */
+    /** An offer with its price per task and the number of tasks that fit into one machine. */
     private record PricedOffer(ProvisioningRequests.Offer offer, double pricePerTask, long tasksPerMachine) {}
 
     OfferSelection(Fleet fleet, ProvisioningRequests requests) {
@@ -27,12 +27,12 @@
     }
 
     /**
-     * Requests machines of the cheapest offer that suits; none if none does.
+     * Requests machines of the cheapest suitable offer, or nothing if no offer is suitable.
      *
      * @param equivalenceClass of the tasks that the machines are for
-     * @param tasks how many there are
-     * @param rounding {@link RoundingMode#UP} if the machines have to hold all of the tasks, {@link RoundingMode#DOWN} if
-     *     the last one should not be partly empty; it is one machine at least
+     * @param tasks number of tasks
+     * @param rounding {@link RoundingMode#UP} if the machines have to hold all of the tasks, {@link RoundingMode#DOWN} if the last machine should
+     *     not be partly empty; at least one machine is requested in either case
      */
     void requestMachines(EquivalenceClass equivalenceClass, int tasks, RoundingMode rounding, long nowMicros) {
         PricedOffer cheapest = cheapestOffer(equivalenceClass, tasks, nowMicros);
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -16,24 +16,26 @@
 import java.util.Set;
 
 /**
- * Requests for machines that are under way, in the four states of the design. Invariant: a claim is written before the call
- * goes out, so that the next leader knows of it; a call without an answer is unknown, and is settled only by a list that
- * shows the cloud as it was after the call could last have been carried out.
+ * Holds the provisioning requests whose records have not been deleted yet, and decides what to write and send for them.
+ *
+ * <p>Invariant: the record of a request is confirmed by the store before its call to the cloud is sent, so that the next leader knows of the
+ * request. A call without an answer has an unknown outcome; the outcome is resolved only by a list of machines that shows the cloud as it was
+ * after the latest time at which the call could have been executed.
  */
 final class ProvisioningRequests {
-    /** Where a request stands. */
+    /** The states of a request. */
     enum State {
-        /** Decided; its call goes out once its row is confirmed. */
+        /** The request was decided on; its call is sent once the store has confirmed its record. */
         CLAIMED,
-        /** Its call went out and was not answered yet. */
+        /** Its call was sent and has not been answered yet. */
         SUBMITTED,
-        /** Settled: its row is to be deleted. */
+        /** Its outcome is known, or it was given up before its call was sent; its record is to be deleted. */
         DONE,
-        /** Its call may have been executed or not. */
+        /** Its call got no answer, or an earlier leader may have sent it: it may or may not have been executed. */
         UNKNOWN
     }
 
-    /** One request to the cloud. */
+    /** A request to rent machines of one offer. */
     static final class Request {
         final String name;
         final String type;
@@ -41,14 +43,17 @@
         final boolean spot;
         final int count;
         State state = State.CLAIMED;
-        /** Whether its row is in the store. */
-        boolean recorded;
-        /** Of its row as it is known, 0 if there is none. */
+        /** Whether its record is known to be in the store. */
+        boolean isStored;
+        /** Last known version of its record in the store, 0 if there is no record. */
         long version;
-        /** Whether a write of its row is under way. */
-        boolean writing;
-        /** When it came into its state. */
-        long sinceMicros;
+        /** Whether a put or deletion of its record is in flight. */
+        boolean isWriteInFlight;
+        /**
+         * Time from which the timeout of its state counts: entry into {@link State#CLAIMED} or {@link State#UNKNOWN}, or the time at which its
+         * call was sent.
+         */
+        long stateChangedMicros;
 
         Request(String name, String type, String zone, boolean spot, int count, long nowMicros) {
             this.name = name;
@@ -56,106 +61,120 @@
             this.zone = zone;
             this.spot = spot;
             this.count = count;
-            this.sinceMicros = nowMicros;
+            this.stateChangedMicros = nowMicros;
         }
     }
 
-    /** Machines of a type in a zone, as the cloud offers them. */
+    /** An offer of the cloud: machines of one type in one zone, either spot or on-demand. */
     record Offer(String type, String zone, boolean spot) {}
 
-    /** A claim whose row is not confirmed within this is given up: what it was for may have gone. */
+    /** A claim whose record is not confirmed within this time is given up, since the tasks that it was made for may no longer wait. */
     private static final long CLAIM_TIMEOUT_MICROS = 10 * Micros.SECOND;
 
     private static final long FIRST_RETRY_PAUSE_MICROS = 8 * Micros.SECOND;
     private static final long MAX_RETRY_PAUSE_MICROS = 30 * Micros.SECOND;
-    /** What the cloud has less machines than requested of is not requested for so long. */
+    /** Time for which an offer is not requested again after the cloud gave fewer machines than requested. */
     private static final long PARTIAL_ANSWER_PAUSE_MICROS = 8 * Micros.SECOND;
 
     private final Settings settings;
     private final long fencingToken;
-    private int counter;
+    private int lastRequestNumber;
     private boolean isFenced;
+    /** Version of the fence's record, 0 if there is none, -1 before it was read. */
     private long fenceVersion = -1;
+    /** How often the fence was incremented. */
     private long fenceNumber;
-    /** Keys of rows that are being read back. */
-    private final Set<String> rowsBeingReadBack = new HashSet<>();
+    /** Keys of records whose version is unknown until they have been read back. */
+    private final Set<String> keysBeingReadBack = new HashSet<>();
 
-    /** By name, in the order in which they were made. */
+    /** Requests by name, in the order in which they were created. */
     final Map<String, Request> requests = new LinkedHashMap<>();
 
-    private final Map<Offer, Long> backedOffUntil = new HashMap<>();
-    private final Map<Offer, Long> retryPauses = new HashMap<>();
+    /** Time until which an offer is not requested, by offer. */
+    private final Map<Offer, Long> backedOffUntilMicros = new HashMap<>();
+    /** Pause after the last refusal for lack of machines, by offer; absent once a request was fulfilled completely. */
+    private final Map<Offer, Long> retryPausesMicros = new HashMap<>();
 
-    /** @param fencingToken of the leader; becomes a part of the names of its requests */
+    /**
+     * Creates the requests of a term, with no request yet.
+     *
+     * @param fencingToken of the leader; becomes a part of the names of its requests
+     */
     ProvisioningRequests(Settings settings, long fencingToken) {
         this.settings = settings;
         this.fencingToken = fencingToken;
     }
 
-    /** Whether the key is that of a request or of their fence. */
+    /** Whether the key is that of a provisioning request's record or of the provisioning fence. */
     static boolean owns(String key) {
         return key.equals(StoreKeys.PROVISIONING_FENCE) || key.startsWith(StoreKeys.PROVISIONING_REQUESTS);
     }
 
-    /** Sets whether rows are written on condition of their versions and of the fence. */
+    /** Sets whether records are written on condition of their versions and of the fence. */
     void setFenced(boolean fenced) {
         isFenced = fenced;
     }
 
-    /** Whether rows are written on condition of their versions and of the fence. */
+    /** Whether records are written on condition of their versions and of the fence. */
     boolean isFenced() {
         return isFenced;
     }
 
     /**
-     * The fence as the store has it.
+     * Sets the fence to what was read from the store.
      *
-     * @param version of its row, 0 if there is none
-     * @param number how often it was moved
+     * @param version of its record, 0 if there is none
+     * @param number how often it was incremented
      */
     void fenceRead(long version, long number) {
         fenceVersion = version;
         fenceNumber = number;
     }
 
-    /** The transaction that moved the fence is confirmed. */
-    void fenceMoved(long version) {
+    /**
+     * Applies the confirmation of a transaction that incremented the fence.
+     *
+     * @param version of the fence's record after that transaction
+     */
+    void fenceIncremented(long version) {
         fenceRead(version, fenceNumber + 1);
     }
 
-    /** Whether rows may be written: not before the fence is known, nor while one is read back. */
+    /** Whether records may be written: the fence was read, and no record waits for being read back. */
     boolean mayWrite() {
-        return fenceVersion >= 0 && rowsBeingReadBack.isEmpty();
+        return fenceVersion >= 0 && keysBeingReadBack.isEmpty();
     }
 
-    /** These rows are not as they were known, and are read back. */
+    /** Marks the versions of the records with these keys as unknown until they have been read back. */
     void markUnknown(Collection<String> keys) {
-        rowsBeingReadBack.addAll(keys);
+        keysBeingReadBack.addAll(keys);
     }
 
     /**
-     * A row was read back.
+     * Applies a record that was read back.
      *
-     * @param row null if there is none
-     * @param version 0 if there is none
+     * @param storedRecord null if the store has none under the key
+     * @param version 0 if the store has no record under the key
      */
-    void readBack(String key, StoredRecord row, long version) {
-        rowsBeingReadBack.remove(key);
+    void readBack(String key, StoredRecord storedRecord, long version) {
+        keysBeingReadBack.remove(key);
         if (key.equals(StoreKeys.PROVISIONING_FENCE)) {
-            fenceRead(version, row instanceof StoredRecord.ProvisioningFence fence ? fence.number() : 0);
+            fenceRead(version, storedRecord instanceof StoredRecord.ProvisioningFence fence ? fence.number() : 0);
             return;
         }
         Request request = requests.get(key.substring(StoreKeys.PROVISIONING_REQUESTS.length()));
         if (request != null) {
             request.version = version;
-            request.recorded = version > 0;
+            request.isStored = version > 0;
         }
     }
 
     /**
-     * The conditions of a transaction that writes these requests. Where a row has been deleted, its version alone does not
-     * tell it from one that never was: a put that arrives late would bring it back, and the next leader would wait for
-     * machines that were settled long ago. So whatever deletes a row moves the fence.
+     * Returns the conditions of a transaction that writes the records of these requests; none while records are not fenced.
+     *
+     * <p>A deleted record has the same version, 0, as one that was never written. Without a further condition, a put that reaches the store late
+     * would restore a deleted record, and the next leader would wait for machines of a request that was finished long ago. Therefore every
+     * transaction that deletes a record also increments the fence, and every transaction has the fence's version as a condition.
      */
     List<Transaction.Condition> conditions(List<Request> written) {
         List<Transaction.Condition> conditions = new ArrayList<>();
@@ -168,8 +187,8 @@
         return conditions;
     }
 
-    /** What is written besides these requests: the fence, if one of them is deleted; null for nothing. */
-    Transaction.Write fence(List<Request> written) {
+    /** Returns the write that increments the fence, or null if none of these records is deleted or records are not fenced. */
+    Transaction.Write fenceWrite(List<Request> written) {
         boolean isAnyDeleted = written.stream().anyMatch(request -> request.state == State.DONE);
         return isFenced && isAnyDeleted
                 ? new Transaction.Write(
@@ -177,50 +196,56 @@
                 : null;
     }
 
-    /** Makes a request. Its name carries the fencing token, so that no two leaders ever use the same one. */
+    /** Creates a request. Its name contains the fencing token, so that no two leaders ever use the same name. */
     Request create(Offer offer, int count, long nowMicros) {
         Request request = new Request(
-                "r-" + fencingToken + "-" + ++counter, offer.type(), offer.zone(), offer.spot(), count, nowMicros);
+                "r-" + fencingToken + "-" + ++lastRequestNumber,
+                offer.type(),
+                offer.zone(),
+                offer.spot(),
+                count,
+                nowMicros);
         requests.put(request.name, request);
         return request;
     }
 
-    /** Takes in a request of an earlier leader: whether its call went out is unknown. */
-    void load(String name, StoredRecord.Provisioning row, long version, long nowMicros) {
-        Request request = new Request(name, row.type(), row.zone(), row.spot(), row.count(), nowMicros);
+    /** Adds a request of an earlier leader, of which it is unknown whether its call was sent. */
+    void load(String name, StoredRecord.Provisioning storedRecord, long version, long nowMicros) {
+        Request request = new Request(
+                name, storedRecord.type(), storedRecord.zone(), storedRecord.spot(), storedRecord.count(), nowMicros);
         request.state = State.UNKNOWN;
-        request.recorded = true;
+        request.isStored = true;
         request.version = version;
         requests.put(name, request);
     }
 
-    /** Whether the offer is not requested now since the cloud had too few machines of it. */
+    /** Whether the offer is not to be requested yet because the cloud recently had too few machines of it. */
     boolean isBackedOff(Offer offer, long nowMicros) {
-        return backedOffUntil.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
+        return backedOffUntilMicros.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
     }
 
-    /** The cloud has none: the offer is requested again after a pause that doubles while the answer stays the same. */
+    /** Marks a request as done that the cloud refused for lack of machines. Its offer is requested again after a pause, which doubles with each refusal. */
     void recordNoCapacity(Request request, long nowMicros) {
         Offer offer = offer(request);
-        long lastPauseMicros = retryPauses.getOrDefault(offer, FIRST_RETRY_PAUSE_MICROS / 2);
+        long lastPauseMicros = retryPausesMicros.getOrDefault(offer, FIRST_RETRY_PAUSE_MICROS / 2);
         long pauseMicros = Math.min(MAX_RETRY_PAUSE_MICROS, lastPauseMicros * 2);
-        retryPauses.put(offer, pauseMicros);
-        backedOffUntil.put(offer, nowMicros + pauseMicros);
+        retryPausesMicros.put(offer, pauseMicros);
+        backedOffUntilMicros.put(offer, nowMicros + pauseMicros);
         request.state = State.DONE;
     }
 
     /**
-     * The call was executed.
+     * Marks a request as done whose call was executed.
      *
-     * @param rented how many machines it gave
+     * @param rentedCount number of machines that the cloud gave
      */
-    void recordAnswer(Request request, int rented, long nowMicros) {
+    void recordAnswer(Request request, int rentedCount, long nowMicros) {
         request.state = State.DONE;
         Offer offer = offer(request);
-        if (rented < request.count) {
-            backedOffUntil.put(offer, nowMicros + PARTIAL_ANSWER_PAUSE_MICROS);
+        if (rentedCount < request.count) {
+            backedOffUntilMicros.put(offer, nowMicros + PARTIAL_ANSWER_PAUSE_MICROS);
         } else {
-            retryPauses.remove(offer);
+            retryPausesMicros.remove(offer);
         }
     }
 
@@ -228,40 +253,41 @@
         return new Offer(request.type, request.zone, request.spot);
     }
 
-    /** The call was not answered: it may have been executed, or still be. */
-    void outcomeUnknown(Request request, long nowMicros) {
+    /** Marks a request whose call was not answered: it may have been executed, or be executed later. */
+    void markOutcomeUnknown(Request request, long nowMicros) {
         request.state = State.UNKNOWN;
-        request.sinceMicros = nowMicros;
+        request.stateChangedMicros = nowMicros;
     }
 
     /**
-     * Settles unknown requests that a list of machines is new enough for.
+     * Marks requests of unknown outcome as done if a list of machines is recent enough to show the machines that they gave.
      *
-     * @param askedMicros when the list was asked for; it is at most twice the list's lag older than that
+     * @param listRequestedMicros when the list was requested; the state that it shows is at most twice the configured list lag older than that
      */
-    void settleUnknownRequests(long askedMicros) {
+    void resolveUnknownRequests(long listRequestedMicros) {
         for (Request request : requests.values()) {
             if (request.state == State.UNKNOWN
-                    && askedMicros - request.sinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND) {
+                    && listRequestedMicros - request.stateChangedMicros
+                            > 2 * settings.listLagMicros() + 5 * Micros.SECOND) {
                 request.state = State.DONE;
             }
         }
     }
 
-    /** At most so many requests whose rows are to be put or deleted with the next transaction; forgets what is settled. */
-    List<Request> requestsToWrite(int most, long nowMicros) {
+    /** Returns up to {@code limit} requests whose records the next transaction puts or deletes. Removes requests that are done and have no record. */
+    List<Request> requestsToWrite(int limit, long nowMicros) {
         List<Request> result = new ArrayList<>();
         Iterator<Request> iterator = requests.values().iterator();
-        while (iterator.hasNext() && result.size() < most) {
+        while (iterator.hasNext() && result.size() < limit) {
             Request request = iterator.next();
-            if (request.writing) {
+            if (request.isWriteInFlight) {
                 continue;
             }
-            boolean isClaimToWrite = request.state == State.CLAIMED && !request.recorded;
-            if (isClaimToWrite && nowMicros - request.sinceMicros > CLAIM_TIMEOUT_MICROS) {
+            boolean isClaimToWrite = request.state == State.CLAIMED && !request.isStored;
+            if (isClaimToWrite && nowMicros - request.stateChangedMicros > CLAIM_TIMEOUT_MICROS) {
                 request.state = State.DONE;
             }
-            if (request.state == State.DONE && !request.recorded) {
+            if (request.state == State.DONE && !request.isStored) {
                 iterator.remove();
             } else if (isClaimToWrite || request.state == State.DONE) {
                 result.add(request);
@@ -270,11 +296,11 @@
         return result;
     }
 
-    /** Claims whose row is confirmed and whose call may go out; they count as submitted. */
+    /** Returns the claims whose record is confirmed, so that their calls may be sent, and marks them as submitted. */
     List<Request> requestsToSubmit() {
         List<Request> result = new ArrayList<>();
         for (Request request : requests.values()) {
-            if (request.state == State.CLAIMED && request.recorded) {
+            if (request.state == State.CLAIMED && request.isStored) {
                 request.state = State.SUBMITTED;
                 result.add(request);
             }
@@ -282,7 +308,7 @@
         return result;
     }
 
-    /** How many machines of the offer are requested and not known by name yet. */
+    /** Returns the number of machines of the offer that are requested and whose names are not known yet. */
     int expectedMachines(Offer offer) {
         int count = 0;
         for (Request request : requests.values()) {
--- a/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
+++ b/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
@@ -9,24 +9,26 @@
 import java.util.Map;
 
 /**
- * How long tasks really run, learned per class as a factor on the owners' estimates: those are often wrong by half,
- * and on some days mostly in one direction.
+ * Estimates how long tasks run. Learns per job class a factor on the owners' estimates, since these are often wrong by half, and on some days
+ * mostly in the same direction.
  */
 final class RuntimeEstimator {
+    /** Weight of a completed task in the factor of its job class. */
     private static final double SAMPLE_WEIGHT = 0.02;
-    /** As many own tasks as it takes for them to count as much as the owner's estimate. */
+    /** Number of completed tasks of a job that count as much as the owner's estimate. */
     private static final double ESTIMATE_WEIGHT = 2;
 
     private static final double DEFAULT_SPREAD = 0.2;
 
-    /** Mean of run time by estimate, and how far a single task is usually from it. */
+    /** Mean ratio of run time to estimate, and mean deviation of a single task from it as a share of it. */
     private record Factor(double mean, double spread) {}
 
     private static final Factor DEFAULT_FACTOR = new Factor(1, DEFAULT_SPREAD);
 
+    /** Factors by job class. */
     private final Map<String, Factor> factors = new HashMap<>();
 
-    /** What is known of classes of which something has completed. */
+    /** Returns hints about the job classes for which a factor is known. */
     List<Hint> hints() {
         List<Hint> result = new ArrayList<>();
         factors.forEach((name, factor) -> result.add(
@@ -34,13 +36,14 @@
         return result;
     }
 
-    /** As an earlier leader saw it; what this one has seen counts more. */
+    /** Applies the hint of an earlier leader about a job class, unless a factor is known for the class already. */
     void hintReceived(Hint.JobClassHint hint) {
         factors.putIfAbsent(
                 hint.name(),
                 new Factor(Math.max(0.1, Math.min(10, hint.factor())), Math.max(0, Math.min(10, hint.spread()))));
     }
 
+    /** Adds the run time of a completed task to its job and to the factor of its job class. */
     void taskFinished(Job job, long ranMicros) {
         JobSpec spec = job.spec;
         job.completedRuntimeMicros += ranMicros;
@@ -55,7 +58,7 @@
         factors.put(spec.jobClass(), new Factor(mean, spread));
     }
 
-    /** How long a task takes on average: its owner's estimate, until the job's own tasks tell better. */
+    /** Returns the expected mean run time of a job's tasks: the corrected estimate, weighted with the run times of its completed tasks. */
     long expectedMicros(Job job) {
         JobSpec spec = job.spec;
         double estimate = spec.estimatedRuntimeMicros()
@@ -66,12 +69,12 @@
                         / (ESTIMATE_WEIGHT + job.completedTasks)));
     }
 
-    /** How long the slowest of a job's tasks is likely to take: the job is not done before that one is. */
+    /** Returns the likely run time of the slowest of a job's tasks, which determines when the job is done. */
     long slowestMicros(Job job) {
         return slowestMicros(job.spec.jobClass(), expectedMicros(job));
     }
 
-    /** The same of a job that has not begun. */
+    /** Returns the likely run time of the slowest task of a job that has not started. */
     long slowestMicros(JobSpec spec) {
         double mean = factors.getOrDefault(spec.jobClass(), DEFAULT_FACTOR).mean();
         return slowestMicros(
--- a/src/main/java/io/micatide/scheduler/ScaleIn.java
+++ b/src/main/java/io/micatide/scheduler/ScaleIn.java
@@ -6,17 +6,18 @@
 import java.util.Set;
 
 /**
- * Which machines are no longer needed. Invariant: only machines on which nothing is placed are marked for deletion, and
- * while something waits that more machines would help, only those that nothing of it may use.
+ * Decides which machines are no longer needed. Invariant: only machines without placements are marked for deletion; while jobs wait that more
+ * machines would help, only machines that no waiting job may use.
  */
 final class ScaleIn {
-    /** Boots usually take up to one and a half times the type's time; beyond this a machine is late. */
+    /** A boot is late after this many times the type's boot time; boots usually take up to 1.5 times that. */
     private static final double LATE_BOOT_FACTOR = 1.6;
 
     private final Tuning tuning;
     private final Fleet fleet;
     private final PlacementPlanner planner;
     private final FleetForecast forecast;
+    /** Time since which no job waits except quarantined ones, or {@link Long#MAX_VALUE} while some do. */
     private long nothingWaitsSinceMicros = Long.MAX_VALUE;
 
     ScaleIn(Tuning tuning, Fleet fleet, PlacementPlanner planner, FleetForecast forecast) {
@@ -26,7 +27,7 @@
         this.forecast = forecast;
     }
 
-    /** Marks machines for deletion while nothing waits that more machines would help. */
+    /** Marks idle and late machines for deletion; for use while no job waits that more machines would help. */
     void deleteUnneeded(long nowMicros) {
         for (Machine machine : fleet.machines()) {
             if (isIdle(machine) && (machine.quarantined || hasBeenIdleLong(machine, nowMicros))) {
@@ -37,9 +38,8 @@
     }
 
     /**
-     * Marks machines for deletion while something waits that more machines would help: as long as a gang waited for
-     * on-demand machines, spot machines stood idle, and where they had taken all that the cloud has, the gang waited for
-     * ever.
+     * Marks idle machines for deletion that no waiting job can use; for use while jobs wait that more machines would help. Otherwise, while a gang
+     * waits for on-demand machines, idle spot machines are kept, and if those are all that the cloud has, the gang waits forever.
      */
     void deleteUnusable(long nowMicros) {
         Set<EquivalenceClass> waiting = new LinkedHashSet<>();
@@ -72,8 +72,8 @@
     }
 
     /**
-     * Nothing has waited for a while, and a machine that should be up by now is not: what it was rented for has been done
-     * elsewhere. Such machines came up after the burst, stood idle and went back without ever having worked (inc-3431).
+     * Marks machines for deletion that boot late if no job has waited for a while, since the tasks that they were rented for ran elsewhere.
+     * Otherwise machines come up after a burst of work, stand idle and are deleted without having run a task (inc-3431).
      */
     private void deleteLateMachines(long nowMicros) {
         if (!areAllWaitingJobsQuarantined()) {
--- a/src/main/java/io/micatide/scheduler/ScaleOut.java
+++ b/src/main/java/io/micatide/scheduler/ScaleOut.java
@@ -13,15 +13,15 @@
 import java.util.Map;
 
 /**
- * How many machines are wanted, and for what. Invariant: nothing is requested for tasks that their team's limit keeps from
- * running, nor for those for which machines are on their way.
+ * Decides which machines to request, and for which jobs. Invariant: no machine is requested for tasks that their team's limit keeps from
+ * running, nor for tasks that fit into machines that are requested or booting already.
  */
 final class ScaleOut {
-    /** What a task of an array takes before it runs: the fetch of its image. */
-    private static final long FETCH_MICROS = 5 * Micros.SECOND;
-    /** In what time jobs are wanted that are late already. */
-    private static final long LATE_JOB_WITHIN_MICROS = 60 * Micros.SECOND;
-    /** After so long an array of which nothing runs and that no machine suits gets machines by itself. */
+    /** Time that a task of an array takes before it runs, for the fetch of its image. */
+    private static final long IMAGE_FETCH_MICROS = 5 * Micros.SECOND;
+    /** Time from now in which jobs that are already late should be done. */
+    private static final long LATE_JOB_TARGET_MICROS = 60 * Micros.SECOND;
+    /** Time after which machines are requested for an array by itself if none of its tasks runs and no machine is usable for it. */
     private static final long STARVATION_MICROS = 20 * Micros.SECOND;
 
     private final Settings settings;
@@ -36,8 +36,8 @@
         this.offers = offers;
     }
 
-    /** Requests what is missing; returns whether anything waits that more machines would help. */
-    boolean requestMissing(long nowMicros) {
+    /** Requests machines for waiting tasks; returns whether any job waits that more machines would help. */
+    boolean requestMissingCapacity(long nowMicros) {
         FleetForecast.ExpectedCapacity expected = forecast.expectedCapacity(nowMicros);
         boolean isMissing = requestForServicesAndGangs(expected.onDemand(), nowMicros);
         isMissing |= requestForFiniteJobs(expected.total(), nowMicros);
@@ -45,9 +45,9 @@
         return isMissing;
     }
 
-    /** Replicas and gangs want their capacity now; it is what they request and nothing more. */
+    /** Requests machines for service replicas and gangs, which need exactly the capacity that they request, and now. */
     private boolean requestForServicesAndGangs(Resources expected, long nowMicros) {
-        // Jobs that can use the same machines get them together.
+        // Machines are requested together for jobs that can use the same ones.
         Map<EquivalenceClass, Integer> missing = new LinkedHashMap<>();
         Map<String, Resources> plannedByTeam = new HashMap<>();
         Resources remaining = expected;
@@ -57,8 +57,9 @@
             if (spec.kind() == JobKind.ARRAY || job.hasUnreconciledMachines() || job.quarantined) {
                 continue;
             }
-            // What its team's limit keeps from running needs no machine: one was rented, and all idle ones kept, for as
-            // long as it waited.
+            // Tasks that the team's limit keeps from running need no machine. Otherwise a machine is rented for them,
+            // and all idle
+            // machines are kept, for as long as they wait.
             Resources planned = plannedByTeam.getOrDefault(spec.team(), Resources.NONE);
             int tasks = planner.tasksWithinLimit(job, queued.pendingTasks(), planned);
             plannedByTeam.put(spec.team(), planned.plus(spec.taskResources().times(tasks)));
@@ -73,12 +74,12 @@
         return !missing.isEmpty();
     }
 
-    /** Work that ends wants as many processors as have it ready in time. */
+    /** Requests as many CPUs as the jobs that end need to be done in time. */
     private boolean requestForFiniteJobs(Resources expected, long nowMicros) {
         List<DeadlineFeasibility.Entry> jobs = planner.queue().finiteJobs(nowMicros);
         double available = planner.queue().cpusForFiniteJobs(nowMicros) + expected.cpus();
-        double wanted = DeadlineFeasibility.requiredCpus(jobs, FETCH_MICROS, LATE_JOB_WITHIN_MICROS, nowMicros);
-        // More processors than tasks that may run at once are of no use.
+        double wanted = DeadlineFeasibility.requiredCpus(jobs, IMAGE_FETCH_MICROS, LATE_JOB_TARGET_MICROS, nowMicros);
+        // CPUs beyond those that all tasks can use at once are of no use.
         double missing = Math.min(wanted, usableCpus(jobs)) - available;
         if (missing <= 0) {
             return false;
@@ -89,11 +90,11 @@
         }
         JobSpec spec = largest.job.spec;
         int tasks = (int) Math.ceil(missing / Math.max(1, spec.taskResources().cpus()));
-        requestFor(spec, tasks, nowMicros);
+        requestMachinesFor(spec, tasks, nowMicros);
         return true;
     }
 
-    /** Processors, in thousandths, that the jobs' tasks could use at once under the teams' limits. */
+    /** Returns the CPUs, in thousandths, that the jobs' tasks could use at once within the teams' limits. */
     private double usableCpus(List<DeadlineFeasibility.Entry> jobs) {
         Map<String, Resources> requestedByTeam = new HashMap<>();
         for (DeadlineFeasibility.Entry entry : jobs) {
@@ -110,7 +111,7 @@
         return usable;
     }
 
-    /** The job with the most work left among those of which all machines are known, or null. */
+    /** Returns the entry with the most remaining work among jobs without unreconciled machines, or null. */
     private static DeadlineFeasibility.Entry largestReconciled(List<DeadlineFeasibility.Entry> jobs) {
         DeadlineFeasibility.Entry largest = null;
         for (DeadlineFeasibility.Entry entry : jobs) {
@@ -123,28 +124,31 @@
     }
 
     /**
-     * Arrays get machines together, by their processors and for the largest of them. One that is bound to a zone, to a type
-     * or to on-demand machines may find none among those that it can use, and waited for as long as there was larger work,
-     * or machines that stood idle elsewhere; so did one whose last machine in its zone was lost.
+     * Requests machines for arrays that no machine is usable for; returns whether there are any.
+     *
+     * <p>For arrays in general, machines are requested by the CPUs of all of them and to suit the largest. An array that is restricted to a zone, a
+     * type or on-demand machines may be able to use none of these machines. Without this method it waits as long as there is a larger job or
+     * idle machines elsewhere, also when the last machine in its zone was lost.
      */
     private boolean requestForStarvingArrays(long nowMicros) {
         boolean isMissing = false;
-        Map<EquivalenceClass, Boolean> isServed = new HashMap<>();
+        Map<EquivalenceClass, Boolean> hasUsableMachine = new HashMap<>();
         for (JobQueue.QueuedJob queued : planner.order()) {
             JobSpec spec = queued.job().spec;
             if (isStarving(queued.job(), nowMicros)
-                    && !isServed.computeIfAbsent(
-                            EquivalenceClass.of(spec), key -> forecast.isAnyUsable(key, nowMicros))) {
+                    && !hasUsableMachine.computeIfAbsent(
+                            EquivalenceClass.of(spec), key -> forecast.isAnyMachineUsable(key, nowMicros))) {
                 int tasks = planner.tasksWithinLimit(queued.job(), queued.pendingTasks(), Resources.NONE);
                 if (tasks > 0) {
                     isMissing = true;
-                    requestFor(spec, tasks, nowMicros);
+                    requestMachinesFor(spec, tasks, nowMicros);
                 }
             }
         }
         return isMissing;
     }
 
+    /** Whether none of the array's tasks has been running for a while although they could start. */
     private boolean isStarving(Job job, long nowMicros) {
         return job.spec.kind() == JobKind.ARRAY
                 && job.liveAttempts.isEmpty()
@@ -153,8 +157,8 @@
                 && nowMicros - Math.max(job.readyMicros, job.lastStartMicros) > STARVATION_MICROS;
     }
 
-    /** Arrays can wait for a machine that would be partly empty; a gang needs all of its machines. */
-    private void requestFor(JobSpec spec, int tasks, long nowMicros) {
+    /** Requests machines for tasks: for arrays rounded down, since the rest can wait; for gangs rounded up, since they need all at once. */
+    private void requestMachinesFor(JobSpec spec, int tasks, long nowMicros) {
         RoundingMode rounding = spec.kind() == JobKind.ARRAY ? RoundingMode.DOWN : RoundingMode.UP;
         offers.requestMachines(EquivalenceClass.of(spec), tasks, rounding, nowMicros);
     }
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -105,7 +105,7 @@
     @Override
     public void allRecordsLoaded(long nowMicros) {
         if (!term.recovery.hasFoundLedgers() && term.provisioningRequests.requests.isEmpty()) {
-            term.autoscaler.noteFirstTerm();
+            term.autoscaler.markFirstTerm();
         }
         term.recovery.allRecordsLoaded(nowMicros);
     }
--- a/src/main/java/io/micatide/scheduler/WriteBatches.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatches.java
@@ -72,7 +72,8 @@
         }
         List<Transaction.Write> orphans =
                 orphanedLedgerDeletions.subList(0, Math.min(orphanedLedgerDeletions.size(), limit / 2));
-        CloudRecords.Part cloudPart = cloudRecords.nextPart(cluster.fleet().machines(), orphans, limit, nowMicros);
+        CloudRecords.BatchPart cloudPart =
+                cloudRecords.nextBatchPart(cluster.fleet().machines(), orphans, limit, nowMicros);
         planner.beginWriteBatch(nowMicros);
         WriteBatch batch = ledgers.nextWriteBatch(
                         nowMicros,
@@ -83,10 +84,10 @@
                         (job, maxMachines) -> planner.candidateMachines(job, maxMachines, nowMicros))
                 .orElse(null);
         if (batch == null) {
-            cloudRecords.notComposed(cloudPart);
+            cloudRecords.partDiscarded(cloudPart);
             return null;
         }
-        cloudRecords.sent(cloudPart);
+        cloudRecords.partSent(cloudPart);
         budget.spend(batch.transaction().writes().size());
         inFlight = batch;
         return batch.transaction();
--- a/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
@@ -16,26 +16,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests that failures are attributed to machines or jobs correctly, and that slow machines are detected. */
 class FailureAttributionTest {
     /**
-     * A machine with tasks of a job whose tasks take 10 s elsewhere: so many run there, the longest {@code outliers} for
-     * {@code long} seconds and the others for {@code usual}.
+     * A machine runs {@code tasks} tasks of a job whose tasks take 10 s elsewhere: {@code outliers} of them have run for {@code longSeconds}, the
+     * others for {@code usualSeconds}.
      */
     @ParameterizedTest
     @CsvSource({
-        // Two in 32 that take long by themselves do not make a machine slow.
+        // Two long tasks among 32 do not make a machine slow.
         "32, 2, 25, 11, false",
-        // All take three times as long.
+        // All tasks take 2.5 or 3 times as long as elsewhere.
         "4, 4, 30, 0, true",
         "32, 32, 25, 0, true",
-        // Too few to tell.
+        // Two tasks are too few to judge a machine.
         "2, 2, 40, 0, false",
-        // Young tasks say nothing yet.
+        // Tasks that are not late yet do not count.
         "32, 0, 0, 5, false",
     })
-    void aMachineIsJudgedByAllItsTasks(int tasks, int outliers, int longSeconds, int usualSeconds, boolean slow) {
+    void slowMachinesAreDetectedFromAllTheirTasks(
+            int tasks, int outliers, int longSeconds, int usualSeconds, boolean isSlow) {
         RuntimeEstimator runTimes = new RuntimeEstimator();
-        FailureAttribution health = new FailureAttribution(runTimes);
+        FailureAttribution attribution = new FailureAttribution(runTimes);
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
         for (int i = 0; i < 10; i++) {
             runTimes.taskFinished(job, 10 * Micros.SECOND);
@@ -48,92 +50,95 @@
             placement.runningSinceMicros = now - (i < outliers ? longSeconds : usualSeconds) * Micros.SECOND;
             machine.add(placement);
         }
-        assertEquals(slow ? List.of(machine) : List.of(), health.findSlowMachines(List.of(machine), now));
+        assertEquals(isSlow ? List.of(machine) : List.of(), attribution.findSlowMachines(List.of(machine), now));
     }
 
-    /** Each row plays outcomes as job:machine, failed unless marked +, and says which jobs and machines are suspected. */
+    /** Each row lists outcomes as job:machine, failures unless marked +, then the jobs and the machines that are quarantined. */
     @ParameterizedTest
     @CsvSource({
         "'a:1', '', ''",
         "'a:1,a:2', 'a', ''",
-        // The first tasks of several faulty jobs met on one machine.
+        // The first tasks of several faulty jobs run on the same machine.
         "'a:1,b:1,a:2,b:3', 'a b', ''",
         "'a:1,b:1,c:1,a:2,b:2,c:2', 'a b c', ''",
-        // Jobs that succeed elsewhere accuse the machine, also while faulty jobs are about.
+        // Failures of jobs that succeed elsewhere count against the machine, also while there are faulty jobs.
         "'+a:2,+b:2,a:1,b:1', '', '1'",
         "'+a:2,a:1,a:1,a:1', '', '1'",
         "'x:1,x:2,+a:2,+b:3,a:1,b:1', 'x', '1'",
-        // Of nothing that fails here is it known whether it works.
+        // Several jobs without any success fail on the same machine.
         "'a:1,b:1,c:1,d:1', '', '1'",
-        // A success acquits both.
+        // A success clears the suspicion of both job and machine.
         "'a:1,a:2,+a:3', '', ''",
         "'+a:2,+b:2,a:1,+a:1,b:1', '', ''",
     })
-    void tellsFaultyMachinesFromFaultyJobs(String outcomes, String jobs, String machines) {
+    void distinguishesFaultyMachinesFromFaultyJobs(String outcomes, String jobs, String machines) {
         Map<String, Job> allJobs = new LinkedHashMap<>();
         Map<String, Machine> allMachines = new LinkedHashMap<>();
         for (String name : List.of("1", "2", "3")) {
             allMachines.put(name, new Machine(name, 0));
         }
-        FailureAttribution health = new FailureAttribution(new RuntimeEstimator());
+        FailureAttribution attribution = new FailureAttribution(new RuntimeEstimator());
         for (String outcome : outcomes.split(",")) {
-            String[] part = outcome.replace("+", "").split(":");
+            String[] parts = outcome.replace("+", "").split(":");
             Job job = allJobs.computeIfAbsent(
-                    part[0],
+                    parts[0],
                     k -> new Job(SchedulerHarness.job(k, JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0));
             if (outcome.startsWith("+")) {
                 job.markFinished(job.nextPendingTask());
-                health.taskSucceeded(allMachines.get(part[1]), job);
+                attribution.taskSucceeded(allMachines.get(parts[1]), job);
             } else {
-                health.taskFailed(allMachines.get(part[1]), job, allMachines.values(), Micros.SECOND);
+                attribution.taskFailed(allMachines.get(parts[1]), job, allMachines.values(), Micros.SECOND);
             }
         }
-        List<String> suspects = new ArrayList<>();
+        List<String> quarantinedJobs = new ArrayList<>();
         allJobs.forEach((name, job) -> {
             if (job.quarantined) {
-                suspects.add(name);
+                quarantinedJobs.add(name);
             }
         });
-        List<String> drained = new ArrayList<>();
+        List<String> quarantinedMachines = new ArrayList<>();
         allMachines.forEach((name, machine) -> {
             if (machine.quarantined) {
-                drained.add(name);
+                quarantinedMachines.add(name);
             }
         });
-        assertEquals(jobs, String.join(" ", suspects));
-        assertEquals(machines, String.join(" ", drained));
+        assertEquals(jobs, String.join(" ", quarantinedJobs));
+        assertEquals(machines, String.join(" ", quarantinedMachines));
     }
 
     /**
-     * Faulty jobs beside a good one and a faulty machine: no healthy machine is returned and none is rented for them, they
-     * are only probed, and the faulty machine goes.
+     * Faulty jobs run together with good ones and a faulty machine. The faulty jobs are only probed, no healthy machine is deleted and none is
+     * rented because of them, and the faulty machine is deleted.
      */
     @Test
     void faultyJobsAreOnlyProbed() {
-        SchedulerHarness world = new SchedulerHarness(1, 6);
-        world.faultyMachines.add("i-000002");
-        world.takeOver();
-        // Until the first of them failed they look like any other job.
+        SchedulerHarness harness = new SchedulerHarness(1, 6);
+        harness.faultyMachines.add("i-000002");
+        harness.takeOver();
+        // Faulty jobs cannot be distinguished from others before their first tasks have failed.
         for (int i = 0; i < 3; i++) {
-            world.faultyJobs.add("wk-9" + i);
-            world.submit(SchedulerHarness.job("wk-9" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 500, 10));
+            harness.faultyJobs.add("wk-9" + i);
+            harness.submit(SchedulerHarness.job("wk-9" + i, JobKind.ARRAY, "blue", Priority.NORMAL, 500, 10));
         }
-        world.run(5 * Micros.SECOND);
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
-        world.submit(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
-        world.run(5 * Micros.SECOND);
-        int machines = world.workers.size();
-        int first = world.startsOf.values().stream().mapToInt(Integer::intValue).sum();
-        world.run(120 * Micros.SECOND);
-        assertEquals(JobState.DONE, world.state("wk-1"));
-        assertEquals(JobState.DONE, world.state("wk-2"));
-        int faulty = 0;
-        for (String job : world.faultyJobs) {
-            faulty += world.startsOf.getOrDefault(job, 0);
+        harness.run(5 * Micros.SECOND);
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
+        harness.submit(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
+        harness.run(5 * Micros.SECOND);
+        int machines = harness.workers.size();
+        int initialStarts =
+                harness.startsOf.values().stream().mapToInt(Integer::intValue).sum();
+        harness.run(120 * Micros.SECOND);
+        assertEquals(JobState.DONE, harness.state("wk-1"));
+        assertEquals(JobState.DONE, harness.state("wk-2"));
+        int faultyStarts = 0;
+        for (String job : harness.faultyJobs) {
+            faultyStarts += harness.startsOf.getOrDefault(job, 0);
         }
-        assertTrue(faulty <= first + 3 * 12, faulty + " starts of faulty jobs, " + first + " of them at first");
-        assertTrue(world.workers.get("i-000002").deleted, "the faulty machine is kept");
-        assertTrue(world.leader.summary(world.now).contains("suspect=3"), world.leader.summary(world.now));
-        assertEquals(machines, world.workers.size(), "machines were rented for faulty jobs");
+        assertTrue(
+                faultyStarts <= initialStarts + 3 * 12,
+                faultyStarts + " starts of faulty jobs, " + initialStarts + " by any job within 10 s");
+        assertTrue(harness.workers.get("i-000002").deleted, "the faulty machine was not deleted");
+        assertTrue(harness.leader.summary(harness.now).contains("suspect=3"), harness.leader.summary(harness.now));
+        assertEquals(machines, harness.workers.size(), "machines were rented for faulty jobs");
     }
 }
--- a/src/test/java/io/micatide/scheduler/OfferSelectionTest.java
+++ b/src/test/java/io/micatide/scheduler/OfferSelectionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Machines of the cheapest offer that suits are requested, once at a time for each offer. */
+/** Tests that machines of the cheapest suitable offer are requested, with at most one request in flight for each offer. */
 class OfferSelectionTest {
     private static final Resources TASK = Resources.of(2, 0, 8);
     private static final EquivalenceClass ANY_MACHINE = new EquivalenceClass(TASK, List.of(), null, true);
--- a/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
+++ b/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
@@ -12,11 +12,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tests the estimates of run times, and what they are learned from. */
 class RuntimeEstimatorTest {
-    /** The owner says 10 s; so many tasks ran for so long; what is expected then, to the second. */
+    /** The owner's estimate is 10 s and {@code tasks} tasks ran for {@code seconds}; the expected run time is checked within 1 s. */
     @ParameterizedTest
     @CsvSource({"0, 0, 10", "2, 30, 20", "18, 30, 28", "18, 3, 4"})
-    void aJobsOwnTasksCorrectItsEstimate(int tasks, int seconds, long expected) {
+    void completedTasksCorrectTheEstimate(int tasks, int seconds, long expected) {
         RuntimeEstimator runTimes = new RuntimeEstimator();
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
         for (int i = 0; i < tasks; i++) {
@@ -26,17 +27,20 @@
         assertTrue(runTimes.slowestMicros(job) > runTimes.expectedMicros(job));
     }
 
-    /** After a take-over a running task looks younger than it is; three take-overs a day once halved the estimates. */
+    /**
+     * A new leader does not know how long a task that it finds running has run, and would take too short a run time as a sample: three failovers a
+     * day halved the estimates.
+     */
     @Test
-    void whatANewLeaderFindsRunningTeachesNothing() {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        world.takeOver();
-        world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 20));
-        world.run(18 * Micros.SECOND);
-        world.takeOver();
-        world.run(Micros.SECOND * 30);
-        assertEquals(JobState.DONE, world.state("wk-1"));
-        List<String> lines = world.leader.takeCompletions(world.now);
-        assertTrue(lines.get(0).contains("20.0 s expected"), lines.get(0));
+    void tasksFoundRunningAtFailoverAreNotSampled() {
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        harness.takeOver();
+        harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 20));
+        harness.run(18 * Micros.SECOND);
+        harness.takeOver();
+        harness.run(Micros.SECOND * 30);
+        assertEquals(JobState.DONE, harness.state("wk-1"));
+        List<String> completions = harness.leader.takeCompletions(harness.now);
+        assertTrue(completions.get(0).contains("20.0 s expected"), completions.get(0));
     }
 }
