--- a/src/main/java/io/micatide/scheduler/CloudRecords.java
+++ b/src/main/java/io/micatide/scheduler/CloudRecords.java
@@ -37,7 +37,7 @@
         this.machineDeletions = machineDeletions;
     }
 
-    /** Whether the key is that of a provisioning request, of the provisioning fence, or of a record of machines to delete. */
+    /** Returns whether the key is that of a provisioning request, of the provisioning fence, or of a record of machines to delete. */
     static boolean owns(String key) {
         return ProvisioningRequests.owns(key) || MachineDeletions.owns(key);
     }
--- a/src/main/java/io/micatide/scheduler/FailureAttribution.java
+++ b/src/main/java/io/micatide/scheduler/FailureAttribution.java
@@ -26,14 +26,14 @@
     private static final double MIN_RATIO = 0.25;
 
     private static final double MAX_RATIO = 8;
-    /** Failed jobs that succeed elsewhere that quarantine a machine. */
+    /** Number of jobs that succeed elsewhere and failed on a machine after which the machine is quarantined. */
     private static final int JOBS_TO_QUARANTINE_MACHINE = 2;
-    /** Failures of jobs that succeed elsewhere, since the last success on the machine, that quarantine it. */
+    /** Number of failures of such jobs since the last success on the machine after which it is quarantined. */
     private static final int FAILURES_TO_QUARANTINE_MACHINE = 3;
-    /** Failed jobs without any success so far that quarantine a machine: this many jobs are unlikely to be all faulty. */
+    /** Number of failed jobs without any success after which a machine is quarantined: so many jobs are unlikely to be all faulty. */
     private static final int UNATTRIBUTED_JOBS_TO_QUARANTINE_MACHINE = 4;
 
-    /** Machines on which a job without any success has to fail to be quarantined. */
+    /** Number of machines on which a job without any success has to fail before the job is quarantined. */
     private static final int MACHINES_TO_QUARANTINE_JOB = 2;
     /** A probe task is placed on a machine on which the job has not failed yet, until it has failed on this many. */
     private static final int MACHINES_TO_PROBE = 6;
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Whether the run time of the task says how fast its machine is. Of an adopted task, the start is not known. */
+    /** Returns whether the run time of the task says how fast its machine is. Of an adopted task, the start is not known. */
     private static boolean isPaceSample(Placement placement) {
         return placement.job.spec.kind() == JobKind.ARRAY
                 && placement.runningSinceMicros >= 0
@@ -121,8 +121,8 @@
             job.quarantined = true;
             machines.forEach(machine -> machine.unattributedJobs.remove(job.id()));
         }
-        // Many tasks of the job may be running and fail one after the other: only a failure after the pause is that of
-        // a probe.
+        // Many tasks of the job may be running and fail one after the other: only a failure after the pause is that
+        // of a probe.
         if (nowMicros >= job.backoffUntilMicros) {
             long pause = Math.min(MAX_BACKOFF_MICROS, FIRST_BACKOFF_MICROS << Math.min(10, job.failedProbes++));
             job.backoffUntilMicros = nowMicros + pause;
@@ -145,11 +145,9 @@
             double tasks = machine.paceSamples;
             double sum = machine.paceLogSum;
             for (Placement placement : machine.placements) {
-                // A task that still runs only shows a lower bound of its run time, so it counts once it is later than
-                // expected.
-                // The mean over all tasks decides: two tasks in 32 that took long by themselves once caused six large
-                // machines
-                // to be emptied within 90 s for no reason.
+                // A task that still runs only gives a lower bound of its run time, so it counts once that is longer
+                // than expected. The mean over all tasks decides: judged by two tasks in 32 that take long by
+                // themselves, six large machines were emptied within 90 s for no reason.
                 if (placement.state == TaskState.RUNNING && !placement.isStopping() && isPaceSample(placement)) {
                     double ratio = runtimeRatio(placement, nowMicros);
                     if (ratio > 1) {
--- a/src/main/java/io/micatide/scheduler/FleetForecast.java
+++ b/src/main/java/io/micatide/scheduler/FleetForecast.java
@@ -53,7 +53,7 @@
         return new ExpectedCapacity(onDemand, spot);
     }
 
-    /** Whether the machine is booting, for less than twice the boot time of its type; after that it may never come up. */
+    /** Returns whether the machine is booting, for less than twice the boot time of its type; after that it may never come up. */
     private boolean isBooting(Machine machine, long nowMicros) {
         if (machine.deletionRequested || machine.lastHeartbeatMicros >= 0 || machine.capacity() == null) {
             return false;
@@ -62,7 +62,7 @@
         return machine.bootStartedMicros >= 0 && nowMicros - machine.bootStartedMicros < 2 * type.bootMicros();
     }
 
-    /** Whether the machine sends heartbeats, but none has confirmed this leader's fencing token yet. */
+    /** Returns whether the machine sends heartbeats, but none has confirmed this leader's fencing token yet. */
     private boolean isUnreconciled(Machine machine, long nowMicros) {
         return !machine.reconciled
                 && machine.lastHeartbeatMicros >= 0
@@ -71,7 +71,7 @@
                 && machine.isResponsive(nowMicros, settings);
     }
 
-    /** Whether jobs of this class could run on any machine if it had enough free capacity. */
+    /** Returns whether jobs of this class could run on any machine if it had enough free capacity. */
     boolean isAnyMachineUsable(EquivalenceClass equivalenceClass, long nowMicros) {
         for (Machine machine : fleet.machines()) {
             if (isUsable(equivalenceClass, machine, nowMicros)) {
@@ -81,7 +81,7 @@
         return false;
     }
 
-    /** Whether jobs of this class could run on the machine if it had enough free capacity. */
+    /** Returns whether jobs of this class could run on the machine if it had enough free capacity. */
     boolean isUsable(EquivalenceClass equivalenceClass, Machine machine, long nowMicros) {
         return machine.capacity() != null
                 && !machine.deletionRequested
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /**
- * Creates hints from what a leader knows, and holds the hints of earlier leaders until the job or machine that they are about is known. Hints are
+ * Creates hints from what a leader knows, and holds the hints of previous leaders until the job or machine that they are about is known. Hints are
  * advisory: a leader without them learns the same again.
  */
 final class Hints {
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Adds hints of an earlier leader.
+     * Adds hints of a previous leader.
      *
      * @param keepsKnown whether hints about the same machine or job that were added before are kept, not replaced
      * @param runTimes receives the hints about job classes
@@ -129,11 +129,11 @@
     }
 
     /**
-     * Whether the deletion of the given machine was answered to an earlier leader.
+     * Returns whether the deletion of the given machine was answered to a previous leader.
      *
-     * <p>A ledger names a machine until the ledger is written again, and after a failover its jobs wait for the machine. Requesting the deletion again is
-     * answered at once, which ends the wait. Without this hint, jobs waited until a list of the cloud showed that the machine does not exist: 11 to
-     * 21 s after a failover that followed the deletion of many machines.
+     * <p>A ledger names a machine until the ledger is written again, and after a failover its job waits for the machine. Requesting the deletion
+     * again is answered at once, which ends the wait. Without this hint, jobs waited until a list of the cloud showed that the machine does not
+     * exist: 11 to 21 s after a failover that followed the deletion of many machines.
      */
     boolean wasDeleted(String machine) {
         Hint.MachineHint hint = machineHints.get(machine);
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -65,7 +65,9 @@
     private final Set<String> keysBeingReadBack = new HashSet<>();
 
     private boolean requiresRecord;
+    /** Number in the key of the record created last. */
     private int lastRecordNumber;
+
     private long lastWriteMicros = NEVER_MICROS;
 
     MachineDeletions(Settings settings, long fencingToken) {
@@ -73,7 +75,7 @@
         this.fencingToken = fencingToken;
     }
 
-    /** Whether the key is that of a record of machines to delete. */
+    /** Returns whether the key is that of a record of machines to delete. */
     static boolean owns(String key) {
         return key.startsWith(StoreKeys.MACHINE_DELETIONS);
     }
@@ -92,7 +94,7 @@
         names.forEach(name -> keyByMachine.put(name, key));
     }
 
-    /** Whether the deletion of the machine may be requested now: its record is in the store, or none is required. */
+    /** Returns whether the deletion of the machine may be requested now: its record is in the store, or none is required. */
     boolean mayRequest(Machine machine) {
         if (!requiresRecord) {
             return true;
@@ -147,7 +149,7 @@
         return unrecorded;
     }
 
-    /** Whether to write a record now: the batch window has passed, or jobs wait for one of the machines to be deleted. */
+    /** Returns whether to write a record now: the batch window has passed, or jobs wait for one of the machines to be deleted. */
     private boolean isDue(List<Machine> unrecorded, long nowMicros) {
         boolean isDue = nowMicros - lastWriteMicros >= BATCH_WINDOW_MICROS;
         for (Machine machine : unrecorded) {
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -16,11 +16,11 @@
 import java.util.Set;
 
 /**
- * Holds the provisioning requests whose records have not been deleted yet, and decides what to write and send for them.
+ * Holds the provisioning requests whose records have not been deleted yet, and decides what to write to the store and send to the cloud for them.
  *
- * <p>Invariant: the record of a request is confirmed by the store before its call to the cloud is sent, so that the next leader knows of the
- * request. A call without an answer has an unknown outcome; the outcome is resolved only by a list of machines that shows the cloud as it was
- * after the latest time at which the call could have been executed.
+ * <p>Invariant: the store confirms the record of a request before its call to the cloud is sent, so that the next leader knows of the request. A
+ * call without an answer has an unknown outcome, which is resolved only by a list of machines that shows the cloud as it was after the latest
+ * time at which the call could have been executed.
  */
 final class ProvisioningRequests {
     /** The states of a request. */
@@ -71,14 +71,18 @@
     /** A claim whose record is not confirmed within this time is given up, since the tasks that it was made for may no longer wait. */
     private static final long CLAIM_TIMEOUT_MICROS = 10 * Micros.SECOND;
 
+    /** Limits of the pause before an offer that was refused for lack of machines is requested again. */
     private static final long FIRST_RETRY_PAUSE_MICROS = 8 * Micros.SECOND;
+
     private static final long MAX_RETRY_PAUSE_MICROS = 30 * Micros.SECOND;
     /** Time for which an offer is not requested again after the cloud gave fewer machines than requested. */
     private static final long PARTIAL_ANSWER_PAUSE_MICROS = 8 * Micros.SECOND;
 
     private final Settings settings;
     private final long fencingToken;
+    /** Number in the name of the request created last. */
     private int lastRequestNumber;
+
     private boolean isFenced;
     /** Version of the fence's record, 0 if there is none, -1 before it was read. */
     private long fenceVersion = -1;
@@ -105,7 +109,7 @@
         this.fencingToken = fencingToken;
     }
 
-    /** Whether the key is that of a provisioning request's record or of the provisioning fence. */
+    /** Returns whether the key is that of a provisioning request's record or of the provisioning fence. */
     static boolean owns(String key) {
         return key.equals(StoreKeys.PROVISIONING_FENCE) || key.startsWith(StoreKeys.PROVISIONING_REQUESTS);
     }
@@ -115,7 +119,7 @@
         isFenced = fenced;
     }
 
-    /** Whether records are written on condition of their versions and of the fence. */
+    /** Returns whether records are written on condition of their versions and of the fence. */
     boolean isFenced() {
         return isFenced;
     }
@@ -140,7 +144,7 @@
         fenceRead(version, fenceNumber + 1);
     }
 
-    /** Whether records may be written: the fence was read, and no record waits for being read back. */
+    /** Returns whether records may be written: the fence was read, and no record waits for being read back. */
     boolean mayWrite() {
         return fenceVersion >= 0 && keysBeingReadBack.isEmpty();
     }
@@ -219,12 +223,15 @@
         requests.put(name, request);
     }
 
-    /** Whether the offer is not to be requested yet because the cloud recently had too few machines of it. */
+    /** Returns whether the offer is not to be requested yet because the cloud recently had too few machines of it. */
     boolean isBackedOff(Offer offer, long nowMicros) {
         return backedOffUntilMicros.getOrDefault(offer, Long.MIN_VALUE) > nowMicros;
     }
 
-    /** Marks a request as done that the cloud refused for lack of machines. Its offer is requested again after a pause, which doubles with each refusal. */
+    /**
+     * Marks a request as done after the cloud refused it for lack of machines. Its offer is requested again after a pause, which doubles with each
+     * refusal in a row up to a limit.
+     */
     void recordNoCapacity(Request request, long nowMicros) {
         Offer offer = offer(request);
         long lastPauseMicros = retryPausesMicros.getOrDefault(offer, FIRST_RETRY_PAUSE_MICROS / 2);
@@ -262,12 +269,12 @@
     /**
      * Marks requests of unknown outcome as done if a list of machines is recent enough to show the machines that they gave.
      *
-     * @param listRequestedMicros when the list was requested; the state that it shows is at most twice the configured list lag older than that
+     * @param requestedMicros when the list was requested; the state that it shows is at most twice the configured list lag older than that
      */
-    void resolveUnknownRequests(long listRequestedMicros) {
+    void resolveUnknownRequests(long requestedMicros) {
         for (Request request : requests.values()) {
             if (request.state == State.UNKNOWN
-                    && listRequestedMicros - request.stateChangedMicros
+                    && requestedMicros - request.stateChangedMicros
                             > 2 * settings.listLagMicros() + 5 * Micros.SECOND) {
                 request.state = State.DONE;
             }
--- a/src/main/java/io/micatide/scheduler/ScaleOut.java
+++ b/src/main/java/io/micatide/scheduler/ScaleOut.java
@@ -58,8 +58,7 @@
                 continue;
             }
             // Tasks that the team's limit keeps from running need no machine. Otherwise a machine is rented for them,
-            // and all idle
-            // machines are kept, for as long as they wait.
+            // and all idle machines are kept, for as long as they wait.
             Resources planned = plannedByTeam.getOrDefault(spec.team(), Resources.NONE);
             int tasks = planner.tasksWithinLimit(job, queued.pendingTasks(), planned);
             plannedByTeam.put(spec.team(), planned.plus(spec.taskResources().times(tasks)));
@@ -148,7 +147,7 @@
         return isMissing;
     }
 
-    /** Whether none of the array's tasks has been running for a while although they could start. */
+    /** Returns whether none of the array's tasks has been running for a while although they could start. */
     private boolean isStarving(Job job, long nowMicros) {
         return job.spec.kind() == JobKind.ARRAY
                 && job.liveAttempts.isEmpty()
--- a/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
@@ -31,7 +31,7 @@
         "32, 32, 25, 0, true",
         // Two tasks are too few to judge a machine.
         "2, 2, 40, 0, false",
-        // Tasks that are not late yet do not count.
+        // Tasks that have not run longer than expected yet do not count.
         "32, 0, 0, 5, false",
     })
     void slowMachinesAreDetectedFromAllTheirTasks(
