--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -251,7 +251,7 @@
     /** The store refused a write because the leader record is no longer ours. */
     void writeFenced() {
         collaborators.election().stepDown();
-        collaborators.election().forgetRecord();
+        collaborators.election().invalidateRecord();
         endTermIfFenced();
     }
 
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -206,7 +206,7 @@
             if (reply.status() == 410) {
                 watchRevision = 0;
             }
-            election.forgetRecord();
+            election.invalidateRecord();
             owner.tellLater(new LeaderMessage.LeaderWatchDue(), WATCH_RETRY_MICROS);
         }
     }
--- a/src/main/java/io/micatide/controller/PeerExchange.java
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -136,7 +136,7 @@
         }
         collaborators.rollout().newerVersionReported(status.featureFlagsVersion());
         if (status.storeReachable()) {
-            store.reach().peerServed(now);
+            store.reach().peerReachedStore(now);
         }
         if (owner.term() == null && isOfLatestTerm) {
             users.tell(new UsersActor.ProgressReported(status.replacesProgress(), status.jobs()));
--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -79,35 +79,36 @@
     /**
      * The store was read, and all cancellations that it showed are known.
      *
-     * @param askedMicros when the read was sent
+     * @param requestSentMicros when the read was sent
      */
-    public void storeRead(long askedMicros) {
+    public void storeRead(long requestSentMicros) {
         // The read began in this process's life, so it shows whatever an earlier process of this controller confirmed.
         hasReadStore = true;
         for (int i = 0; i < knownUpToMicros.length; i++) {
-            knownUpToMicros[i] = Math.max(knownUpToMicros[i], askedMicros);
+            knownUpToMicros[i] = Math.max(knownUpToMicros[i], requestSentMicros);
         }
     }
 
     /**
      * A peer sent its digest, and all jobs that it names are known as cancelled here.
      *
-     * @param peer the peer's place in {@link Settings#siblings()}
+     * @param peerIndex the peer's place in {@link Settings#siblings()}
      * @param digest what it sent
-     * @param askedMicros when the request left: what the peer confirmed after that may be missing
+     * @param requestSentMicros when the request left: what the peer confirmed after that may be missing
      * @param receivedMicros when the answer came
      * @return false if the digest leaves a gap, so that nothing follows from it
      */
-    public boolean digestReceived(int peer, CancellationDigest digest, long askedMicros, long receivedMicros) {
+    public boolean digestReceived(
+            int peerIndex, CancellationDigest digest, long requestSentMicros, long receivedMicros) {
         // Counted back from the answer and with the shortest uptime that the peer's clock allows, its process was
         // started no later than this.
-        long startedMicros = receivedMicros - Micros.withoutDrift(digest.uptimeMicros());
+        long latestStartMicros = receivedMicros - Micros.withoutDrift(digest.uptimeMicros());
         if (!digest.complete()
-                || !digest.controller().equals(peers.get(peer).label())
-                || startedMicros > knownUpToMicros[peer]) {
+                || !digest.controller().equals(peers.get(peerIndex).label())
+                || latestStartMicros > knownUpToMicros[peerIndex]) {
             return false;
         }
-        knownUpToMicros[peer] = Math.max(knownUpToMicros[peer], askedMicros);
+        knownUpToMicros[peerIndex] = Math.max(knownUpToMicros[peerIndex], requestSentMicros);
         return true;
     }
 
--- a/src/main/java/io/micatide/election/LeaderElection.java
+++ b/src/main/java/io/micatide/election/LeaderElection.java
@@ -201,22 +201,22 @@
      * The store granted a lease.
      *
      * @param id the store's identifier of it
-     * @param askedMicros when it was asked for: the lease runs from no earlier than that
+     * @param requestSentMicros when it was asked for: the lease runs from no earlier than that
      */
-    public void leaseGranted(long id, long askedMicros) {
+    public void leaseGranted(long id, long requestSentMicros) {
         isRequestPending = false;
         leaseId = id;
-        leaseRenewedMicros = askedMicros;
+        leaseRenewedMicros = requestSentMicros;
     }
 
     /**
      * The store renewed the lease.
      *
-     * @param askedMicros when the renewal was asked for: the lease runs from no earlier than that
+     * @param requestSentMicros when the renewal was asked for: the lease runs from no earlier than that
      */
-    public void leaseRenewed(long askedMicros) {
+    public void leaseRenewed(long requestSentMicros) {
         isRequestPending = false;
-        leaseRenewedMicros = askedMicros;
+        leaseRenewedMicros = requestSentMicros;
     }
 
     /** The lease has expired, and with it the leader record if it was ours. */
@@ -293,7 +293,7 @@
     }
 
     /** The leader record may have changed unseen, since a watch failed or a write was fenced: it is read again before a claim. */
-    public void forgetRecord() {
+    public void invalidateRecord() {
         isRecordKnown = false;
     }
 
--- a/src/main/java/io/micatide/election/StoreConnectivity.java
+++ b/src/main/java/io/micatide/election/StoreConnectivity.java
@@ -23,7 +23,7 @@
      *
      * @param nowMicros the time
      */
-    public void requestServed(long nowMicros) {
+    public void storeAnswered(long nowMicros) {
         ownAnswerMicros = nowMicros;
     }
 
@@ -32,7 +32,7 @@
      *
      * @param nowMicros the time
      */
-    public void peerServed(long nowMicros) {
+    public void peerReachedStore(long nowMicros) {
         peerAnswerMicros = nowMicros;
     }
 
@@ -52,7 +52,7 @@
      * @param nowMicros the time
      * @return false in an outage of the store, and if no peer can be heard
      */
-    public boolean isPartitionedAlone(long nowMicros) {
+    public boolean isOnlyControllerPartitioned(long nowMicros) {
         return !isConnected(nowMicros) && nowMicros - peerAnswerMicros < RECENT_MICROS;
     }
 }
--- a/src/main/java/io/micatide/election/WorkerConnectivity.java
+++ b/src/main/java/io/micatide/election/WorkerConnectivity.java
@@ -16,7 +16,7 @@
  */
 public final class WorkerConnectivity {
     /** So many workers that lost the leader within {@link #RECENT_MICROS} show that it is not they who are partitioned. */
-    private static final int MANY_WORKERS = 3;
+    private static final int UNREACHABLE_WORKER_THRESHOLD = 3;
 
     private static final long RECENT_MICROS = 2 * Micros.SECOND;
     /** A worker that was redirected to the leader is there by then, and one that could not reach it is back later. */
@@ -28,10 +28,10 @@
     /** Longer ago than any time that counts, and far enough from the range's end to be subtracted from. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
     /** Later than any time that counts, and far enough from the range's end to be subtracted. */
-    private static final long NOT_YET_MICROS = Long.MAX_VALUE / 2;
+    private static final long FAR_FUTURE_MICROS = Long.MAX_VALUE / 2;
 
     /** The last heartbeat of a worker that was redirected to the leader, and when it first was in this term. */
-    private record Redirection(long fencingToken, long atMicros, long incarnation, long sequence) {}
+    private record Redirection(long fencingToken, long firstMicros, long incarnation, long sequence) {}
 
     private final long silenceLimitMicros;
     private final long startedMicros;
@@ -43,12 +43,12 @@
 
     private long workerRedirectedMicros = NEVER_MICROS;
     private long workerLostLeaderMicros = NEVER_MICROS;
-    private long leaderSilentSinceMicros = NOT_YET_MICROS;
+    private long leaderSilentSinceMicros = FAR_FUTURE_MICROS;
     private long leaderStatusMicros = NEVER_MICROS;
 
     // What a leader knows.
     private boolean hasReceivedHeartbeat;
-    private long heartbeatMicros;
+    private long lastHeartbeatMicros;
     private long workerLostThisLeaderMicros = NEVER_MICROS;
 
     /**
@@ -76,21 +76,21 @@
      * @param nowMicros the time
      */
     public void heartbeatRedirected(Heartbeat heartbeat, long leaderToken, long nowMicros) {
-        Redirection before = redirections.get(heartbeat.machine());
-        if (before != null && !heartbeat.isNewerThan(before.incarnation(), before.sequence())) {
+        Redirection previous = redirections.get(heartbeat.machine());
+        if (previous != null && !heartbeat.isNewerThan(previous.incarnation(), previous.sequence())) {
             return;
         }
         workerRedirectedMicros = nowMicros;
-        boolean wasRedirectedThere = before != null && before.fencingToken() == leaderToken;
-        boolean isBack = wasRedirectedThere && nowMicros - before.atMicros() > REDIRECTION_MICROS;
-        if (leaderToken > 0 && (heartbeat.fencingToken() == leaderToken || isBack)) {
+        boolean wasRedirectedToLeader = previous != null && previous.fencingToken() == leaderToken;
+        boolean hasReturned = wasRedirectedToLeader && nowMicros - previous.firstMicros() > REDIRECTION_MICROS;
+        if (leaderToken > 0 && (heartbeat.fencingToken() == leaderToken || hasReturned)) {
             workerLostLeaderMicros = nowMicros;
             workersWithoutLeader.put(heartbeat.machine(), nowMicros);
         }
-        if (!wasRedirectedThere) {
+        if (!wasRedirectedToLeader) {
             redirections.values().removeIf(each -> each.fencingToken() != leaderToken);
         }
-        long firstMicros = wasRedirectedThere ? before.atMicros() : nowMicros;
+        long firstMicros = wasRedirectedToLeader ? previous.firstMicros() : nowMicros;
         redirections.put(
                 heartbeat.machine(),
                 new Redirection(leaderToken, firstMicros, heartbeat.incarnation(), heartbeat.sequence()));
@@ -116,7 +116,7 @@
      */
     public boolean isLeaderUnreachable(long nowMicros) {
         workersWithoutLeader.values().removeIf(at -> nowMicros - at > RECENT_MICROS);
-        return workersWithoutLeader.size() >= MANY_WORKERS
+        return workersWithoutLeader.size() >= UNREACHABLE_WORKER_THRESHOLD
                 || (!workersWithoutLeader.isEmpty()
                         && nowMicros - leaderStatusMicros < RECENT_MICROS
                         && nowMicros - leaderSilentSinceMicros > silenceLimitMicros);
@@ -142,7 +142,7 @@
      * @return whether a heartbeat came, or the process was started, within the last two seconds
      */
     public boolean isConnected(long nowMicros) {
-        return nowMicros - Math.max(workerRedirectedMicros, heartbeatMicros) < RECENT_MICROS
+        return nowMicros - Math.max(workerRedirectedMicros, lastHeartbeatMicros) < RECENT_MICROS
                 || nowMicros - startedMicros < RECENT_MICROS;
     }
 
@@ -155,7 +155,7 @@
      */
     public void termStarted(long nowMicros) {
         hasReceivedHeartbeat = false;
-        heartbeatMicros = nowMicros + REDIRECTION_MICROS;
+        lastHeartbeatMicros = nowMicros + REDIRECTION_MICROS;
         workerLostThisLeaderMicros = NEVER_MICROS;
         redirections.clear();
         workersWithoutLeader.clear();
@@ -168,7 +168,7 @@
      */
     public void heartbeatReceived(long nowMicros) {
         hasReceivedHeartbeat = true;
-        heartbeatMicros = nowMicros;
+        lastHeartbeatMicros = nowMicros;
     }
 
     /**
@@ -177,7 +177,7 @@
      * @param nowMicros the time at which it went on
      */
     public void processPaused(long nowMicros) {
-        heartbeatMicros = Math.max(heartbeatMicros, nowMicros);
+        lastHeartbeatMicros = Math.max(lastHeartbeatMicros, nowMicros);
     }
 
     /**
@@ -187,7 +187,7 @@
      * @return in microseconds, 0 while a new leader is not expected to have received any
      */
     public long silentMicros(long nowMicros) {
-        return Math.max(0, nowMicros - heartbeatMicros);
+        return Math.max(0, nowMicros - lastHeartbeatMicros);
     }
 
     /**
@@ -226,7 +226,7 @@
     public boolean shouldResign(boolean isStoreConnected, long nowMicros) {
         return isStoreConnected
                 && silentMicros(nowMicros) > silenceLimitMicros
-                && workerLostThisLeaderMicros > heartbeatMicros
+                && workerLostThisLeaderMicros > lastHeartbeatMicros
                 && nowMicros - workerLostThisLeaderMicros < RECENT_MICROS;
     }
 }
--- a/src/main/java/io/micatide/net/StoreClient.java
+++ b/src/main/java/io/micatide/net/StoreClient.java
@@ -31,7 +31,7 @@
     private Consumer<Reply> noting(Consumer<Reply> then) {
         return reply -> {
             if (reply.served()) {
-                reach.requestServed(clock.getAsLong());
+                reach.storeAnswered(clock.getAsLong());
             }
             then.accept(reply);
         };
--- a/src/main/java/io/micatide/standby/ElectionDelay.java
+++ b/src/main/java/io/micatide/standby/ElectionDelay.java
@@ -17,9 +17,9 @@
     /** Delay of a cold controller while a warmer one is there. */
     static final long COLD_DELAY_MICROS = 600 * Micros.MILLISECOND;
     /** Peers that are there answer within this; nobody waits longer for one that may not be there. */
-    static final long PEER_ANSWER_MICROS = 200 * Micros.MILLISECOND;
+    static final long PEER_ANSWER_TIMEOUT_MICROS = 200 * Micros.MILLISECOND;
     /** A process is no longer cold after so long, whether it has heard of a leader or not. */
-    static final long COLD_FOR_MICROS = 5 * Micros.SECOND;
+    static final long COLD_PERIOD_MICROS = 5 * Micros.SECOND;
     /** How long a designation counts: standbys designated longer ago may all be gone. */
     static final long DESIGNATION_TTL_MICROS = 20 * Micros.SECOND;
     /** A leader that hands over gives its lease back within this. */
@@ -44,7 +44,7 @@
     private static final class PeerReport {
         long reportedMicros = NEVER_MICROS;
         boolean isWarm;
-        boolean isReachedByAgents;
+        boolean isReachedByWorkers;
 
         boolean isRecent(long nowMicros) {
             return nowMicros - reportedMicros <= PEER_REPORT_TTL_MICROS;
@@ -55,14 +55,14 @@
      * Makes the delay of a process that begins now.
      *
      * @param label this controller's
-     * @param siblings how many other controllers the deployment has
+     * @param peerCount how many other controllers the deployment has
      * @param nowMicros the present time
      */
-    public ElectionDelay(String label, int siblings, long nowMicros) {
+    public ElectionDelay(String label, int peerCount, long nowMicros) {
         this.label = label;
         this.startedMicros = nowMicros;
-        this.peers = new PeerReport[siblings];
-        for (int sibling = 0; sibling < siblings; sibling++) {
+        this.peers = new PeerReport[peerCount];
+        for (int sibling = 0; sibling < peerCount; sibling++) {
             peers[sibling] = new PeerReport();
         }
     }
@@ -70,11 +70,11 @@
     /**
      * The delay in a deployment without standbys, where all that counts is whether agents reach the controller.
      *
-     * @param isReached whether agents come to this controller
+     * @param isReachedByWorkers whether agents come to this controller
      * @return microseconds from the moment at which the lease is free
      */
-    public static long delayWithoutStandbys(boolean isReached) {
-        return isReached ? 0 : UNREACHED_DELAY_MICROS;
+    public static long delayWithoutStandbys(boolean isReachedByWorkers) {
+        return isReachedByWorkers ? 0 : UNREACHED_DELAY_MICROS;
     }
 
     /**
@@ -161,7 +161,7 @@
      * @return never null
      */
     public StandbyReadiness readiness(long nowMicros) {
-        if (!hasSeenLeader && nowMicros - startedMicros < COLD_FOR_MICROS) {
+        if (!hasSeenLeader && nowMicros - startedMicros < COLD_PERIOD_MICROS) {
             return StandbyReadiness.COLD;
         }
         return isReplicaComplete && isDesignated() ? StandbyReadiness.WARM : StandbyReadiness.SEASONED;
@@ -171,40 +171,41 @@
      * A peer's report of its readiness. One of a former version that answers at all is taken for seasoned, one that nothing listens for
      * any more for cold and unreached.
      *
-     * @param sibling the peer's index among the siblings
+     * @param peerIndex the peer's index among the siblings
      * @param readiness what it reports
-     * @param isReachedByAgents whether agents that have lost the leader came to it just now
+     * @param isReachedByWorkers whether agents that have lost the leader came to it just now
      * @param nowMicros the present time
      */
     public void peerReadinessReported(
-            int sibling, StandbyReadiness readiness, boolean isReachedByAgents, long nowMicros) {
-        PeerReport peer = peers[sibling];
+            int peerIndex, StandbyReadiness readiness, boolean isReachedByWorkers, long nowMicros) {
+        PeerReport peer = peers[peerIndex];
         peer.reportedMicros = nowMicros;
         peer.isWarm = readiness != StandbyReadiness.COLD;
-        peer.isReachedByAgents = isReachedByAgents;
+        peer.isReachedByWorkers = isReachedByWorkers;
     }
 
     /**
      * How long this controller leaves a free lease to others, counted from the moment at which it became free.
      *
      * @param claimableMicros for how long it has been free already
-     * @param isReached whether agents come to this controller
+     * @param isReachedByWorkers whether agents come to this controller
      * @param nowMicros the present time
      * @return microseconds, 0 for no delay
      */
-    public long delayMicros(long claimableMicros, boolean isReached, long nowMicros) {
+    public long delayMicros(long claimableMicros, boolean isReachedByWorkers, long nowMicros) {
         if (hasRecentHandover(nowMicros)) {
             return 0;
         }
-        long delay = isReached ? 0 : unreachedDelayMicros(claimableMicros, nowMicros);
-        StandbyReadiness own = readiness(nowMicros);
-        if (own == StandbyReadiness.COLD) {
+        long delay = isReachedByWorkers ? 0 : unreachedDelayMicros(claimableMicros, nowMicros);
+        StandbyReadiness ownReadiness = readiness(nowMicros);
+        if (ownReadiness == StandbyReadiness.COLD) {
             return delay + coldDelayMicros(claimableMicros, nowMicros);
         }
         if (designatedStandbys.isEmpty() || isDesignationExpired(nowMicros)) {
             return delay;
         }
-        int rank = own == StandbyReadiness.WARM ? designatedStandbys.indexOf(label) : designatedStandbys.size();
+        int rank =
+                ownReadiness == StandbyReadiness.WARM ? designatedStandbys.indexOf(label) : designatedStandbys.size();
         return delay + rank * RANK_DELAY_MICROS;
     }
 
@@ -218,7 +219,7 @@
      */
     private long unreachedDelayMicros(long claimableMicros, long nowMicros) {
         for (PeerReport peer : peers) {
-            if (peer.isReachedByAgents && peer.isRecent(nowMicros)) {
+            if (peer.isReachedByWorkers && peer.isRecent(nowMicros)) {
                 return UNREACHED_DELAY_MICROS;
             }
         }
@@ -232,7 +233,9 @@
 
     /** Leaves peers the time to report, unless all have done so already. */
     private long peerAnswerDelayMicros(long claimableMicros, long nowMicros) {
-        return claimableMicros >= PEER_ANSWER_MICROS || haveAllPeersReported(nowMicros) ? 0 : PEER_ANSWER_MICROS;
+        return claimableMicros >= PEER_ANSWER_TIMEOUT_MICROS || haveAllPeersReported(nowMicros)
+                ? 0
+                : PEER_ANSWER_TIMEOUT_MICROS;
     }
 
     private boolean haveAllPeersReported(long nowMicros) {
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -17,27 +17,27 @@
     /** The number of hints that a request to a sibling has room for. */
     static final int MAX_HINTS_PER_BATCH = 100;
 
-    private static final int NONE = -1;
+    private static final int UNKNOWN_SNAPSHOT = -1;
 
     private final long fencingToken;
-    /** The snapshot that each sibling holds, {@link #NONE} if that is not known. */
-    private final long[] acknowledgedNumbers;
+    /** The snapshot that each sibling holds, {@link #UNKNOWN_SNAPSHOT} if that is not known. */
+    private final long[] acknowledgedSnapshots;
 
     private Map<String, Hint> snapshot = new HashMap<>();
-    private List<Hint> changed = List.of();
+    private List<Hint> changedHints = List.of();
     private List<String> removedKeys = List.of();
-    private long number;
+    private long snapshotNumber;
 
     /**
      * Makes a term's sender.
      *
      * @param fencingToken the leader's
-     * @param siblings how many other controllers the deployment has
+     * @param peerCount how many other controllers the deployment has
      */
-    public HintSender(long fencingToken, int siblings) {
+    public HintSender(long fencingToken, int peerCount) {
         this.fencingToken = fencingToken;
-        this.acknowledgedNumbers = new long[siblings];
-        Arrays.fill(acknowledgedNumbers, NONE);
+        this.acknowledgedSnapshots = new long[peerCount];
+        Arrays.fill(acknowledgedSnapshots, UNKNOWN_SNAPSHOT);
     }
 
     /**
@@ -55,9 +55,9 @@
             }
         }
         removedKeys = List.copyOf(snapshot.keySet());
-        changed = differing;
+        changedHints = differing;
         snapshot = next;
-        number++;
+        snapshotNumber++;
     }
 
     /** A key by kind and name: a job and a machine may have the same name. */
@@ -71,27 +71,27 @@
     /**
      * The batches that bring a standby to the present snapshot.
      *
-     * @param sibling the standby's index among the siblings
+     * @param peerIndex the standby's index among the siblings
      * @return empty if it holds this snapshot already
      */
-    public List<HintBatch> batchesFor(int sibling) {
-        long acknowledged = acknowledgedNumbers[sibling];
-        if (acknowledged == number || number == 0) {
+    public List<HintBatch> batchesFor(int peerIndex) {
+        long acknowledged = acknowledgedSnapshots[peerIndex];
+        if (acknowledged == snapshotNumber || snapshotNumber == 0) {
             return List.of();
         }
-        boolean isDifference = acknowledged == number - 1 && acknowledged > 0;
-        List<Hint> hints = isDifference ? changed : List.copyOf(snapshot.values());
+        boolean isDifference = acknowledged == snapshotNumber - 1 && acknowledged > 0;
+        List<Hint> hints = isDifference ? changedHints : List.copyOf(snapshot.values());
         List<String> removed = isDifference ? removedKeys : List.of();
-        int parts = Math.max(1, (hints.size() + MAX_HINTS_PER_BATCH - 1) / MAX_HINTS_PER_BATCH);
+        int batchCount = Math.max(1, (hints.size() + MAX_HINTS_PER_BATCH - 1) / MAX_HINTS_PER_BATCH);
         List<HintBatch> batches = new ArrayList<>();
-        for (int index = 0; index < parts; index++) {
+        for (int index = 0; index < batchCount; index++) {
             int from = index * MAX_HINTS_PER_BATCH;
             batches.add(new HintBatch(
                     fencingToken,
-                    number,
-                    isDifference ? number - 1 : 0,
+                    snapshotNumber,
+                    isDifference ? snapshotNumber - 1 : 0,
                     index,
-                    parts,
+                    batchCount,
                     hints.subList(from, Math.min(hints.size(), from + MAX_HINTS_PER_BATCH)),
                     index == 0 ? removed : List.of()));
         }
@@ -101,10 +101,10 @@
     /**
      * Records which of this term's snapshots a standby holds.
      *
-     * @param sibling the standby's index among the siblings
-     * @param heldNumber number of the snapshot, 0 for none, -1 without an answer
+     * @param peerIndex the standby's index among the siblings
+     * @param heldSnapshot number of the snapshot, 0 for none, -1 without an answer
      */
-    public void snapshotAcknowledged(int sibling, long heldNumber) {
-        acknowledgedNumbers[sibling] = heldNumber;
+    public void snapshotAcknowledged(int peerIndex, long heldSnapshot) {
+        acknowledgedSnapshots[peerIndex] = heldSnapshot;
     }
 }
--- a/src/main/java/io/micatide/standby/KeyspaceReplica.java
+++ b/src/main/java/io/micatide/standby/KeyspaceReplica.java
@@ -63,7 +63,7 @@
     /** Pages of one read are of rising revisions: up to the last of them a change may be older than what a page has shown. */
     private long lastPageRevision;
 
-    private boolean complete;
+    private boolean isFullyRead;
     private InvalidReason invalidReason;
 
     /**
@@ -101,17 +101,17 @@
      * @return false as well of an invalid one
      */
     public boolean isComplete() {
-        return complete && invalidReason == null;
+        return isFullyRead && invalidReason == null;
     }
 
     /**
      * Whether it holds everything that was stored at a revision.
      *
-     * @param asOf a revision of the store
+     * @param minRevision a revision of the store
      * @return whether it is complete and as new as that
      */
-    public boolean isCompleteAt(long asOf) {
-        return isComplete() && revision >= asOf;
+    public boolean isCompleteAt(long minRevision) {
+        return isComplete() && revision >= minRevision;
     }
 
     /**
@@ -157,49 +157,49 @@
         estimatedBytes = 0;
         revision = 0;
         lastPageRevision = 0;
-        complete = false;
+        isFullyRead = false;
         invalidReason = null;
     }
 
     /**
      * Takes in a page of a full read.
      *
-     * @param items the page's entries
-     * @param first whether it begins the read; the replica's revision is that of the first page, and later changes come again
-     * @param last whether it ends the read
+     * @param pageEntries the page's entries
+     * @param isFirst whether it begins the read; the replica's revision is that of the first page, and later changes come again
+     * @param isLast whether it ends the read
      * @param pageRevision the store's revision when it was read
      */
-    public void loadPage(List<Entry> items, boolean first, boolean last, long pageRevision) {
-        if (first) {
+    public void loadPage(List<Entry> pageEntries, boolean isFirst, boolean isLast, long pageRevision) {
+        if (isFirst) {
             clear();
             revision = pageRevision;
         } else if (pageRevision < lastPageRevision) {
             invalidate(InvalidReason.REVISION_REGRESSED);
         }
         lastPageRevision = pageRevision;
-        items.forEach(this::apply);
-        complete = last;
+        pageEntries.forEach(this::apply);
+        isFullyRead = isLast;
     }
 
     /**
      * Takes in all changes after {@link #revision}.
      *
-     * @param events in any order
-     * @param upTo the revision up to which they are all
+     * @param changes in any order
+     * @param upToRevision the revision up to which they are all
      */
-    public void applyChanges(List<Entry> events, long upTo) {
-        if (upTo < revision) {
+    public void applyChanges(List<Entry> changes, long upToRevision) {
+        if (upToRevision < revision) {
             // A store that lost data, or another one: nothing that was read from it before holds.
             invalidate(InvalidReason.REVISION_REGRESSED);
             return;
         }
-        events.stream().sorted(Comparator.comparingLong(Entry::version)).forEach(event -> {
-            if (event.version() > upTo) {
+        changes.stream().sorted(Comparator.comparingLong(Entry::version)).forEach(event -> {
+            if (event.version() > upToRevision) {
                 invalidate(InvalidReason.REVISION_REGRESSED);
             }
             apply(event);
         });
-        revision = upTo;
+        revision = upToRevision;
     }
 
     /** The store no longer has all changes since this replica's revision. */
--- a/src/main/java/io/micatide/standby/ReceivedHints.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -13,14 +13,14 @@
  */
 public final class ReceivedHints {
     private final Map<String, Hint> hints = new HashMap<>();
-    /** Indices of the batches of the snapshot {@link #partialNumber} that have come. */
-    private final BitSet receivedParts = new BitSet();
+    /** Indices of the batches of the snapshot {@link #newestSnapshot} that have come. */
+    private final BitSet receivedBatches = new BitSet();
 
     private long fencingToken;
     /** The snapshot that is held completely, 0 for none. */
-    private long completeNumber;
+    private long completeSnapshot;
     /** The newest snapshot of which a batch has come. */
-    private long partialNumber;
+    private long newestSnapshot;
 
     /**
      * Takes in a batch, unless it is of an earlier term or does not follow on what is held.
@@ -35,31 +35,31 @@
         if (batch.fencingToken() > fencingToken) {
             startTerm(batch.fencingToken());
         }
-        if ((batch.base() != 0 && batch.base() != completeNumber) || batch.number() < partialNumber) {
-            return completeNumber;
+        if ((batch.base() != 0 && batch.base() != completeSnapshot) || batch.number() < newestSnapshot) {
+            return completeSnapshot;
         }
-        if (batch.number() > partialNumber) {
+        if (batch.number() > newestSnapshot) {
             startSnapshot(batch);
         }
         batch.gone().forEach(hints::remove);
         batch.hints().forEach(hint -> hints.put(HintSender.key(hint), hint));
-        receivedParts.set(batch.index());
-        if (receivedParts.cardinality() == batch.parts()) {
-            completeNumber = batch.number();
+        receivedBatches.set(batch.index());
+        if (receivedBatches.cardinality() == batch.parts()) {
+            completeSnapshot = batch.number();
         }
-        return completeNumber;
+        return completeSnapshot;
     }
 
     /** Hints of the term before stay until the first whole snapshot replaces them. */
     private void startTerm(long newToken) {
         fencingToken = newToken;
-        completeNumber = 0;
-        partialNumber = 0;
+        completeSnapshot = 0;
+        newestSnapshot = 0;
     }
 
     private void startSnapshot(HintBatch batch) {
-        partialNumber = batch.number();
-        receivedParts.clear();
+        newestSnapshot = batch.number();
+        receivedBatches.clear();
         if (batch.base() == 0) {
             hints.clear();
         }
@@ -86,9 +86,9 @@
     /** Forgets everything: this controller is no designated standby any more. */
     public void clear() {
         hints.clear();
-        receivedParts.clear();
+        receivedBatches.clear();
         fencingToken = 0;
-        completeNumber = 0;
-        partialNumber = 0;
+        completeSnapshot = 0;
+        newestSnapshot = 0;
     }
 }
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -18,18 +18,18 @@
     /** How long an answer counts: status goes out every second and is answered within one. */
     static final long ANSWER_TTL_MICROS = 3 * Micros.SECOND;
     /** Siblings answer a new leader's first status within this. */
-    static final long SETTLE_MICROS = 1_500 * Micros.MILLISECOND;
+    static final long FIRST_ANSWERS_TIMEOUT_MICROS = 1_500 * Micros.MILLISECOND;
     /** With fewer requests a second two standbys would take more than a twentieth of them. */
     static final double MIN_REQUEST_RATE_FOR_TWO = 40;
     /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    private static final int NONE = -1;
+    private static final int NO_STANDBY = -1;
 
     private final Settings settings;
-    private final long[] answeredMicros;
+    private final long[] lastAnswerMicros;
     /** Null of a sibling that cannot follow a leader. */
-    private final StandbyReadiness[] readiness;
+    private final StandbyReadiness[] reportedReadiness;
 
     private List<Integer> selected = List.of();
     private long termStartedMicros;
@@ -41,8 +41,8 @@
      */
     public StandbySelector(Settings settings) {
         this.settings = settings;
-        this.answeredMicros = new long[settings.siblings().size()];
-        this.readiness = new StandbyReadiness[settings.siblings().size()];
+        this.lastAnswerMicros = new long[settings.siblings().size()];
+        this.reportedReadiness = new StandbyReadiness[settings.siblings().size()];
         termStarted(0);
     }
 
@@ -53,37 +53,37 @@
      */
     public final void termStarted(long nowMicros) {
         termStartedMicros = nowMicros;
-        Arrays.fill(answeredMicros, NEVER_MICROS);
-        Arrays.fill(readiness, StandbyReadiness.COLD);
+        Arrays.fill(lastAnswerMicros, NEVER_MICROS);
+        Arrays.fill(reportedReadiness, StandbyReadiness.COLD);
         selected = List.of();
     }
 
     /**
      * A sibling answered the leader's status.
      *
-     * @param sibling its index among the siblings
-     * @param reported its readiness; null of one that cannot follow: a former version, or one that is told not to
+     * @param peerIndex its index among the siblings
+     * @param newReadiness its readiness; null of one that cannot follow: a former version, or one that is told not to
      * @param isStoreReachable whether the store answers it
      * @param nowMicros the present time
      */
-    public void peerAnswered(int sibling, StandbyReadiness reported, boolean isStoreReachable, long nowMicros) {
-        readiness[sibling] = reported;
-        answeredMicros[sibling] = reported != null && isStoreReachable ? nowMicros : NEVER_MICROS;
+    public void peerAnswered(int peerIndex, StandbyReadiness newReadiness, boolean isStoreReachable, long nowMicros) {
+        reportedReadiness[peerIndex] = newReadiness;
+        lastAnswerMicros[peerIndex] = newReadiness != null && isStoreReachable ? nowMicros : NEVER_MICROS;
     }
 
     /** How many labels after this controller's a sibling's comes, in a ring. */
-    private int ringDistance(int sibling) {
+    private int ringDistance(int peerIndex) {
         Comparator<String> order = Comparator.comparingInt(String::length).thenComparing(Comparator.naturalOrder());
         List<String> ring = new ArrayList<>(
                 settings.siblings().stream().map(Settings.Sibling::label).toList());
         ring.add(settings.label());
         ring.sort(order);
         return Math.floorMod(
-                ring.indexOf(settings.siblings().get(sibling).label()) - ring.indexOf(settings.label()), ring.size());
+                ring.indexOf(settings.siblings().get(peerIndex).label()) - ring.indexOf(settings.label()), ring.size());
     }
 
-    private boolean hasRecentAnswer(int sibling, long nowMicros) {
-        return nowMicros - answeredMicros[sibling] <= ANSWER_TTL_MICROS;
+    private boolean hasRecentAnswer(int peerIndex, long nowMicros) {
+        return nowMicros - lastAnswerMicros[peerIndex] <= ANSWER_TTL_MICROS;
     }
 
     /**
@@ -94,7 +94,7 @@
      *     before keep what they have
      */
     public List<String> selectStandbys(long nowMicros) {
-        if (nowMicros - termStartedMicros < SETTLE_MICROS) {
+        if (nowMicros - termStartedMicros < FIRST_ANSWERS_TIMEOUT_MICROS) {
             return null;
         }
         List<Integer> previous = selected;
@@ -105,7 +105,7 @@
         int wanted = settings.storeRequestsPerSecond() < MIN_REQUEST_RATE_FOR_TWO ? 1 : 2;
         List<Integer> chosen = new ArrayList<>(eligible.subList(0, Math.min(eligible.size(), wanted)));
         // A warm one goes before one that still reads, and otherwise the order stays.
-        chosen.sort(Comparator.comparing((Integer peer) -> readiness[peer] != StandbyReadiness.WARM)
+        chosen.sort(Comparator.comparing((Integer peer) -> reportedReadiness[peer] != StandbyReadiness.WARM)
                 .thenComparing(peer -> previous.contains(peer) ? previous.indexOf(peer) : previous.size()));
         selected = chosen;
         return selected.stream()
@@ -115,7 +115,7 @@
 
     private List<Integer> eligiblePeers(long nowMicros) {
         List<Integer> eligible = new ArrayList<>();
-        for (int sibling = 0; sibling < answeredMicros.length; sibling++) {
+        for (int sibling = 0; sibling < lastAnswerMicros.length; sibling++) {
             if (hasRecentAnswer(sibling, nowMicros)) {
                 eligible.add(sibling);
             }
@@ -140,10 +140,10 @@
      */
     public int firstWarmStandby(long nowMicros) {
         for (int peer : selected) {
-            if (hasRecentAnswer(peer, nowMicros) && readiness[peer] == StandbyReadiness.WARM) {
+            if (hasRecentAnswer(peer, nowMicros) && reportedReadiness[peer] == StandbyReadiness.WARM) {
                 return peer;
             }
         }
-        return NONE;
+        return NO_STANDBY;
     }
 }
--- a/src/test/java/io/micatide/election/CancellationHorizonTest.java
+++ b/src/test/java/io/micatide/election/CancellationHorizonTest.java
@@ -83,7 +83,7 @@
         "r100 0@110-110/500? 1@110-110/500 a119, n", // Digests that overtake each other.
         "r100 0@115-116/500 1@115-115/500 0@105-117/500 a133, y",
     })
-    void workersAreAnsweredOnlyWhileAllCancellationsAreKnown(String steps, String told) {
+    void workersAreAnsweredOnlyWhileAllCancellationsAreKnown(String steps, String expected) {
         CancellationHorizon horizon = new CancellationHorizon(SETTINGS);
         StringBuilder text = new StringBuilder();
         for (String step : steps.split(" ")) {
@@ -105,12 +105,12 @@
                         micros(times[1]));
             }
         }
-        assertEquals(told, text.toString());
+        assertEquals(expected, text.toString());
     }
 
     /** Without peers there is no digest to wait for, but an earlier process of the controller may have confirmed cancellations. */
     @Test
-    void aControllerWithoutPeersNeedsOneRead() {
+    void controllerWithoutPeersNeedsOneRead() {
         Settings alone = new Settings(
                 "c0",
                 "a",
@@ -148,7 +148,7 @@
     @ParameterizedTest
     @CsvSource({"10, 30, true", "30, 55, true", "10, 15.1, true", "10, 15.0, false", "17.5, 20, false", "30, 10, false"
     })
-    void settingsThatCannotBeKeptAreReported(double lease, double cancel, boolean canBeKept) {
+    void unsatisfiableSettingsAreReported(double lease, double cancel, boolean canBeKept) {
         Settings settings = new Settings(
                 "c0",
                 "a",
@@ -201,7 +201,7 @@
         "c900 n1000@1, 899, false 101",
         "c2000 c3 n999@4, 1500, false 0",
     })
-    void digestIsCompleteUnlessSomethingMayBeMissing(String steps, long revision, String told) {
+    void digestIsCompleteUnlessSomethingMayBeMissing(String steps, long revision, String expected) {
         CancellationLog log = new CancellationLog();
         for (String step : steps.split(" ")) {
             String[] parts = step.substring(1).split("@");
@@ -217,6 +217,6 @@
             }
         }
         CancellationDigest digest = log.digestSince(revision, "c1", 0);
-        assertEquals(told, digest.complete() + " " + digest.cancelled().size());
+        assertEquals(expected, digest.complete() + " " + digest.cancelled().size());
     }
 }
--- a/src/test/java/io/micatide/election/LeaderElectionTest.java
+++ b/src/test/java/io/micatide/election/LeaderElectionTest.java
@@ -37,7 +37,7 @@
         "'read::0,lease,won:5,high:4:other', 5, me, NOTHING",
         "'read::0,lease,won:5,high:5:', 5, me, NOTHING",
     })
-    void leaderFollowsFromEvents(String events, long fencingToken, String leader, LeaderElection.Action next) {
+    void electionStateFollowsFromEvents(String events, long fencingToken, String leader, LeaderElection.Action next) {
         LeaderElection election = new LeaderElection("me", LEASE_MICROS);
         long now = Micros.SECOND;
         for (String event : events.split(",")) {
@@ -68,7 +68,7 @@
     /** A record that became free is left to others for the delay, counted from then, not from when it was asked about. */
     @ParameterizedTest
     @CsvSource({"0, 0, CLAIM", "600, 0, NOTHING", "600, 500, NOTHING", "600, 700, CLAIM"})
-    void aFreeRecordIsLeftToOthersForTheDelay(int delayMillis, int afterMillis, LeaderElection.Action next) {
+    void claimableRecordIsClaimedOnlyAfterTheDelay(int delayMillis, int afterMillis, LeaderElection.Action next) {
         LeaderElection election = new LeaderElection("me", LEASE_MICROS);
         long now = Micros.SECOND;
         long delayMicros = delayMillis * Micros.MILLISECOND;
--- a/src/test/java/io/micatide/election/StoreConnectivityTest.java
+++ b/src/test/java/io/micatide/election/StoreConnectivityTest.java
@@ -18,16 +18,16 @@
         "5, -1, false",
         "-1, 1, true",
     })
-    void onlyAPeerThatIsServedTellsAPartitionFromAnOutage(
+    void peerThatReachesTheStoreDistinguishesPartitionFromOutage(
             double ownAnswer, double peerAnswer, boolean isPartitionedAlone) {
         StoreConnectivity connectivity = new StoreConnectivity();
         long now = 100 * Micros.SECOND;
         if (ownAnswer >= 0) {
-            connectivity.requestServed(now - Micros.ofSeconds(ownAnswer));
+            connectivity.storeAnswered(now - Micros.ofSeconds(ownAnswer));
         }
         if (peerAnswer >= 0) {
-            connectivity.peerServed(now - Micros.ofSeconds(peerAnswer));
+            connectivity.peerReachedStore(now - Micros.ofSeconds(peerAnswer));
         }
-        assertEquals(isPartitionedAlone, connectivity.isPartitionedAlone(now));
+        assertEquals(isPartitionedAlone, connectivity.isOnlyControllerPartitioned(now));
     }
 }
--- a/src/test/java/io/micatide/election/WorkerConnectivityTest.java
+++ b/src/test/java/io/micatide/election/WorkerConnectivityTest.java
@@ -97,7 +97,7 @@
     /** Copies of heartbeats that came long ago arrive again: no worker has lost the leader, and none of them has come here. */
     @ParameterizedTest
     @CsvSource({"1, false", "4, false"})
-    void repeatedOldHeartbeatIsNoWorkerThatCameBack(int workers, boolean isUnreachable) {
+    void duplicateOfOldHeartbeatIsNotAReturningWorker(int workers, boolean isUnreachable) {
         WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < workers; i++) {
             connectivity.heartbeatRedirected(heartbeat("i-" + i, 5, 9), 7, ago(6));
@@ -118,7 +118,7 @@
     /** Seconds ago: the process began, a heartbeat came (-1: none). */
     @ParameterizedTest
     @CsvSource({"60, 0.5, true", "60, 5, false", "60, -1, false", "1, -1, true"})
-    void isConnectedAfterAHeartbeatAndAfterItsStart(double began, double heartbeat, boolean isConnected) {
+    void isConnectedAfterHeartbeatOrProcessStart(double began, double heartbeat, boolean isConnected) {
         WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, ago(began));
         if (heartbeat >= 0) {
             connectivity.heartbeatRedirected(heartbeat("i-1", 0, 1), 7, ago(heartbeat));
--- a/src/test/java/io/micatide/standby/HintsTest.java
+++ b/src/test/java/io/micatide/standby/HintsTest.java
@@ -34,7 +34,7 @@
 
     /** Parts get lost, come late and twice, leaders change: once all goes through again an heir holds the leader's picture. */
     @Test
-    void standbyHoldsTheLeadersSnapshotInTheEnd() throws MalformedException {
+    void standbyConvergesToTheLeadersSnapshot() throws MalformedException {
         long bytes = 0;
         int differences = 0;
         for (int seed = 0; seed < 300; seed++) {
--- a/src/test/java/io/micatide/standby/StandbySelectorTest.java
+++ b/src/test/java/io/micatide/standby/StandbySelectorTest.java
@@ -87,7 +87,7 @@
 
     /** A designated standby stays so while it answers, whoever else comes back; one that falls silent is replaced. */
     @Test
-    void keepsAStandbyWhileItAnswers() {
+    void keepsDesignatedStandbyWhileItAnswers() {
         StandbySelector selector = new StandbySelector(settings(300, "b n-1", "b n-3", "a n-4"));
         selector.termStarted(0);
         selector.peerAnswered(2, StandbyReadiness.SEASONED, true, 2 * SECOND);
