--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -8,42 +8,46 @@
 import java.util.Optional;
 
 /**
- * Up to when a leader knows of all cancellations, on which its right to answer workers rests. An answer to a heartbeat prolongs the
- * worker's lease and so whatever runs on the machine, also tasks of jobs that were cancelled without this controller's knowledge, and
- * those have to be gone {@code workers.cancel_s} after the cancellation was confirmed to a user. So the invariant of every answer is:
- * <em>each cancellation that any controller confirmed until {@code cancel_s}, less the lease, its drift and a margin, before the answer is
- * known here.</em> Then what ends with the lease ends in time, and what is known is stopped by the answer.
+ * Tracks the time up to which the leader knows all confirmed cancellations, and decides from it whether the leader may answer workers.
  *
- * <p>A cancellation can be confirmed by the process of any peer, or by an earlier process of this controller. For each peer this keeps the
- * time up to which everything that was confirmed there is known. A read of the store shows all cancellations, as of when it was sent. While
- * the store is away, a peer's {@link CancellationDigest} goes on from there, as of when it was asked for, if it leaves no gap: it has to be
- * complete and of a process that was already running at the time up to which all is known. A process that was started since cannot know
- * what the process before it confirmed to users; that time is missing until the next read.
+ * <p>An answer to a heartbeat renews the worker's lease and so extends every task on the machine, including tasks of jobs whose
+ * cancellation this controller does not know. Those tasks must have ended {@code workers.cancel_s} after the cancellation was confirmed to
+ * the user. Invariant of every answer: <em>the leader knows each cancellation that any controller confirmed earlier than
+ * {@code cancel_s}, less the worker lease with clock drift and a margin, before the answer.</em> The answer then stops the tasks of the
+ * known cancellations, and the tasks of unknown ones end in time with the lease.
  *
- * <p>That the store answers nobody <em>now</em> proves nothing: a peer that was answered for half a second after our last read, and
- * confirmed cancellations, says the same in the outage that follows (tasks of cancelled jobs ran on for a whole outage).
+ * <p>A cancellation can be confirmed by the process of any peer, or by an earlier process of this controller. For each peer this class
+ * keeps the time up to which all cancellations that the peer confirmed are known. A read of the store shows all cancellations as of the
+ * time at which the read was sent. During a store outage, a {@link CancellationDigest} of the peer extends this to the time at which the
+ * digest was requested, provided that it leaves no gap: the digest has to be complete, and its process must already have been running at
+ * the time up to which all cancellations are known. A process that was started later does not know what the peer's previous process
+ * confirmed to users; that gap remains until the next read of the store.
+ *
+ * <p>An outage that all controllers observe <em>now</em> is no proof that none of them confirmed a cancellation: a peer that the store
+ * answered for half a second after this controller's last read may have confirmed cancellations, and reports the same outage afterwards.
+ * When this was not considered, tasks of cancelled jobs ran on for a whole outage.
  *
  * <p>Times are microseconds on the process's steady clock. Not thread-safe: used by the leader's actor only.
  */
 public final class CancellationHorizon {
-    /** For the differences of clocks and what lies between the expiry of a worker's lease and the end of its tasks. */
+    /** Covers clock differences and the time between the expiry of a worker's lease and the end of its tasks. */
     private static final long MARGIN_MICROS = Micros.SECOND;
-    /** While the store answers, the last read is never older than this; settings that allow less cannot be kept. */
+    /** Upper bound on the age of the last read while the store answers; settings that allow less cannot be satisfied. */
     private static final long MIN_AGE_LIMIT_MICROS = 4 * Micros.SECOND;
-    /** Longer ago than any time that counts, and far enough from the range's end to be subtracted from. */
+    /** Earlier than any relevant time, yet differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final List<Settings.Sibling> peers;
     private final long maxAgeMicros;
-    /** For each peer, up to when all that it confirmed is known. */
+    /** For each peer, the time up to which all cancellations that it confirmed are known. */
     private final long[] knownUpToMicros;
 
     private boolean hasReadStore;
 
     /**
-     * Nothing is known yet, so no worker may be answered.
+     * Creates a horizon without any known cancellations: no worker may be answered before the first read of the store.
      *
-     * @param settings for the peers, the workers' lease and the limit for cancellations
+     * @param settings the peers, the workers' lease and the limit for cancellations are used
      */
     public CancellationHorizon(Settings settings) {
         peers = settings.siblings();
@@ -57,10 +61,10 @@
     }
 
     /**
-     * What these settings promise and no controller could keep.
+     * Checks whether a controller can satisfy the cancellation limit of the given settings.
      *
-     * @param settings to check
-     * @return a message to the operator, empty if the promise can be kept
+     * @param settings the settings to check
+     * @return a warning for the operator, empty if the limit can be satisfied
      */
     public static Optional<String> violationOf(Settings settings) {
         long allowedMicros = allowedAgeMicros(settings);
@@ -77,12 +81,13 @@
     }
 
     /**
-     * The store was read, and all cancellations that it showed are known.
+     * Records that the store was read and that all cancellations in it are known.
      *
-     * @param requestSentMicros when the read was sent
+     * @param requestSentMicros time at which the read was sent
      */
     public void storeRead(long requestSentMicros) {
-        // The read began in this process's life, so it shows whatever an earlier process of this controller confirmed.
+        // This process sent the read, so the read shows every cancellation that an earlier process of this controller
+        // confirmed.
         hasReadStore = true;
         for (int i = 0; i < knownUpToMicros.length; i++) {
             knownUpToMicros[i] = Math.max(knownUpToMicros[i], requestSentMicros);
@@ -90,18 +95,17 @@
     }
 
     /**
-     * A peer sent its digest, and all jobs that it names are known as cancelled here.
+     * Records that a peer sent its digest and that all jobs in it are known here as cancelled.
      *
-     * @param peerIndex the peer's place in {@link Settings#siblings()}
-     * @param digest what it sent
-     * @param requestSentMicros when the request left: what the peer confirmed after that may be missing
-     * @param receivedMicros when the answer came
-     * @return false if the digest leaves a gap, so that nothing follows from it
+     * @param peerIndex the peer's index in {@link Settings#siblings()}
+     * @param digest the digest of the peer
+     * @param requestSentMicros time at which the digest was requested; cancellations that the peer confirmed later may be missing
+     * @param receivedMicros time at which the digest was received
+     * @return false if the digest leaves a gap and was therefore ignored
      */
     public boolean digestReceived(
             int peerIndex, CancellationDigest digest, long requestSentMicros, long receivedMicros) {
-        // Counted back from the answer and with the shortest uptime that the peer's clock allows, its process was
-        // started no later than this.
+        // Latest possible start of the peer's process: the shortest uptime that clock drift allows, before the answer.
         long latestStartMicros = receivedMicros - Micros.withoutDrift(digest.uptimeMicros());
         if (!digest.complete()
                 || !digest.controller().equals(peers.get(peerIndex).label())
@@ -113,10 +117,10 @@
     }
 
     /**
-     * Whether the leader may answer workers, and by that prolong what runs on them.
+     * Returns whether the leader may answer workers and so extend the tasks that run on them.
      *
-     * @param nowMicros the time
-     * @return false if cancellations of any peer may be unknown for too long
+     * @param nowMicros the present time
+     * @return false before the first read of the store, and if cancellations of any peer may have been unknown for too long
      */
     public boolean mayAnswerWorkers(long nowMicros) {
         if (!hasReadStore) {
@@ -131,14 +135,14 @@
     }
 
     /**
-     * The peers of whose cancellations not enough is known, for the log.
+     * Returns the peers whose cancellations may have been unknown for too long, for the log.
      *
-     * @param nowMicros the time
-     * @return their labels, in the order of the settings
+     * @param nowMicros the present time
+     * @return labels of the peers, in the order of the settings
      */
     public List<String> laggingPeers(long nowMicros) {
         return peers.stream()
-                .filter(each -> nowMicros - knownUpToMicros[peers.indexOf(each)] > maxAgeMicros)
+                .filter(peer -> nowMicros - knownUpToMicros[peers.indexOf(peer)] > maxAgeMicros)
                 .map(Settings.Sibling::label)
                 .toList();
     }
--- a/src/main/java/io/micatide/election/LeaderElection.java
+++ b/src/main/java/io/micatide/election/LeaderElection.java
@@ -3,31 +3,33 @@
 import io.micatide.model.Micros;
 
 /**
- * Leader election by one record of the store that is attached to a lease: whoever writes it while there is none leads until the lease
- * expires or is ended, which removes the record. The revision of that write is the fencing token: every write of the leader is conditional
- * on it and every command carries it.
+ * Elects the leader by means of one store record that is attached to a lease. The controller that writes the record while it does not
+ * exist leads until the lease expires or is revoked, which deletes the record. The revision of that write is the fencing token: every
+ * write of the leader is conditional on it, and every command carries it.
  *
- * <p>Invariant: {@link #fencingToken()} is 0 as soon as anything observed here says that another controller leads or that the lease is
- * gone. A state machine without input or output and without a clock; all times are microseconds on the process's steady clock. Not
- * thread-safe: used by the leader's actor only.
+ * <p>Invariant: {@link #fencingToken()} is 0 as soon as any observation shows that another controller leads or that the lease has ended.
+ *
+ * <p>This is a state machine without I/O and without a clock; all times are microseconds on the process's steady clock. Not thread-safe:
+ * used by the leader's actor only.
  */
 public final class LeaderElection {
-    /** What to ask of the store next. */
+    /** The next request to the store. */
     public enum Action {
-        /** Nothing is due, or an answer is outstanding. */
+        /** No request is due, or one is in flight. */
         NOTHING,
         /** Read the leader record. */
         READ_RECORD,
-        /** Ask for a lease. */
+        /** Request a lease. */
         GRANT_LEASE,
-        /** Write the leader record, attached to the lease, on condition of {@link #recordVersion()}. */
+        /** Write the leader record, attached to the lease, conditional on {@link #recordVersion()}. */
         CLAIM,
         /** Renew the lease. */
         RENEW_LEASE
     }
 
+    /** Pause after a claim of unknown outcome, before the leader record is read. */
     private static final long OUTCOME_UNKNOWN_PAUSE_MICROS = 100 * Micros.MILLISECOND;
-    /** The lease is renewed once a quarter of it has passed, so that three renewals may fail. */
+    /** The lease is renewed each time a quarter of it has passed, so that three renewals in a row may fail. */
     private static final int RENEWALS_PER_LEASE = 4;
 
     private final String label;
@@ -38,21 +40,21 @@
     private boolean isRecordKnown;
     private String recordOwner;
     private long recordVersion;
-    /** Ours while we lead, else 0. */
+    /** Token of this controller while it leads, else 0. */
     private long fencingToken;
 
     private long highestFencingToken;
     private String leader;
     private long retryAtMicros;
     private long claimableSinceMicros = Long.MAX_VALUE;
-    /** After it has resigned this controller leaves the record to others until then. */
+    /** Time until which this controller does not claim leadership after it has resigned. */
     private long noClaimBeforeMicros = Long.MIN_VALUE;
 
     /**
-     * A controller that knows of no leader and has no lease.
+     * Creates the state of a controller that knows no leader and has no lease.
      *
-     * @param label this controller's label, as the leader record names its owner
-     * @param leaseMicros how long a lease lasts without renewal
+     * @param label label of this controller, which the leader record names as its owner
+     * @param leaseMicros duration of a lease without renewal
      */
     public LeaderElection(String label, long leaseMicros) {
         this.label = label;
@@ -60,77 +62,77 @@
     }
 
     /**
-     * How long a lease lasts without renewal.
+     * Returns the duration of a lease without renewal.
      *
-     * @return in microseconds
+     * @return the duration in microseconds
      */
     public long leaseMicros() {
         return leaseMicros;
     }
 
     /**
-     * The store's identifier of this controller's lease.
+     * Returns the store's identifier of this controller's lease.
      *
-     * @return 0 while there is none
+     * @return the identifier, 0 while there is no lease
      */
     public long leaseId() {
         return leaseId;
     }
 
     /**
-     * The fencing token of this controller.
+     * Returns the fencing token of this controller.
      *
-     * @return 0 while it does not lead
+     * @return the token, 0 while this controller does not lead
      */
     public long fencingToken() {
         return fencingToken;
     }
 
     /**
-     * Whether this controller leads, as far as it knows.
+     * Returns whether this controller leads, as far as it knows.
      *
-     * @return true if it has a fencing token
+     * @return true if this controller has a fencing token
      */
     public boolean isLeader() {
         return fencingToken != 0;
     }
 
     /**
-     * The label of the leader with the highest fencing token that was observed.
+     * Returns the label of the controller that has the highest observed fencing token.
      *
-     * @return null if nobody is known to lead
+     * @return the label, null if no leader is known
      */
     public String leader() {
         return leader;
     }
 
     /**
-     * The highest fencing token that was observed anywhere.
+     * Returns the highest fencing token observed from any source.
      *
-     * @return 0 if none was
+     * @return the token, 0 if none was observed
      */
     public long highestFencingToken() {
         return highestFencingToken;
     }
 
     /**
-     * The version of the leader record as last observed, on which a claim is conditional.
+     * Returns the last observed version of the leader record, on which a claim is conditional.
      *
-     * @return 0 if there is no record
+     * @return the version, 0 if there is no record
      */
     public long recordVersion() {
         return recordVersion;
     }
 
-    // ---- what to do
+    // ---- next action
 
     /**
-     * What to ask of the store now. Every action but {@link Action#NOTHING} has to be followed by its outcome; until then there is no
-     * other.
+     * Returns the request to send to the store now. The caller has to report the outcome of every action except
+     * {@link Action#NOTHING}; until then no other action is returned.
      *
-     * @param nowMicros the time
-     * @param claimDelayMicros for how long a record that became claimable is left to controllers that would be better leaders; affects
-     *     how fast, never how safely a leader is found
+     * @param nowMicros the present time
+     * @param claimDelayMicros time for which a claimable record is left to controllers that would be better leaders; affects the duration
+     *     of the election, never its safety
      * @return the action that is due
      */
     public Action nextAction(long nowMicros, long claimDelayMicros) {
@@ -144,10 +146,10 @@
     }
 
     /**
-     * For how long the leader record has been claimable.
+     * Returns for how long the leader record has been claimable.
      *
-     * @param nowMicros the time
-     * @return in microseconds, -1 if it is not claimable
+     * @param nowMicros the present time
+     * @return the duration in microseconds, -1 if the record is not claimable
      */
     public long claimableForMicros(long nowMicros) {
         if (isLeader() || !isRecordKnown || !isClaimable()) {
@@ -179,7 +181,7 @@
         return isDue ? Action.RENEW_LEASE : Action.NOTHING;
     }
 
-    /** There is no record, or it is of this controller before it was restarted: the process that wrote it is gone. */
+    /** Returns whether there is no record, or an earlier process of this controller wrote it, which no longer runs. */
     private boolean isClaimable() {
         return recordVersion == 0 || (label.equals(recordOwner) && recordVersion != fencingToken);
     }
@@ -187,10 +189,10 @@
     // ---- outcomes of requests
 
     /**
-     * The pending request failed; whatever is due then is asked for again after a pause.
+     * Records that the request in flight failed. The next request is sent after a pause.
      *
-     * @param nowMicros the time
-     * @param pauseMicros for how long nothing is asked for
+     * @param nowMicros the present time
+     * @param pauseMicros duration of the pause
      */
     public void requestFailed(long nowMicros, long pauseMicros) {
         isRequestPending = false;
@@ -198,10 +200,10 @@
     }
 
     /**
-     * The store granted a lease.
+     * Records that the store granted a lease.
      *
-     * @param id the store's identifier of it
-     * @param requestSentMicros when it was asked for: the lease runs from no earlier than that
+     * @param id the store's identifier of the lease
+     * @param requestSentMicros time at which the lease was requested; the lease begins no earlier
      */
     public void leaseGranted(long id, long requestSentMicros) {
         isRequestPending = false;
@@ -210,16 +212,16 @@
     }
 
     /**
-     * The store renewed the lease.
+     * Records that the store renewed the lease.
      *
-     * @param requestSentMicros when the renewal was asked for: the lease runs from no earlier than that
+     * @param requestSentMicros time at which the renewal was requested; the renewed lease begins no earlier
      */
     public void leaseRenewed(long requestSentMicros) {
         isRequestPending = false;
         leaseRenewedMicros = requestSentMicros;
     }
 
-    /** The lease has expired, and with it the leader record if it was ours. */
+    /** Records that the lease has expired, which also deleted the leader record if this controller owned it. */
     public void leaseExpired() {
         isRequestPending = false;
         leaseId = 0;
@@ -230,9 +232,9 @@
     }
 
     /**
-     * The claim succeeded: this controller leads.
+     * Records that the claim succeeded: this controller leads.
      *
-     * @param revision of the write of the leader record, which is the fencing token
+     * @param revision revision of the write of the leader record, which is the fencing token
      */
     public void leadershipAcquired(long revision) {
         isRequestPending = false;
@@ -244,16 +246,16 @@
         highestFencingToken = Math.max(highestFencingToken, revision);
     }
 
-    /** The claim was refused: the leader record is not as it was observed. */
+    /** Records that the store rejected the claim: the leader record differs from the one observed. */
     public void claimRejected() {
         isRequestPending = false;
         isRecordKnown = false;
     }
 
     /**
-     * The claim was not answered and may have been executed: the leader record has to be read.
+     * Records that the claim was not answered. The store may have executed it, so the leader record is read next.
      *
-     * @param nowMicros the time
+     * @param nowMicros the present time
      */
     public void claimOutcomeUnknown(long nowMicros) {
         requestFailed(nowMicros, OUTCOME_UNKNOWN_PAUSE_MICROS);
@@ -261,10 +263,10 @@
     }
 
     /**
-     * The answer to {@link Action#READ_RECORD}.
+     * Records the answer to {@link Action#READ_RECORD}.
      *
-     * @param owner the label in the record, null if there is no record
-     * @param version of the record, 0 if there is none
+     * @param owner label in the record, null if there is no record
+     * @param version version of the record, 0 if there is no record
      */
     public void recordRead(String owner, long version) {
         isRequestPending = false;
@@ -274,10 +276,10 @@
     // ---- observations
 
     /**
-     * The leader record as read or as a watch shows it.
+     * Records the leader record as read or as reported by a watch.
      *
-     * @param owner the label in the record, null if there is no record
-     * @param version of the record, 0 if there is none
+     * @param owner label in the record, null if there is no record
+     * @param version version of the record, 0 if there is no record
      */
     public void recordObserved(String owner, long version) {
         isRecordKnown = true;
@@ -292,16 +294,16 @@
         }
     }
 
-    /** The leader record may have changed unseen, since a watch failed or a write was fenced: it is read again before a claim. */
+    /** Marks the leader record as unknown after a watch failed or a write was fenced, so that it is read again before a claim. */
     public void invalidateRecord() {
         isRecordKnown = false;
     }
 
     /**
-     * A worker or a peer knows this fencing token. Whoever has the highest one leads.
+     * Records a fencing token that a worker or a peer knows. The controller with the highest token leads.
      *
      * @param token the fencing token, 0 for none
-     * @param owner the label of the controller that has it, null if that is not known
+     * @param owner label of the controller that has the token, null if unknown
      * @return whether this ended the leadership of this controller
      */
     public boolean observeToken(long token, String owner) {
@@ -323,14 +325,14 @@
         return wasLeader;
     }
 
-    // ---- giving leadership up
+    // ---- end of leadership
 
     /**
-     * Gives leadership up to others that can serve better, and leaves the record to them for a while.
+     * Resigns in favor of controllers that can serve better, and does not claim leadership again during a pause.
      *
-     * @param nowMicros the time
-     * @param pauseMicros for how long this controller does not claim
-     * @return the lease to end, with which the leader record goes; 0 if there is none
+     * @param nowMicros the present time
+     * @param pauseMicros duration of the pause
+     * @return identifier of the lease that the caller has to revoke, which deletes the leader record; 0 if there is none
      */
     public long resign(long nowMicros, long pauseMicros) {
         long endedLeaseId = leaseId;
@@ -342,16 +344,16 @@
     }
 
     /**
-     * Until when the lease runs for certain. A paused process may have lost it without knowing, and its requests to the cloud provider
-     * are not fenced by the store.
+     * Returns the time until which this controller certainly holds the lease. A process that was paused may have lost the lease
+     * unnoticed, and the store does not fence its requests to the cloud provider, so those have to be checked against this time.
      *
-     * @return a time, {@link Long#MIN_VALUE} while this controller does not lead
+     * @return the time, {@link Long#MIN_VALUE} while this controller does not lead
      */
     public long leaseHeldUntilMicros() {
         return isLeader() ? leaseRenewedMicros + leaseMicros : Long.MIN_VALUE;
     }
 
-    /** Ends the leadership of this controller, which was fenced; asks for nothing. */
+    /** Ends the leadership of this controller after it was fenced. Requests nothing from the store. */
     public void stepDown() {
         fencingToken = 0;
         if (label.equals(leader)) {
--- a/src/main/java/io/micatide/election/WorkerConnectivity.java
+++ b/src/main/java/io/micatide/election/WorkerConnectivity.java
@@ -7,38 +7,49 @@
 import java.util.Map;
 
 /**
- * Whether workers reach the leader. A leader that only the workers have lost goes on renewing its lease, and every task is killed once the
- * workers' leases expire: on the operators' recorded days thousands were. It cannot tell such a partition from machines that are all gone;
- * a peer that the workers turn to instead can. The same object keeps both sides: what a follower sees of workers that lost the leader, and
- * what a leader knows of its own silence.
+ * Detects whether workers can reach the leader. A leader that is partitioned from the workers only keeps renewing its lease, and all tasks
+ * are killed when the workers' leases expire; on days recorded by the operators this killed thousands of tasks. The leader cannot
+ * distinguish this partition from the loss of all machines, but a peer that the workers contact instead can.
+ *
+ * <p>An instance serves both roles: on a follower it tracks workers that have lost the leader, on the leader it tracks for how long no
+ * heartbeat has been received (the leader's silence).
  *
  * <p>Times are microseconds on the process's steady clock. Not thread-safe: used by the leader's actor only.
  */
 public final class WorkerConnectivity {
-    /** So many workers that lost the leader within {@link #RECENT_MICROS} show that it is not they who are partitioned. */
+    /** This number of workers losing the leader within {@link #RECENT_MICROS} shows that the leader is partitioned, not the workers. */
     private static final int UNREACHABLE_WORKER_THRESHOLD = 3;
 
+    /** An observation or report counts for this long. */
     private static final long RECENT_MICROS = 2 * Micros.SECOND;
-    /** A worker that was redirected to the leader is there by then, and one that could not reach it is back later. */
+    /** A redirected worker reaches the leader within this time; one that cannot reach it returns later than this. */
     private static final long REDIRECTION_MICROS = 2 * Micros.SECOND;
 
-    /** A leader that has received no heartbeat for so long in its term most likely has no workers, and stops asking for them. */
+    /** A leader without any heartbeat in its term for this long most likely has no workers, and stops asking peers about them. */
     private static final long NO_WORKERS_AFTER_MICROS = 30 * Micros.SECOND;
 
-    /** Longer ago than any time that counts, and far enough from the range's end to be subtracted from. */
+    /** Earlier than any relevant time, yet differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
-    /** Later than any time that counts, and far enough from the range's end to be subtracted. */
+    /** Later than any relevant time, yet differences to it do not overflow. */
     private static final long FAR_FUTURE_MICROS = Long.MAX_VALUE / 2;
 
-    /** The last heartbeat of a worker that was redirected to the leader, and when it first was in this term. */
+    /**
+     * A worker that was redirected to the leader.
+     *
+     * @param fencingToken token of the leader that the worker was redirected to
+     * @param firstMicros time of the worker's first redirection in that term
+     * @param incarnation incarnation in the worker's last heartbeat
+     * @param sequence sequence in the worker's last heartbeat
+     */
     private record Redirection(long fencingToken, long firstMicros, long incarnation, long sequence) {}
 
     private final long silenceLimitMicros;
     private final long startedMicros;
 
-    // What a follower knows.
+    // State of a follower.
+    /** Redirected workers, by machine. */
     private final Map<String, Redirection> redirections = new HashMap<>();
-    /** Workers that lost the leader, by machine, and when they came here. */
+    /** Times at which workers that lost the leader last contacted this controller, by machine. */
     private final Map<String, Long> workersWithoutLeader = new HashMap<>();
 
     private long workerRedirectedMicros = NEVER_MICROS;
@@ -46,20 +57,22 @@
     private long leaderSilentSinceMicros = FAR_FUTURE_MICROS;
     private long leaderStatusMicros = NEVER_MICROS;
 
-    // What a leader knows.
+    // State of the leader.
     private boolean hasReceivedHeartbeat;
+    /** Time from which silence counts: the last heartbeat, the end of a pause, or the grace period of a new leader. */
     private long lastHeartbeatMicros;
+
     private long workerLostThisLeaderMicros = NEVER_MICROS;
 
     /**
-     * A controller that has just started and has heard of no worker.
+     * Creates the state of a controller that has just started and knows of no worker.
      *
-     * @param settings for the interval of heartbeats
-     * @param nowMicros the time
+     * @param settings the interval of heartbeats is used
+     * @param nowMicros the present time
      */
     public WorkerConnectivity(Settings settings, long nowMicros) {
         startedMicros = nowMicros;
-        // Heartbeats are up to a quarter late; a fleet of any size is never silent for longer than one of them and a
+        // Heartbeats are up to a quarter late. A connected fleet of any size is silent for at most one interval and a
         // pause.
         silenceLimitMicros = settings.heartbeatIntervalMicros() * 5 / 4 + Micros.SECOND;
     }
@@ -67,13 +80,13 @@
     // ---- a follower
 
     /**
-     * A worker's heartbeat came to this controller, which does not lead. A worker that knows the leader's token, or is back from it, has
-     * lost the leader. A copy of an older heartbeat that arrives once more says nothing: taken for a worker that was back, three of them
-     * made this controller send all other workers away to look for the leader themselves.
+     * Records a heartbeat that this controller received while it does not lead. A worker has lost the leader if it knows the leader's
+     * token, or if it returns after it was redirected to the leader. A duplicate of an older heartbeat is ignored: when duplicates counted
+     * as returning workers, three of them made this controller leave all other workers to search for the leader themselves.
      *
-     * @param heartbeat with the highest fencing token that the worker knows
+     * @param heartbeat the heartbeat, with the highest fencing token that the worker knows
      * @param leaderToken the highest fencing token that this controller knows, 0 for none
-     * @param nowMicros the time
+     * @param nowMicros the present time
      */
     public void heartbeatRedirected(Heartbeat heartbeat, long leaderToken, long nowMicros) {
         Redirection previous = redirections.get(heartbeat.machine());
@@ -88,7 +101,7 @@
             workersWithoutLeader.put(heartbeat.machine(), nowMicros);
         }
         if (!wasRedirectedToLeader) {
-            redirections.values().removeIf(each -> each.fencingToken() != leaderToken);
+            redirections.values().removeIf(redirection -> redirection.fencingToken() != leaderToken);
         }
         long firstMicros = wasRedirectedToLeader ? previous.firstMicros() : nowMicros;
         redirections.put(
@@ -97,10 +110,10 @@
     }
 
     /**
-     * The leader says how long it has received no heartbeat.
+     * Records the leader's report of how long it has received no heartbeat.
      *
-     * @param silentMicros for how long
-     * @param nowMicros the time
+     * @param silentMicros the duration that the leader reported
+     * @param nowMicros the present time
      */
     public void leaderReportedSilence(long silentMicros, long nowMicros) {
         leaderStatusMicros = nowMicros;
@@ -108,14 +121,14 @@
     }
 
     /**
-     * Whether workers should look for a leader themselves instead of being redirected to the one known here: a connection to one that is
-     * partitioned from them hangs for four seconds of a lease of ten.
+     * Returns whether workers should search for a leader themselves instead of being redirected to the leader that is known here. A
+     * connection to a leader that is partitioned from the workers hangs for 4 s of a lease of 10 s.
      *
-     * @param nowMicros the time
-     * @return true if many workers have just lost the leader, or one has and the leader itself reports silence
+     * @param nowMicros the present time
+     * @return true if several workers have just lost the leader, or if one has and the leader itself reports silence
      */
     public boolean isLeaderUnreachable(long nowMicros) {
-        workersWithoutLeader.values().removeIf(at -> nowMicros - at > RECENT_MICROS);
+        workersWithoutLeader.values().removeIf(contactMicros -> nowMicros - contactMicros > RECENT_MICROS);
         return workersWithoutLeader.size() >= UNREACHABLE_WORKER_THRESHOLD
                 || (!workersWithoutLeader.isEmpty()
                         && nowMicros - leaderStatusMicros < RECENT_MICROS
@@ -123,10 +136,10 @@
     }
 
     /**
-     * How long ago a worker that had lost the leader came here.
+     * Returns how long ago a worker that had lost the leader last contacted this controller.
      *
-     * @param nowMicros the time
-     * @return in microseconds, -1 if that is too long ago to matter
+     * @param nowMicros the present time
+     * @return the duration in microseconds, -1 if no worker did so within the last two seconds
      */
     public long workerLostLeaderAgoMicros(long nowMicros) {
         long agoMicros = nowMicros - workerLostLeaderMicros;
@@ -134,12 +147,12 @@
     }
 
     /**
-     * Whether workers reach this controller, as far as it can know: of several that could lead, one that receives heartbeats should. After
-     * the end of a leader all workers look for another one, so a controller that receives none for long is partitioned from them, or
-     * there are none. A process that has just started has had no time to receive any.
+     * Returns whether workers reach this controller, as far as it can know. Of several candidates, one that receives heartbeats should
+     * lead. After a leader fails, all workers search for another one, so a controller that receives no heartbeats is partitioned from the
+     * workers, or there are no workers. A process that has just started has not had the time to receive any.
      *
-     * @param nowMicros the time
-     * @return whether a heartbeat came, or the process was started, within the last two seconds
+     * @param nowMicros the present time
+     * @return whether a heartbeat was received, or the process was started, within the last two seconds
      */
     public boolean isConnected(long nowMicros) {
         return nowMicros - Math.max(workerRedirectedMicros, lastHeartbeatMicros) < RECENT_MICROS
@@ -149,9 +162,9 @@
     // ---- the leader
 
     /**
-     * A term of this controller begins: workers have yet to find it.
+     * Begins a term of this controller. Silence counts only after a grace period in which workers find the new leader.
      *
-     * @param nowMicros the time
+     * @param nowMicros the present time
      */
     public void termStarted(long nowMicros) {
         hasReceivedHeartbeat = false;
@@ -162,9 +175,9 @@
     }
 
     /**
-     * A worker's heartbeat came to this controller, which leads.
+     * Records that this controller received a heartbeat while it leads.
      *
-     * @param nowMicros the time
+     * @param nowMicros the present time
      */
     public void heartbeatReceived(long nowMicros) {
         hasReceivedHeartbeat = true;
@@ -172,29 +185,29 @@
     }
 
     /**
-     * This process was paused: that it received no heartbeat says nothing about the workers.
+     * Records that this process was paused. That it received no heartbeats meanwhile does not count as silence.
      *
-     * @param nowMicros the time at which it went on
+     * @param nowMicros time at which the process continued
      */
     public void processPaused(long nowMicros) {
         lastHeartbeatMicros = Math.max(lastHeartbeatMicros, nowMicros);
     }
 
     /**
-     * How long this leader has received no heartbeat.
+     * Returns for how long this leader has received no heartbeat.
      *
-     * @param nowMicros the time
-     * @return in microseconds, 0 while a new leader is not expected to have received any
+     * @param nowMicros the present time
+     * @return the duration in microseconds, 0 during the grace period of a new leader
      */
     public long silentMicros(long nowMicros) {
         return Math.max(0, nowMicros - lastHeartbeatMicros);
     }
 
     /**
-     * Whether peers should be asked for workers at once instead of with the next regular status.
+     * Returns whether to ask peers immediately whether workers have contacted them, instead of with the next regular status request.
      *
-     * @param nowMicros the time
-     * @return false while heartbeats come, and if there most likely are no workers
+     * @param nowMicros the present time
+     * @return false while heartbeats are received, and if there most likely are no workers
      */
     public boolean shouldAskPeers(long nowMicros) {
         long silentMicros = silentMicros(nowMicros);
@@ -203,10 +216,10 @@
     }
 
     /**
-     * A peer says how long ago a worker that had lost this leader came to it.
+     * Records a peer's report of how long ago a worker that had lost this leader contacted the peer.
      *
-     * @param agoMicros -1 if none did
-     * @param nowMicros the time
+     * @param agoMicros the reported duration, -1 if no worker did so recently
+     * @param nowMicros the present time
      */
     public void peerReportedWorkerLostLeader(long agoMicros, long nowMicros) {
         if (agoMicros >= 0) {
@@ -215,12 +228,13 @@
     }
 
     /**
-     * Whether this leader should resign: it receives no heartbeats and, since the last one, a worker has looked for it at a peer. Without
-     * such a report it stays, be it that all controllers are partitioned from the workers or that there are no machines: nobody could do
-     * better. Nor could anybody claim while the store is away: the partition may be over before that.
+     * Returns whether this leader should resign: it receives no heartbeats and, since the last one, a worker that lost it has contacted a
+     * peer. Without a peer's report it stays leader: either all controllers are partitioned from the workers, or there are no machines, and
+     * no other controller could do better. It also stays while the store does not answer, since no other controller could claim leadership
+     * then and the partition may end before the outage does.
      *
      * @param isStoreConnected whether the store answers this controller
-     * @param nowMicros the time
+     * @param nowMicros the present time
      * @return whether another controller would serve the workers better
      */
     public boolean shouldResign(boolean isStoreConnected, long nowMicros) {
--- a/src/main/java/io/micatide/election/package-info.java
+++ b/src/main/java/io/micatide/election/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Leader election and what a leader's right to answer workers rests on: the leader record with its lease and fencing token, connectivity
- * to workers and to the store, and the horizon up to which cancellations are known. Without input or output; owned by the leader's actor.
- * Depends on {@code model} alone.
+ * Leader election, and the conditions under which a leader may answer workers: the leader record with its lease and fencing token,
+ * connectivity to workers and to the store, and the time up to which all cancellations are known. Performs no I/O; owned by the leader's
+ * actor. Depends on {@code model} only.
  */
 package io.micatide.election;
--- a/src/main/java/io/micatide/standby/ElectionDelay.java
+++ b/src/main/java/io/micatide/standby/ElectionDelay.java
@@ -5,34 +5,36 @@
 import java.util.List;
 
 /**
- * Decides how long a controller delays its candidacy once the leader lease is free, so that a controller that is better prepared wins the
- * election. The delay is no part of safety: the compare-and-swap on the lease decides, and whoever waits for nobody loses half a second
- * at most. Times in microseconds on the process's steady clock. One thread at a time.
+ * Determines how long a controller delays its candidacy once the leader lease is free, so that a better prepared controller wins the
+ * election. Safety does not depend on the delay, since the compare-and-swap on the lease decides. A controller that waits although no
+ * better candidate exists loses half a second at most.
+ *
+ * <p>Times are microseconds on the process's steady clock. Not thread-safe.
  */
 public final class ElectionDelay {
-    /** Delay of a controller that agents do not reach: it would lead a fleet that it cannot hear. */
+    /** Delay of a controller that workers do not reach: as the leader it would receive no heartbeats. */
     static final long UNREACHED_DELAY_MICROS = 600 * Micros.MILLISECOND;
-    /** Delay for each designated standby with a better rank. A claim takes two round trips to the store, and the watch of its outcome one. */
+    /** Delay per designated standby with a better rank. A claim takes two round trips to the store, and the watch of its outcome one. */
     static final long RANK_DELAY_MICROS = 100 * Micros.MILLISECOND;
-    /** Delay of a cold controller while a warmer one is there. */
+    /** Delay of a cold controller while a peer reports that it is not cold. */
     static final long COLD_DELAY_MICROS = 600 * Micros.MILLISECOND;
-    /** Peers that are there answer within this; nobody waits longer for one that may not be there. */
+    /** Running peers answer within this time; a controller waits no longer for a peer that may not be running. */
     static final long PEER_ANSWER_TIMEOUT_MICROS = 200 * Micros.MILLISECOND;
-    /** A process is no longer cold after so long, whether it has heard of a leader or not. */
+    /** Time after its start from which a process is no longer cold, whether it has learned of a leader or not. */
     static final long COLD_PERIOD_MICROS = 5 * Micros.SECOND;
-    /** How long a designation counts: standbys designated longer ago may all be gone. */
+    /** Validity of a designation: standbys that were designated earlier may all have stopped. */
     static final long DESIGNATION_TTL_MICROS = 20 * Micros.SECOND;
-    /** A leader that hands over gives its lease back within this. */
+    /** Validity of a handover: the leader releases its lease within this time. */
     static final long HANDOVER_TTL_MICROS = 2 * Micros.SECOND;
-    /** How long a peer's report of its readiness counts. */
+    /** Validity of a peer's report of its readiness. */
     static final long PEER_REPORT_TTL_MICROS = 2 * Micros.SECOND;
-    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    /** Earlier than any relevant time, yet differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final String label;
     private final long startedMicros;
     private final PeerReport[] peers;
-    /** Whether this process has heard of a leader or led itself. */
+    /** Whether this process has received a leader's status or has led itself. */
     private boolean hasSeenLeader;
 
     private List<String> designatedStandbys = List.of();
@@ -40,7 +42,7 @@
     private boolean isReplicaComplete;
     private long handoverMicros = NEVER_MICROS;
 
-    /** What a peer said last of its readiness. */
+    /** The last report of a peer about its readiness. */
     private static final class PeerReport {
         long reportedMicros = NEVER_MICROS;
         boolean isWarm;
@@ -52,36 +54,36 @@
     }
 
     /**
-     * Makes the delay of a process that begins now.
+     * Creates the state of a process that starts now.
      *
-     * @param label this controller's
-     * @param peerCount how many other controllers the deployment has
+     * @param label label of this controller
+     * @param peerCount number of other controllers in the deployment
      * @param nowMicros the present time
      */
     public ElectionDelay(String label, int peerCount, long nowMicros) {
         this.label = label;
         this.startedMicros = nowMicros;
         this.peers = new PeerReport[peerCount];
-        for (int sibling = 0; sibling < peerCount; sibling++) {
-            peers[sibling] = new PeerReport();
+        for (int peerIndex = 0; peerIndex < peerCount; peerIndex++) {
+            peers[peerIndex] = new PeerReport();
         }
     }
 
     /**
-     * The delay in a deployment without standbys, where all that counts is whether agents reach the controller.
+     * Returns the delay in a deployment without standbys, where only the connectivity to workers matters.
      *
-     * @param isReachedByWorkers whether agents come to this controller
-     * @return microseconds from the moment at which the lease is free
+     * @param isReachedByWorkers whether workers reach this controller
+     * @return microseconds from the time at which the lease became free
      */
     public static long delayWithoutStandbys(boolean isReachedByWorkers) {
         return isReachedByWorkers ? 0 : UNREACHED_DELAY_MICROS;
     }
 
     /**
-     * Whether a peer has reported just now that it is not cold.
+     * Returns whether a peer has recently reported that it is not cold.
      *
      * @param nowMicros the present time
-     * @return whether a cold controller should leave the lease to that peer
+     * @return whether a cold controller should leave the lease to a peer
      */
     public boolean hasWarmerPeer(long nowMicros) {
         for (PeerReport peer : peers) {
@@ -93,10 +95,10 @@
     }
 
     /**
-     * The leader's status names the standbys that are to take over.
+     * Records the designated standbys from the leader's status.
      *
-     * @param labels of the standbys, the first one first; null from a leader that has not designated anybody yet or, being of a former
-     *     version, never will
+     * @param labels labels of the standbys, best rank first; null if the leader has not designated standbys yet, or is of a previous
+     *     version that never does. With null, an earlier designation stays until it expires.
      * @param nowMicros the present time
      */
     public void standbysDesignated(List<String> labels, long nowMicros) {
@@ -112,22 +114,22 @@
     }
 
     /**
-     * Whether this controller is a designated standby.
+     * Returns whether this controller is a designated standby.
      *
-     * @return whether it is to keep a replica of what a leader reads
+     * @return whether this controller has to keep a replica of the records that a leader reads
      */
     public boolean isDesignated() {
         return designatedStandbys.contains(label);
     }
 
-    /** This controller's term is over: it knows the deployment and is not cold. */
+    /** Records the end of a term of this controller, which knows the deployment from then on and is not cold. */
     public void termEnded() {
         hasSeenLeader = true;
     }
 
     /**
-     * The leader ends in order and wants this controller to go on. Agents had no reason to come here yet, so that none has come says
-     * nothing.
+     * Records that the leader is shutting down and has chosen this controller as its successor. Workers had no reason to contact this
+     * controller so far, so missing heartbeats do not delay its candidacy.
      *
      * @param nowMicros the present time
      */
@@ -136,7 +138,7 @@
     }
 
     /**
-     * Whether the leader has handed over to this controller just now.
+     * Returns whether the leader has recently handed over to this controller.
      *
      * @param nowMicros the present time
      * @return whether this controller claims the lease without delay
@@ -146,19 +148,19 @@
     }
 
     /**
-     * Sets whether the replica of what a leader reads is complete.
+     * Sets whether the replica of the records that a leader reads is complete.
      *
-     * @param isComplete false as well of one that keeps no replica
+     * @param isComplete false also if this controller keeps no replica
      */
     public void setReplicaComplete(boolean isComplete) {
         isReplicaComplete = isComplete;
     }
 
     /**
-     * How ready this controller is to take over.
+     * Returns the readiness of this controller for a failover.
      *
      * @param nowMicros the present time
-     * @return never null
+     * @return the readiness, never null
      */
     public StandbyReadiness readiness(long nowMicros) {
         if (!hasSeenLeader && nowMicros - startedMicros < COLD_PERIOD_MICROS) {
@@ -168,12 +170,12 @@
     }
 
     /**
-     * A peer's report of its readiness. One of a former version that answers at all is taken for seasoned, one that nothing listens for
-     * any more for cold and unreached.
+     * Records a peer's report of its readiness. For a peer of a previous version that answers, the caller reports {@code SEASONED}; for a
+     * peer whose port is closed, {@code COLD} and not reached by workers.
      *
-     * @param peerIndex the peer's index among the siblings
-     * @param readiness what it reports
-     * @param isReachedByWorkers whether agents that have lost the leader came to it just now
+     * @param peerIndex the peer's index in {@code Settings.siblings()}
+     * @param readiness the readiness that the peer reports
+     * @param isReachedByWorkers whether workers that lost the leader have recently contacted the peer
      * @param nowMicros the present time
      */
     public void peerReadinessReported(
@@ -185,28 +187,28 @@
     }
 
     /**
-     * How long this controller leaves a free lease to others, counted from the moment at which it became free.
+     * Returns how long this controller leaves a free lease to others, counted from the time at which the lease became free.
      *
-     * @param claimableMicros for how long it has been free already
-     * @param isReachedByWorkers whether agents come to this controller
+     * @param claimableMicros duration for which the lease has been free already
+     * @param isReachedByWorkers whether workers reach this controller
      * @param nowMicros the present time
-     * @return microseconds, 0 for no delay
+     * @return the delay in microseconds, 0 for none
      */
     public long delayMicros(long claimableMicros, boolean isReachedByWorkers, long nowMicros) {
         if (hasRecentHandover(nowMicros)) {
             return 0;
         }
-        long delay = isReachedByWorkers ? 0 : unreachedDelayMicros(claimableMicros, nowMicros);
+        long connectivityDelayMicros = isReachedByWorkers ? 0 : unreachedDelayMicros(claimableMicros, nowMicros);
         StandbyReadiness ownReadiness = readiness(nowMicros);
         if (ownReadiness == StandbyReadiness.COLD) {
-            return delay + coldDelayMicros(claimableMicros, nowMicros);
+            return connectivityDelayMicros + coldDelayMicros(claimableMicros, nowMicros);
         }
         if (designatedStandbys.isEmpty() || isDesignationExpired(nowMicros)) {
-            return delay;
+            return connectivityDelayMicros;
         }
         int rank =
                 ownReadiness == StandbyReadiness.WARM ? designatedStandbys.indexOf(label) : designatedStandbys.size();
-        return delay + rank * RANK_DELAY_MICROS;
+        return connectivityDelayMicros + rank * RANK_DELAY_MICROS;
     }
 
     private boolean isDesignationExpired(long nowMicros) {
@@ -214,8 +216,9 @@
     }
 
     /**
-     * A controller that no agent has come to leaves the lease to one that they come to. Where they come to nobody, since the leader was
-     * there a moment ago, it would wait for nothing: with processes that are back at once this was most of the time without a leader.
+     * Returns the delay of a controller that no worker has contacted: it leaves the lease to a peer that workers reach. If they have
+     * contacted no peer either, because the leader ran until a moment ago, it only waits for the peers' reports. A longer delay would serve
+     * no purpose, and was most of the time without a leader when controller processes restarted immediately.
      */
     private long unreachedDelayMicros(long claimableMicros, long nowMicros) {
         for (PeerReport peer : peers) {
@@ -226,12 +229,12 @@
         return peerAnswerDelayMicros(claimableMicros, nowMicros);
     }
 
-    /** Alone, or among others as cold, nobody waits. */
+    /** Returns the delay of a cold controller, which waits only for a peer that is not cold, or for the peers' reports. */
     private long coldDelayMicros(long claimableMicros, long nowMicros) {
         return hasWarmerPeer(nowMicros) ? COLD_DELAY_MICROS : peerAnswerDelayMicros(claimableMicros, nowMicros);
     }
 
-    /** Leaves peers the time to report, unless all have done so already. */
+    /** Returns the delay that leaves peers time to report, 0 if all have reported recently or the time has passed. */
     private long peerAnswerDelayMicros(long claimableMicros, long nowMicros) {
         return claimableMicros >= PEER_ANSWER_TIMEOUT_MICROS || haveAllPeersReported(nowMicros)
                 ? 0
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -9,30 +9,35 @@
 import java.util.Map;
 
 /**
- * Sends a leader's hints to its designated standbys as numbered snapshots: a standby that holds the snapshot before gets the difference,
- * any other the whole. Only the last difference is kept, so that a standby that misses one costs a whole snapshot and no memory. Belongs
- * to one term; one thread at a time.
+ * Sends a leader's hints to its designated standbys as numbered snapshots. A standby that holds the previous snapshot receives the
+ * difference, any other the whole snapshot. Only the latest difference is kept: a standby that misses one costs a whole snapshot to send,
+ * but no memory.
+ *
+ * <p>An instance belongs to one term. Not thread-safe.
  */
 public final class HintSender {
-    /** The number of hints that a request to a sibling has room for. */
+    /** Number of hints that fit into a request to a peer. */
     static final int MAX_HINTS_PER_BATCH = 100;
 
+    /** Acknowledged number of a peer whose snapshot is not known. */
     private static final int UNKNOWN_SNAPSHOT = -1;
 
     private final long fencingToken;
-    /** The snapshot that each sibling holds, {@link #UNKNOWN_SNAPSHOT} if that is not known. */
+    /** By peer, the number of the snapshot that it holds, or {@link #UNKNOWN_SNAPSHOT}. */
     private final long[] acknowledgedSnapshots;
 
+    /** Current hints by {@link #key}. */
     private Map<String, Hint> snapshot = new HashMap<>();
+
     private List<Hint> changedHints = List.of();
     private List<String> removedKeys = List.of();
     private long snapshotNumber;
 
     /**
-     * Makes a term's sender.
+     * Creates the sender of a term.
      *
-     * @param fencingToken the leader's
-     * @param peerCount how many other controllers the deployment has
+     * @param fencingToken fencing token of the leader
+     * @param peerCount number of other controllers in the deployment
      */
     public HintSender(long fencingToken, int peerCount) {
         this.fencingToken = fencingToken;
@@ -43,7 +48,7 @@
     /**
      * Replaces the snapshot by one with the next number.
      *
-     * @param hints all hints of now
+     * @param hints all current hints
      */
     public void updateSnapshot(List<Hint> hints) {
         Map<String, Hint> next = new HashMap<>(2 * hints.size());
@@ -60,7 +65,7 @@
         snapshotNumber++;
     }
 
-    /** A key by kind and name: a job and a machine may have the same name. */
+    /** Returns the key of a hint, made of kind and name, since a job and a machine may have the same name. */
     static String key(Hint hint) {
         if (hint instanceof Hint.MachineHint) {
             return "m/" + hint.name();
@@ -69,10 +74,10 @@
     }
 
     /**
-     * The batches that bring a standby to the present snapshot.
+     * Returns the batches that update a standby to the current snapshot.
      *
-     * @param peerIndex the standby's index among the siblings
-     * @return empty if it holds this snapshot already
+     * @param peerIndex the standby's index in {@code Settings.siblings()}
+     * @return the batches, empty if there is no snapshot yet or the standby holds the current one
      */
     public List<HintBatch> batchesFor(int peerIndex) {
         long acknowledged = acknowledgedSnapshots[peerIndex];
@@ -101,8 +106,8 @@
     /**
      * Records which of this term's snapshots a standby holds.
      *
-     * @param peerIndex the standby's index among the siblings
-     * @param heldSnapshot number of the snapshot, 0 for none, -1 without an answer
+     * @param peerIndex the standby's index in {@code Settings.siblings()}
+     * @param heldSnapshot number of the snapshot, 0 for none, -1 if the standby did not answer
      */
     public void snapshotAcknowledged(int peerIndex, long heldSnapshot) {
         acknowledgedSnapshots[peerIndex] = heldSnapshot;
--- a/src/main/java/io/micatide/standby/KeyspaceReplica.java
+++ b/src/main/java/io/micatide/standby/KeyspaceReplica.java
@@ -8,69 +8,73 @@
 import java.util.TreeMap;
 
 /**
- * A standby's replica of one prefix of the store, brought up to date by the changes since its revision.
+ * A standby's replica of all store records below one key prefix, updated with the changes since its revision.
  *
- * <p>Invariant: it is either complete as of {@link #revision}, or it is not used: whatever does not fit what was seen before invalidates
- * it until it is read anew. A leader rests starts on the ledgers' machines without another write, so a replica that lacks one machine
- * would run a task twice. One thread at a time.
+ * <p>Invariant: the replica is either complete as of {@link #revision}, or it is not used. Data that contradicts an earlier observation
+ * invalidates it until it is read again from the store. A leader starts tasks on the machines in the ledgers without another write, so a
+ * replica that lacks one machine would make a task run twice.
+ *
+ * <p>Not thread-safe.
  */
 public class KeyspaceReplica {
     /**
-     * A key with its record.
+     * A key with its record, or the deletion of a key.
      *
      * @param key the key
-     * @param record the record, null of a deletion
-     * @param version revision of its last change
+     * @param record the record, null for a deletion
+     * @param version the store's revision of the last change of the key
      */
     public record Entry(String key, StoredRecord record, long version) {}
 
-    /** Makes a prefix's replica; a test may plant another one. */
+    /** Creates the replica of a prefix. Tests may substitute another implementation. */
     @FunctionalInterface
     public interface Factory {
         /**
-         * Makes a replica; the parameters are those of its constructor.
+         * Creates a replica, with the parameters of {@link KeyspaceReplica#KeyspaceReplica}.
          *
-         * @param prefix of the keys
-         * @param maxBytes what it may take of memory, estimated
-         * @return a replica that has nothing yet
+         * @param prefix the prefix of the keys
+         * @param maxBytes limit of the estimated memory use, in bytes
+         * @return an empty replica
          */
         KeyspaceReplica create(String prefix, long maxBytes);
     }
 
-    /** Why a replica must not be used until it is read anew. */
+    /** The reason why a replica must not be used until it is read again from the store. */
     public enum InvalidReason {
-        /** It would take more memory than it may. */
+        /** The estimated memory use exceeded the limit. */
         TOO_LARGE,
-        /** A revision or a version was lower than one seen before: the store lost data, or it is another store. */
+        /** A revision or a version was lower than one observed earlier: the store lost data, or it is another store. */
         REVISION_REGRESSED,
         /** The store no longer has all changes since the replica's revision. */
         CHANGES_COMPACTED
     }
 
-    /** What an entry takes besides its key and its lists, estimated. */
+    /** Estimated memory use of an entry without its key and its lists. */
     private static final int ENTRY_BYTES = 160;
-    /** A reference to a name that all ledgers share. */
+    /** Memory use of a reference to a machine name that all ledgers share. */
     private static final int NAME_REFERENCE_BYTES = 8;
-    /** Machines come and go for weeks; names of those that are gone are not kept for ever. */
+    /** Limit of the shared names, above which they are cleared: names of machines deleted over weeks would otherwise accumulate. */
     private static final int MAX_SHARED_NAMES = 20_000;
 
     private final String prefix;
     private final long maxBytes;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
+    /** Machine names, each mapped to the one instance that all ledgers refer to. */
     private final Map<String, String> sharedNames = new HashMap<>();
+
     private long estimatedBytes;
     private long revision;
-    /** Pages of one read are of rising revisions: up to the last of them a change may be older than what a page has shown. */
+    /** Revision of the last page read. Pages have rising revisions, so a change up to this one may be older than a page's entry. */
     private long lastPageRevision;
 
     private boolean isFullyRead;
     private InvalidReason invalidReason;
 
     /**
-     * Makes a replica that has nothing yet.
+     * Creates an empty replica.
      *
-     * @param prefix of the keys
-     * @param maxBytes what it may take of memory, estimated; beyond that it is given up
+     * @param prefix the prefix of the keys; entries with other keys are ignored
+     * @param maxBytes limit of the estimated memory use, in bytes, beyond which the replica is cleared and invalid
      */
     public KeyspaceReplica(String prefix, long maxBytes) {
         this.prefix = prefix;
@@ -78,79 +82,79 @@
     }
 
     /**
-     * The prefix of its keys.
+     * Returns the prefix of the keys.
      *
-     * @return as given
+     * @return the prefix given to the constructor
      */
     public String prefix() {
         return prefix;
     }
 
     /**
-     * The store's revision up to which all changes are in the replica, if it is complete.
+     * Returns the store's revision up to which a complete replica contains all changes.
      *
-     * @return 0 before the first page
+     * @return the revision, 0 before the first page
      */
     public long revision() {
         return revision;
     }
 
     /**
-     * Whether it holds everything that was stored at its revision.
+     * Returns whether the replica contains everything that was stored at its revision.
      *
-     * @return false as well of an invalid one
+     * @return false also if the replica is invalid
      */
     public boolean isComplete() {
         return isFullyRead && invalidReason == null;
     }
 
     /**
-     * Whether it holds everything that was stored at a revision.
+     * Returns whether the replica contains everything that was stored at the given revision.
      *
      * @param minRevision a revision of the store
-     * @return whether it is complete and as new as that
+     * @return whether the replica is complete and its revision is at least the given one
      */
     public boolean isCompleteAt(long minRevision) {
         return isComplete() && revision >= minRevision;
     }
 
     /**
-     * Why it must not be used until it is read anew.
+     * Returns why the replica must not be used until it is read again.
      *
-     * @return null of a replica that is valid, complete or not
+     * @return the reason, null if the replica is valid, whether complete or not
      */
     public InvalidReason invalidReason() {
         return invalidReason;
     }
 
     /**
-     * What it takes of memory.
+     * Returns the estimated memory use.
      *
-     * @return estimated bytes
+     * @return the estimate in bytes
      */
     public long estimatedBytes() {
         return estimatedBytes;
     }
 
     /**
-     * Its entries.
+     * Returns the entries of the replica.
      *
-     * @return a view, in the order of the keys
+     * @return a view of the entries, in the order of the keys
      */
     public Iterable<Entry> entries() {
         return entries.values();
     }
 
     /**
-     * The number of entries.
+     * Returns the number of entries.
      *
-     * @return 0 or more
+     * @return the number, 0 or more
      */
     public int size() {
         return entries.size();
     }
 
-    /** Forgets everything, to be read anew. */
+    /** Removes all entries and any invalidity, so that the replica can be read again from the store. */
     public void clear() {
         entries.clear();
         sharedNames.clear();
@@ -162,12 +166,13 @@
     }
 
     /**
-     * Takes in a page of a full read.
+     * Loads a page of a full read.
      *
-     * @param pageEntries the page's entries
-     * @param isFirst whether it begins the read; the replica's revision is that of the first page, and later changes come again
-     * @param isLast whether it ends the read
-     * @param pageRevision the store's revision when it was read
+     * @param pageEntries the entries of the page
+     * @param isFirst whether the page begins the read; the replica's revision is that of the first page, and changes that later pages
+     *     already contain are applied again
+     * @param isLast whether the page ends the read
+     * @param pageRevision the store's revision at which the page was read
      */
     public void loadPage(List<Entry> pageEntries, boolean isFirst, boolean isLast, long pageRevision) {
         if (isFirst) {
@@ -182,27 +187,27 @@
     }
 
     /**
-     * Takes in all changes after {@link #revision}.
+     * Applies all changes after {@link #revision}.
      *
-     * @param changes in any order
-     * @param upToRevision the revision up to which they are all
+     * @param changes the changes, in any order
+     * @param upToRevision the revision up to which the changes are complete
      */
     public void applyChanges(List<Entry> changes, long upToRevision) {
         if (upToRevision < revision) {
-            // A store that lost data, or another one: nothing that was read from it before holds.
+            // The store lost data, or it is another store: what was read earlier is no longer valid.
             invalidate(InvalidReason.REVISION_REGRESSED);
             return;
         }
-        changes.stream().sorted(Comparator.comparingLong(Entry::version)).forEach(event -> {
-            if (event.version() > upToRevision) {
+        changes.stream().sorted(Comparator.comparingLong(Entry::version)).forEach(change -> {
+            if (change.version() > upToRevision) {
                 invalidate(InvalidReason.REVISION_REGRESSED);
             }
-            apply(event);
+            apply(change);
         });
         revision = upToRevision;
     }
 
-    /** The store no longer has all changes since this replica's revision. */
+    /** Invalidates the replica after the store has discarded changes since the replica's revision. */
     public void changesCompacted() {
         invalidate(InvalidReason.CHANGES_COMPACTED);
     }
@@ -213,43 +218,43 @@
         }
     }
 
-    private void apply(Entry item) {
-        if (!item.key().startsWith(prefix)) {
+    private void apply(Entry entry) {
+        if (!entry.key().startsWith(prefix)) {
             return;
         }
-        Entry before = entries.get(item.key());
-        if (before != null && item.version() < before.version()) {
-            if (item.version() > lastPageRevision) {
+        Entry previous = entries.get(entry.key());
+        if (previous != null && entry.version() < previous.version()) {
+            if (entry.version() > lastPageRevision) {
                 invalidate(InvalidReason.REVISION_REGRESSED);
             }
             return;
         }
-        if (before != null) {
-            estimatedBytes -= estimatedBytes(before);
+        if (previous != null) {
+            estimatedBytes -= estimatedBytes(previous);
         }
-        if (item.record() == null) {
-            entries.remove(item.key());
+        if (entry.record() == null) {
+            entries.remove(entry.key());
             return;
         }
-        Entry kept = item.record() instanceof StoredRecord.Ledger ledger
-                ? new Entry(item.key(), withSharedNames(ledger), item.version())
-                : item;
-        entries.put(item.key(), kept);
-        estimatedBytes += estimatedBytes(kept);
+        Entry storedEntry = entry.record() instanceof StoredRecord.Ledger ledger
+                ? new Entry(entry.key(), withSharedNames(ledger), entry.version())
+                : entry;
+        entries.put(entry.key(), storedEntry);
+        estimatedBytes += estimatedBytes(storedEntry);
         if (estimatedBytes > maxBytes) {
             clear();
             invalidReason = InvalidReason.TOO_LARGE;
         }
     }
 
-    /** Hundreds of ledgers name the same machines. */
+    /** Returns the ledger with shared instances of its machine names, since hundreds of ledgers name the same machines. */
     private StoredRecord.Ledger withSharedNames(StoredRecord.Ledger ledger) {
         if (sharedNames.size() > MAX_SHARED_NAMES) {
             sharedNames.clear();
         }
         return new StoredRecord.Ledger(
                 ledger.machines().stream()
-                        .map(name -> sharedNames.computeIfAbsent(name, k -> k))
+                        .map(name -> sharedNames.computeIfAbsent(name, key -> key))
                         .toList(),
                 ledger.gangAttempt(),
                 ledger.finishedTasks(),
@@ -257,10 +262,10 @@
     }
 
     private static long estimatedBytes(Entry entry) {
-        long rest = entry.record() instanceof StoredRecord.Ledger ledger
+        long listBytes = entry.record() instanceof StoredRecord.Ledger ledger
                 ? (long) ledger.machines().size() * NAME_REFERENCE_BYTES
                         + ledger.finishedTasks().length()
                 : 0;
-        return ENTRY_BYTES + entry.key().length() + rest;
+        return ENTRY_BYTES + entry.key().length() + listBytes;
     }
 }
--- a/src/main/java/io/micatide/standby/ReceivedHints.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -8,25 +8,27 @@
 import java.util.Map;
 
 /**
- * The hints that a designated standby has received from the leader. A batch that comes late or alone does no harm: what it says was true
- * of some moment, and the number that is acknowledged tells the leader what to send next. One thread at a time.
+ * The hints that a designated standby has received from the leader. A late or isolated batch does no harm: its hints were correct when they
+ * were sent, and the acknowledged snapshot number determines what the leader sends next. Not thread-safe.
  */
 public final class ReceivedHints {
+    /** Held hints by {@link HintSender#key}. */
     private final Map<String, Hint> hints = new HashMap<>();
-    /** Indices of the batches of the snapshot {@link #newestSnapshot} that have come. */
+    /** Indices of the received batches of the snapshot {@link #newestSnapshot}. */
     private final BitSet receivedBatches = new BitSet();
 
     private long fencingToken;
-    /** The snapshot that is held completely, 0 for none. */
+    /** Number of the last snapshot that was received completely, 0 for none. */
     private long completeSnapshot;
-    /** The newest snapshot of which a batch has come. */
+    /** Number of the newest snapshot of which a batch was received, 0 for none. */
     private long newestSnapshot;
 
     /**
-     * Takes in a batch, unless it is of an earlier term or does not follow on what is held.
+     * Applies a batch. A batch of an earlier term or of an older snapshot is ignored, and so is a difference to a snapshot that is not
+     * held completely.
      *
-     * @param batch as the leader sent it
-     * @return number of the snapshot that is held completely, 0 for none
+     * @param batch the batch that the leader sent
+     * @return number of the snapshot that is held completely; 0 for none, and for a batch of an earlier term
      */
     public long receive(HintBatch batch) {
         if (batch.fencingToken() < fencingToken) {
@@ -50,7 +52,7 @@
         return completeSnapshot;
     }
 
-    /** Hints of the term before stay until the first whole snapshot replaces them. */
+    /** Begins a term. Hints of the previous term stay until the first whole snapshot replaces them. */
     private void startTerm(long newToken) {
         fencingToken = newToken;
         completeSnapshot = 0;
@@ -66,24 +68,24 @@
     }
 
     /**
-     * All hints that are held, also those of a snapshot that is not complete.
+     * Returns all held hints, including those of a snapshot that is not complete.
      *
-     * @return a copy, in no particular order
+     * @return a copy of the hints, in no particular order
      */
     public List<Hint> all() {
         return List.copyOf(hints.values());
     }
 
     /**
-     * The number of hints that are held.
+     * Returns the number of held hints.
      *
-     * @return 0 or more
+     * @return the number, 0 or more
      */
     public int size() {
         return hints.size();
     }
 
-    /** Forgets everything: this controller is no designated standby any more. */
+    /** Removes all hints, for a controller that is no longer a designated standby. */
     public void clear() {
         hints.clear();
         receivedBatches.clear();
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -9,35 +9,44 @@
 import java.util.List;
 
 /**
- * Selects the standbys that a leader designates. At most two, since each of them reads along; those in another zone than the leader
- * first, since zones fail whole; then those that come next in the order of labels, since agents that have lost a leader try the next one
- * and so reach these first. A designated standby stays so while it answers, since a replica takes reads to build. Times in microseconds.
- * One thread at a time.
+ * Selects the standbys that a leader designates: at most two, since each of them adds reads to the store. A designated standby remains
+ * designated while it answers, since building a replica costs reads. Other peers are preferred in this order:
+ *
+ * <ol>
+ *   <li>peers in another zone than the leader, since a zone can fail as a whole;
+ *   <li>peers that follow the leader in the order of labels, since workers that have lost a leader try the next label and so reach these
+ *       first.
+ * </ol>
+ *
+ * <p>Times are microseconds. Not thread-safe.
  */
 public final class StandbySelector {
-    /** How long an answer counts: status goes out every second and is answered within one. */
+    /** Validity of an answer: the status is sent every second and answered within a second. */
     static final long ANSWER_TTL_MICROS = 3 * Micros.SECOND;
-    /** Siblings answer a new leader's first status within this. */
+    /** Peers answer a new leader's first status within this time. */
     static final long FIRST_ANSWERS_TIMEOUT_MICROS = 1_500 * Micros.MILLISECOND;
-    /** With fewer requests a second two standbys would take more than a twentieth of them. */
+    /** Requests per second to the store below which two standbys would use more than a twentieth of them. */
     static final double MIN_REQUEST_RATE_FOR_TWO = 40;
-    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    /** Earlier than any relevant time, yet differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private static final int NO_STANDBY = -1;
 
     private final Settings settings;
+    /** By peer, the time of its last answer, {@link #NEVER_MICROS} without one, if it cannot follow a leader, or if the store does not answer it. */
     private final long[] lastAnswerMicros;
-    /** Null of a sibling that cannot follow a leader. */
+    /** By peer, its last reported readiness, null if it cannot follow a leader. */
     private final StandbyReadiness[] reportedReadiness;
 
+    /** Indices of the designated standbys, best rank first. */
     private List<Integer> selected = List.of();
+
     private long termStartedMicros;
 
     /**
-     * Makes the selector of a controller that does not lead yet.
+     * Creates the selector of a controller that does not lead yet.
      *
-     * @param settings of this controller
+     * @param settings settings of this controller
      */
     public StandbySelector(Settings settings) {
         this.settings = settings;
@@ -47,7 +56,7 @@
     }
 
     /**
-     * A new term of this controller begins; what an earlier one knew is forgotten.
+     * Begins a new term of this controller and discards the state of its previous term.
      *
      * @param nowMicros the present time
      */
@@ -59,11 +68,12 @@
     }
 
     /**
-     * A sibling answered the leader's status.
+     * Records a peer's answer to the leader's status.
      *
-     * @param peerIndex its index among the siblings
-     * @param newReadiness its readiness; null of one that cannot follow: a former version, or one that is told not to
-     * @param isStoreReachable whether the store answers it
+     * @param peerIndex the peer's index in {@link Settings#siblings()}
+     * @param newReadiness the readiness that the peer reports; null if it cannot follow a leader, because it is of a previous version or
+     *     its settings disable this
+     * @param isStoreReachable whether the store answers the peer
      * @param nowMicros the present time
      */
     public void peerAnswered(int peerIndex, StandbyReadiness newReadiness, boolean isStoreReachable, long nowMicros) {
@@ -71,7 +81,7 @@
         lastAnswerMicros[peerIndex] = newReadiness != null && isStoreReachable ? nowMicros : NEVER_MICROS;
     }
 
-    /** How many labels after this controller's a sibling's comes, in a ring. */
+    /** Returns the distance from this controller's label to the peer's label, in the ring of all labels in order. */
     private int ringDistance(int peerIndex) {
         Comparator<String> order = Comparator.comparingInt(String::length).thenComparing(Comparator.naturalOrder());
         List<String> ring = new ArrayList<>(
@@ -90,8 +100,8 @@
      * Selects the standbys that are designated from now on.
      *
      * @param nowMicros the present time
-     * @return their labels, the first to take over first; null while a new leader has yet to hear who is there: those who followed the one
-     *     before keep what they have
+     * @return labels of the standbys, best rank first; null while a new leader still waits for the peers' first answers, so that the
+     *     standbys of the previous leader keep their designation and replicas
      */
     public List<String> selectStandbys(long nowMicros) {
         if (nowMicros - termStartedMicros < FIRST_ANSWERS_TIMEOUT_MICROS) {
@@ -102,9 +112,9 @@
         eligible.sort(Comparator.comparing((Integer peer) -> !previous.contains(peer))
                 .thenComparing(peer -> settings.siblings().get(peer).zone().equals(settings.zone()))
                 .thenComparing(this::ringDistance));
-        int wanted = settings.storeRequestsPerSecond() < MIN_REQUEST_RATE_FOR_TWO ? 1 : 2;
-        List<Integer> chosen = new ArrayList<>(eligible.subList(0, Math.min(eligible.size(), wanted)));
-        // A warm one goes before one that still reads, and otherwise the order stays.
+        int standbyLimit = settings.storeRequestsPerSecond() < MIN_REQUEST_RATE_FOR_TWO ? 1 : 2;
+        List<Integer> chosen = new ArrayList<>(eligible.subList(0, Math.min(eligible.size(), standbyLimit)));
+        // A warm standby ranks before one that is still reading; otherwise the order stays.
         chosen.sort(Comparator.comparing((Integer peer) -> reportedReadiness[peer] != StandbyReadiness.WARM)
                 .thenComparing(peer -> previous.contains(peer) ? previous.indexOf(peer) : previous.size()));
         selected = chosen;
@@ -115,28 +125,28 @@
 
     private List<Integer> eligiblePeers(long nowMicros) {
         List<Integer> eligible = new ArrayList<>();
-        for (int sibling = 0; sibling < lastAnswerMicros.length; sibling++) {
-            if (hasRecentAnswer(sibling, nowMicros)) {
-                eligible.add(sibling);
+        for (int peerIndex = 0; peerIndex < lastAnswerMicros.length; peerIndex++) {
+            if (hasRecentAnswer(peerIndex, nowMicros)) {
+                eligible.add(peerIndex);
             }
         }
         return eligible;
     }
 
     /**
-     * The designated standbys.
+     * Returns the designated standbys.
      *
-     * @return their indices among the siblings, the first to take over first
+     * @return their indices in {@link Settings#siblings()}, best rank first
      */
     public List<Integer> selectedPeers() {
         return selected;
     }
 
     /**
-     * The first designated standby that is warm and answers.
+     * Returns the first designated standby that is warm and has recently answered.
      *
      * @param nowMicros the present time
-     * @return its index among the siblings, -1 if there is none
+     * @return its index in {@link Settings#siblings()}, -1 if there is none
      */
     public int firstWarmStandby(long nowMicros) {
         for (int peer : selected) {
