--- a/src/test/java/io/micatide/election/LeaderElectionTest.java
+++ b/src/test/java/io/micatide/election/LeaderElectionTest.java
@@ -6,34 +6,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Guards against a controller that leads after it was fenced, and against claims of a record that is not claimable. */
 class LeaderElectionTest {
     private static final long LEASE_MICROS = 3 * Micros.SECOND;
 
     /**
-     * Each row plays events and says who leads then: `record:owner:version` the record as watched, `read:` read, `lease`, `won:token`,
-     * `lost`, `gone` (lease), `high:token:owner`, `unknown` (claim without an answer).
+     * Events, then the expected fencing token, leader and next action. {@code record:owner:version} is the record reported by a watch,
+     * {@code read:owner:version} the record as read, {@code lease} a granted lease, {@code won:token} and {@code lost} the outcome of a
+     * claim, {@code unknown} a claim without an answer, {@code gone} the expiry of the lease, {@code high:token:owner} an observed token,
+     * {@code resign} a resignation, {@code later} the end of the pause after it.
      */
     @ParameterizedTest
     @CsvSource({
         "'read::0,lease,won:5', 5, me, NOTHING",
         "'read:other:4,lease', 0, other, NOTHING",
-        // A free record is claimed at once.
+        // A claimable record is claimed immediately.
         "'read:other:4,lease,record::0', 0, other, CLAIM",
-        // The record of our own earlier process is replaced: that process is gone.
+        // The record of an earlier process of this controller is replaced, since that process no longer runs.
         "'read:me:4,lease', 0, me, CLAIM",
         "'read::0,lease,lost', 0, , READ_RECORD",
         "'read::0,lease,unknown', 0, , READ_RECORD",
-        // A lease that ended takes the record with it.
+        // The expiry of the lease deletes the record.
         "'read::0,lease,won:5,gone', 0, , READ_RECORD",
         // Fenced by the record, by a peer and by a worker.
         "'read::0,lease,won:5,record:other:9', 0, other, NOTHING",
         "'read::0,lease,won:5,high:9:other', 0, other, READ_RECORD",
         "'read::0,lease,won:5,high:9:', 0, , READ_RECORD",
-        // After it has resigned it leaves the free record to others for a while, its own earlier one too.
+        // After a resignation it claims nothing during the pause, including the record of its own earlier process.
         "'read::0,lease,won:5,resign,read:me:5,lease', 0, me, NOTHING",
         "'read::0,lease,won:5,resign,read::0,lease', 0, , NOTHING",
         "'read::0,lease,won:5,resign,read::0,lease,later', 0, , CLAIM",
-        // What is older changes nothing.
+        // Older tokens change nothing.
         "'read::0,lease,won:5,high:4:other', 5, me, NOTHING",
         "'read::0,lease,won:5,high:5:', 5, me, NOTHING",
     })
@@ -41,13 +44,13 @@
         LeaderElection election = new LeaderElection("me", LEASE_MICROS);
         long now = Micros.SECOND;
         for (String event : events.split(",")) {
-            String[] part = event.split(":", -1);
-            String owner = part.length > 1 && !part[1].isEmpty() ? part[1] : null;
-            switch (part[0]) {
-                case "read" -> election.recordRead(owner, Long.parseLong(part[2]));
-                case "record" -> election.recordObserved(owner, Long.parseLong(part[2]));
+            String[] parts = event.split(":", -1);
+            String owner = parts.length > 1 && !parts[1].isEmpty() ? parts[1] : null;
+            switch (parts[0]) {
+                case "read" -> election.recordRead(owner, Long.parseLong(parts[2]));
+                case "record" -> election.recordObserved(owner, Long.parseLong(parts[2]));
                 case "lease" -> election.leaseGranted(7, now);
-                case "won" -> election.leadershipAcquired(Long.parseLong(part[1]));
+                case "won" -> election.leadershipAcquired(Long.parseLong(parts[1]));
                 case "lost" -> election.claimRejected();
                 case "resign" -> assertEquals(7, election.resign(now, 10 * Micros.SECOND));
                 case "later" -> {
@@ -56,7 +59,7 @@
                 }
                 case "gone" -> election.leaseExpired();
                 case "unknown" -> election.claimOutcomeUnknown(now - Micros.SECOND);
-                case "high" -> election.observeToken(Long.parseLong(part[1]), part[2].isEmpty() ? null : part[2]);
+                case "high" -> election.observeToken(Long.parseLong(parts[1]), parts[2].isEmpty() ? null : parts[2]);
                 default -> throw new IllegalArgumentException(event);
             }
         }
@@ -65,7 +68,7 @@
         assertEquals(next, election.nextAction(now, 0));
     }
 
-    /** A record that became free is left to others for the delay, counted from then, not from when it was asked about. */
+    /** The delay counts from the time at which the record became claimable, not from the time of the query. */
     @ParameterizedTest
     @CsvSource({"0, 0, CLAIM", "600, 0, NOTHING", "600, 500, NOTHING", "600, 700, CLAIM"})
     void claimableRecordIsClaimedOnlyAfterTheDelay(int delayMillis, int afterMillis, LeaderElection.Action next) {
--- a/src/test/java/io/micatide/election/StoreConnectivityTest.java
+++ b/src/test/java/io/micatide/election/StoreConnectivityTest.java
@@ -6,14 +6,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Guards against a controller that mistakes an outage of the store for a partition of its own, or the reverse. */
 class StoreConnectivityTest {
-    /** Seconds since the store answered this controller and since a peer said that it answers it; -1: never. */
+    /** Seconds since the store last answered this controller, and since a peer last reported an answer; -1 for never. */
     @ParameterizedTest
     @CsvSource({
         "0.5, 0.5, false",
-        // Partitioned alone: users are better off elsewhere.
+        // Only this controller is partitioned: another one serves users better.
         "5, 0.5, true",
-        // An outage, or no way to the peers: nobody is known to do better.
+        // An outage, or unreachable peers: no controller is known to serve users better.
         "5, 5, false",
         "5, -1, false",
         "-1, 1, true",
--- a/src/test/java/io/micatide/election/WorkerConnectivityTest.java
+++ b/src/test/java/io/micatide/election/WorkerConnectivityTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Heartbeats come every 0.8 s; the fleet counts as silent after 2 s. */
+/**
+ * Guards against a leader that stays although only other controllers are reachable for the workers, and against one that resigns although
+ * no other controller could do better. Heartbeats are sent every 0.8 s; a leader reports silence after 2 s without one.
+ */
 class WorkerConnectivityTest {
     private static final Settings SETTINGS = new SettingsBuilder().build();
     private static final long NOW = 100 * Micros.SECOND;
@@ -20,81 +23,86 @@
     }
 
     /**
-     * Seconds ago: the term began, the last heartbeat came (-1: none), a worker that had lost the leader came to a peer (-1: none), this
-     * process was paused (-1: not); whether the store answers.
+     * Seconds since the term began, since the last heartbeat (-1: none), since a worker that had lost the leader contacted a peer (-1: none),
+     * since this process was paused (-1: never); whether the store answers; whether the leader resigns.
      */
     @ParameterizedTest
     @CsvSource({
-        // Partitioned from the workers, which turn to a peer.
+        // Partitioned from the workers, which contact a peer.
         "60, 2.5, 0.5, -1, true, true",
-        // Heartbeats come.
+        // Heartbeats are received.
         "60, 0.3, 0.5, -1, true, false",
-        // All controllers are partitioned, or the machines are gone: nobody could do better.
+        // All controllers are partitioned, or the machines were deleted: no controller could do better.
         "60, 20, -1, -1, true, false",
-        // No machines at all.
+        // There are no machines.
         "60, -1, -1, -1, true, false",
-        // A worker that lost the leader before the last heartbeat, or long ago, has found back or is gone.
+        // A worker that lost the leader before the last heartbeat, or long ago, has reached it again or was deleted.
         "60, 2.5, 3, -1, true, false",
         "60, 20, 5, -1, true, false",
-        // A new leader is given time to be found, also by workers that come back from it.
+        // A new leader has a grace period, also for workers that return after a redirection to it.
         "3, -1, 0.5, -1, true, false",
         "6, -1, 0.5, -1, true, true",
-        // Nobody could claim leadership.
+        // The store does not answer: no controller could claim leadership.
         "60, 2.5, 0.5, -1, false, false",
-        // It was this process that was paused.
+        // The silence is due to a pause of this process.
         "60, 20, 0.5, 0.1, true, false",
     })
     void leaderResignsOnlyIfWorkersReachAPeer(
-            double began,
-            double heard,
+            double termStarted,
+            double lastHeartbeat,
             double workerLostLeader,
             double paused,
             boolean isStoreConnected,
-            boolean resigns) {
+            boolean shouldResign) {
         WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, 0);
-        connectivity.termStarted(ago(began));
-        if (heard >= 0) {
-            connectivity.heartbeatReceived(ago(heard));
+        connectivity.termStarted(ago(termStarted));
+        if (lastHeartbeat >= 0) {
+            connectivity.heartbeatReceived(ago(lastHeartbeat));
         }
         connectivity.peerReportedWorkerLostLeader(workerLostLeader < 0 ? -1 : Micros.ofSeconds(workerLostLeader), NOW);
         if (paused >= 0) {
             connectivity.processPaused(ago(paused));
         }
-        assertEquals(resigns, connectivity.shouldResign(isStoreConnected, NOW));
+        assertEquals(shouldResign, connectivity.shouldResign(isStoreConnected, NOW));
     }
 
     /**
-     * What a follower makes of a worker: the token it knows while 7 leads, how long ago it was redirected to that leader (-1: not),
-     * and how long the leader says that it has been silent.
+     * The token that a worker knows while the leader has token 7, seconds since the worker was redirected to that leader (-1: never), seconds
+     * of silence that the leader reports, and the number of these workers.
      */
     @ParameterizedTest
     @CsvSource({
-        // New, restarted, or of an earlier term: it looks for the leader.
+        // New, restarted, or of an earlier term: the worker is searching for the leader.
         "0, -1, 0, 1, false, false",
         "5, -1, 0, 9, false, false",
-        // It knows the leader and yet is here; one alone may be partitioned itself.
+        // The worker knows the leader but contacts a follower; a single one may be partitioned itself.
         "7, -1, 0, 1, true, false",
         "7, -1, 4, 1, true, true",
         "7, -1, 0, 3, true, true",
-        // It was redirected there and is back, or is only on its way.
+        // The worker returned after it was redirected, or may still be connecting to the leader.
         "0, 5, 4, 1, true, true",
         "0, 1, 4, 1, false, false",
     })
     void followerDetectsWorkersThatLostTheLeader(
-            long seen, double redirectedAgo, double silent, int workers, boolean hasLostLeader, boolean isUnreachable) {
+            long knownToken,
+            double redirectedAgo,
+            double silence,
+            int workers,
+            boolean hasLostLeader,
+            boolean isUnreachable) {
         WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, 0);
         for (int i = 0; i < workers; i++) {
             if (redirectedAgo >= 0) {
                 connectivity.heartbeatRedirected(heartbeat("i-" + i, 0, 1), 7, ago(redirectedAgo));
             }
-            connectivity.heartbeatRedirected(heartbeat("i-" + i, seen, 2), 7, NOW);
+            connectivity.heartbeatRedirected(heartbeat("i-" + i, knownToken, 2), 7, NOW);
         }
-        connectivity.leaderReportedSilence(Micros.ofSeconds(silent), NOW);
+        connectivity.leaderReportedSilence(Micros.ofSeconds(silence), NOW);
         assertEquals(hasLostLeader, connectivity.workerLostLeaderAgoMicros(NOW) >= 0);
         assertEquals(isUnreachable, connectivity.isLeaderUnreachable(NOW));
     }
 
-    /** Copies of heartbeats that came long ago arrive again: no worker has lost the leader, and none of them has come here. */
+    /** Duplicates of old heartbeats arrive: no worker has lost the leader, and none has contacted this controller. */
     @ParameterizedTest
     @CsvSource({"1, false", "4, false"})
     void duplicateOfOldHeartbeatIsNotAReturningWorker(int workers, boolean isUnreachable) {
@@ -111,17 +119,17 @@
         assertEquals(false, connectivity.isConnected(NOW));
     }
 
-    private static Heartbeat heartbeat(String machine, long seen, long sequence) {
-        return new Heartbeat(machine, "x:1", "small", "a", false, 1, sequence, seen, -1, List.of());
+    private static Heartbeat heartbeat(String machine, long knownToken, long sequence) {
+        return new Heartbeat(machine, "x:1", "small", "a", false, 1, sequence, knownToken, -1, List.of());
     }
 
-    /** Seconds ago: the process began, a heartbeat came (-1: none). */
+    /** Seconds since the process started, and since a heartbeat was received (-1: none). */
     @ParameterizedTest
     @CsvSource({"60, 0.5, true", "60, 5, false", "60, -1, false", "1, -1, true"})
-    void isConnectedAfterHeartbeatOrProcessStart(double began, double heartbeat, boolean isConnected) {
-        WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, ago(began));
-        if (heartbeat >= 0) {
-            connectivity.heartbeatRedirected(heartbeat("i-1", 0, 1), 7, ago(heartbeat));
+    void isConnectedAfterHeartbeatOrProcessStart(double processStarted, double lastHeartbeat, boolean isConnected) {
+        WorkerConnectivity connectivity = new WorkerConnectivity(SETTINGS, ago(processStarted));
+        if (lastHeartbeat >= 0) {
+            connectivity.heartbeatRedirected(heartbeat("i-1", 0, 1), 7, ago(lastHeartbeat));
         }
         assertEquals(isConnected, connectivity.isConnected(NOW));
     }
--- a/src/test/java/io/micatide/standby/HintsTest.java
+++ b/src/test/java/io/micatide/standby/HintsTest.java
@@ -13,6 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** Guards against a standby whose hints differ from the leader's snapshot after batches were lost, delayed or repeated. */
 class HintsTest {
     private static Hint hint(Random random) {
         String name = "n-" + random.nextInt(400);
@@ -32,52 +33,54 @@
         };
     }
 
-    /** Parts get lost, come late and twice, leaders change: once all goes through again an heir holds the leader's picture. */
+    /** Batches are lost, delayed and received twice, and leaders change. Once all batches arrive again, the standby holds the snapshot. */
     @Test
     void standbyConvergesToTheLeadersSnapshot() throws MalformedException {
-        long bytes = 0;
+        long maxBytes = 0;
         int differences = 0;
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
-            ReceivedHints held = new ReceivedHints();
-            List<HintBatch> late = new ArrayList<>();
+            ReceivedHints received = new ReceivedHints();
+            List<HintBatch> delayedBatches = new ArrayList<>();
             for (long fencingToken = 5; fencingToken <= 7; fencingToken++) {
                 HintSender sender = new HintSender(fencingToken, 1);
-                List<Hint> picture = new ArrayList<>();
+                List<Hint> currentHints = new ArrayList<>();
                 for (int second = 0; second < 12; second++) {
                     for (int change = random.nextInt(150); change > 0; change--) {
                         Hint hint = hint(random);
-                        picture.removeIf(each -> HintSender.key(each).equals(HintSender.key(hint)));
+                        currentHints.removeIf(current -> HintSender.key(current).equals(HintSender.key(hint)));
                         if (random.nextInt(4) > 0) {
-                            picture.add(hint);
+                            currentHints.add(hint);
                         }
                     }
-                    sender.updateSnapshot(picture);
-                    for (HintBatch part : sender.batchesFor(0)) {
-                        differences += part.base() > 0 ? 1 : 0;
-                        byte[] body = HintCodec.batch(part);
-                        bytes = Math.max(bytes, body.length);
-                        HintBatch read = HintCodec.batch(body);
-                        assertEquals(part, read);
-                        int fate = second >= 10 ? 9 : random.nextInt(12);
-                        if (fate == 0) {
+                    sender.updateSnapshot(currentHints);
+                    for (HintBatch batch : sender.batchesFor(0)) {
+                        differences += batch.base() > 0 ? 1 : 0;
+                        byte[] body = HintCodec.batch(batch);
+                        maxBytes = Math.max(maxBytes, body.length);
+                        HintBatch decoded = HintCodec.batch(body);
+                        assertEquals(batch, decoded);
+                        int fault = second >= 10 ? 9 : random.nextInt(12);
+                        if (fault == 0) {
                             sender.snapshotAcknowledged(0, -1);
-                        } else if (fate == 1) {
-                            late.add(read);
+                        } else if (fault == 1) {
+                            delayedBatches.add(decoded);
                         } else {
-                            sender.snapshotAcknowledged(0, held.receive(read));
+                            sender.snapshotAcknowledged(0, received.receive(decoded));
                         }
-                        if (!late.isEmpty() && fate == 2) {
-                            held.receive(late.remove(0));
+                        if (!delayedBatches.isEmpty() && fault == 2) {
+                            received.receive(delayedBatches.remove(0));
                         }
                     }
                 }
                 assertEquals(
-                        new HashSet<>(picture), new HashSet<>(held.all()), "seed " + seed + " term " + fencingToken);
-                assertTrue(sender.batchesFor(0).isEmpty(), "nothing is told twice");
+                        new HashSet<>(currentHints),
+                        new HashSet<>(received.all()),
+                        "seed " + seed + " term " + fencingToken);
+                assertTrue(sender.batchesFor(0).isEmpty(), "nothing is sent again after the acknowledgement");
             }
         }
-        assertTrue(differences > 1_000, "differences are what usually goes out");
-        assertTrue(bytes < 64 * 1024, "a part fits a request");
+        assertTrue(differences > 1_000, "more than 1000 batches must be differences");
+        assertTrue(maxBytes < 64 * 1024, "a batch must fit into a request");
     }
 }
--- a/src/test/java/io/micatide/standby/KeyspaceReplicaTest.java
+++ b/src/test/java/io/micatide/standby/KeyspaceReplicaTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A replica holds exactly what was stored at its revision, or says that it does not. */
+/** Guards against a replica that claims to be complete although it differs from the records stored at its revision. */
 class KeyspaceReplicaTest {
     private static KeyspaceReplica.Entry entry(String text) {
         String[] part = text.split("@");
@@ -30,29 +30,30 @@
     }
 
     /**
-     * Each line: steps `page:revision:entries` (`page!` the last one) and `changes:upTo:entries`, `-a@7` a deletion; then the revision and
-     * entries of the replica, or why it is invalid.
+     * Steps, then the expected revision and entries of the replica, or why it is invalid ({@code -} if it is valid but not complete).
+     * {@code page:revision:entries} is a page, {@code page!} the last page, {@code changes:revision:entries} all changes up to a revision,
+     * {@code missed} a compaction of changes by the store; the entry {@code a@7} is a record of version 7, {@code -a@7} a deletion.
      */
     @ParameterizedTest
     @CsvSource({
         "'page!:10:a@3 b@9', 10, 'a@3 b@9'",
         "'page!:10:a@3,changes:14:a@12 -b@13 c@14', 14, 'a@12 c@14'",
-        // Changes come in any order within an answer, and a record may come and go between two.
+        // Changes are in any order within an answer, and a record may be created and deleted between two answers.
         "'page!:10:a@3,changes:14:-b@13 b@12', 14, 'a@3'",
-        // What a later page has shown comes again, older, with the changes since the first.
+        // Changes since the first page may be older than the entries of a later page.
         "'page:10:a@3,page!:20:b@18,changes:21:b@12 -b@15 b@18', 21, 'a@3 b@18'",
         "'page:10:a@3,page!:20:b@18,changes:21:-a@11', 21, 'b@18'",
-        // A store that went back: by its revision, by a page, by a key.
+        // The store regressed: the revision of the changes, of a page, or of a key.
         "'page!:10:a@3,changes:9:', REVISION_REGRESSED, ''",
         "'page:10:a@3,page!:8:b@2', REVISION_REGRESSED, ''",
         "'page!:10:a@3,changes:30:a@25,changes:40:a@20', REVISION_REGRESSED, ''",
         "'page!:10:a@3,changes:12:b@14', REVISION_REGRESSED, ''",
         "'page!:10:a@3,missed', CHANGES_COMPACTED, ''",
         "'page!:10:a@1 b@1 c@1 d@1 e@1 f@1 g@1 h@1', TOO_LARGE, ''",
-        // The read is not over.
+        // The read has not finished.
         "'page:10:a@3', -, ''",
     })
-    void replicaIsCompleteOrInvalid(String steps, String outcome, String held) {
+    void replicaIsCompleteOrInvalid(String steps, String outcome, String expectedEntries) {
         KeyspaceReplica replica = new KeyspaceReplica("ledger/", 1_200);
         for (String step : steps.split(",")) {
             String[] part = step.split(":", 3);
@@ -75,9 +76,10 @@
         }
         long revision = Long.parseLong(outcome);
         assertTrue(replica.isCompleteAt(revision));
-        assertFalse(replica.isCompleteAt(revision + 1), "it is not as new as that");
+        assertFalse(replica.isCompleteAt(revision + 1), "the replica must not be complete at a later revision");
         List<String> names = new ArrayList<>();
-        replica.entries().forEach(each -> names.add(each.key().substring("ledger/".length()) + "@" + each.version()));
-        assertEquals(held, String.join(" ", names));
+        replica.entries()
+                .forEach(entry -> names.add(entry.key().substring("ledger/".length()) + "@" + entry.version()));
+        assertEquals(expectedEntries, String.join(" ", names));
     }
 }
--- a/src/test/java/io/micatide/standby/StandbySelectorTest.java
+++ b/src/test/java/io/micatide/standby/StandbySelectorTest.java
@@ -13,21 +13,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which standbys a leader designates, and in which order. */
+/** Guards against standbys in the wrong zone or order, and against replacing a standby that answers. */
 class StandbySelectorTest {
     private static final long SECOND = Micros.SECOND;
 
     private static Settings settings(double rate, String... siblings) {
-        List<Settings.Sibling> list = new ArrayList<>();
-        for (String each : siblings) {
-            list.add(new Settings.Sibling(each.substring(2), each.substring(0, 1), "x"));
+        List<Settings.Sibling> peers = new ArrayList<>();
+        for (String sibling : siblings) {
+            peers.add(new Settings.Sibling(sibling.substring(2), sibling.substring(0, 1), "x"));
         }
         return new Settings(
                 "n-2",
                 "a",
                 "b",
                 "p",
-                list,
+                peers,
                 "cloud",
                 "state",
                 List.of("a", "b"),
@@ -51,14 +51,17 @@
                 700);
     }
 
-    /** Each line: who answered and how (`sibling=READINESS`, `-` without the store), and whom the leader n-2 in zone a designates. */
+    /**
+     * Store requests per second, the peers' answers ({@code label=READINESS}, {@code -} if the store does not answer the peer, {@code null} if
+     * it cannot follow), and the standbys that the leader n-2 in zone a designates.
+     */
     @ParameterizedTest
     @CsvSource({
         "300, 'n-3=SEASONED,n-4=SEASONED,n-1=SEASONED', 'n-3 n-1'",
         "300, 'n-1=SEASONED,n-4=SEASONED', 'n-1 n-4'",
-        // A warm one goes first.
+        // A warm standby has the best rank.
         "300, 'n-3=SEASONED,n-1=WARM', 'n-1 n-3'",
-        // Zone a is the leader's own; after the other zone those that come next by their labels.
+        // Zone a is the leader's own. Within a zone, peers follow the leader in the order of labels.
         "300, 'n-4=SEASONED,n-10=SEASONED', 'n-4 n-10'",
         "30, 'n-3=SEASONED,n-1=SEASONED', 'n-3'",
         "300, 'n-3=-,n-1=SEASONED', 'n-1'",
@@ -85,7 +88,7 @@
         assertEquals(expected, String.join(" ", selector.selectStandbys(2 * SECOND)));
     }
 
-    /** A designated standby stays so while it answers, whoever else comes back; one that falls silent is replaced. */
+    /** A designated standby remains designated while it answers, even if another peer returns; one that stops answering is replaced. */
     @Test
     void keepsDesignatedStandbyWhileItAnswers() {
         StandbySelector selector = new StandbySelector(settings(300, "b n-1", "b n-3", "a n-4"));
