--- a/src/main/java/io/micatide/election/LeaderElection.java
+++ b/src/main/java/io/micatide/election/LeaderElection.java
@@ -34,8 +34,11 @@
 
     private final String label;
     private final long leaseMicros;
+    /** The store's identifier of the lease, 0 for none. */
     private long leaseId;
+    /** Time at which the grant or the last successful renewal of the lease was requested. */
     private long leaseRenewedMicros;
+
     private boolean isRequestPending;
     private boolean isRecordKnown;
     private String recordOwner;
@@ -46,6 +49,7 @@
     private long highestFencingToken;
     private String leader;
     private long retryAtMicros;
+    /** Time since which the leader record has been claimable, {@link Long#MAX_VALUE} while it is not. */
     private long claimableSinceMicros = Long.MAX_VALUE;
     /** Time until which this controller does not claim leadership after it has resigned. */
     private long noClaimBeforeMicros = Long.MIN_VALUE;
--- a/src/main/java/io/micatide/election/WorkerConnectivity.java
+++ b/src/main/java/io/micatide/election/WorkerConnectivity.java
@@ -43,7 +43,9 @@
      */
     private record Redirection(long fencingToken, long firstMicros, long incarnation, long sequence) {}
 
+    /** Time without heartbeats above which a leader counts as silent. */
     private final long silenceLimitMicros;
+
     private final long startedMicros;
 
     // State of a follower.
@@ -52,9 +54,13 @@
     /** Times at which workers that lost the leader last contacted this controller, by machine. */
     private final Map<String, Long> workersWithoutLeader = new HashMap<>();
 
+    /** Time of the last heartbeat that was not a duplicate. */
     private long workerRedirectedMicros = NEVER_MICROS;
+    /** Time at which a worker that lost the leader last contacted this controller. */
     private long workerLostLeaderMicros = NEVER_MICROS;
+    /** Time since which the leader receives no heartbeats, by its last report. */
     private long leaderSilentSinceMicros = FAR_FUTURE_MICROS;
+    /** Time of the leader's last report. */
     private long leaderStatusMicros = NEVER_MICROS;
 
     // State of the leader.
@@ -62,6 +68,7 @@
     /** Time from which silence counts: the last heartbeat, the end of a pause, or the grace period of a new leader. */
     private long lastHeartbeatMicros;
 
+    /** Time at which a worker that lost this leader last contacted a peer, by the peers' reports. */
     private long workerLostThisLeaderMicros = NEVER_MICROS;
 
     /**
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -33,7 +33,7 @@
     private static final int NO_STANDBY = -1;
 
     private final Settings settings;
-    /** By peer, the time of its last answer, {@link #NEVER_MICROS} without one, if it cannot follow a leader, or if the store does not answer it. */
+    /** By peer, the time of its last answer; {@link #NEVER_MICROS} if it cannot follow a leader or the store does not answer it. */
     private final long[] lastAnswerMicros;
     /** By peer, its last reported readiness, null if it cannot follow a leader. */
     private final StandbyReadiness[] reportedReadiness;
--- a/src/test/java/io/micatide/election/StoreConnectivityTest.java
+++ b/src/test/java/io/micatide/election/StoreConnectivityTest.java
@@ -20,7 +20,7 @@
         "-1, 1, true",
     })
     void peerThatReachesTheStoreDistinguishesPartitionFromOutage(
-            double ownAnswer, double peerAnswer, boolean isPartitionedAlone) {
+            double ownAnswer, double peerAnswer, boolean isOnlyControllerPartitioned) {
         StoreConnectivity connectivity = new StoreConnectivity();
         long now = 100 * Micros.SECOND;
         if (ownAnswer >= 0) {
@@ -29,6 +29,6 @@
         if (peerAnswer >= 0) {
             connectivity.peerReachedStore(now - Micros.ofSeconds(peerAnswer));
         }
-        assertEquals(isPartitionedAlone, connectivity.isOnlyControllerPartitioned(now));
+        assertEquals(isOnlyControllerPartitioned, connectivity.isOnlyControllerPartitioned(now));
     }
 }
