--- a/src/main/java/io/micatide/standby/ElectionDelay.java
+++ b/src/main/java/io/micatide/standby/ElectionDelay.java
@@ -7,7 +7,7 @@
 /**
  * Determines how long a controller delays its candidacy once the leader lease is free, so that a better prepared controller wins the
  * election. Safety does not depend on the delay, since the compare-and-swap on the lease decides. A controller that waits although no
- * better candidate exists loses half a second at most.
+ * better candidate exists only lengthens the time without a leader by its delay.
  *
  * <p>Times are microseconds on the process's steady clock. Not thread-safe.
  */
