--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -9,41 +9,46 @@
 import java.util.Map;
 
 /**
- * Sends a leader's hints to its designated standbys as numbered snapshots: a standby that holds the snapshot before gets the difference,
- * any other the whole. Only the last difference is kept, so that a standby that misses one costs a whole snapshot and no memory. Belongs
- * to one term; one thread at a time.
+ * Sends a leader's hints to its designated standbys as numbered snapshots. A standby that holds the previous snapshot receives the
+ * difference, any other the whole snapshot. Only the latest difference is kept: a standby that misses one costs a whole snapshot to send,
+ * but no memory.
+ *
+ * <p>An instance belongs to one term. Not thread-safe.
  */
 public final class HintSender {
-    /** The number of hints that a request to a sibling has room for. */
+    /** Number of hints that fit into a request to a peer. */
     static final int MAX_HINTS_PER_BATCH = 100;
 
-    private static final int NONE = -1;
+    /** Acknowledged number of a peer whose snapshot is not known. */
+    private static final int UNKNOWN_SNAPSHOT = -1;
 
     private final long fencingToken;
-    /** The snapshot that each sibling holds, {@link #NONE} if that is not known. */
-    private final long[] acknowledgedNumbers;
+    /** By peer, the number of the snapshot that it holds, or {@link #UNKNOWN_SNAPSHOT}. */
+    private final long[] acknowledgedSnapshots;
 
+    /** Current hints by {@link #key}. */
     private Map<String, Hint> snapshot = new HashMap<>();
-    private List<Hint> changed = List.of();
+
+    private List<Hint> changedHints = List.of();
     private List<String> removedKeys = List.of();
-    private long number;
+    private long snapshotNumber;
 
     /**
-     * Makes a term's sender.
+     * Creates the sender of a term.
      *
-     * @param fencingToken the leader's
-     * @param siblings how many other controllers the deployment has
+     * @param fencingToken fencing token of the leader
+     * @param peerCount number of other controllers in the deployment
      */
-    public HintSender(long fencingToken, int siblings) {
+    public HintSender(long fencingToken, int peerCount) {
         this.fencingToken = fencingToken;
-        this.acknowledgedNumbers = new long[siblings];
-        Arrays.fill(acknowledgedNumbers, NONE);
+        this.acknowledgedSnapshots = new long[peerCount];
+        Arrays.fill(acknowledgedSnapshots, UNKNOWN_SNAPSHOT);
     }
 
     /**
      * Replaces the snapshot by one with the next number.
      *
-     * @param hints all hints of now
+     * @param hints all current hints
      */
     public void updateSnapshot(List<Hint> hints) {
         Map<String, Hint> next = new HashMap<>(2 * hints.size());
@@ -55,12 +60,12 @@
             }
         }
         removedKeys = List.copyOf(snapshot.keySet());
-        changed = differing;
+        changedHints = differing;
         snapshot = next;
-        number++;
+        snapshotNumber++;
     }
 
-    /** A key by kind and name: a job and a machine may have the same name. */
+    /** Returns the key of a hint, made of kind and name, since a job and a machine may have the same name. */
     static String key(Hint hint) {
         if (hint instanceof Hint.MachineHint) {
             return "m/" + hint.name();
@@ -69,29 +74,29 @@
     }
 
     /**
-     * The batches that bring a standby to the present snapshot.
+     * Returns the batches that update a standby to the current snapshot.
      *
-     * @param sibling the standby's index among the siblings
-     * @return empty if it holds this snapshot already
+     * @param peerIndex the standby's index in {@code Settings.siblings()}
+     * @return the batches, empty if there is no snapshot yet or the standby holds the current one
      */
-    public List<HintBatch> batchesFor(int sibling) {
-        long acknowledged = acknowledgedNumbers[sibling];
-        if (acknowledged == number || number == 0) {
+    public List<HintBatch> batchesFor(int peerIndex) {
+        long acknowledged = acknowledgedSnapshots[peerIndex];
+        if (acknowledged == snapshotNumber || snapshotNumber == 0) {
             return List.of();
         }
-        boolean isDifference = acknowledged == number - 1 && acknowledged > 0;
-        List<Hint> hints = isDifference ? changed : List.copyOf(snapshot.values());
+        boolean isDifference = acknowledged == snapshotNumber - 1 && acknowledged > 0;
+        List<Hint> hints = isDifference ? changedHints : List.copyOf(snapshot.values());
         List<String> removed = isDifference ? removedKeys : List.of();
-        int parts = Math.max(1, (hints.size() + MAX_HINTS_PER_BATCH - 1) / MAX_HINTS_PER_BATCH);
+        int batchCount = Math.max(1, (hints.size() + MAX_HINTS_PER_BATCH - 1) / MAX_HINTS_PER_BATCH);
         List<HintBatch> batches = new ArrayList<>();
-        for (int index = 0; index < parts; index++) {
+        for (int index = 0; index < batchCount; index++) {
             int from = index * MAX_HINTS_PER_BATCH;
             batches.add(new HintBatch(
                     fencingToken,
-                    number,
-                    isDifference ? number - 1 : 0,
+                    snapshotNumber,
+                    isDifference ? snapshotNumber - 1 : 0,
                     index,
-                    parts,
+                    batchCount,
                     hints.subList(from, Math.min(hints.size(), from + MAX_HINTS_PER_BATCH)),
                     index == 0 ? removed : List.of()));
         }
@@ -101,10 +106,10 @@
     /**
      * Records which of this term's snapshots a standby holds.
      *
-     * @param sibling the standby's index among the siblings
-     * @param heldNumber number of the snapshot, 0 for none, -1 without an answer
+     * @param peerIndex the standby's index in {@code Settings.siblings()}
+     * @param heldSnapshot number of the snapshot, 0 for none, -1 if the standby did not answer
      */
-    public void snapshotAcknowledged(int sibling, long heldNumber) {
-        acknowledgedNumbers[sibling] = heldNumber;
+    public void snapshotAcknowledged(int peerIndex, long heldSnapshot) {
+        acknowledgedSnapshots[peerIndex] = heldSnapshot;
     }
 }
