--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -166,7 +166,7 @@
         } else if (message instanceof TermMessage.ArchivableJobsFound m) {
             archiving.finishedJobsFound(m);
         } else if (message instanceof TermMessage.ArchiveWritesUsed m) {
-            scheduler.writesSpent(m.writes());
+            scheduler.otherWritesSent(m.writes());
         } else if (message instanceof TermMessage.RolloutStepMessage m) {
             rolloutStepMessageReceived(m);
         } else if (message instanceof TermMessage.LearnedStateWritten m) {
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -110,7 +110,7 @@
         long fencingToken = scheduler.fencingToken();
 
         isWriteInFlight = true;
-        scheduler.writesSpent(1);
+        scheduler.otherWritesSent(1);
         store.transaction(
                 new Transaction(
                         List.of(
--- a/src/main/java/io/micatide/scheduler/DagInheritance.java
+++ b/src/main/java/io/micatide/scheduler/DagInheritance.java
@@ -17,18 +17,18 @@
  */
 final class DagInheritance {
     /** What lies between the end of a job and the start of the next one's tasks: two writes and the fetch of an image. */
-    private static final long START_DELAY_MICROS = 4 * Micros.SECOND;
+    private static final long DEPENDENT_START_DELAY_MICROS = 4 * Micros.SECOND;
     /** Run times are learned meanwhile. */
     private static final long REFRESH_MICROS = 5 * Micros.SECOND;
 
     /** A job that waits. */
-    private record Waiting(JobSpec spec, long version, long deadlineMicros) {}
+    private record WaitingJob(JobSpec spec, long version, long deadlineMicros) {}
 
     /** What those after a job ask of it. */
     private record Demand(Priority priority, long neededByMicros) {
         private static final Demand NONE = new Demand(Priority.LOW, Long.MAX_VALUE);
 
-        Demand and(Demand other) {
+        Demand mergedWith(Demand other) {
             return new Demand(
                     priority.isAbove(other.priority) ? priority : other.priority,
                     Math.min(neededByMicros, other.neededByMicros));
@@ -36,60 +36,60 @@
     }
 
     private final JobLedgers ledgers;
-    private final RuntimeEstimator runTimes;
-    private final Map<String, Waiting> waiting = new LinkedHashMap<>();
+    private final RuntimeEstimator runtimeEstimator;
+    private final Map<String, WaitingJob> waitingJobs = new LinkedHashMap<>();
     private final List<Job> jobsWithDemands = new ArrayList<>();
-    private boolean jobAdded;
+    private boolean openJobAdded;
     private long refreshedMicros = Long.MIN_VALUE / 2;
 
     DagInheritance(JobLedgers ledgers, RuntimeEstimator runTimes) {
         this.ledgers = ledgers;
-        this.runTimes = runTimes;
+        this.runtimeEstimator = runTimes;
     }
 
     int waitingJobCount() {
-        return waiting.size();
+        return waitingJobs.size();
     }
 
-    void jobWaits(JobSpec spec, long version, long submittedMicros) {
+    void addWaitingJob(JobSpec spec, long version, long submittedMicros) {
         long deadline = spec.deadlineMicros() < 0 ? Long.MAX_VALUE : submittedMicros + spec.deadlineMicros();
-        waiting.put(spec.id(), new Waiting(spec, version, deadline));
-        jobAdded = true;
+        waitingJobs.put(spec.id(), new WaitingJob(spec, version, deadline));
+        openJobAdded = true;
     }
 
     /** A job under way was added, of which those that wait may ask something. */
-    void jobAdded() {
-        jobAdded |= !waiting.isEmpty();
+    void openJobAdded() {
+        openJobAdded |= !waitingJobs.isEmpty();
     }
 
     /** Ready, done or cancelled. */
-    void jobNoLongerWaits(String id) {
-        jobAdded |= waiting.remove(id) != null;
+    void removeWaitingJob(String id) {
+        openJobAdded |= waitingJobs.remove(id) != null;
     }
 
     /** Tells the jobs under way what is asked of them. Linear in the edges, after a change and every few seconds. */
     void refresh(long nowMicros) {
-        if (!jobAdded && (waiting.isEmpty() || nowMicros - refreshedMicros < REFRESH_MICROS)) {
+        if (!openJobAdded && (waitingJobs.isEmpty() || nowMicros - refreshedMicros < REFRESH_MICROS)) {
             return;
         }
-        jobAdded = false;
+        openJobAdded = false;
         refreshedMicros = nowMicros;
         jobsWithDemands.forEach(job -> job.inheritFromDependents(false, Priority.LOW, Long.MAX_VALUE));
         jobsWithDemands.clear();
         // A job names only jobs accepted before it, so from the newest row to the oldest all after a job come before
         // it.
-        List<Waiting> order = new ArrayList<>(waiting.values());
+        List<WaitingJob> order = new ArrayList<>(waitingJobs.values());
         order.sort(Comparator.comparingLong(each -> -each.version()));
         Map<String, Demand> demands = new HashMap<>();
-        for (Waiting each : order) {
+        for (WaitingJob each : order) {
             Demand own = new Demand(each.spec().priority(), each.deadlineMicros())
-                    .and(demands.getOrDefault(each.spec().id(), Demand.NONE));
+                    .mergedWith(demands.getOrDefault(each.spec().id(), Demand.NONE));
             long by = own.neededByMicros() == Long.MAX_VALUE
                     ? Long.MAX_VALUE
-                    : own.neededByMicros() - runTimes.slowestMicros(each.spec()) - START_DELAY_MICROS;
+                    : own.neededByMicros() - runtimeEstimator.slowestMicros(each.spec()) - DEPENDENT_START_DELAY_MICROS;
             Demand before = new Demand(own.priority(), by);
             for (String need : each.spec().dependencies()) {
-                demands.merge(need, before, Demand::and);
+                demands.merge(need, before, Demand::mergedWith);
             }
         }
         demands.forEach((id, demand) -> {
--- a/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
+++ b/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
@@ -15,7 +15,7 @@
  */
 final class DeadlineFeasibility {
     /** A job with what is left of it. */
-    static final class Entry {
+    static final class JobEstimate {
         final Job job;
         /** Work that is left, in thousandths of a processor times microseconds. */
         final double remainingWork;
@@ -26,9 +26,9 @@
         /** What one job of its class counts for in the aims. */
         final double weight;
 
-        boolean feasible;
+        boolean isFeasible;
 
-        Entry(Job job, double work, long lengthMicros, long dueMicros, double weight) {
+        JobEstimate(Job job, double work, long lengthMicros, long dueMicros, double weight) {
             this.job = job;
             this.remainingWork = work;
             this.weight = weight;
@@ -45,22 +45,22 @@
     private DeadlineFeasibility() {}
 
     /** Marks what can be on time and returns the entries, the one first that has to start first. */
-    static List<Entry> markFeasible(List<Entry> entries, double cpus, long nowMicros) {
-        List<Entry> sorted = new ArrayList<>(entries);
-        sorted.sort(Comparator.comparingLong(Entry::latestStartMicros).thenComparingLong(e -> e.job.readyMicros));
-        PriorityQueue<Entry> kept =
-                new PriorityQueue<>(Comparator.comparingDouble((Entry e) -> -e.remainingWork / e.weight));
+    static List<JobEstimate> markFeasible(List<JobEstimate> entries, double cpus, long nowMicros) {
+        List<JobEstimate> sorted = new ArrayList<>(entries);
+        sorted.sort(Comparator.comparingLong(JobEstimate::latestStartMicros).thenComparingLong(e -> e.job.readyMicros));
+        PriorityQueue<JobEstimate> kept =
+                new PriorityQueue<>(Comparator.comparingDouble((JobEstimate e) -> -e.remainingWork / e.weight));
         double total = 0;
-        for (Entry entry : sorted) {
-            entry.feasible = entry.dueMicros - nowMicros >= entry.slowestTaskMicros;
-            if (!entry.feasible) {
+        for (JobEstimate entry : sorted) {
+            entry.isFeasible = entry.dueMicros - nowMicros >= entry.slowestTaskMicros;
+            if (!entry.isFeasible) {
                 continue;
             }
             kept.add(entry);
             total += entry.remainingWork;
             if (cpus <= 0 || total / cpus > entry.dueMicros - nowMicros) {
-                Entry largest = kept.poll();
-                largest.feasible = false;
+                JobEstimate largest = kept.poll();
+                largest.isFeasible = false;
                 total -= largest.remainingWork;
             }
         }
@@ -74,10 +74,10 @@
      * @param startMicros what a task takes before it runs: the fetch of its image
      * @param lateMicros in what time jobs are wanted that are late already
      */
-    static double requiredCpus(List<Entry> entries, long startMicros, long lateMicros, long nowMicros) {
+    static double requiredCpus(List<JobEstimate> entries, long startMicros, long lateMicros, long nowMicros) {
         record Demand(long leftMicros, double work, double own) {}
         List<Demand> demands = new ArrayList<>();
-        for (Entry entry : entries) {
+        for (JobEstimate entry : entries) {
             // Work of the lowest priority may take all the time that it has; for what has no aim nothing is rented
             // dearly.
             long patience = entry.job.priority() == Priority.LOW ? Long.MAX_VALUE / 2 : lateMicros;
--- a/src/main/java/io/micatide/scheduler/DependencyCancellations.java
+++ b/src/main/java/io/micatide/scheduler/DependencyCancellations.java
@@ -44,13 +44,13 @@
             if (!isUnresolved.test(entry.getKey())) {
                 OpenRecord open = entry.getValue();
                 batch.addCancelledByDependency(
-                        entry.getKey(), open.version(), closed(open.record(), checkedAgainstArchive));
+                        entry.getKey(), open.version(), cancelledRecord(open.record(), checkedAgainstArchive));
             }
         }
     }
 
     /** The job never started, so nobody has to know what its tasks take: the description goes. */
-    private static StoredRecord.JobRecord closed(StoredRecord.JobRecord open, boolean checkedAgainstArchive) {
+    private static StoredRecord.JobRecord cancelledRecord(StoredRecord.JobRecord open, boolean checkedAgainstArchive) {
         return new StoredRecord.JobRecord(JobState.CANCELLED, null, open.submittedWall(), open.taskCount())
                 .withCheckedAgainstArchive(checkedAgainstArchive);
     }
--- a/src/main/java/io/micatide/scheduler/Evictions.java
+++ b/src/main/java/io/micatide/scheduler/Evictions.java
@@ -79,14 +79,14 @@
                 continue;
             }
             boolean isIncomplete = job.gangStarted && job.liveAttempts.size() < job.spec.taskCount();
-            if (isIncomplete || job.gangBroken) {
+            if (isIncomplete || job.gangAttemptEnded) {
                 stopGang(job, nowMicros);
             }
         }
     }
 
     private void stopGang(Job job, long nowMicros) {
-        job.gangBroken = true;
+        job.gangAttemptEnded = true;
         for (Placement placement : job.livePlacements()) {
             if (placement.isUnsent()) {
                 placements.remove(placement);
@@ -111,11 +111,11 @@
     private void evictAsSlow(Placement placement, long nowMicros) {
         if (placement.isUnsent()) {
             placements.remove(placement);
-        } else if (!placement.job.evictedAsSlow.get(placement.taskIndex)) {
+        } else if (!placement.job.tasksEvictedAsSlow.get(placement.taskIndex)) {
             // One that was long elsewhere too is long itself: of an array whose tasks take very different times the
             // long ones
             // made each machine seem slow, and were started over without end.
-            placement.job.evictedAsSlow.set(placement.taskIndex);
+            placement.job.tasksEvictedAsSlow.set(placement.taskIndex);
             if (placement.job.spec.checkpointIntervalMicros() > 0) {
                 placements.stopWithCheckpoint(placement, nowMicros);
             } else {
--- a/src/main/java/io/micatide/scheduler/GangPlacement.java
+++ b/src/main/java/io/micatide/scheduler/GangPlacement.java
@@ -57,7 +57,7 @@
 
     /** Whether the gang has lost a task, or runs and waits for the end of what is left of it. */
     private static boolean isEnding(Job job) {
-        return job.gangBroken || (job.gangStarted && !job.liveAttempts.isEmpty());
+        return job.gangAttemptEnded || (job.gangStarted && !job.liveAttempts.isEmpty());
     }
 
     /** Whether a gang of this class was counted in this plan already, and there was too little capacity. */
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -102,7 +102,7 @@
     /** The job was read from the rows. What this leader has seen of it itself counts more. */
     void apply(Job job) {
         Hint.JobHint hint = jobs.remove(job.id());
-        if (hint == null || job.completedTasks > 0 || job.quarantined || job.attempts > 0) {
+        if (hint == null || job.completedTasks > 0 || job.quarantined || job.attemptCount > 0) {
             return;
         }
         job.completedRuntimeMicros = hint.meanRuntimeMicros() * hint.completedTasks();
--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -37,7 +37,7 @@
     /** Finished tasks that a confirmed write holds: only these may be forgotten by the workers. */
     final BitSet recordedTasks = new BitSet();
     /** Tasks that were stopped once since their machine seemed slow; they are not stopped for that again. */
-    final BitSet evictedAsSlow = new BitSet();
+    final BitSet tasksEvictedAsSlow = new BitSet();
     /** Attempts that may be on a machine, by task. */
     final Map<Integer, List<Placement>> liveAttempts = new HashMap<>();
 
@@ -63,7 +63,7 @@
 
     long firstStartMicros = -1;
     long lastStartMicros = -1;
-    int attempts;
+    int attemptCount;
     /** Run time and number of its tasks that completed in this term. */
     long completedRuntimeMicros;
 
@@ -75,7 +75,7 @@
     /** A task of the gang's present attempt has run: what is missing cannot be replaced any more. */
     boolean gangStarted;
     /** The present attempt is over; the next one begins when nothing of it can be on a machine. */
-    boolean gangBroken;
+    boolean gangAttemptEnded;
 
     /** Whether jobs wait for it, and what they ask of it: see {@link DagInheritance}. */
     boolean hasDependents;
@@ -229,12 +229,12 @@
     }
 
     /** A task of it is to be started. */
-    void startDecided(long nowMicros) {
+    void recordStart(long nowMicros) {
         if (firstStartMicros < 0) {
             firstStartMicros = nowMicros;
         }
         lastStartMicros = nowMicros;
-        attempts++;
+        attemptCount++;
     }
 
     /** The attempt that all tasks of a gang share, or 0 when none is live. */
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -87,12 +87,12 @@
     }
 
     /** The job's record is to be closed, since a dependency was cancelled; {@code record} as it is stored now. */
-    void cancelBeforeStart(String id, StoredRecord.JobRecord record, long version) {
+    void addDependencyCancellation(String id, StoredRecord.JobRecord record, long version) {
         dependencyCancellations.add(id, record, version);
     }
 
     /** The job's record needs no closing, or not any more. */
-    void cancelledBeforeStart(String id) {
+    void removeDependencyCancellation(String id) {
         dependencyCancellations.remove(id);
     }
 
@@ -105,7 +105,7 @@
             return false;
         }
         int page = StoreKeys.ledgerPageOf(key);
-        adopt(job, page, ledger, version);
+        applyStoredLedger(job, page, ledger, version);
         if (page == 0) {
             job.unreconciledMachines.addAll(ledger.machines());
             for (String machine : ledger.machines()) {
@@ -117,7 +117,7 @@
         return true;
     }
 
-    private void adopt(Job job, int page, StoredRecord.Ledger ledger, long version) {
+    private void applyStoredLedger(Job job, int page, StoredRecord.Ledger ledger, long version) {
         job.pageVersions.put(page, version);
         BitSet finished = new BitSet();
         TaskRanges.parseInto(ledger.finishedTasks(), page * format.pageTasks(), finished);
@@ -169,7 +169,7 @@
 
     /** Whether the job may be placed on the machine: its ledger names it or has room for its name. */
     boolean mayRecordMachine(Job job, Machine machine, long nowMicros) {
-        return ledgerMachines.hasRoomFor(job, machine, nowMicros);
+        return ledgerMachines.canName(job, machine, nowMicros);
     }
 
     /** Whether a job with waiting tasks is on as many machines as its ledger can name. */
@@ -299,7 +299,7 @@
                 job.ledgerMachines.clear();
             }
         } else if (version != job.pageVersions.getOrDefault(page, 0L)) {
-            adopt(job, page, ledger, version);
+            applyStoredLedger(job, page, ledger, version);
         }
     }
 
--- a/src/main/java/io/micatide/scheduler/JobOutcomes.java
+++ b/src/main/java/io/micatide/scheduler/JobOutcomes.java
@@ -55,12 +55,12 @@
     }
 
     private static String startsOf(Job job) {
-        if (job.attempts == 0) {
+        if (job.attemptCount == 0) {
             return "all started before this term";
         }
         return String.format(
                 "%d starts, first after %.1f s, last after %.1f s",
-                job.attempts,
+                job.attemptCount,
                 Micros.toSeconds(job.firstStartMicros - job.readyMicros),
                 Micros.toSeconds(job.lastStartMicros - job.readyMicros));
     }
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -78,8 +78,8 @@
     List<QueuedJob> order(long nowMicros) {
         Map<String, Resources> requestedByTeam = new HashMap<>();
         List<QueuedJob> result = new ArrayList<>();
-        Map<Job, DeadlineFeasibility.Entry> deadlines = new HashMap<>();
-        for (DeadlineFeasibility.Entry entry : assessDeadlines(nowMicros)) {
+        Map<Job, DeadlineFeasibility.JobEstimate> deadlines = new HashMap<>();
+        for (DeadlineFeasibility.JobEstimate entry : assessDeadlines(nowMicros)) {
             deadlines.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
@@ -106,10 +106,10 @@
     }
 
     /** @param deadline null for a job that never ends */
-    private static QueuedJob queued(Job job, boolean guaranteed, DeadlineFeasibility.Entry deadline) {
+    private static QueuedJob queued(Job job, boolean guaranteed, DeadlineFeasibility.JobEstimate deadline) {
         return deadline == null
                 ? new QueuedJob(job, job.pendingCount(), guaranteed, true, job.readyMicros)
-                : new QueuedJob(job, job.pendingCount(), guaranteed, deadline.feasible, deadline.latestStartMicros());
+                : new QueuedJob(job, job.pendingCount(), guaranteed, deadline.isFeasible, deadline.latestStartMicros());
     }
 
     /** A job that fails wherever it is tried holds no guarantee and no place among what can be on time. */
@@ -123,11 +123,11 @@
      * What can be on time: first within each team's limit, since capacity beyond it helps none of the team's jobs, then with
      * all processors.
      */
-    private List<DeadlineFeasibility.Entry> assessDeadlines(long nowMicros) {
+    private List<DeadlineFeasibility.JobEstimate> assessDeadlines(long nowMicros) {
         double cpus = cpusForFiniteJobs(nowMicros);
-        Map<String, List<DeadlineFeasibility.Entry>> byTeam = new LinkedHashMap<>();
-        List<DeadlineFeasibility.Entry> lowPriority = new ArrayList<>();
-        for (DeadlineFeasibility.Entry entry : finiteJobs(nowMicros)) {
+        Map<String, List<DeadlineFeasibility.JobEstimate>> byTeam = new LinkedHashMap<>();
+        List<DeadlineFeasibility.JobEstimate> lowPriority = new ArrayList<>();
+        for (DeadlineFeasibility.JobEstimate entry : finiteJobs(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // It gets what is left: a large job of a rare class would count for more than many of the others.
                 lowPriority.add(entry);
@@ -136,12 +136,12 @@
                         .add(entry);
             }
         }
-        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
-        List<DeadlineFeasibility.Entry> onTimeInTeam = new ArrayList<>();
+        List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
+        List<DeadlineFeasibility.JobEstimate> onTimeInTeam = new ArrayList<>();
         byTeam.forEach((team, entries) -> {
-            for (DeadlineFeasibility.Entry entry :
+            for (DeadlineFeasibility.JobEstimate entry :
                     DeadlineFeasibility.markFeasible(entries, Math.min(cpus, cpuLimit(team)), nowMicros)) {
-                (entry.feasible ? onTimeInTeam : result).add(entry);
+                (entry.isFeasible ? onTimeInTeam : result).add(entry);
             }
         });
         result.addAll(DeadlineFeasibility.markFeasible(onTimeInTeam, cpus, nowMicros));
@@ -155,12 +155,12 @@
     }
 
     /** What is left of every job that ends. */
-    List<DeadlineFeasibility.Entry> finiteJobs(long nowMicros) {
-        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
+    List<DeadlineFeasibility.JobEstimate> finiteJobs(long nowMicros) {
+        List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
                 long slowestMicros = runTimes.slowestMicros(job);
-                result.add(new DeadlineFeasibility.Entry(
+                result.add(new DeadlineFeasibility.JobEstimate(
                         job,
                         remainingWork(job),
                         slowestMicros,
--- a/src/main/java/io/micatide/scheduler/JobReconciler.java
+++ b/src/main/java/io/micatide/scheduler/JobReconciler.java
@@ -37,15 +37,15 @@
         StoredRecord.JobRecord record = view.record();
         long submittedMicros = nowMicros - Math.max(0, wallMicros - record.submittedWall());
         if (view.state() == JobState.OPEN && view.hasUnfinishedDependencies()) {
-            dagInheritance.jobWaits(record.spec(), view.version(), submittedMicros);
+            dagInheritance.addWaitingJob(record.spec(), view.version(), submittedMicros);
             return;
         }
-        dagInheritance.jobNoLongerWaits(id);
+        dagInheritance.removeWaitingJob(id);
         if (record.state() == JobState.OPEN && view.state() == JobState.CANCELLED) {
-            ledgers.cancelBeforeStart(id, record, view.version());
+            ledgers.addDependencyCancellation(id, record, view.version());
             return;
         }
-        ledgers.cancelledBeforeStart(id);
+        ledgers.removeDependencyCancellation(id);
         if (record.state() == JobState.OPEN) {
             long readyMicros = nowMicros - Math.max(0, wallMicros - view.readyWall());
             jobOpen(view, submittedMicros, readyMicros);
@@ -62,7 +62,7 @@
         }
         StoredRecord.JobRecord record = view.record();
         ledgers.addJob(record.spec(), view.version(), record.submittedWall(), submittedMicros, readyMicros);
-        dagInheritance.jobAdded();
+        dagInheritance.openJobAdded();
     }
 
     private void jobEnded(String id, StoredRecord.JobRecord record, long nowMicros) {
@@ -103,7 +103,7 @@
         } else if (job != null) {
             job.version = version;
         } else if (record.state() == JobState.CANCELLED) {
-            ledgers.cancelledBeforeStart(id);
+            ledgers.removeDependencyCancellation(id);
         }
     }
 }
--- a/src/main/java/io/micatide/scheduler/LedgerFormat.java
+++ b/src/main/java/io/micatide/scheduler/LedgerFormat.java
@@ -7,11 +7,11 @@
 /** How the ledgers of a term are laid out: tasks of a page, form of machine names and what a value has room for. */
 final class LedgerFormat {
     /** What a ledger value takes besides names and ranges. */
-    private static final int FRAME_BYTES = 64;
+    private static final int VALUE_OVERHEAD_BYTES = 64;
     /** What a plain name takes besides its letters: quotes and comma. */
-    private static final int NAME_FRAME_BYTES = 3;
+    private static final int NAME_OVERHEAD_BYTES = 3;
     /** More than a compressed name takes beside others, even with thousands of machines between them. */
-    private static final int COMPRESSED_NAME_BYTES = 5;
+    private static final int MAX_COMPRESSED_NAME_BYTES = 5;
     /** By how much a list of names may fall short of its room and still be full. */
     private static final int FULL_MARGIN_BYTES = 16;
 
@@ -49,7 +49,7 @@
 
     /** Bytes of a value that names and finished ranges share. */
     int contentBytes() {
-        return settings.maxWritableValueBytes() - FRAME_BYTES;
+        return settings.maxWritableValueBytes() - VALUE_OVERHEAD_BYTES;
     }
 
     /** Bytes of the first page that may name machines. Finished ranges have the rest, and what the names leave. */
@@ -69,14 +69,14 @@
         }
         int bytes = 0;
         for (String name : names) {
-            bytes += name.length() + NAME_FRAME_BYTES;
+            bytes += name.length() + NAME_OVERHEAD_BYTES;
         }
         return bytes;
     }
 
     /** Upper bound of the bytes that one more name takes. */
     int maxBytesOf(String name) {
-        return compressesNames() ? COMPRESSED_NAME_BYTES : name.length() + NAME_FRAME_BYTES;
+        return compressesNames() ? MAX_COMPRESSED_NAME_BYTES : name.length() + NAME_OVERHEAD_BYTES;
     }
 
     /** Whether a list of names that takes so many bytes has no room for another. */
--- a/src/main/java/io/micatide/scheduler/LedgerMachines.java
+++ b/src/main/java/io/micatide/scheduler/LedgerMachines.java
@@ -24,7 +24,7 @@
     }
 
     /** Whether the ledger names the machine or has room for its name, so that the job may be placed there. */
-    boolean hasRoomFor(Job job, Machine machine, long nowMicros) {
+    boolean canName(Job job, Machine machine, long nowMicros) {
         if (job.ledgerMachines.contains(machine.name) || job.machinesToRecord.contains(machine.name)) {
             return true;
         }
--- a/src/main/java/io/micatide/scheduler/LedgerPages.java
+++ b/src/main/java/io/micatide/scheduler/LedgerPages.java
@@ -19,7 +19,7 @@
  */
 final class LedgerPages {
     /** One job in many ranges fills this much of a batch; the rest of its pages goes with the next one. */
-    private static final int MAX_JOB_BYTES = WriteBatchBuilder.MAX_BYTES / 2;
+    private static final int MAX_JOB_LEDGER_BYTES = WriteBatchBuilder.MAX_BYTES / 2;
 
     private final LedgerFormat format;
     private final LedgerMachines ledgerMachines;
@@ -39,7 +39,7 @@
     sealed interface Composition {}
 
     /** New values of some pages. */
-    record Update(JobWrite jobWrite, List<Transaction.Write> writes, int estimatedBytes) implements Composition {}
+    record PageUpdate(JobWrite jobWrite, List<Transaction.Write> writes, int estimatedBytes) implements Composition {}
 
     /** The batch has no room for the job, or its ledger cannot be written as it is: later. */
     record Deferred() implements Composition {}
@@ -72,7 +72,7 @@
         if (pages.isEmpty() || pages.size() > maxPages) {
             return new Deferred();
         }
-        return encode(job, pages, firstPage, machines);
+        return composePages(job, pages, firstPage, machines);
     }
 
     private void addCandidateMachines(
@@ -99,7 +99,7 @@
         return pages;
     }
 
-    private Composition encode(Job job, List<Integer> pages, BitSet firstPage, Set<String> machines) {
+    private Composition composePages(Job job, List<Integer> pages, BitSet firstPage, Set<String> machines) {
         List<Integer> writtenPages = new ArrayList<>();
         Map<Integer, BitSet> finishedTasks = new HashMap<>();
         List<Transaction.Write> writes = new ArrayList<>();
@@ -111,7 +111,7 @@
                 continue;
             }
             StoredRecord.Ledger ledger = ledger(job, page, finished, machines);
-            if ((page > 0 && bytes + ledger.finishedTasks().length() > MAX_JOB_BYTES)
+            if ((page > 0 && bytes + ledger.finishedTasks().length() > MAX_JOB_LEDGER_BYTES)
                     || isAlreadyStored(job, page, finished, machines)) {
                 continue;
             }
@@ -122,7 +122,7 @@
         }
         return writtenPages.isEmpty()
                 ? new Unchanged()
-                : new Update(new JobWrite(job, false, machines, writtenPages, finishedTasks), writes, bytes);
+                : new PageUpdate(new JobWrite(job, false, machines, writtenPages, finishedTasks), writes, bytes);
     }
 
     private StoredRecord.Ledger ledger(Job job, int page, BitSet finished, Set<String> machines) {
--- a/src/main/java/io/micatide/scheduler/OpenJobs.java
+++ b/src/main/java/io/micatide/scheduler/OpenJobs.java
@@ -79,7 +79,7 @@
     }
 
     /** The jobs that have something to be written and may be, as a copy. */
-    List<Job> takeWritable() {
+    List<Job> writableJobs() {
         // Whatever else made it dirty, a cancelled job stays open here and its ledger in the store until nothing of it
         // can be on a machine. It once went with the next batch that came for a finished task or a machine to record:
         // what went on on a hung or partitioned machine counted for no team any more, neither here nor for the next
--- a/src/main/java/io/micatide/scheduler/PlacementTable.java
+++ b/src/main/java/io/micatide/scheduler/PlacementTable.java
@@ -54,7 +54,7 @@
         listener.capacityFreed();
         if (placement.job.liveAttempts.isEmpty()) {
             placement.job.gangStarted = false;
-            placement.job.gangBroken = false;
+            placement.job.gangAttemptEnded = false;
         }
         if (placement.job.cancelled) {
             markLedgerIfStopped(placement.job, placement.createdMicros);
@@ -116,7 +116,7 @@
             // Of two tasks that have to yield at once the first takes the whole gang away: with nothing left of it
             // there is
             // nothing to wait for. A gang that was held to be broken then was never placed again.
-            job.gangBroken = !job.liveAttempts.isEmpty();
+            job.gangAttemptEnded = !job.liveAttempts.isEmpty();
         } else {
             stop(placement, graceMicros, nowMicros);
         }
@@ -135,7 +135,7 @@
         Placement.Phase phase = isRecorded ? Placement.Phase.READY : Placement.Phase.AWAITING_LEDGER;
         add(new Placement(job, taskIndex, attempt, machine, phase, nowMicros));
         ledgers.recordMachine(job, machine, nowMicros);
-        job.startDecided(nowMicros);
+        job.recordStart(nowMicros);
     }
 
     @Override
--- a/src/main/java/io/micatide/scheduler/ScaleOut.java
+++ b/src/main/java/io/micatide/scheduler/ScaleOut.java
@@ -75,7 +75,7 @@
 
     /** Work that ends wants as many processors as have it ready in time. */
     private boolean requestForFiniteJobs(Resources expected, long nowMicros) {
-        List<DeadlineFeasibility.Entry> jobs = planner.queue().finiteJobs(nowMicros);
+        List<DeadlineFeasibility.JobEstimate> jobs = planner.queue().finiteJobs(nowMicros);
         double available = planner.queue().cpusForFiniteJobs(nowMicros) + expected.cpus();
         double wanted = DeadlineFeasibility.requiredCpus(jobs, FETCH_MICROS, LATE_JOB_WITHIN_MICROS, nowMicros);
         // More processors than tasks that may run at once are of no use.
@@ -83,7 +83,7 @@
         if (missing <= 0) {
             return false;
         }
-        DeadlineFeasibility.Entry largest = largestReconciled(jobs);
+        DeadlineFeasibility.JobEstimate largest = largestReconciled(jobs);
         if (largest == null) {
             return false;
         }
@@ -94,9 +94,9 @@
     }
 
     /** Processors, in thousandths, that the jobs' tasks could use at once under the teams' limits. */
-    private double usableCpus(List<DeadlineFeasibility.Entry> jobs) {
+    private double usableCpus(List<DeadlineFeasibility.JobEstimate> jobs) {
         Map<String, Resources> requestedByTeam = new HashMap<>();
-        for (DeadlineFeasibility.Entry entry : jobs) {
+        for (DeadlineFeasibility.JobEstimate entry : jobs) {
             JobSpec spec = entry.job.spec;
             requestedByTeam.merge(
                     spec.team(), spec.taskResources().times(entry.job.unfinishedCount()), Resources::plus);
@@ -111,9 +111,9 @@
     }
 
     /** The job with the most work left among those of which all machines are known, or null. */
-    private static DeadlineFeasibility.Entry largestReconciled(List<DeadlineFeasibility.Entry> jobs) {
-        DeadlineFeasibility.Entry largest = null;
-        for (DeadlineFeasibility.Entry entry : jobs) {
+    private static DeadlineFeasibility.JobEstimate largestReconciled(List<DeadlineFeasibility.JobEstimate> jobs) {
+        DeadlineFeasibility.JobEstimate largest = null;
+        for (DeadlineFeasibility.JobEstimate entry : jobs) {
             if (!entry.job.hasUnreconciledMachines()
                     && (largest == null || entry.remainingWork > largest.remainingWork)) {
                 largest = entry;
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -264,7 +264,7 @@
     }
 
     @Override
-    public void writesSpent(int writes) {
+    public void otherWritesSent(int writes) {
         term.writeBatches.spend(writes);
     }
 
--- a/src/main/java/io/micatide/scheduler/TaskOutcomes.java
+++ b/src/main/java/io/micatide/scheduler/TaskOutcomes.java
@@ -97,7 +97,7 @@
         placements.remove(placement);
         Job job = placement.job;
         if (job.spec.kind() == JobKind.GANG && !cause.isRefusedStart()) {
-            job.gangBroken = !job.liveAttempts.isEmpty();
+            job.gangAttemptEnded = !job.liveAttempts.isEmpty();
         }
     }
 
--- a/src/main/java/io/micatide/scheduler/WriteBatchBuilder.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchBuilder.java
@@ -57,12 +57,12 @@
     }
 
     /** Whether so many more bytes fit; one job that is larger than a whole batch may have a batch of its own. */
-    boolean hasRoomFor(int bytes) {
+    boolean fits(int bytes) {
         return writes.isEmpty() || bytes <= MAX_BYTES - estimatedBytes;
     }
 
     /** Adds new values of an open job's ledger pages. */
-    void addLedgerUpdate(LedgerPages.Update update) {
+    void addLedgerUpdate(LedgerPages.PageUpdate update) {
         Job job = update.jobWrite().job();
         // Without this a write that arrives after the job's end would bring its ledger back: both are absent then.
         conditions.add(new Transaction.Condition(StoreKeys.job(job.id()), job.version));
--- a/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
@@ -16,7 +16,7 @@
  */
 final class WriteBatchPlanner {
     /** Longest time that finished tasks of a job wait to be recorded together. */
-    private static final long MAX_GATHER_MICROS = Micros.SECOND;
+    private static final long MAX_BATCHING_DELAY_MICROS = Micros.SECOND;
 
     private final Settings settings;
     private final OpenJobs jobs;
@@ -70,7 +70,7 @@
             WriteBatch.Limits limits,
             LedgerPages.CandidateMachineSource candidates) {
         int maxWrites = Math.min(limits.maxWrites(), settings.maxTransactionWrites());
-        List<Job> writable = jobs.takeWritable();
+        List<Job> writable = jobs.writableJobs();
         for (WritePriority priority : WritePriority.ORDER) {
             int maxLedgerWrites = priority == WritePriority.FINISHED_TASKS ? limits.maxDeferrableWrites() : maxWrites;
             for (Job job : writable) {
@@ -89,7 +89,7 @@
     private static boolean isDue(Job job, WritePriority priority, long nowMicros) {
         return !job.writeInFlight
                 && nowMicros >= job.nextWriteMicros
-                && (priority != WritePriority.FINISHED_TASKS || nowMicros - job.dirtySinceMicros >= MAX_GATHER_MICROS);
+                && (priority != WritePriority.FINISHED_TASKS || nowMicros - job.dirtySinceMicros >= MAX_BATCHING_DELAY_MICROS);
     }
 
     private void addLedger(
@@ -97,7 +97,7 @@
         LedgerPages.Composition pages = ledgerPages.compose(job, maxWrites - batch.writeCount(), candidates);
         if (pages instanceof LedgerPages.Unchanged) {
             jobs.markClean(job);
-        } else if (pages instanceof LedgerPages.Update update && batch.hasRoomFor(update.estimatedBytes())) {
+        } else if (pages instanceof LedgerPages.PageUpdate update && batch.fits(update.estimatedBytes())) {
             batch.addLedgerUpdate(update);
         }
     }
--- a/src/main/java/io/micatide/scheduler/WriteBatchSource.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchSource.java
@@ -124,5 +124,5 @@
      *
      * @param writes that were sent
      */
-    void writesSpent(int writes);
+    void otherWritesSent(int writes);
 }
--- a/src/main/java/io/micatide/scheduler/WriteBudget.java
+++ b/src/main/java/io/micatide/scheduler/WriteBudget.java
@@ -19,7 +19,7 @@
     private static final int MIN_TRANSACTION_WRITES = 3;
 
     private final double writesPerSecond;
-    private double available;
+    private double availableWrites;
     private long refilledMicros;
     /** Less than in the settings once the store has refused a transaction. */
     private int maxTransactionWrites;
@@ -27,7 +27,7 @@
     /** A full bucket. */
     WriteBudget(Settings settings, long nowMicros) {
         this.writesPerSecond = settings.storeWritesPerSecond() * LEADER_SHARE;
-        this.available = writesPerSecond;
+        this.availableWrites = writesPerSecond;
         this.refilledMicros = nowMicros;
         this.maxTransactionWrites = settings.maxTransactionWrites();
     }
@@ -35,18 +35,18 @@
     /** Adds what the time since the last call allows; the limits below are as of this call. */
     void refill(long nowMicros) {
         double sinceLast = Micros.toSeconds(nowMicros - refilledMicros);
-        available = Math.min(writesPerSecond, available + writesPerSecond * sinceLast);
+        availableWrites = Math.min(writesPerSecond, availableWrites + writesPerSecond * sinceLast);
         refilledMicros = nowMicros;
     }
 
     /** So many writes are sent. */
     void spend(int writes) {
-        available -= writes;
+        availableWrites -= writes;
     }
 
     /** How many writes the next transaction may have, below 1 for none. */
     int transactionLimit() {
-        return (int) Math.min(available, maxTransactionWrites);
+        return (int) Math.min(availableWrites, maxTransactionWrites);
     }
 
     /**
@@ -54,12 +54,12 @@
      * transaction may hold, as before, it came to two where that is five, and finished tasks took what starts then waited for.
      */
     int deferrableLimit() {
-        return (int) Math.max(0, Math.min(maxTransactionWrites, available - writesPerSecond / 2));
+        return (int) Math.max(0, Math.min(maxTransactionWrites, availableWrites - writesPerSecond / 2));
     }
 
     /** How many writes batches and users leave over: what is above four fifths of a second's worth. */
     int spareWrites() {
-        return (int) Math.max(0, available - writesPerSecond * RESERVED_SHARE);
+        return (int) Math.max(0, availableWrites - writesPerSecond * RESERVED_SHARE);
     }
 
     /** The store will never take a transaction with so many writes: the next ones are half as large. */
--- a/src/test/java/io/micatide/scheduler/DeadlineFeasibilityTest.java
+++ b/src/test/java/io/micatide/scheduler/DeadlineFeasibilityTest.java
@@ -27,15 +27,15 @@
         // A job of a rare class counts for as much as the many that would have to go for it.
         "10, '10x10@20,40x10@50@5,10x10@55', '50 55'",
     })
-    void leavesTheLargestForLater(double cpus, String jobs, String onTime) {
-        List<DeadlineFeasibility.Entry> entries = new ArrayList<>();
+    void dropsTheLargestJobWhenNotAllAreFeasible(double cpus, String jobs, String onTime) {
+        List<DeadlineFeasibility.JobEstimate> entries = new ArrayList<>();
         for (String each : jobs.split(",")) {
             String[] part = each.split("[x@]");
             int tasks = Integer.parseInt(part[0]);
             long length = Integer.parseInt(part[1]) * Micros.SECOND;
             Job job = new Job(
                     SchedulerHarness.job("wk-" + each, JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 1), 1, 0, 0, 0);
-            entries.add(new DeadlineFeasibility.Entry(
+            entries.add(new DeadlineFeasibility.JobEstimate(
                     job,
                     (double) tasks * length,
                     length,
@@ -43,8 +43,8 @@
                     part.length > 3 ? Integer.parseInt(part[3]) : 1));
         }
         List<String> kept = new ArrayList<>();
-        for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.markFeasible(entries, cpus, 0)) {
-            if (entry.feasible) {
+        for (DeadlineFeasibility.JobEstimate entry : DeadlineFeasibility.markFeasible(entries, cpus, 0)) {
+            if (entry.isFeasible) {
                 kept.add(String.valueOf(entry.dueMicros / Micros.SECOND));
             }
         }
--- a/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
@@ -35,7 +35,7 @@
     /** Each row moves the kill over another stretch of the interactions, of old limits and of limits that fell. */
     @ParameterizedTest
     @CsvSource({"0, 0, 16", "0, 0.03, 16", "200, 0, 5", "200, 0.03, 5", "100, 0.1, 3"})
-    void nothingStartsTooEarlyWhereverTheLeaderIsKilled(int from, double lostAnswers, int ops) {
+    void noTaskStartsBeforeItsDependenciesAtAnyKillPoint(int from, double lostAnswers, int ops) {
         for (int kill = from + 1; kill <= from + 200; kill++) {
             SchedulerHarness world = new SchedulerHarness(kill, 3, 2048, ops);
             world.opsLimit = ops;
@@ -68,7 +68,7 @@
 
     /** The last job of a pipeline comes when the others are over, and starts as any other. */
     @Test
-    void whatIsDoneIsNotWaitedFor() {
+    void finishedDependenciesDoNotDelayAJob() {
         SchedulerHarness world = new SchedulerHarness(1, 3);
         world.takeOver();
         world.submit(job("wk-a", Priority.LOW, 3, 4));
@@ -83,7 +83,7 @@
 
     /** While it waits a job takes nothing: no place in its team's limit, no machine rented, no row written. */
     @Test
-    void waitingTakesNothing() {
+    void waitingJobUsesNoResources() {
         SchedulerHarness world = new SchedulerHarness(1, 2);
         // The machine that is idle meanwhile goes back, and that is not what this is about.
         world.recorded = false;
--- a/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
@@ -27,7 +27,7 @@
     }
 
     /** Steps are {@code b<a} (a row that needs others), {@code +a} (done) and {@code -a} (cancelled), oldest first. */
-    private static void play(JobCache directory, List<String> steps, long from) {
+    private static void applySteps(JobCache directory, List<String> steps, long from) {
         long version = from;
         for (String step : steps) {
             version++;
@@ -47,7 +47,7 @@
     }
 
     /** How each job stands: ready, waiting, done or withdrawn, in the order of their names. */
-    private static String told(JobCache directory, String names) {
+    private static String describeStates(JobCache directory, String names) {
         StringBuilder text = new StringBuilder();
         for (String name : names.split("")) {
             JobCache.View view = directory.view(name);
@@ -81,11 +81,11 @@
         "a b<a -a -b c<b, abc, xxx",
         "a b<a c<b -c, abc, rwx",
     })
-    void everyControllerTellsTheSame(String rows, String jobs, String told) {
+    void everyControllerDerivesTheSameStates(String rows, String jobs, String told) {
         List<String> steps = List.of(rows.split(" "));
         JobCache live = new JobCache();
-        play(live, steps, 0);
-        assertEquals(told, told(live, jobs), "as it happened");
+        applySteps(live, steps, 0);
+        assertEquals(told, describeStates(live, jobs), "as it happened");
         // A controller that starts later reads only the last row of each job, here by name and against it.
         for (int order = 0; order < 2; order++) {
             JobCache late = new JobCache();
@@ -94,20 +94,20 @@
                 rowsNow.add(order == 0 ? rowsNow.size() : 0, live.get(name));
             }
             rowsNow.forEach(entry -> late.apply(entry.id(), entry.record(), entry.version()));
-            assertEquals(told, told(late, jobs), "read later, order " + order);
+            assertEquals(told, describeStates(late, jobs), "read later, order " + order);
         }
     }
 
     /** One cancellation is one row however long the chain; nothing here may recurse as deep as a chain is long. */
     @ParameterizedTest
     @CsvSource({"50, true", "50, false", "20000, true", "20000, false"})
-    void chains(int length, boolean cancel) {
+    void longChainsAreResolvedWithoutRecursion(int length, boolean cancel) {
         JobCache directory = new JobCache();
         List<String> steps = new ArrayList<>(List.of("j0"));
         for (int i = 1; i < length; i++) {
             steps.add("j" + i + "<j" + (i - 1));
         }
-        play(directory, steps, 0);
+        applySteps(directory, steps, 0);
         List<String> changed = directory.apply(
                 "j0", new StoredRecord.JobRecord(cancel ? JobState.CANCELLED : JobState.DONE, null, 0, 2), length + 1);
         assertEquals(cancel ? length : 2, changed.size());
@@ -115,9 +115,9 @@
     }
 
     @Test
-    void timesCountFromTheEndOfTheLastNeededJob() {
+    void readyTimeIsTheEndOfTheLastDependency() {
         JobCache directory = new JobCache();
-        play(directory, List.of("a", "b", "c<a&b", "+b", "+a"), 0);
+        applySteps(directory, List.of("a", "b", "c<a&b", "+b", "+a"), 0);
         assertEquals(5, directory.view("c").readyWall());
         assertEquals(0, directory.view("a").readyWall());
     }
@@ -137,9 +137,9 @@
         "a, true, z, Refused",
         "a, true, x, Refused",
     })
-    void submissions(String rows, boolean marked, String needs, String outcome) {
+    void admissionOfSubmissionsWithDependencies(String rows, boolean marked, String needs, String outcome) {
         JobCache directory = new JobCache();
-        play(directory, List.of(rows.split(" ")), 0);
+        applySteps(directory, List.of(rows.split(" ")), 0);
         directory.apply(
                 "s",
                 new StoredRecord.JobRecord(
@@ -171,7 +171,7 @@
         "d<a, PRODUCTION, PRODUCTION, 1",
         "c<a, LOW, NORMAL, 0",
     })
-    void theLastJobAsksForThePipeline(String rows, Priority own, Priority inherited, int steps) {
+    void deadlineAndPriorityOfTheLastJobAreInherited(String rows, Priority own, Priority inherited, int steps) {
         Settings settings = new SchedulerHarness(1, 0).settings;
         RuntimeEstimator runTimes = new RuntimeEstimator();
         JobLedgers ledgers = new JobLedgers(settings, 5);
@@ -203,7 +203,7 @@
                         100 * Micros.SECOND,
                         waiting.dependencies());
             }
-            pipelines.jobWaits(waiting, ++version, 0);
+            pipelines.addWaitingJob(waiting, ++version, 0);
         }
         pipelines.refresh(0);
         assertEquals(inherited, first.priority());
@@ -214,7 +214,7 @@
             assertTrue(
                     before >= steps * 5 * Micros.SECOND && before <= steps * 12 * Micros.SECOND, "before: " + before);
         }
-        pipelines.jobNoLongerWaits("d");
+        pipelines.removeWaitingJob("d");
         pipelines.refresh(0);
         assertEquals(Long.MAX_VALUE, first.dependentsDueMicros);
     }
@@ -222,9 +222,9 @@
     /** Names that a row has no room for come in rows of their own, before it or after it: nothing is told of half a list. */
     @ParameterizedTest
     @CsvSource({"r12, true", "12r, true", "1r2, true", "r1, false", "12, false", "r, false"})
-    void furtherNamesBelongToTheRow(String order, boolean known) {
+    void furtherDependenciesBelongToTheJobRecord(String order, boolean known) {
         JobCache directory = new JobCache();
-        play(directory, List.of("a", "b", "c"), 0);
+        applySteps(directory, List.of("a", "b", "c"), 0);
         StoredRecord.JobRecord row = new StoredRecord.JobRecord(JobState.OPEN, spec("d", List.of("a")), 0, 2)
                 .withDependencies(List.of("a"), 2);
         for (char part : order.toCharArray()) {
@@ -238,9 +238,9 @@
         if (known) {
             assertEquals(
                     List.of("a", "b", "c"), directory.get("d").record().spec().dependencies());
-            play(directory, List.of("+a", "+b"), 20);
+            applySteps(directory, List.of("+a", "+b"), 20);
             assertTrue(directory.view("d").hasUnfinishedDependencies());
-            play(directory, List.of("-c"), 30);
+            applySteps(directory, List.of("-c"), 30);
             assertEquals(JobState.CANCELLED, directory.state("d"));
         }
     }
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -92,8 +92,8 @@
     private List<JobQueue.QueuedJob> queue(long nowMicros) {
         Map<String, Resources> asked = new HashMap<>();
         List<JobQueue.QueuedJob> result = new ArrayList<>();
-        Map<Job, DeadlineFeasibility.Entry> entries = new HashMap<>();
-        for (DeadlineFeasibility.Entry entry : decide(nowMicros)) {
+        Map<Job, DeadlineFeasibility.JobEstimate> entries = new HashMap<>();
+        for (DeadlineFeasibility.JobEstimate entry : decide(nowMicros)) {
             entries.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
@@ -110,12 +110,12 @@
             boolean guaranteed = team != null && team.guaranteedCpus() > 0 && team.isWithinGuarantee(total);
             int waiting = job.pendingCount();
             if (waiting > 0) {
-                DeadlineFeasibility.Entry entry = entries.get(job);
+                DeadlineFeasibility.JobEstimate entry = entries.get(job);
                 result.add(new JobQueue.QueuedJob(
                         job,
                         waiting,
                         guaranteed,
-                        entry == null || entry.feasible,
+                        entry == null || entry.isFeasible,
                         entry == null ? job.readyMicros : entry.latestStartMicros()));
             }
         }
@@ -139,12 +139,12 @@
      * What can be on time: first within each team's limit, since room beyond it helps none of the team's jobs, then
      * with all processors.
      */
-    private List<DeadlineFeasibility.Entry> decide(long nowMicros) {
+    private List<DeadlineFeasibility.JobEstimate> decide(long nowMicros) {
         double cpus = arrayCpus(nowMicros);
-        Map<String, List<DeadlineFeasibility.Entry>> perTeam = new LinkedHashMap<>();
-        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
-        List<DeadlineFeasibility.Entry> lowest = new ArrayList<>();
-        for (DeadlineFeasibility.Entry entry : arrays(nowMicros)) {
+        Map<String, List<DeadlineFeasibility.JobEstimate>> perTeam = new LinkedHashMap<>();
+        List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
+        List<DeadlineFeasibility.JobEstimate> lowest = new ArrayList<>();
+        for (DeadlineFeasibility.JobEstimate entry : arrays(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // It gets what is left: a large job of a rare class would count for more than many of the others.
                 lowest.add(entry);
@@ -153,12 +153,12 @@
             perTeam.computeIfAbsent(entry.job.spec.team(), k -> new ArrayList<>())
                     .add(entry);
         }
-        List<DeadlineFeasibility.Entry> possible = new ArrayList<>();
+        List<DeadlineFeasibility.JobEstimate> possible = new ArrayList<>();
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
             double most = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, team.maxCpus());
-            for (DeadlineFeasibility.Entry entry : DeadlineFeasibility.markFeasible(entries, most, nowMicros)) {
-                (entry.feasible ? possible : result).add(entry);
+            for (DeadlineFeasibility.JobEstimate entry : DeadlineFeasibility.markFeasible(entries, most, nowMicros)) {
+                (entry.isFeasible ? possible : result).add(entry);
             }
         });
         result.addAll(DeadlineFeasibility.markFeasible(possible, cpus, nowMicros));
@@ -167,8 +167,8 @@
     }
 
     /** What is left of every job that ends. */
-    private List<DeadlineFeasibility.Entry> arrays(long nowMicros) {
-        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
+    private List<DeadlineFeasibility.JobEstimate> arrays(long nowMicros) {
+        List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
                 long length = runTimes.expectedMicros(job);
@@ -177,7 +177,7 @@
                         * (double) length
                         * (waiting + 0.5 * (job.unfinishedCount() - waiting));
                 long slowest = runTimes.slowestMicros(job);
-                result.add(new DeadlineFeasibility.Entry(
+                result.add(new DeadlineFeasibility.JobEstimate(
                         job, work, slowest, due(job, slowest, nowMicros), weight(job.spec.jobClass())));
             }
         }
@@ -643,7 +643,7 @@
     private void placeGang(Job job, int missing, List<Machine> all, boolean preempts, long nowMicros) {
         JobSpec spec = job.spec;
         Team team = settings.teams().get(spec.team());
-        boolean ended = job.gangBroken || (job.gangStarted && !job.liveAttempts.isEmpty());
+        boolean ended = job.gangAttemptEnded || (job.gangStarted && !job.liveAttempts.isEmpty());
         if (ended
                 || (team != null
                         && !team.isWithinLimit(placements
