--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -14,83 +14,106 @@
 import java.util.Map;
 import java.util.Set;
 
-/** An open (or just cancelled) job as its leader knows it. */
+/**
+ * State of one open job in the current term: its tasks, its live attempts and what is known of its ledger. A cancelled
+ * job stays here until none of its tasks can be on a machine.
+ */
 final class Job {
     final JobSpec spec;
+    /** Time of day of the submission, in microseconds. */
     final long submittedWall;
-    /** When this leader first saw it, on the steady clock, minus the age it had by the time of day. */
+    /** Submission time on the steady clock: when this leader first read the job, minus its age by the time of day. */
     final long submittedMicros;
-    /** From when its times count, but for its deadline: its submission, or the end of the last job that it needed. */
+    /**
+     * Time from which waiting times and objectives of the job count: its submission, or the end of its last dependency.
+     * The deadline counts from the submission.
+     */
     final long readyMicros;
 
+    /** Version of the stored job record. */
     long version;
+
     boolean cancelled;
-    /** Finished tasks, recorded or not; changed by {@link #markFinished} and {@link #addRecordedTasks} only. */
+    /** Finished tasks, recorded or not; changed only by {@link #markFinished} and {@link #addRecordedTasks}. */
     final BitSet finishedTasks = new BitSet();
-    /** Tasks that are finished or live, so that the next one to place is found without a search. */
+    /** Tasks that are finished or have a live attempt; its first clear bit is the next task to place. */
     private final BitSet finishedOrLiveTasks = new BitSet();
 
     private int finishedCount;
+    /** Number of unfinished tasks with a live attempt. */
     private int liveUnfinishedCount;
-    /** Machines with live attempts, and how many. */
+    /** Machines with live attempts, each counted once per attempt. */
     final Multiset<String> liveMachines = HashMultiset.create();
-    /** Finished tasks that a confirmed write holds: only these may be forgotten by the workers. */
+    /** Finished tasks that the stored ledger holds. Workers may forget only these. */
     final BitSet recordedTasks = new BitSet();
-    /** Tasks that were stopped once since their machine seemed slow; they are not stopped for that again. */
+    /** Tasks that were stopped once because their machine seemed slow; they are not stopped for this reason again. */
     final BitSet tasksEvictedAsSlow = new BitSet();
-    /** Attempts that may be on a machine, by task. */
+    /** Attempts that may be on a machine, by task index; a task without one has no entry. */
     final Map<Integer, List<Placement>> liveAttempts = new HashMap<>();
 
-    /** Machines in the ledger by every outcome that the last writes can have. */
+    /** Machines that the stored ledger names under every possible outcome of the last write. */
     Set<String> ledgerMachines = new HashSet<>();
-    /** Machines that the next write must name because of held starts. */
+    /** Machines that the next write must name, because starts on them wait for it. */
     final Set<String> machinesToRecord = new HashSet<>();
-    /** Machines taken over from an earlier leader's ledger that have not been settled. */
+    /** Machines named by a previous leader's ledger that have not been reconciled. */
     final Set<String> unreconciledMachines = new HashSet<>();
 
     long gangAttempt;
+    /** Version of each stored ledger page, by page number; a page that is not stored has no entry. */
     final Map<Integer, Long> pageVersions = new HashMap<>();
+    /** Ledger pages with finished tasks that are not recorded yet. */
     final BitSet dirtyPages = new BitSet();
+    /** Whether a write of the job was sent and its outcome is unknown. */
     boolean writeInFlight;
+    /** Time since which the job has something to be written, or -1. */
     long dirtySinceMicros = -1;
+    /** Time before which no task of the job is placed. */
     long backoffUntilMicros;
-    /** Failed where nothing of it ever succeeded, on several machines: most likely submitted with a mistake. */
+    /** Whether the job failed on several machines and none of its tasks ever succeeded: probably a faulty submission. */
     boolean quarantined;
-    /** Probes of it that failed since it is suspected. */
+    /** Number of failed probes since the job was quarantined; the pause between probes grows with it. */
     int failedProbes;
-    /** Machines on which a task of it failed and none succeeded since; it is not placed there. */
+    /** Machines on which a task of the job failed and none succeeded since; the job is not placed there. */
     final Set<String> failedMachines = new HashSet<>();
 
+    /** Time of the first start of a task in this term, or -1. */
     long firstStartMicros = -1;
+    /** Time of the latest start of a task in this term, or -1. */
     long lastStartMicros = -1;
+    /** Number of task starts in this term. */
     int attemptCount;
-    /** Run time and number of its tasks that completed in this term. */
+    /** Total run time of the tasks that completed in this term. */
     long completedRuntimeMicros;
-
+    /** Number of tasks that completed in this term. */
     int completedTasks;
-    /** When it may next displace other work. */
+    /** Time before which the job does not preempt other work. */
     long nextPreemptionMicros;
-    /** Until when room that was asked for by stopping saving work is waited for. */
+    /** Time until which the job waits for capacity of preempted tasks that are saving their state, or -1. */
     long capacityAwaitedUntilMicros = -1;
-    /** A task of the gang's present attempt has run: what is missing cannot be replaced any more. */
+    /** Whether a task of the gang's current attempt has run. Missing tasks cannot be replaced from then on. */
     boolean gangStarted;
-    /** The present attempt is over; the next one begins when nothing of it can be on a machine. */
+    /** Whether the gang's current attempt has ended. The next one begins when no task of it can be on a machine. */
     boolean gangAttemptEnded;
 
-    /** Whether jobs wait for it, and what they ask of it: see {@link DagInheritance}. */
+    /** Whether other jobs wait for this one; set by {@link DagInheritance} with the priority and due time below. */
     boolean hasDependents;
 
     private Priority priority;
+    /** Time by which the job must be finished for its dependents to meet their deadlines; {@code MAX_VALUE} for none. */
     long dependentsDueMicros = Long.MAX_VALUE;
-    /** Its ledger cannot be written with further machines: what is held for them has to be given back. */
+    /** Whether the ledger cannot name further machines, so that placements waiting to be recorded must be removed. */
     boolean ledgerFull;
-    /** What the names of its machines took at that time, without those that a round has still to name. */
+    /**
+     * Bytes of the required machine names as of {@link #ledgerNameBytesMicros}, less the upper bound for those in
+     * {@link #machinesToRecord}.
+     */
     int ledgerNameBytes;
 
+    /** Time of the planning pass for which {@link #ledgerNameBytes} was computed. */
     long ledgerNameBytesMicros = Long.MIN_VALUE;
-    /** Until when it is not placed on machines that its ledger does not name. */
+    /** Time until which the job is not placed on machines that its ledger does not name. */
     long ledgerFullUntilMicros = Long.MIN_VALUE;
-    /** The state service refused to write it; tried again then. */
+    /** Time before which the job is not written, because the store rejected a transaction with it. */
     long nextWriteMicros = Long.MIN_VALUE;
 
     Job(JobSpec spec, long version, long submittedWall, long submittedMicros, long readyMicros) {
@@ -106,23 +129,30 @@
         return spec.id();
     }
 
-    /** Its own priority, or that of a job that needs it. */
+    /** The higher of the priorities of the job and of the jobs that depend on it. */
     Priority priority() {
         return priority;
     }
 
-    void inheritFromDependents(boolean byOthers, Priority others, long byMicros) {
-        Priority before = priority;
-        hasDependents = byOthers;
-        priority = others.isAbove(spec.priority()) ? others : spec.priority();
-        if (priority != before) {
-            // What its tasks take may be freed for others now, or not any more.
+    /**
+     * Sets what the job inherits from the jobs that wait for it.
+     *
+     * @param dependentsExist whether any job waits for this one
+     * @param dependentsPriority the highest priority among them
+     * @param dueMicros when this job must be finished for them, {@code MAX_VALUE} for no limit
+     */
+    void inheritFromDependents(boolean dependentsExist, Priority dependentsPriority, long dueMicros) {
+        Priority previousPriority = priority;
+        hasDependents = dependentsExist;
+        priority = dependentsPriority.isAbove(spec.priority()) ? dependentsPriority : spec.priority();
+        if (priority != previousPriority) {
+            // The change decides whether other jobs may preempt its tasks.
             liveAttempts.values().forEach(attempts -> attempts.forEach(attempt -> attempt.machine.capacityChanged()));
         }
-        dependentsDueMicros = byMicros;
+        dependentsDueMicros = dueMicros;
     }
 
-    /** Whether that is news. */
+    /** Marks a task as finished and returns whether it was not finished before. */
     boolean markFinished(int index) {
         if (finishedTasks.get(index)) {
             return false;
@@ -136,11 +166,13 @@
         return true;
     }
 
-    /** Finished tasks as an earlier leader recorded them. */
-    void addRecordedTasks(BitSet recordedThen) {
-        recordedTasks.or(recordedThen);
-        for (int i = recordedThen.nextSetBit(0); i >= 0; i = recordedThen.nextSetBit(i + 1)) {
-            markFinished(i);
+    /** Adds finished tasks that a previous leader or an earlier write of this one recorded. */
+    void addRecordedTasks(BitSet previouslyRecorded) {
+        recordedTasks.or(previouslyRecorded);
+        for (int index = previouslyRecorded.nextSetBit(0);
+                index >= 0;
+                index = previouslyRecorded.nextSetBit(index + 1)) {
+            markFinished(index);
         }
     }
 
@@ -156,17 +188,20 @@
         return spec.kind() != JobKind.SERVICE && finishedCount >= spec.taskCount();
     }
 
-    /** Tasks that are neither finished nor possibly on a machine that we have listed. */
+    /** Number of tasks that are neither finished nor have a live attempt; 0 once the job is cancelled. */
     int pendingCount() {
         return cancelled ? 0 : Math.max(0, unfinishedCount() - liveUnfinishedCount);
     }
 
-    /** Whether any of its tasks has ever succeeded, as far as this leader can know. */
+    /** Whether any task of the job is known to have succeeded. */
     boolean hasSucceeded() {
         return finishedCount > 0;
     }
 
-    /** How many tasks may be placed now: of a suspected job one at a time shows whether it still fails. */
+    /**
+     * Number of tasks that may be placed now. Of a quarantined job this is one task (or one gang) at a time, as a probe
+     * of whether it still fails.
+     */
     int placeableCount() {
         if (!quarantined || pendingCount() == 0) {
             return pendingCount();
@@ -177,27 +212,27 @@
         return spec.kind() == JobKind.GANG ? pendingCount() : 1;
     }
 
-    /** The next task that may be placed, or -1. */
+    /** Index of the next task that may be placed, or -1. */
     int nextPendingTask() {
         int index = finishedOrLiveTasks.nextClearBit(0);
         return index < spec.taskCount() ? index : -1;
     }
 
     void add(Placement placement) {
-        List<Placement> list = liveAttempts.computeIfAbsent(placement.taskIndex, k -> new ArrayList<>(1));
-        if (list.isEmpty() && !finishedTasks.get(placement.taskIndex)) {
+        List<Placement> placements = liveAttempts.computeIfAbsent(placement.taskIndex, k -> new ArrayList<>(1));
+        if (placements.isEmpty() && !finishedTasks.get(placement.taskIndex)) {
             liveUnfinishedCount++;
         }
-        list.add(placement);
+        placements.add(placement);
         finishedOrLiveTasks.set(placement.taskIndex);
         liveMachines.add(placement.machine.name);
     }
 
     void remove(Placement placement) {
-        List<Placement> list = liveAttempts.get(placement.taskIndex);
-        if (list != null && list.remove(placement)) {
+        List<Placement> placements = liveAttempts.get(placement.taskIndex);
+        if (placements != null && placements.remove(placement)) {
             liveMachines.remove(placement.machine.name);
-            if (list.isEmpty()) {
+            if (placements.isEmpty()) {
                 liveAttempts.remove(placement.taskIndex);
                 if (!finishedTasks.get(placement.taskIndex)) {
                     finishedOrLiveTasks.clear(placement.taskIndex);
@@ -207,14 +242,14 @@
         }
     }
 
-    /** A copy of all its live attempts, task by task, which stays as it is while they are removed. */
+    /** A copy of all live attempts, grouped by task; attempts may be removed from the job while iterating over it. */
     List<Placement> livePlacements() {
         List<Placement> result = new ArrayList<>();
         liveAttempts.values().forEach(result::addAll);
         return result;
     }
 
-    /** How many of its tasks have been reported with their image fetched. */
+    /** Number of tasks that a heartbeat has reported with their image fetched. */
     int runningCount() {
         int running = 0;
         for (List<Placement> attempts : liveAttempts.values()) {
@@ -228,7 +263,7 @@
         return running;
     }
 
-    /** A task of it is to be started. */
+    /** Records that a task is to be started. */
     void recordStart(long nowMicros) {
         if (firstStartMicros < 0) {
             firstStartMicros = nowMicros;
@@ -239,22 +274,26 @@
 
     /** The attempt that all tasks of a gang share, or 0 when none is live. */
     long liveGangAttempt() {
-        for (List<Placement> list : liveAttempts.values()) {
-            return list.get(0).attempt;
+        for (List<Placement> placements : liveAttempts.values()) {
+            return placements.get(0).attempt;
         }
         return 0;
     }
 
-    /** A task of which nothing was reported may still sit on a machine of an earlier leader. */
+    /** Whether an unreported task of a previous leader may still be on a machine that is not reconciled. */
     boolean hasUnreconciledMachines() {
         return !unreconciledMachines.isEmpty();
     }
 
-    /** Whether anything of it can be on a machine: attempts of this leader, or of earlier ones on machines that have not been settled. */
+    /**
+     * Whether a task of the job can be on a machine: an attempt of this leader, or one of a previous leader on a machine
+     * that is not reconciled.
+     */
     boolean mayBeRunning() {
         return !liveAttempts.isEmpty() || hasUnreconciledMachines();
     }
 
+    /** Deadline on the steady clock, or {@code MAX_VALUE} if the job has none. */
     long deadlineMicros() {
         return spec.deadlineMicros() < 0 ? Long.MAX_VALUE : submittedMicros + spec.deadlineMicros();
     }
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -21,16 +21,17 @@
 import java.util.Set;
 
 /**
- * The open jobs of a term, their ledgers and the batches that write them.
+ * Holds the open jobs of a term and their ledgers, and composes the batches that write them.
  *
- * <p>A write whose answer was lost may be applied minutes later. So every value is written on condition that it is as
- * it was last known, and a machine counts as recorded only if it is so by every outcome that the last write can have.
+ * <p>A write whose answer was lost may be applied minutes later. Every value is therefore written on condition of its
+ * last known version, and a machine counts as recorded only if the ledger names it under every possible outcome of the
+ * last write.
  *
- * <p>A job whose write is in flight is in no other batch until the outcome is told: by {@link #writeConfirmed}, by
- * {@link #writeConflicted} with {@link #keyReadBack}, or by {@link #writeResolved} once its values were read back.
+ * <p>A job whose write is in flight is in no other batch until the outcome is reported: by {@link #writeConfirmed}, by
+ * {@link #writeConflicted} followed by {@link #keyReadBack}, or by {@link #writeResolved} once its keys were read back.
  */
 final class JobLedgers {
-    /** How long a job is not written after the store rejected a transaction with it. */
+    /** Time for which a job is not written after the store rejected a transaction with it. */
     private static final long REJECTED_BACKOFF_MICROS = 5 * Micros.SECOND;
 
     private final long fencingToken;
@@ -40,7 +41,7 @@
     private final OpenJobs jobs = new OpenJobs();
     private final DependencyCancellations dependencyCancellations = new DependencyCancellations();
     private final ConflictedKeys conflictedKeys = new ConflictedKeys();
-    /** Jobs that wait for the reconciliation of a machine after a failover, by machine. */
+    /** Jobs that wait for the reconciliation of a machine after a failover, by machine name. */
     private final Map<String, List<Job>> jobsAwaitingMachine = new HashMap<>();
 
     JobLedgers(Settings settings, long fencingToken) {
@@ -57,6 +58,7 @@
         return jobs.all();
     }
 
+    /** Number of jobs of this class that this leader has seen, open or not. */
     int jobsSeenOfClass(String jobClass) {
         return jobs.seenOfClass(jobClass);
     }
@@ -71,34 +73,38 @@
         return jobs.add(spec, version, submittedWall, submittedMicros, readyMicros);
     }
 
-    /** The job is over by its stored record: nothing more is written of it. */
+    /** Removes a job whose stored record is final; no further write is composed for it. */
     void removeJob(Job job) {
         jobs.remove(job);
     }
 
-    /** Whether nothing of an ended job is left to do: no task of it can run, no ledger of it is stored. */
+    /** Whether a finished job needs no further work: none of its tasks can run, and no ledger of it is stored. */
     boolean mayBeArchived(String id) {
         return !jobs.contains(id) && !dependencyCancellations.contains(id);
     }
 
-    /** There is an archive: records say that their writers know it. */
+    /** Marks the records written from now on as checked against the archive. */
     void archiveEnabled() {
         planner.archiveEnabled();
     }
 
-    /** The job's record is to be closed, since a dependency was cancelled; {@code record} as it is stored now. */
+    /**
+     * Registers a job whose stored record must be changed to cancelled, because a dependency was cancelled.
+     *
+     * @param record the record as stored, with its version
+     */
     void addDependencyCancellation(String id, StoredRecord.JobRecord record, long version) {
         dependencyCancellations.add(id, record, version);
     }
 
-    /** The job's record needs no closing, or not any more. */
+    /** Removes a job that {@link #addDependencyCancellation} registered; does nothing for others. */
     void removeDependencyCancellation(String id) {
         dependencyCancellations.remove(id);
     }
 
-    // ---- ledgers of an earlier leader
+    // ---- ledgers of a previous leader
 
-    /** Takes over a ledger value of an earlier leader; false if it belongs to no job that is known. */
+    /** Applies a ledger page that a previous leader wrote; returns false if no open job has this key. */
     boolean loadLedger(String key, StoredRecord.Ledger ledger, long version) {
         Job job = jobs.get(StoreKeys.jobIdOf(key));
         if (job == null) {
@@ -129,9 +135,12 @@
     }
 
     /**
-     * Nothing that an earlier leader sent can appear on this machine any more. Returns the open jobs that waited for
-     * this machine last. Asking every job for every machine took a million look-ups in the seconds after a failover of
-     * a thousand machines.
+     * Marks a machine as reconciled: no task that a previous leader sent can still appear on it.
+     *
+     * <p>Jobs are indexed by machine for this. Checking every job for every machine took a million look-ups in the
+     * seconds after a failover with a thousand machines.
+     *
+     * @return the open jobs for which this was the last machine to be reconciled
      */
     List<Job> reconcileMachine(String machine) {
         List<Job> reconciled = new ArrayList<>();
@@ -147,10 +156,12 @@
 
     // ---- what has to be written
 
+    /** Marks the job as having something to be written. */
     void markDirty(Job job, long nowMicros) {
         jobs.markDirty(job, nowMicros);
     }
 
+    /** Marks a task as finished and its ledger page as to be written. */
     void markTaskFinished(Job job, int index, long nowMicros) {
         if (job.markFinished(index)) {
             job.dirtyPages.set(index / format.pageTasks());
@@ -158,26 +169,27 @@
         }
     }
 
-    /** The layout record was read: see {@link LedgerFormat#layoutMarked}. */
-    void layoutMarked(long version, int tasksOfPage) {
-        format.layoutMarked(version, tasksOfPage);
+    /** Applies the layout record that was read: see {@link LedgerFormat#layoutMarked}. */
+    void layoutMarked(long version, int tasksPerPage) {
+        format.layoutMarked(version, tasksPerPage);
     }
 
+    /** Number of tasks of a ledger page. */
     int pageTasks() {
         return format.pageTasks();
     }
 
-    /** Whether the job may be placed on the machine: its ledger names it or has room for its name. */
+    /** Whether the job may be placed on the machine: its ledger names the machine or has space for the name. */
     boolean mayRecordMachine(Job job, Machine machine, long nowMicros) {
         return ledgerMachines.canName(job, machine, nowMicros);
     }
 
-    /** Whether a job with waiting tasks is on as many machines as its ledger can name. */
+    /** Whether a job with pending tasks uses as many machines as its ledger can name. */
     boolean isMachineListFull(Job job) {
         return ledgerMachines.isFull(job);
     }
 
-    /** Starts wait for this: the ledger must name the machine before a task can be started on it. */
+    /** Requests that the ledger names the machine. A start on it is sent only once this is recorded. */
     void recordMachine(Job job, Machine machine, long nowMicros) {
         if (!job.ledgerMachines.contains(machine.name)) {
             job.machinesToRecord.add(machine.name);
@@ -188,12 +200,14 @@
     // ---- the next batch
 
     /**
-     * The next batch, or empty if nothing is worth writing. Its jobs are in flight until the outcome is told.
+     * Composes the next batch. Its jobs are in flight until the outcome is reported.
      *
+     * @param nowMicros the time, steady clock
      * @param wallMicros the time of day, which the records of completed jobs keep
      * @param limits what the write rate of the store leaves
      * @param additionalWrites what is written along with the jobs
-     * @param candidates names machines in advance, so that later starts need not wait for a write
+     * @param candidates source of machines to name in advance, so that later starts need not wait for a write
+     * @return the batch, or empty if there is nothing to write
      */
     Optional<WriteBatch> nextWriteBatch(
             long nowMicros,
@@ -212,7 +226,7 @@
         return Optional.of(batch.build(format.layoutVersion()));
     }
 
-    /** Until the outcome is known, only what both the old and the new ledger name counts as recorded. */
+    /** Marks the job as in flight. Until the outcome is known, only machines in both old and new ledger are recorded. */
     private void beginWrite(JobWrite write) {
         jobs.markInFlight(write.job());
         write.job().ledgerMachines.retainAll(write.machines());
@@ -220,7 +234,10 @@
 
     // ---- outcomes
 
-    /** The batch is in the store: machines are recorded, workers may forget finished tasks, starts may go out. */
+    /**
+     * Applies a batch that the store executed: its machines are recorded, so that starts may be sent, and workers may
+     * forget the recorded tasks.
+     */
     void writeConfirmed(WriteBatch batch, long revision, long nowMicros) {
         batch.cancelledByDependency().forEach(dependencyCancellations::remove);
         for (JobWrite write : batch.jobWrites()) {
@@ -241,21 +258,23 @@
         }
     }
 
-    /** Releases the starts whose machines are recorded, and finds out what is still to be written. */
+    /** Releases the starts whose machines are recorded, and computes what is still to be written. */
     private void applyRecordedState(Job job, long nowMicros) {
         job.machinesToRecord.removeAll(job.ledgerMachines);
-        for (List<Placement> attempts : job.liveAttempts.values()) {
-            for (Placement placement : attempts) {
+        for (List<Placement> placements : job.liveAttempts.values()) {
+            for (Placement placement : placements) {
                 releaseIfRecorded(job, placement);
             }
         }
         job.dirtyPages.clear();
         job.dirtySinceMicros = -1;
         int pageTasks = format.pageTasks();
-        BitSet unrecorded = (BitSet) job.finishedTasks.clone();
-        unrecorded.andNot(job.recordedTasks);
-        for (int i = unrecorded.nextSetBit(0); i >= 0; i = unrecorded.nextSetBit((i / pageTasks + 1) * pageTasks)) {
-            job.dirtyPages.set(i / pageTasks);
+        BitSet unrecordedTasks = (BitSet) job.finishedTasks.clone();
+        unrecordedTasks.andNot(job.recordedTasks);
+        for (int index = unrecordedTasks.nextSetBit(0);
+                index >= 0;
+                index = unrecordedTasks.nextSetBit((index / pageTasks + 1) * pageTasks)) {
+            job.dirtyPages.set(index / pageTasks);
         }
         if (!job.dirtyPages.isEmpty() || !job.machinesToRecord.isEmpty() || job.allFinished() || job.cancelled) {
             markDirty(job, nowMicros);
@@ -273,7 +292,7 @@
         }
     }
 
-    /** The keys whose values must be read before their jobs are written again: the outcome is not known. */
+    /** The keys of a batch that must be read back before its jobs are written again, if the outcome is unknown. */
     List<String> unresolvedKeys(WriteBatch batch) {
         List<String> keys = new ArrayList<>();
         for (Transaction.Condition condition : batch.transaction().conditions()) {
@@ -286,7 +305,7 @@
         return keys;
     }
 
-    /** A value as read back after a write without a certain outcome; {@code ledger} null if there is none. */
+    /** Applies a ledger page that was read back after a write of unknown outcome; {@code ledger} null if absent. */
     void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version) {
         Job job = jobs.get(StoreKeys.jobIdOf(key));
         if (job == null) {
@@ -304,8 +323,8 @@
     }
 
     /**
-     * The store does not take what the batch writes, most likely since its limits fell: its jobs go on without being
-     * written for a while, so that neither the other jobs nor the leader's lease depend on them.
+     * Applies the rejection of a batch that the store will not accept, most likely because its limits were lowered. The
+     * jobs of the batch are not written for some time, so that they delay neither the other jobs nor the leader's lease.
      */
     void writeRejected(WriteBatch batch, long nowMicros) {
         for (JobWrite write : batch.jobWrites()) {
@@ -315,7 +334,7 @@
         batch.cancelledByDependency().forEach(dependencyCancellations::remove);
     }
 
-    /** Every value of the batch was read back, or none was written: its jobs may be written again. */
+    /** Allows the jobs of a batch to be written again: all its keys were read back, or none was written. */
     void writeResolved(WriteBatch batch, long nowMicros) {
         for (JobWrite write : batch.jobWrites()) {
             writeResolved(write.job(), nowMicros);
@@ -331,8 +350,8 @@
     }
 
     /**
-     * The batch was certainly not executed, since these keys are not as they were known; whatever else it names still
-     * is. The others of its jobs may be written again at once, without those that the keys belong to.
+     * Applies a conflict: the batch was certainly not executed, because these keys have other versions than expected. All
+     * its other keys have the expected versions, so the jobs that own none of the failed keys may be written again at once.
      *
      * @return the keys to be read back, each to be followed by {@link #keyReadBack}
      */
@@ -354,7 +373,7 @@
         return List.copyOf(keys);
     }
 
-    /** A key that a batch was refused for has been read back; its job is written again when all of them are. */
+    /** Applies that a key in conflict was read back. The job may be written again when all its keys in conflict were. */
     void keyReadBack(String key, long nowMicros) {
         if (conflictedKeys.remove(key)) {
             Job job = jobs.get(StoreKeys.jobIdOf(key));
--- a/src/main/java/io/micatide/scheduler/LedgerPages.java
+++ b/src/main/java/io/micatide/scheduler/LedgerPages.java
@@ -14,11 +14,13 @@
 import java.util.Set;
 
 /**
- * Composes the ledger pages of an open job: which finished ranges and machine names their values hold. The first page
- * names the machines; it and the further pages hold the finished tasks. What was recorded once stays recorded.
+ * Composes the ledger pages of an open job. The first page names machines and holds finished tasks; the further pages
+ * hold finished tasks only.
+ *
+ * <p>Invariant: a finished task that was recorded once stays recorded in every later value of its page.
  */
 final class LedgerPages {
-    /** One job in many ranges fills this much of a batch; the rest of its pages goes with the next one. */
+    /** Bytes of one batch that a job with many finished ranges may use; its other pages go with a later batch. */
     private static final int MAX_JOB_LEDGER_BYTES = WriteBatchBuilder.MAX_BYTES / 2;
 
     private final LedgerFormat format;
@@ -29,47 +31,50 @@
         this.ledgerMachines = ledgerMachines;
     }
 
-    /** Says on which further machines a job is likely to run, so that its ledger can name them in advance. */
+    /** Predicts on which further machines a job will run, so that its ledger can name them in advance. */
     @FunctionalInterface
     interface CandidateMachineSource {
-        List<String> machines(Job job, int max);
+        /** Names at most {@code limit} machines, the most likely one first. */
+        List<String> machines(Job job, int limit);
     }
 
-    /** What there is to write of a job's pages. */
+    /** Result of composing the pages of a job. */
     sealed interface Composition {}
 
-    /** New values of some pages. */
+    /** New values of some pages, with their estimated size in a transaction. */
     record PageUpdate(JobWrite jobWrite, List<Transaction.Write> writes, int estimatedBytes) implements Composition {}
 
-    /** The batch has no room for the job, or its ledger cannot be written as it is: later. */
+    /** The job must be written later: the batch has no writes left, or the ledger cannot be written in its current state. */
     record Deferred() implements Composition {}
 
-    /** The stored pages say all that there is to say. */
+    /** The stored pages are up to date. */
     record Unchanged() implements Composition {}
 
     /**
      * Composes the pages that changed.
      *
-     * @param maxPages how many pages the batch still has room for; not positive for none
+     * @param pageLimit number of pages that still fit into the batch; none if not positive
      */
-    Composition compose(Job job, int maxPages, CandidateMachineSource candidates) {
+    Composition compose(Job job, int pageLimit, CandidateMachineSource candidates) {
         Set<String> machines = ledgerMachines.requiredMachines(job);
         BitSet firstPage = finishedTasksOfPage(job, 0, format.firstPageRangeBytes(format.encodedBytes(machines)));
-        if (firstPage != null && maxPages <= 0) {
-            // Known before its machines are named: with hundreds of jobs to write, naming thousands for each of those
-            // that a full batch leaves over took most of a leader's processor.
+        if (firstPage != null && pageLimit <= 0) {
+            // Checked before the candidates are collected: with hundreds of jobs to write, collecting thousands of
+            // names
+            // for each job that does not fit into a full batch took most of a leader's CPU time.
             return new Deferred();
         }
         if (firstPage != null) {
             addCandidateMachines(job, machines, firstPage, candidates);
         } else {
-            // What an earlier leader wrote under a larger limit no longer fits. It gets smaller as machines are
-            // reconciled and tasks end; until then further machines cannot be named.
+            // The ledger was written by a previous leader under a larger limit and no longer fits. It shrinks as
+            // machines
+            // are reconciled and tasks end; until then it cannot name further machines.
             machines = new HashSet<>(job.ledgerMachines);
             job.ledgerFull |= !job.machinesToRecord.isEmpty();
         }
-        List<Integer> pages = changedPages(job, firstPage != null, maxPages);
-        if (pages.isEmpty() || pages.size() > maxPages) {
+        List<Integer> pages = changedPages(job, firstPage != null, pageLimit);
+        if (pages.isEmpty() || pages.size() > pageLimit) {
             return new Deferred();
         }
         return composePages(job, pages, firstPage, machines);
@@ -84,8 +89,8 @@
                 Math.min(format.maxNameBytes(), format.contentBytes() - rangeBytes));
     }
 
-    /** The first page if it can be written, then further pages with news, cut to what the batch has room for. */
-    private static List<Integer> changedPages(Job job, boolean withFirstPage, int maxPages) {
+    /** Lists the first page if it can be written, then the dirty further pages, at most as many as fit into the batch. */
+    private static List<Integer> changedPages(Job job, boolean withFirstPage, int pageLimit) {
         List<Integer> pages = new ArrayList<>();
         if (withFirstPage) {
             pages.add(0);
@@ -93,7 +98,7 @@
         for (int page = job.dirtyPages.nextSetBit(1); page >= 0; page = job.dirtyPages.nextSetBit(page + 1)) {
             pages.add(page);
         }
-        while (pages.size() > maxPages && pages.size() > 1) {
+        while (pages.size() > pageLimit && pages.size() > 1) {
             pages.remove(pages.size() - 1);
         }
         return pages;
@@ -107,7 +112,7 @@
         for (int page : pages) {
             BitSet finished = page == 0 ? firstPage : finishedTasksOfPage(job, page, format.contentBytes());
             if (finished == null) {
-                // What has no room in a value stays with the workers, who report it until it is recorded.
+                // Finished tasks that do not fit into a value are reported by the workers until they are recorded.
                 continue;
             }
             StoredRecord.Ledger ledger = ledger(job, page, finished, machines);
@@ -133,18 +138,18 @@
                 : new StoredRecord.Ledger(List.of(), 0, ranges, false);
     }
 
-    /** The finished tasks that a page can hold in so many bytes, or null if not even the recorded ones fit. */
+    /** The finished tasks that a page can hold in {@code maxBytes}, or null if not even the recorded ones fit. */
     private BitSet finishedTasksOfPage(Job job, int page, int maxBytes) {
         int pageTasks = format.pageTasks();
         return TaskRanges.truncateToLength(
                 job.finishedTasks, job.recordedTasks, page * pageTasks, (page + 1) * pageTasks, maxBytes);
     }
 
-    /** Whether the page would say only what it says already; not so of the first before it was ever written. */
+    /** Whether the stored page has this content already; false for a first page that was never written. */
     private static boolean isAlreadyStored(Job job, int page, BitSet finished, Set<String> machines) {
-        BitSet unrecorded = (BitSet) finished.clone();
-        unrecorded.andNot(job.recordedTasks);
-        return unrecorded.isEmpty()
+        BitSet unrecordedTasks = (BitSet) finished.clone();
+        unrecordedTasks.andNot(job.recordedTasks);
+        return unrecordedTasks.isEmpty()
                 && (page > 0
                         || (job.pageVersions.containsKey(0)
                                 && job.machinesToRecord.isEmpty()
--- a/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
@@ -89,7 +89,8 @@
     private static boolean isDue(Job job, WritePriority priority, long nowMicros) {
         return !job.writeInFlight
                 && nowMicros >= job.nextWriteMicros
-                && (priority != WritePriority.FINISHED_TASKS || nowMicros - job.dirtySinceMicros >= MAX_BATCHING_DELAY_MICROS);
+                && (priority != WritePriority.FINISHED_TASKS
+                        || nowMicros - job.dirtySinceMicros >= MAX_BATCHING_DELAY_MICROS);
     }
 
     private void addLedger(
--- a/src/main/java/io/micatide/scheduler/WriteBatches.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatches.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /**
- * What a leader writes, composed into one transaction at a time: ledgers and ends of jobs, provisioning requests, machines to delete, and ledgers
- * that belong to no job any more.
+ * Composes the writes of a leader into one transaction at a time: ledgers and final records of jobs, provisioning requests, machines to delete, and
+ * deletions of ledgers that belong to no open job.
  *
- * <p>Invariant: at most one batch is in flight, and the next is composed only after the outcome of the one before was told by exactly one of
+ * <p>Invariant: at most one batch is in flight, and the next is composed only after the outcome of the previous one was reported by exactly one of
  * {@link #confirmed}, {@link #rejected}, {@link #conflicted}, {@link #notExecuted} and {@link #resolved}.
  */
 final class WriteBatches {
@@ -22,7 +22,7 @@
     private final WriteBudget budget;
     /** Deletions of ledgers without an open job. */
     private final List<Transaction.Write> orphanedLedgerDeletions = new ArrayList<>();
-    /** Null if none is. */
+    /** The batch whose outcome is unknown, or null. */
     private WriteBatch inFlight;
 
     WriteBatches(
@@ -39,27 +39,28 @@
         this.budget = budget;
     }
 
-    /** Has a stored ledger removed that belongs to no open job. */
+    /** Adds the deletion of a stored ledger that belongs to no open job to a later batch. */
     void deleteOrphanedLedger(String key) {
         orphanedLedgerDeletions.add(new Transaction.Write(key, null, 0));
     }
 
-    /** How many writes are left over for other purposes now: none while a batch is in flight. */
+    /** Number of writes that are available for other purposes now; 0 while a batch is in flight. */
     int spareWrites(long nowMicros) {
         budget.refill(nowMicros);
         return inFlight != null ? 0 : budget.spareWrites();
     }
 
-    /** Something else that this leader writes took so many of its writes. */
+    /** Deducts writes that this leader sent outside of the batches. */
     void spend(int writes) {
         budget.spend(writes);
     }
 
     /**
-     * The next transaction to send, null if there is nothing to write, no budget for it, or a batch in flight.
+     * Composes the next transaction to send.
      *
      * @param nowMicros the time, steady clock
      * @param wallMicros the time of day, which the records of completed jobs keep
+     * @return the transaction, or null if there is nothing to write, no budget for it, or a batch in flight
      */
     Transaction next(long nowMicros, long wallMicros) {
         if (inFlight != null) {
@@ -70,29 +71,30 @@
         if (limit < 1) {
             return null;
         }
-        List<Transaction.Write> orphans =
+        List<Transaction.Write> deletions =
                 orphanedLedgerDeletions.subList(0, Math.min(orphanedLedgerDeletions.size(), limit / 2));
-        CloudRecords.Part cloudPart = cloudRecords.nextPart(cluster.fleet().machines(), orphans, limit, nowMicros);
+        CloudRecords.Part cloudRecordsPart =
+                cloudRecords.nextPart(cluster.fleet().machines(), deletions, limit, nowMicros);
         planner.beginWriteBatch(nowMicros);
         WriteBatch batch = ledgers.nextWriteBatch(
                         nowMicros,
                         wallMicros,
                         new WriteBatch.Limits(limit, budget.deferrableLimit()),
                         new WriteBatch.AdditionalWrites(
-                                cloudPart.requests(), cloudPart.writes(), cloudPart.conditions()),
+                                cloudRecordsPart.requests(), cloudRecordsPart.writes(), cloudRecordsPart.conditions()),
                         (job, maxMachines) -> planner.candidateMachines(job, maxMachines, nowMicros))
                 .orElse(null);
         if (batch == null) {
-            cloudRecords.notComposed(cloudPart);
+            cloudRecords.notComposed(cloudRecordsPart);
             return null;
         }
-        cloudRecords.sent(cloudPart);
+        cloudRecords.sent(cloudRecordsPart);
         budget.spend(batch.transaction().writes().size());
         inFlight = batch;
         return batch.transaction();
     }
 
-    /** The batch was executed with this revision. */
+    /** Applies that the store executed the batch in flight, with this revision. */
     void confirmed(long revision, long nowMicros) {
         WriteBatch batch = takeInFlight();
         for (Transaction.Write write : batch.transaction().writes()) {
@@ -120,25 +122,25 @@
         }
     }
 
-    /** The keys of the batch in flight, which have to be read back if its outcome is unknown. */
+    /** The keys of the batch in flight that must be read back if its outcome is unknown. */
     List<String> unresolvedKeys() {
         return ledgers.unresolvedKeys(inFlight);
     }
 
-    /** The store will never take this batch. */
+    /** Applies that the store will never accept the batch in flight. */
     void rejected(long nowMicros) {
         budget.transactionRejected(inFlight.transaction().writes().size());
         ledgers.writeRejected(inFlight, nowMicros);
         notExecuted(nowMicros);
     }
 
-    /** The batch was certainly not executed; nothing needs to be read. */
+    /** Applies that the batch in flight was certainly not executed; no key needs to be read back. */
     void notExecuted(long nowMicros) {
         cloudRecords.deletionsNotWritten(inFlight);
         resolved(nowMicros);
     }
 
-    /** All keys of the batch are read back. */
+    /** Applies that all keys of the batch in flight were read back. */
     void resolved(long nowMicros) {
         WriteBatch batch = takeInFlight();
         cloudRecords.requestsResolved(batch);
@@ -146,8 +148,8 @@
     }
 
     /**
-     * The batch was refused since the records of these keys are not as they were known. It was not executed; the next one may go out at once, without
-     * the jobs that they belong to.
+     * Applies that the batch was refused because the records of these keys have other versions than expected. It was not executed; the next one may be
+     * sent at once, without the jobs that own the keys.
      *
      * @return the keys to be read back
      */
