--- a/src/main/java/io/micatide/scheduler/ConflictedKeys.java
+++ b/src/main/java/io/micatide/scheduler/ConflictedKeys.java
@@ -6,22 +6,23 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Keys of jobs for which a batch was refused and that are still to be read back: their jobs are not written before. */
+/** Keys of jobs for which a batch was refused and which must be read back before their jobs are written again. */
 final class ConflictedKeys {
     private final Map<String, Set<String>> keysByJob = new HashMap<>();
 
-    /** @param key of a job's record or of a page of its ledger */
+    /** Adds the key of a job record or of a ledger page. */
     void add(String key) {
         keysByJob
                 .computeIfAbsent(StoreKeys.jobIdOf(key), jobId -> new HashSet<>())
                 .add(key);
     }
 
+    /** Whether a key of this job is still to be read back. */
     boolean containsKeyOf(String jobId) {
         return keysByJob.containsKey(jobId);
     }
 
-    /** Removes a key that was read back; returns whether it was the last one of its job. */
+    /** Removes a key that was read back and returns whether it was the last one of its job. */
     boolean remove(String key) {
         String jobId = StoreKeys.jobIdOf(key);
         Set<String> keys = keysByJob.get(jobId);
--- a/src/main/java/io/micatide/scheduler/DagInheritance.java
+++ b/src/main/java/io/micatide/scheduler/DagInheritance.java
@@ -11,23 +11,25 @@
 import java.util.Map;
 
 /**
- * Jobs that wait for others, and what they ask of those. Users set deadline and priority on the last job of a pipeline only;
- * each job before it has to be over early enough for what follows on the longest way, and has the highest priority of what
- * needs it. Waiting jobs are kept apart from {@link JobLedgers}: they take no part in queue, limits, guarantees or rounds.
+ * Jobs that wait for their dependencies, and the priority and due time that the dependencies inherit from them. Users set
+ * deadline and priority on the last job of a pipeline only. Each job before it must finish early enough for the longest
+ * path of dependents, and has the highest priority of its dependents. Waiting jobs are kept apart from {@link JobLedgers}:
+ * they take no part in the queue, team limits, guarantees or planning passes.
  */
 final class DagInheritance {
-    /** What lies between the end of a job and the start of the next one's tasks: two writes and the fetch of an image. */
+    /** Time between the end of a job and the start of its dependents' tasks: two writes and the fetch of an image. */
     private static final long DEPENDENT_START_DELAY_MICROS = 4 * Micros.SECOND;
-    /** Run times are learned meanwhile. */
+    /** Interval at which demands are computed again without a change of the jobs, because estimates of run times change. */
     private static final long REFRESH_MICROS = 5 * Micros.SECOND;
 
-    /** A job that waits. */
+    /** A job that waits for its dependencies; {@code version} is that of its record, the deadline is on the steady clock. */
     private record WaitingJob(JobSpec spec, long version, long deadlineMicros) {}
 
-    /** What those after a job ask of it. */
+    /** Priority and due time that the dependents of a job require of it. */
     private record Demand(Priority priority, long neededByMicros) {
         private static final Demand NONE = new Demand(Priority.LOW, Long.MAX_VALUE);
 
+        /** The higher priority and the earlier due time of both. */
         Demand mergedWith(Demand other) {
             return new Demand(
                     priority.isAbove(other.priority) ? priority : other.priority,
@@ -38,8 +40,11 @@
     private final JobLedgers ledgers;
     private final RuntimeEstimator runtimeEstimator;
     private final Map<String, WaitingJob> waitingJobs = new LinkedHashMap<>();
+    /** Open jobs that inherited a demand at the last refresh. */
     private final List<Job> jobsWithDemands = new ArrayList<>();
+    /** Whether jobs were added or removed since the last refresh. */
     private boolean openJobAdded;
+
     private long refreshedMicros = Long.MIN_VALUE / 2;
 
     DagInheritance(JobLedgers ledgers, RuntimeEstimator runTimes) {
@@ -51,23 +56,24 @@
         return waitingJobs.size();
     }
 
+    /** Adds a job that waits for its dependencies; {@code submittedMicros} is on the steady clock. */
     void addWaitingJob(JobSpec spec, long version, long submittedMicros) {
-        long deadline = spec.deadlineMicros() < 0 ? Long.MAX_VALUE : submittedMicros + spec.deadlineMicros();
-        waitingJobs.put(spec.id(), new WaitingJob(spec, version, deadline));
+        long deadlineMicros = spec.deadlineMicros() < 0 ? Long.MAX_VALUE : submittedMicros + spec.deadlineMicros();
+        waitingJobs.put(spec.id(), new WaitingJob(spec, version, deadlineMicros));
         openJobAdded = true;
     }
 
-    /** A job under way was added, of which those that wait may ask something. */
+    /** Notes that an open job was added, from which waiting jobs may require something. */
     void openJobAdded() {
         openJobAdded |= !waitingJobs.isEmpty();
     }
 
-    /** Ready, done or cancelled. */
+    /** Removes a job that is ready, done or cancelled; does nothing for a job that does not wait. */
     void removeWaitingJob(String id) {
         openJobAdded |= waitingJobs.remove(id) != null;
     }
 
-    /** Tells the jobs under way what is asked of them. Linear in the edges, after a change and every few seconds. */
+    /** Sets the inherited demands of the open jobs, after a change and every few seconds. Takes time linear in the edges. */
     void refresh(long nowMicros) {
         if (!openJobAdded && (waitingJobs.isEmpty() || nowMicros - refreshedMicros < REFRESH_MICROS)) {
             return;
@@ -76,20 +82,21 @@
         refreshedMicros = nowMicros;
         jobsWithDemands.forEach(job -> job.inheritFromDependents(false, Priority.LOW, Long.MAX_VALUE));
         jobsWithDemands.clear();
-        // A job names only jobs accepted before it, so from the newest row to the oldest all after a job come before
-        // it.
-        List<WaitingJob> order = new ArrayList<>(waitingJobs.values());
-        order.sort(Comparator.comparingLong(each -> -each.version()));
+        // A job names only jobs accepted before it, so in descending order of versions all dependents precede it.
+        List<WaitingJob> newestFirst = new ArrayList<>(waitingJobs.values());
+        newestFirst.sort(Comparator.comparingLong(waitingJob -> -waitingJob.version()));
         Map<String, Demand> demands = new HashMap<>();
-        for (WaitingJob each : order) {
-            Demand own = new Demand(each.spec().priority(), each.deadlineMicros())
-                    .mergedWith(demands.getOrDefault(each.spec().id(), Demand.NONE));
-            long by = own.neededByMicros() == Long.MAX_VALUE
+        for (WaitingJob waitingJob : newestFirst) {
+            Demand ownDemand = new Demand(waitingJob.spec().priority(), waitingJob.deadlineMicros())
+                    .mergedWith(demands.getOrDefault(waitingJob.spec().id(), Demand.NONE));
+            long dependencyDueMicros = ownDemand.neededByMicros() == Long.MAX_VALUE
                     ? Long.MAX_VALUE
-                    : own.neededByMicros() - runtimeEstimator.slowestMicros(each.spec()) - DEPENDENT_START_DELAY_MICROS;
-            Demand before = new Demand(own.priority(), by);
-            for (String need : each.spec().dependencies()) {
-                demands.merge(need, before, Demand::mergedWith);
+                    : ownDemand.neededByMicros()
+                            - runtimeEstimator.slowestMicros(waitingJob.spec())
+                            - DEPENDENT_START_DELAY_MICROS;
+            Demand dependencyDemand = new Demand(ownDemand.priority(), dependencyDueMicros);
+            for (String dependency : waitingJob.spec().dependencies()) {
+                demands.merge(dependency, dependencyDemand, Demand::mergedWith);
             }
         }
         demands.forEach((id, demand) -> {
--- a/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
+++ b/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
@@ -7,36 +7,39 @@
 import java.util.PriorityQueue;
 
 /**
- * Which jobs can be ready when they should, given how many processors work on them. Earliest first serves most
- * users only while everything fits; when it does not, the largest job of those considered so far is left for later
- * (Moore and Hodgson's rule), since one job too many would make all behind it late. Largest is meant by what a job counts
- * for: aims are shares of a class, so a job of a class with few jobs counts for more. Without that an overload was settled
- * at the cost of the large arrays alone.
+ * Computes which jobs can finish on time with a given number of CPUs, and how many CPUs all of them need.
+ *
+ * <p>Earliest due first serves most users only while everything fits. Otherwise the largest job considered so far is
+ * deferred (Moore and Hodgson's rule), since one job too many would make all later ones late. Size is work divided by
+ * weight: objectives are shares of a class, so a job of a class with few jobs weighs more. Without the weight, only large
+ * arrays would be deferred in an overload.
  */
 final class DeadlineFeasibility {
-    /** A job with what is left of it. */
+    /** An unfinished job with estimates of its remaining work. */
     static final class JobEstimate {
         final Job job;
-        /** Work that is left, in thousandths of a processor times microseconds. */
+        /** Remaining work, in thousandths of a CPU times microseconds. */
         final double remainingWork;
-        /** How long the slowest of its tasks is likely to take. */
+        /** Estimated run time of the slowest task. */
         final long slowestTaskMicros;
 
+        /** Time at which the job should be finished. */
         final long dueMicros;
-        /** What one job of its class counts for in the aims. */
+        /** Weight of one job of this class in the objectives. */
         final double weight;
 
+        /** Whether the job can finish on time; set by {@link #markFeasible}. */
         boolean isFeasible;
 
-        JobEstimate(Job job, double work, long lengthMicros, long dueMicros, double weight) {
+        JobEstimate(Job job, double remainingWork, long lengthMicros, long dueMicros, double weight) {
             this.job = job;
-            this.remainingWork = work;
+            this.remainingWork = remainingWork;
             this.weight = weight;
             this.slowestTaskMicros = lengthMicros;
             this.dueMicros = dueMicros;
         }
 
-        /** Tasks are not divisible: one that takes long has to start long before its job is due. */
+        /** The latest time at which the slowest task must start; tasks cannot be divided to finish earlier. */
         long latestStartMicros() {
             return dueMicros - slowestTaskMicros;
         }
@@ -44,61 +47,70 @@
 
     private DeadlineFeasibility() {}
 
-    /** Marks what can be on time and returns the entries, the one first that has to start first. */
-    static List<JobEstimate> markFeasible(List<JobEstimate> entries, double cpus, long nowMicros) {
-        List<JobEstimate> sorted = new ArrayList<>(entries);
-        sorted.sort(Comparator.comparingLong(JobEstimate::latestStartMicros).thenComparingLong(e -> e.job.readyMicros));
-        PriorityQueue<JobEstimate> kept =
-                new PriorityQueue<>(Comparator.comparingDouble((JobEstimate e) -> -e.remainingWork / e.weight));
-        double total = 0;
-        for (JobEstimate entry : sorted) {
-            entry.isFeasible = entry.dueMicros - nowMicros >= entry.slowestTaskMicros;
-            if (!entry.isFeasible) {
+    /** Marks the jobs that can finish on time and returns all estimates, in the order of their latest start. */
+    static List<JobEstimate> markFeasible(List<JobEstimate> estimates, double cpus, long nowMicros) {
+        List<JobEstimate> sorted = new ArrayList<>(estimates);
+        sorted.sort(Comparator.comparingLong(JobEstimate::latestStartMicros)
+                .thenComparingLong(estimate -> estimate.job.readyMicros));
+        PriorityQueue<JobEstimate> kept = new PriorityQueue<>(
+                Comparator.comparingDouble((JobEstimate estimate) -> -estimate.remainingWork / estimate.weight));
+        double totalWork = 0;
+        for (JobEstimate estimate : sorted) {
+            estimate.isFeasible = estimate.dueMicros - nowMicros >= estimate.slowestTaskMicros;
+            if (!estimate.isFeasible) {
                 continue;
             }
-            kept.add(entry);
-            total += entry.remainingWork;
-            if (cpus <= 0 || total / cpus > entry.dueMicros - nowMicros) {
-                JobEstimate largest = kept.poll();
-                largest.isFeasible = false;
-                total -= largest.remainingWork;
+            kept.add(estimate);
+            totalWork += estimate.remainingWork;
+            if (cpus <= 0 || totalWork / cpus > estimate.dueMicros - nowMicros) {
+                JobEstimate deferred = kept.poll();
+                deferred.isFeasible = false;
+                totalWork -= deferred.remainingWork;
             }
         }
         return sorted;
     }
 
     /**
-     * Processors, in thousandths, with which every job is ready when it should be, if the earliest due goes first. Tasks
-     * run in whole rounds, so a job of short time and long tasks takes more than its share of the work.
+     * Returns the CPUs, in thousandths, with which every job finishes on time if the earliest due is run first. Tasks run in
+     * whole rounds, so a job with little time and long tasks needs more CPUs than its work divided by its time.
      *
-     * @param startMicros what a task takes before it runs: the fetch of its image
-     * @param lateMicros in what time jobs are wanted that are late already
+     * @param estimates the unfinished jobs
+     * @param startMicros time that a task needs before it runs, for the fetch of its image
+     * @param lateMicros time within which a job that is already late should finish; also the most time that is planned for any
+     *     job above the lowest priority, unless its slowest task takes longer
+     * @param nowMicros the time
+     * @return thousandths of a CPU
      */
-    static double requiredCpus(List<JobEstimate> entries, long startMicros, long lateMicros, long nowMicros) {
+    static double requiredCpus(List<JobEstimate> estimates, long startMicros, long lateMicros, long nowMicros) {
         record Demand(long leftMicros, double work, double own) {}
         List<Demand> demands = new ArrayList<>();
-        for (JobEstimate entry : entries) {
-            // Work of the lowest priority may take all the time that it has; for what has no aim nothing is rented
-            // dearly.
-            long patience = entry.job.priority() == Priority.LOW ? Long.MAX_VALUE / 2 : lateMicros;
-            long left =
-                    Math.min(entry.dueMicros - nowMicros, Math.max(patience, entry.slowestTaskMicros)) - startMicros;
-            long rounds = Math.max(1, left / entry.slowestTaskMicros);
-            long parallel = (entry.job.unfinishedCount() + rounds - 1) / rounds;
-            double own = (double) parallel * entry.job.spec.taskResources().cpus();
-            demands.add(
-                    new Demand(Math.max(left, entry.slowestTaskMicros), own * rounds * entry.slowestTaskMicros, own));
+        for (JobEstimate estimate : estimates) {
+            // Jobs of the lowest priority may take all the time until they are due, so that no expensive machines are
+            // rented for work without an objective.
+            long maxLeftMicros = estimate.job.priority() == Priority.LOW ? Long.MAX_VALUE / 2 : lateMicros;
+            long leftMicros =
+                    Math.min(estimate.dueMicros - nowMicros, Math.max(maxLeftMicros, estimate.slowestTaskMicros))
+                            - startMicros;
+            long rounds = Math.max(1, leftMicros / estimate.slowestTaskMicros);
+            long parallel = (estimate.job.unfinishedCount() + rounds - 1) / rounds;
+            double ownCpus =
+                    (double) parallel * estimate.job.spec.taskResources().cpus();
+            demands.add(new Demand(
+                    Math.max(leftMicros, estimate.slowestTaskMicros),
+                    ownCpus * rounds * estimate.slowestTaskMicros,
+                    ownCpus));
         }
         demands.sort(Comparator.comparingLong(Demand::leftMicros));
         double cpus = 0;
-        double total = 0;
-        double sum = 0;
+        double totalWork = 0;
+        double totalOwnCpus = 0;
         for (Demand demand : demands) {
-            total += demand.work();
-            sum += demand.own();
-            cpus = Math.max(cpus, total / demand.leftMicros());
+            totalWork += demand.work();
+            totalOwnCpus += demand.own();
+            cpus = Math.max(cpus, totalWork / demand.leftMicros());
         }
-        // Tasks already running cannot be divided or moved, so the truth lies between this and all jobs at once.
-        return (cpus + 3 * sum) / 4;
+        // Running tasks cannot be divided or moved, so the need is between the maximum and the sum over all jobs.
+        return (cpus + 3 * totalOwnCpus) / 4;
     }
 }
--- a/src/main/java/io/micatide/scheduler/DependencyCancellations.java
+++ b/src/main/java/io/micatide/scheduler/DependencyCancellations.java
@@ -7,20 +7,25 @@
 import java.util.function.Predicate;
 
 /**
- * Jobs whose stored records still say open although one of their dependencies was cancelled. That they are cancelled
- * follows from the records of the others; their own are closed for whoever reads only those.
+ * Jobs whose stored records are still open although one of their dependencies was cancelled. Controllers derive their
+ * cancellation from the records of the dependencies; their own records are changed to cancelled for readers that read
+ * only those.
  */
 final class DependencyCancellations {
     private final Map<String, OpenRecord> openRecords = new LinkedHashMap<>();
 
     private record OpenRecord(long version, StoredRecord.JobRecord record) {}
 
-    /** @param record as it is stored now, with its version */
+    /**
+     * Registers a job whose record must be changed to cancelled.
+     *
+     * @param record the record as stored, with its version
+     */
     void add(String jobId, StoredRecord.JobRecord record, long version) {
         openRecords.put(jobId, new OpenRecord(version, record));
     }
 
-    /** The job's record is closed, or is to stay as it is. */
+    /** Removes a job whose record was changed to cancelled or need not be changed; does nothing for others. */
     void remove(String jobId) {
         openRecords.remove(jobId);
     }
@@ -30,10 +35,10 @@
     }
 
     /**
-     * Adds the closed records to a batch.
+     * Adds the cancelled records to a batch.
      *
-     * @param maxWrites how many writes the batch may have
-     * @param checkedAgainstArchive what the records say of their writer
+     * @param maxWrites number of writes that the batch may have in all
+     * @param checkedAgainstArchive whether the records are marked as checked against the archive
      * @param isUnresolved whether the outcome of an earlier write of the job is still unknown
      */
     void addTo(WriteBatchBuilder batch, int maxWrites, boolean checkedAgainstArchive, Predicate<String> isUnresolved) {
@@ -49,7 +54,7 @@
         }
     }
 
-    /** The job never started, so nobody has to know what its tasks take: the description goes. */
+    /** Returns the cancelled record. It has no job spec: the job never started, so its resources are not needed. */
     private static StoredRecord.JobRecord cancelledRecord(StoredRecord.JobRecord open, boolean checkedAgainstArchive) {
         return new StoredRecord.JobRecord(JobState.CANCELLED, null, open.submittedWall(), open.taskCount())
                 .withCheckedAgainstArchive(checkedAgainstArchive);
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -154,7 +154,7 @@
         return reconciled;
     }
 
-    // ---- what has to be written
+    // ---- pending writes
 
     /** Marks the job as having something to be written. */
     void markDirty(Job job, long nowMicros) {
@@ -204,8 +204,8 @@
      *
      * @param nowMicros the time, steady clock
      * @param wallMicros the time of day, which the records of completed jobs keep
-     * @param limits what the write rate of the store leaves
-     * @param additionalWrites what is written along with the jobs
+     * @param limits the numbers of writes that the rate limit of the store allows
+     * @param additionalWrites writes of the same transaction that do not concern jobs with ledgers
      * @param candidates source of machines to name in advance, so that later starts need not wait for a write
      * @return the batch, or empty if there is nothing to write
      */
--- a/src/main/java/io/micatide/scheduler/LedgerFormat.java
+++ b/src/main/java/io/micatide/scheduler/LedgerFormat.java
@@ -4,20 +4,21 @@
 import io.micatide.store.MachineNameCodec;
 import java.util.Collection;
 
-/** How the ledgers of a term are laid out: tasks of a page, form of machine names and what a value has room for. */
+/** Layout of the ledgers of a term: tasks per page, encoding of machine names, and how many bytes a value can hold. */
 final class LedgerFormat {
-    /** What a ledger value takes besides names and ranges. */
+    /** Bytes of a ledger value besides names and ranges. */
     private static final int VALUE_OVERHEAD_BYTES = 64;
-    /** What a plain name takes besides its letters: quotes and comma. */
+    /** Bytes of an uncompressed name besides its characters: two quotes and a comma. */
     private static final int NAME_OVERHEAD_BYTES = 3;
-    /** More than a compressed name takes beside others, even with thousands of machines between them. */
+    /** Upper bound of the bytes that a compressed name adds to a list, even with thousands of machines between neighbours. */
     private static final int MAX_COMPRESSED_NAME_BYTES = 5;
-    /** By how much a list of names may fall short of its room and still be full. */
+    /** A list of names counts as full if fewer bytes than this are left. */
     private static final int FULL_MARGIN_BYTES = 16;
 
     private final Settings settings;
+    /** Version of the layout record, or 0 if there is none. */
     private long layoutVersion;
-    /** By the settings, until the layout record says with what size the stored pages were written. */
+    /** Tasks per page: from the settings until the layout record gives the size with which the stored pages were written. */
     private int pageTasks;
 
     LedgerFormat(Settings settings) {
@@ -26,13 +27,14 @@
     }
 
     /**
-     * The layout record was read: every controller reads compressed names, and pages hold so many tasks.
+     * Applies the layout record. If there is one, every controller can read compressed names.
      *
-     * @param version of the layout record, a condition of each batch with compressed names; 0 if there is no record
+     * @param version version of the layout record, a condition of each batch with compressed names; 0 if there is no record
+     * @param tasksPerPage the number of tasks of a page
      */
-    void layoutMarked(long version, int tasksOfPage) {
+    void layoutMarked(long version, int tasksPerPage) {
         layoutVersion = version;
-        pageTasks = tasksOfPage;
+        pageTasks = tasksPerPage;
     }
 
     long layoutVersion() {
@@ -47,22 +49,22 @@
         return layoutVersion > 0;
     }
 
-    /** Bytes of a value that names and finished ranges share. */
+    /** Bytes of a value that machine names and finished ranges share. */
     int contentBytes() {
         return settings.maxWritableValueBytes() - VALUE_OVERHEAD_BYTES;
     }
 
-    /** Bytes of the first page that may name machines. Finished ranges have the rest, and what the names leave. */
+    /** Bytes of the first page that machine names may use. Finished ranges may use all that the names do not. */
     int maxNameBytes() {
         return contentBytes() * 5 / 8;
     }
 
-    /** Bytes of finished ranges that the first page certainly has room for beside these bytes of required names. */
+    /** Bytes of the first page that are guaranteed to finished ranges, given the bytes of the required machine names. */
     int firstPageRangeBytes(int requiredNameBytes) {
         return contentBytes() - Math.max(requiredNameBytes, Math.min(maxNameBytes(), contentBytes() / 4));
     }
 
-    /** Bytes that these names take in a ledger. */
+    /** Bytes of these names in a ledger. */
     int encodedBytes(Collection<String> names) {
         if (compressesNames()) {
             return MachineNameCodec.compressedBytes(names);
@@ -74,17 +76,17 @@
         return bytes;
     }
 
-    /** Upper bound of the bytes that one more name takes. */
+    /** Upper bound of the bytes that one more name adds. */
     int maxBytesOf(String name) {
         return compressesNames() ? MAX_COMPRESSED_NAME_BYTES : name.length() + NAME_OVERHEAD_BYTES;
     }
 
-    /** Whether a list of names that takes so many bytes has no room for another. */
+    /** Whether a list of names of this size cannot take another name. */
     boolean isFull(int nameBytes) {
         return nameBytes > maxNameBytes() - FULL_MARGIN_BYTES;
     }
 
-    /** How many candidate machines are worth asking for: more than fit, whatever their names. */
+    /** Upper bound of the number of candidate machines that can fit, whatever their names are. */
     int maxCandidateMachines() {
         return maxNameBytes() / (compressesNames() ? 2 : 8);
     }
--- a/src/main/java/io/micatide/scheduler/LedgerMachines.java
+++ b/src/main/java/io/micatide/scheduler/LedgerMachines.java
@@ -5,8 +5,10 @@
 import java.util.Set;
 
 /**
- * Which machines a job's ledger names. No name is ever dropped to make a ledger fit, because a failover relies on them:
- * a job uses no more machines than its ledger can name.
+ * Decides which machines a job's ledger names.
+ *
+ * <p>Invariant: no required name is dropped to make a ledger fit, because a failover relies on it. Instead, a job uses no
+ * more machines than its ledger can name.
  */
 final class LedgerMachines {
     private final LedgerFormat format;
@@ -15,7 +17,7 @@
         this.format = format;
     }
 
-    /** Machines that the ledger has to name whatever else it holds. The set is the caller's. */
+    /** Machines that the ledger must name. Returns a new set that the caller may change. */
     Set<String> requiredMachines(Job job) {
         Set<String> machines = new HashSet<>(job.machinesToRecord);
         machines.addAll(job.unreconciledMachines);
@@ -23,7 +25,7 @@
         return machines;
     }
 
-    /** Whether the ledger names the machine or has room for its name, so that the job may be placed there. */
+    /** Whether the ledger names the machine or has space for its name, so that the job may be placed there. */
     boolean canName(Job job, Machine machine, long nowMicros) {
         if (job.ledgerMachines.contains(machine.name) || job.machinesToRecord.contains(machine.name)) {
             return true;
@@ -31,28 +33,29 @@
         if (nowMicros < job.ledgerFullUntilMicros) {
             return false;
         }
-        int bytesEach = format.maxBytesOf(machine.name);
-        int maxBytes = format.maxNameBytes() - bytesEach;
+        int bytesPerName = format.maxBytesOf(machine.name);
+        int maxBytes = format.maxNameBytes() - bytesPerName;
         int maxMachines = job.machinesToRecord.size()
                 + job.unreconciledMachines.size()
                 + job.liveMachines.elementSet().size();
-        if (maxMachines * bytesEach <= maxBytes) {
+        if (maxMachines * bytesPerName <= maxBytes) {
             return true;
         }
-        // Exactly, once per plan; what is added meanwhile is counted as if it stood alone.
+        // The exact size is computed once per planning pass; names added meanwhile are counted with their upper bound.
         if (job.ledgerNameBytesMicros != nowMicros) {
             job.ledgerNameBytesMicros = nowMicros;
-            job.ledgerNameBytes = format.encodedBytes(requiredMachines(job)) - bytesEach * job.machinesToRecord.size();
+            job.ledgerNameBytes =
+                    format.encodedBytes(requiredMachines(job)) - bytesPerName * job.machinesToRecord.size();
         }
-        return job.ledgerNameBytes + bytesEach * job.machinesToRecord.size() <= maxBytes;
+        return job.ledgerNameBytes + bytesPerName * job.machinesToRecord.size() <= maxBytes;
     }
 
-    /** Whether a job with waiting tasks is on as many machines as its ledger can name. */
+    /** Whether a job with pending tasks uses as many machines as its ledger can name. */
     boolean isFull(Job job) {
         return job.pendingCount() > 0 && format.isFull(format.encodedBytes(requiredMachines(job)));
     }
 
-    /** Adds candidates to the machines, in their order, until the next one has no room. */
+    /** Adds candidates to the machines, in the given order, until the next name does not fit into {@code maxBytes}. */
     void addCandidates(Set<String> machines, List<String> candidates, int maxBytes) {
         int bytes = format.encodedBytes(machines);
         for (String name : candidates) {
--- a/src/main/java/io/micatide/scheduler/OpenJobs.java
+++ b/src/main/java/io/micatide/scheduler/OpenJobs.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The open jobs of a term, and which of them have something to be written. Both keep the order of their addition. */
+/** The open jobs of a term and, among them, those with something to be written. Both are kept in the order of addition. */
 final class OpenJobs {
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Job> dirtyJobs = new LinkedHashMap<>();
-    /** How many jobs of each class this leader has seen. */
+    /** Number of jobs of each class that this leader has seen, open or not. */
     private final Multiset<String> jobsSeenOfClass = HashMultiset.create();
 
     Collection<Job> all() {
@@ -35,10 +35,11 @@
     /**
      * Adds an open job.
      *
-     * @param version of its stored record
-     * @param submittedWall time of day of its submission
+     * @param version version of the stored job record
+     * @param submittedWall time of day of the submission
      * @param submittedMicros the same on the steady clock
-     * @param readyMicros from when its times count, on the steady clock
+     * @param readyMicros time from which its waiting times and objectives count, on the steady clock
+     * @return the job
      */
     Job add(JobSpec spec, long version, long submittedWall, long submittedMicros, long readyMicros) {
         Job job = new Job(spec, version, submittedWall, submittedMicros, readyMicros);
@@ -47,18 +48,18 @@
         return job;
     }
 
-    /** The job is over by its stored record: nothing more is written of it. */
+    /** Removes a job whose stored record is final; no further write is composed for it. */
     void remove(Job job) {
         jobs.remove(job.id());
         dirtyJobs.remove(job.id());
     }
 
-    /** The job was cancelled and has no ledger: it is over. */
+    /** Removes a cancelled job that has no ledger, so that nothing of it is left to be written. */
     void removeWithoutLedger(Job job) {
         jobs.remove(job.id());
     }
 
-    /** Something of the job is to be written. */
+    /** Marks the job as having something to be written. */
     void markDirty(Job job, long nowMicros) {
         if (job.dirtySinceMicros < 0) {
             job.dirtySinceMicros = nowMicros;
@@ -66,24 +67,25 @@
         dirtyJobs.putIfAbsent(job.id(), job);
     }
 
-    /** The stored pages of the job say all that there is to say. */
+    /** Marks the stored pages of the job as up to date. */
     void markClean(Job job) {
         dirtyJobs.remove(job.id());
         job.dirtySinceMicros = -1;
     }
 
-    /** A write of the job is sent: it is not written again before the outcome is known. */
+    /** Marks a write of the job as sent. The job is not written again before the outcome is known. */
     void markInFlight(Job job) {
         job.writeInFlight = true;
         dirtyJobs.remove(job.id());
     }
 
-    /** The jobs that have something to be written and may be, as a copy. */
+    /** Returns a copy of the jobs that have something to be written and may be written now. */
     List<Job> writableJobs() {
-        // Whatever else made it dirty, a cancelled job stays open here and its ledger in the store until nothing of it
-        // can be on a machine. It once went with the next batch that came for a finished task or a machine to record:
-        // what went on on a hung or partitioned machine counted for no team any more, neither here nor for the next
-        // leader, and teams at their limits started too much (quota).
+        // A cancelled job stays open, and its ledger stored, until no task of it can be on a machine, even if the
+        // job is dirty for another reason. If its ledger were deleted with the next batch, tasks that still run on a
+        // hung or partitioned
+        // machine would count for no team, neither for this leader nor for the next one, and teams at their limit
+        // would start more tasks than their quota allows.
         dirtyJobs.values().removeIf(job -> job.cancelled && job.mayBeRunning());
         return List.copyOf(dirtyJobs.values());
     }
--- a/src/main/java/io/micatide/scheduler/WriteBatch.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatch.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * One transaction of a leader and what its outcome means for the scheduler's state.
+ * One transaction of a leader, with the scheduler state that its outcome affects.
  *
  * @param transaction the conditions and writes to be sent to the store
- * @param jobWrites what is written of each job, in the order of the writes
- * @param provisioningRequests requests to the cloud that are written along with the jobs
- * @param cancelledByDependency ids of the jobs whose records are closed because a dependency was cancelled
+ * @param jobWrites the part of each job, in the order of the writes
+ * @param provisioningRequests requests to the cloud that are written in the same transaction
+ * @param cancelledByDependency ids of the jobs whose records are changed to cancelled because a dependency was cancelled
  */
 record WriteBatch(
         Transaction transaction,
@@ -20,31 +20,31 @@
         List<ProvisioningRequests.Request> provisioningRequests,
         List<String> cancelledByDependency) {
     /**
-     * What a batch writes of one job.
+     * The part of a batch that belongs to one job.
      *
      * @param job the job
-     * @param endsJob whether the write removes the job's ledger, since the job is done or cancelled
+     * @param endsJob whether the write removes the job's ledger, because the job is done or cancelled
      * @param machines the machines that the new ledger names
      * @param pages numbers of the ledger pages that are written or deleted
-     * @param finishedTasks the finished tasks that each page holds after the write; empty where the write ends the job
+     * @param finishedTasks the finished tasks that each page holds after the write; empty if the write ends the job
      */
     record JobWrite(
             Job job, boolean endsJob, Set<String> machines, List<Integer> pages, Map<Integer, BitSet> finishedTasks) {}
 
     /**
-     * How many writes the rate of the store leaves for one batch.
+     * Numbers of writes that the rate limit of the store allows in one batch.
      *
-     * @param maxWrites for what starts or ends a job
-     * @param maxDeferrableWrites for the rest: workers report a finished task until it is recorded, so that may wait
+     * @param maxWrites limit for writes that start or end a job
+     * @param maxDeferrableWrites limit for finished tasks, which may wait because workers report them until they are recorded
      */
     record Limits(int maxWrites, int maxDeferrableWrites) {}
 
     /**
-     * Writes that have nothing to do with ledgers and go with the same transaction.
+     * Writes of the same transaction that do not concern jobs with ledgers.
      *
      * @param provisioningRequests the requests to the cloud that are among the writes
-     * @param writes the writes, counted against the limits
-     * @param conditions on which the writes depend
+     * @param writes the writes, which count against the limits
+     * @param conditions the conditions of these writes
      */
     record AdditionalWrites(
             List<ProvisioningRequests.Request> provisioningRequests,
--- a/src/main/java/io/micatide/scheduler/WriteBatchBuilder.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchBuilder.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /**
- * A {@link WriteBatch} under construction. Every batch is conditional on the fencing token of its leader, so that a
- * write that arrives after a failover is refused.
+ * Builds a {@link WriteBatch}. Every batch is conditional on the fencing token of its leader, so that the store refuses a
+ * write that arrives after a failover.
  */
 final class WriteBatchBuilder {
-    /** Estimated size up to which ledgers are added to one transaction. */
+    /** Estimated size in bytes up to which ledgers are added to one transaction. */
     static final int MAX_BYTES = 40_000;
     /** Estimated size of a small record with its key and condition. */
     private static final int SMALL_RECORD_BYTES = 200;
@@ -56,15 +56,16 @@
         return jobWrites;
     }
 
-    /** Whether so many more bytes fit; one job that is larger than a whole batch may have a batch of its own. */
+    /** Whether this many more bytes fit. Into an empty batch anything fits, so that a job larger than a batch can be written. */
     boolean fits(int bytes) {
         return writes.isEmpty() || bytes <= MAX_BYTES - estimatedBytes;
     }
 
-    /** Adds new values of an open job's ledger pages. */
+    /** Adds new values of ledger pages of an open job. */
     void addLedgerUpdate(LedgerPages.PageUpdate update) {
         Job job = update.jobWrite().job();
-        // Without this a write that arrives after the job's end would bring its ledger back: both are absent then.
+        // Without this condition a late write could recreate the ledger of a finished job: a deleted page satisfies the
+        // condition of a page that was never written.
         conditions.add(new Transaction.Condition(StoreKeys.job(job.id()), job.version));
         for (int page : update.jobWrite().pages()) {
             conditions.add(new Transaction.Condition(
@@ -75,7 +76,7 @@
         estimatedBytes += update.estimatedBytes();
     }
 
-    /** Adds the deletion of an ended job's ledger pages, together with its final record if it is not stored yet. */
+    /** Adds the deletion of a finished job's ledger pages and, unless null, its final record, which is not stored yet. */
     void addJobEnd(JobWrite jobWrite, StoredRecord.JobRecord finalRecord) {
         Job job = jobWrite.job();
         if (finalRecord != null) {
@@ -100,9 +101,10 @@
     }
 
     /**
-     * Makes the batch.
+     * Builds the batch.
      *
-     * @param layoutVersion version of the layout record on which ledgers with compressed names depend
+     * @param layoutVersion version of the layout record, a condition of ledgers with compressed names
+     * @return the batch
      */
     WriteBatch build(long layoutVersion) {
         if (hasCompressedNames()) {
--- a/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
@@ -11,11 +11,11 @@
 import java.util.Set;
 
 /**
- * Chooses what the next batch writes of the open jobs: first what other jobs wait for, then what starts or ends a job,
- * then finished tasks. Each job is in one batch at a time.
+ * Chooses the open jobs that the next batch writes: first jobs on which others depend, then jobs that start or end, then
+ * finished tasks. Each job is in at most one batch at a time.
  */
 final class WriteBatchPlanner {
-    /** Longest time that finished tasks of a job wait to be recorded together. */
+    /** Time for which finished tasks of a job are collected before they are written. */
     private static final long MAX_BATCHING_DELAY_MICROS = Micros.SECOND;
 
     private final Settings settings;
@@ -47,7 +47,7 @@
         this.ledgerPages = ledgerPages;
     }
 
-    /** There is an archive: records say that their writers know it. */
+    /** Marks the records written from now on as checked against the archive. */
     void archiveEnabled() {
         checkedAgainstArchive = true;
     }
@@ -57,11 +57,13 @@
     }
 
     /**
-     * Adds what is due of the open jobs to the batch.
+     * Adds the writes of open jobs that are due to the batch.
      *
+     * @param batch the batch to be added to
+     * @param nowMicros the time, steady clock
      * @param wallMicros the time of day, which the records of completed jobs keep
-     * @param limits what the write rate of the store leaves
-     * @param candidates names machines in advance, so that later starts need not wait for a write
+     * @param limits the numbers of writes that the rate limit of the store allows
+     * @param candidates source of machines to name in advance, so that later starts need not wait for a write
      */
     void addJobs(
             WriteBatchBuilder batch,
@@ -103,14 +105,14 @@
         }
     }
 
-    /** Completion, and the end of a cancelled job once nothing of it can be on a machine. */
+    /** Adds the end of a job: of one that is done, or of a cancelled one of which no task can be on a machine. */
     private void addJobEnd(WriteBatchBuilder batch, Job job, int maxWrites, long wallMicros) {
         List<Integer> pages = new ArrayList<>(job.pageVersions.keySet());
         while (pages.size() + 1 > settings.maxTransactionWrites()) {
-            // What is left over is removed by the leader that finds it without an open job.
+            // The remaining pages are deleted by the next leader, which finds them without an open job.
             pages.remove(pages.size() - 1);
         }
-        // A batch of its own may take as many writes as the job needs, or it would never end.
+        // In a batch without other writes the job may exceed the limit, because otherwise it could never end.
         if (!batch.isEmpty() && batch.writeCount() + pages.size() + 1 > maxWrites) {
             return;
         }
--- a/src/main/java/io/micatide/scheduler/WriteBatchSource.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchSource.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * Gives out what a leader writes, one transaction at a time, and is told of the outcome.
+ * Supplies the transactions that a leader writes, one at a time, and receives their outcomes.
  *
- * <p>After {@link #nextWriteBatch} exactly one outcome follows: {@link #writeConfirmed}, {@link #writeRejected}, {@link #writeConflicted},
- * {@link #writeNotExecuted}, or {@link #writeResolved} after all {@link #unresolvedWriteKeys} were read back. Called by the leader's actor alone. Times are
- * microseconds of the leader's steady clock.
+ * <p>Each {@link #nextWriteBatch} must be followed by exactly one outcome: {@link #writeConfirmed}, {@link #writeRejected}, {@link #writeConflicted},
+ * {@link #writeNotExecuted}, or {@link #writeResolved} after all {@link #unresolvedWriteKeys} were read back. Only the leader's actor calls this
+ * interface. Times are microseconds of the leader's steady clock unless said otherwise.
  */
 public interface WriteBatchSource {
     /**
-     * The next transaction to send. There is one at a time; its outcome must be told.
+     * Composes the next transaction to send. Only one is in flight at a time, and its outcome must be reported.
      *
      * @param nowMicros the time
      * @param wallMicros the time of day, which the records of completed jobs keep
@@ -22,107 +22,107 @@
     Transaction nextWriteBatch(long nowMicros, long wallMicros);
 
     /**
-     * The transaction was executed.
+     * Reports that the store executed the transaction.
      *
-     * @param revision that the store gave it
+     * @param revision the revision of the store after the transaction
      * @param nowMicros the time
      */
     void writeConfirmed(long revision, long nowMicros);
 
     /**
-     * The transaction was not executed, or its outcome is unknown.
+     * Returns the keys to be read back if the outcome of the transaction is unknown.
      *
      * @return the keys to be read back before {@link #writeResolved}
      */
     List<String> unresolvedWriteKeys();
 
     /**
-     * All keys of a transaction of unknown outcome are read back.
+     * Reports that all keys of a transaction of unknown outcome were read back.
      *
      * @param nowMicros the time
      */
     void writeResolved(long nowMicros);
 
     /**
-     * The store will never take this transaction.
+     * Reports that the store will never accept this transaction.
      *
      * @param nowMicros the time
      */
     void writeRejected(long nowMicros);
 
     /**
-     * The transaction was certainly not executed; nothing needs to be read.
+     * Reports that the transaction was certainly not executed; no key needs to be read back.
      *
      * @param nowMicros the time
      */
     void writeNotExecuted(long nowMicros);
 
     /**
-     * The transaction was refused for these keys, so it was not executed. The next one may go out at once, without the jobs that they belong to: a user who
-     * cancels one job must not hold up the other fifteen of a batch, nor cost the reads of all their keys (after a restart of all controllers at 1.5 times
-     * the fleet 80 batches of a day were refused whole, each read back with some 30 requests).
+     * Reports that the transaction was refused for the given keys and so was not executed. The next one may be sent at once, without the jobs that own the
+     * keys: a user who cancels one job must not delay the other fifteen of a batch, and the keys of those need not be read. (After a restart of all
+     * controllers at 1.5 times the fleet, 80 batches of a day were refused as a whole, each read back with some 30 requests.)
      *
-     * @param failed the keys whose versions are not as they were known
+     * @param failedKeys the keys whose versions are not the expected ones
      * @param nowMicros the time
      * @return the keys to be read back, each to be followed by {@link #keyReadBack}
      */
-    List<String> writeConflicted(List<String> failed, long nowMicros);
+    List<String> writeConflicted(List<String> failedKeys, long nowMicros);
 
     /**
-     * A key that a transaction was refused for was read back and applied.
+     * Reports that a key for which a transaction was refused was read back and applied.
      *
-     * @param key that was read
+     * @param key the key that was read
      * @param nowMicros the time
      */
     void keyReadBack(String key, long nowMicros);
 
     /**
-     * A provisioning request, their fence or a record of machines to delete was read back.
+     * Applies a provisioning request, the fence of the requests, or a record of machines to delete that was read back.
      *
-     * @param key that was read
-     * @param record as stored, null if there is none
-     * @param version of the record, 0 if there is none
+     * @param key the key that was read
+     * @param record the record as stored, null if there is none
+     * @param version version of the record, 0 if there is none
      */
     void cloudRecordReadBack(String key, StoredRecord record, long version);
 
     /**
-     * A ledger was read back.
+     * Applies a ledger page that was read back.
      *
-     * @param key that was read
-     * @param ledger as stored, null if there is none
-     * @param version of the record, 0 if there is none
+     * @param key the key that was read
+     * @param ledger the ledger page as stored, null if there is none
+     * @param version version of the record, 0 if there is none
      */
     void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version);
 
     /**
-     * A record of a job was read back: our own completion of it, a cancellation, or still open.
+     * Applies a job record that was read back: it may be done by this leader, cancelled, or still open.
      *
-     * @param id of the job
-     * @param record as stored
-     * @param version of the record
+     * @param id id of the job
+     * @param record the record as stored
+     * @param version version of the record
      * @param nowMicros the time
      */
     void jobReadBack(String id, StoredRecord.JobRecord record, long version, long nowMicros);
 
     /**
-     * Final records that this leader knows to be stored: other jobs may wait for them.
+     * Returns and clears the final job records that this leader knows to be stored. Other jobs may wait for these jobs.
      *
-     * @return those since the last call
+     * @return the final records since the last call
      */
     List<EndedJob> takeEndedJobs();
 
     /**
-     * How many writes of the leader's share of the rate are left over for other purposes now.
+     * Returns how many writes of the leader's share of the write rate are available for other purposes now.
      *
      * @param nowMicros the time
-     * @return what is above four fifths of a second's worth, at least 0
+     * @return the writes above four fifths of those of one second, at least 0
      */
     int spareWriteBudget(long nowMicros);
 
     /**
-     * Something else that this leader writes took so many of its writes.
+     * Reports writes that this leader sent outside of the batches, which are deducted from its budget.
      *
-     * @param writes that were sent
+     * @param writes the number of writes that were sent
      */
     void otherWritesSent(int writes);
 }
--- a/src/main/java/io/micatide/scheduler/WriteBudget.java
+++ b/src/main/java/io/micatide/scheduler/WriteBudget.java
@@ -4,27 +4,29 @@
 import io.micatide.model.Settings;
 
 /**
- * How much a leader may write now: a token bucket that holds one second's worth of its share of the store's write rate, and the largest
- * transaction that the store takes.
+ * Rate limit of a leader's writes: a token bucket that holds one second of the leader's share of the store's write rate, and the largest
+ * transaction that the store accepts.
  *
- * <p>Invariant: over any time the writes of a leader exceed its share of the rate by no more than one second's worth. The bucket may be overdrawn by
- * the batch that empties it, or by other writes of this leader; nothing is written then until it is filled again.
+ * <p>Invariant: over any period the writes of a leader exceed its share of the rate by at most the writes of one second. The batch that empties the
+ * bucket, or other writes of this leader, may overdraw it; no batch is written then until it is positive again.
  */
 final class WriteBudget {
-    /** Submissions and cancellations of users need the rest of the write rate. */
+    /** Leader's share of the write rate. The rest is needed for submissions and cancellations of users. */
     private static final double LEADER_SHARE = 0.6;
-    /** What the archive leaves to the write batches of a second. With five writes in a transaction a second's are some ten. */
+    /** Share of the bucket that the archive leaves to write batches. With five writes in a transaction a second has about ten writes. */
     private static final double RESERVED_SHARE = 0.8;
-    /** With fewer writes a transaction could not end a job. */
+    /** Lower bound of the transaction limit; with fewer writes a transaction could not end a job. */
     private static final int MIN_TRANSACTION_WRITES = 3;
 
     private final double writesPerSecond;
+    /** Content of the bucket; negative while overdrawn. */
     private double availableWrites;
+
     private long refilledMicros;
-    /** Less than in the settings once the store has refused a transaction. */
+    /** Limit of one transaction; falls below that of the settings once the store has rejected a transaction. */
     private int maxTransactionWrites;
 
-    /** A full bucket. */
+    /** Creates a full bucket. */
     WriteBudget(Settings settings, long nowMicros) {
         this.writesPerSecond = settings.storeWritesPerSecond() * LEADER_SHARE;
         this.availableWrites = writesPerSecond;
@@ -32,37 +34,37 @@
         this.maxTransactionWrites = settings.maxTransactionWrites();
     }
 
-    /** Adds what the time since the last call allows; the limits below are as of this call. */
+    /** Adds the writes that the time since the last call allows. The limits below hold as of this call. */
     void refill(long nowMicros) {
-        double sinceLast = Micros.toSeconds(nowMicros - refilledMicros);
-        availableWrites = Math.min(writesPerSecond, availableWrites + writesPerSecond * sinceLast);
+        double secondsSinceRefill = Micros.toSeconds(nowMicros - refilledMicros);
+        availableWrites = Math.min(writesPerSecond, availableWrites + writesPerSecond * secondsSinceRefill);
         refilledMicros = nowMicros;
     }
 
-    /** So many writes are sent. */
+    /** Deducts writes that are sent. */
     void spend(int writes) {
         availableWrites -= writes;
     }
 
-    /** How many writes the next transaction may have, below 1 for none. */
+    /** Number of writes that the next transaction may have; none if below 1. */
     int transactionLimit() {
         return (int) Math.min(availableWrites, maxTransactionWrites);
     }
 
     /**
-     * How many of these may be of jobs that can wait. Half of a second's writes are kept for what starts or ends a job. Counted from the writes that a
-     * transaction may hold, as before, it came to two where that is five, and finished tasks took what starts then waited for.
+     * Number of writes of the next transaction that may be deferrable. Half of the writes of one second are reserved for starts and ends of jobs. The
+     * reserve is not computed from the transaction limit: with a limit of five it would be two, so that finished tasks would use writes for which starts wait.
      */
     int deferrableLimit() {
         return (int) Math.max(0, Math.min(maxTransactionWrites, availableWrites - writesPerSecond / 2));
     }
 
-    /** How many writes batches and users leave over: what is above four fifths of a second's worth. */
+    /** Number of writes that batches do not need: those above four fifths of one second, at least 0. */
     int spareWrites() {
         return (int) Math.max(0, availableWrites - writesPerSecond * RESERVED_SHARE);
     }
 
-    /** The store will never take a transaction with so many writes: the next ones are half as large. */
+    /** Halves the transaction limit, because the store will never accept a transaction with this many writes. */
     void transactionRejected(int writes) {
         if (writes > MIN_TRANSACTION_WRITES) {
             maxTransactionWrites = Math.max(MIN_TRANSACTION_WRITES, writes / 2);
--- a/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
@@ -13,90 +13,96 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Pipelines while leaders are killed between any two steps, and what is submitted or cancelled meanwhile. */
+/**
+ * Pipelines of dependent jobs under leader kills, lost answers of the store, submissions and cancellations: no task starts
+ * before its dependencies are done, and no job after a cancelled dependency starts.
+ */
 class DependencyFailureTest {
-    private static JobSpec job(String id, Priority priority, int tasks, int seconds, String... needs) {
+    private static JobSpec job(String id, Priority priority, int tasks, int seconds, String... dependencies) {
         return SchedulerHarness.job(id, JobKind.ARRAY, "blue", priority, tasks, seconds)
-                .withDependencies(List.of(needs));
+                .withDependencies(List.of(dependencies));
     }
 
-    /** A diamond and a chain; the chain's second job is cancelled while the first runs. */
-    private static void submitAll(SchedulerHarness world) {
-        world.submit(job("wk-a", Priority.LOW, 3, 4));
-        world.submit(job("wk-b", Priority.LOW, 4, 3, "wk-a"));
-        world.submit(job("wk-c", Priority.NORMAL, 2, 5, "wk-a"));
-        world.submit(job("wk-d", Priority.HIGH, 2, 2, "wk-b", "wk-c"));
-        world.submit(job("wk-e", Priority.NORMAL, 2, 20));
-        world.submit(job("wk-f", Priority.NORMAL, 2, 2, "wk-e"));
-        world.submit(job("wk-g", Priority.NORMAL, 2, 2, "wk-f"));
-        world.submit(job("wk-h", Priority.NORMAL, 2, 2, "wk-f", "wk-d"));
+    /** Submits a diamond and a chain. The test cancels the second job of the chain while its first one runs. */
+    private static void submitAll(SchedulerHarness harness) {
+        harness.submit(job("wk-a", Priority.LOW, 3, 4));
+        harness.submit(job("wk-b", Priority.LOW, 4, 3, "wk-a"));
+        harness.submit(job("wk-c", Priority.NORMAL, 2, 5, "wk-a"));
+        harness.submit(job("wk-d", Priority.HIGH, 2, 2, "wk-b", "wk-c"));
+        harness.submit(job("wk-e", Priority.NORMAL, 2, 20));
+        harness.submit(job("wk-f", Priority.NORMAL, 2, 2, "wk-e"));
+        harness.submit(job("wk-g", Priority.NORMAL, 2, 2, "wk-f"));
+        harness.submit(job("wk-h", Priority.NORMAL, 2, 2, "wk-f", "wk-d"));
     }
 
-    /** Each row moves the kill over another stretch of the interactions, of old limits and of limits that fell. */
+    /**
+     * Kills the leader at each of 200 interactions with the store. Each row covers a range of interactions, a rate of lost
+     * answers, and the limit of writes per transaction, either the original one (16) or a lowered one.
+     */
     @ParameterizedTest
     @CsvSource({"0, 0, 16", "0, 0.03, 16", "200, 0, 5", "200, 0.03, 5", "100, 0.1, 3"})
-    void noTaskStartsBeforeItsDependenciesAtAnyKillPoint(int from, double lostAnswers, int ops) {
+    void noTaskStartsBeforeItsDependenciesAtAnyKillPoint(int from, double lostAnswers, int maxWrites) {
         for (int kill = from + 1; kill <= from + 200; kill++) {
-            SchedulerHarness world = new SchedulerHarness(kill, 3, 2048, ops);
-            world.opsLimit = ops;
-            world.valueLimit = 2048;
-            world.lostAnswers = lostAnswers;
-            world.killAfter = kill;
-            // The first leader writes as production does, the next one names in short.
-            world.takeOver();
-            world.marked = true;
-            submitAll(world);
-            world.run(8 * Micros.SECOND);
-            world.cancel("wk-f");
-            // Withdrawn at once, and by the rows alone: the leader may be dead.
-            assertEquals(JobState.CANCELLED, world.directory.state("wk-g"));
-            assertEquals(JobState.CANCELLED, world.directory.state("wk-h"));
-            world.run(120 * Micros.SECOND);
-            String what = "kill " + kill + " lost " + lostAnswers;
-            assertEquals(List.of(), world.broken, what);
-            assertEquals(0, world.refused, what);
+            SchedulerHarness harness = new SchedulerHarness(kill, 3, 2048, maxWrites);
+            harness.opsLimit = maxWrites;
+            harness.valueLimit = 2048;
+            harness.lostAnswers = lostAnswers;
+            harness.killAfter = kill;
+            // The first leader writes plain machine names, as production does; the next one writes compressed names.
+            harness.takeOver();
+            harness.marked = true;
+            submitAll(harness);
+            harness.run(8 * Micros.SECOND);
+            harness.cancel("wk-f");
+            // The dependents are cancelled at once, derived from the records alone, since the leader may be dead.
+            assertEquals(JobState.CANCELLED, harness.directory.state("wk-g"));
+            assertEquals(JobState.CANCELLED, harness.directory.state("wk-h"));
+            harness.run(120 * Micros.SECOND);
+            String context = "kill " + kill + " lost " + lostAnswers;
+            assertEquals(List.of(), harness.broken, context);
+            assertEquals(0, harness.refused, context);
             for (String id : List.of("wk-a", "wk-b", "wk-c", "wk-d", "wk-e")) {
-                assertEquals(JobState.DONE, world.state(id), what + ": " + id);
+                assertEquals(JobState.DONE, harness.state(id), context + ": " + id);
             }
             for (String id : List.of("wk-f", "wk-g", "wk-h")) {
-                assertEquals(0, world.startsOf.getOrDefault(id, 0), what + ": " + id);
-                // The leader closes the rows as well, for whoever reads only those.
-                assertEquals(JobState.CANCELLED, world.state(id), what + ": " + id);
+                assertEquals(0, harness.startsOf.getOrDefault(id, 0), context + ": " + id);
+                // The leader also changes the records to cancelled, for readers that read only those.
+                assertEquals(JobState.CANCELLED, harness.state(id), context + ": " + id);
             }
         }
     }
 
-    /** The last job of a pipeline comes when the others are over, and starts as any other. */
+    /** A job that is submitted after its dependencies are done starts as any other job. */
     @Test
     void finishedDependenciesDoNotDelayAJob() {
-        SchedulerHarness world = new SchedulerHarness(1, 3);
-        world.takeOver();
-        world.submit(job("wk-a", Priority.LOW, 3, 4));
-        world.run(20 * Micros.SECOND);
-        assertEquals(JobState.DONE, world.state("wk-a"));
-        world.submit(job("wk-b", Priority.LOW, 2, 4, "wk-a"));
-        world.takeOver();
-        world.run(20 * Micros.SECOND);
-        assertEquals(JobState.DONE, world.state("wk-b"));
-        assertEquals(List.of(), world.broken);
+        SchedulerHarness harness = new SchedulerHarness(1, 3);
+        harness.takeOver();
+        harness.submit(job("wk-a", Priority.LOW, 3, 4));
+        harness.run(20 * Micros.SECOND);
+        assertEquals(JobState.DONE, harness.state("wk-a"));
+        harness.submit(job("wk-b", Priority.LOW, 2, 4, "wk-a"));
+        harness.takeOver();
+        harness.run(20 * Micros.SECOND);
+        assertEquals(JobState.DONE, harness.state("wk-b"));
+        assertEquals(List.of(), harness.broken);
     }
 
-    /** While it waits a job takes nothing: no place in its team's limit, no machine rented, no row written. */
+    /** A job that waits for its dependencies uses nothing: no share of the team's limit, no rented machine, no record. */
     @Test
     void waitingJobUsesNoResources() {
-        SchedulerHarness world = new SchedulerHarness(1, 2);
-        // The machine that is idle meanwhile goes back, and that is not what this is about.
-        world.recorded = false;
-        world.takeOver();
-        world.submit(job("wk-s", Priority.NORMAL, 1, 300));
-        world.run(15 * Micros.SECOND);
-        long revision = world.revision;
-        int machines = world.workers.size();
-        world.submit(job("wk-w", Priority.PRODUCTION, 2000, 10, "wk-s"));
-        world.run(30 * Micros.SECOND);
-        assertEquals(revision + 1, world.revision, "something was written");
-        assertEquals(machines, world.workers.size());
-        assertEquals(0, world.startsOf.getOrDefault("wk-w", 0));
-        assertTrue(world.leader.summary(world.now).contains("awaiting=1"), world.leader.summary(world.now));
+        SchedulerHarness harness = new SchedulerHarness(1, 2);
+        // Otherwise a record would be written when the idle machine is deleted, which is not under test.
+        harness.recorded = false;
+        harness.takeOver();
+        harness.submit(job("wk-s", Priority.NORMAL, 1, 300));
+        harness.run(15 * Micros.SECOND);
+        long revision = harness.revision;
+        int machines = harness.workers.size();
+        harness.submit(job("wk-w", Priority.PRODUCTION, 2000, 10, "wk-s"));
+        harness.run(30 * Micros.SECOND);
+        assertEquals(revision + 1, harness.revision, "something was written");
+        assertEquals(machines, harness.workers.size());
+        assertEquals(0, harness.startsOf.getOrDefault("wk-w", 0));
+        assertTrue(harness.leader.summary(harness.now).contains("awaiting=1"), harness.leader.summary(harness.now));
     }
 }
--- a/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
@@ -19,38 +19,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What follows for jobs that need others from the rows alone, in whatever order the rows are read. */
+/** States of jobs with dependencies, derived from the job records alone, independent of the order of reading. */
 class DependencyGraphTest {
-    private static JobSpec spec(String id, List<String> needs) {
+    private static JobSpec spec(String id, List<String> dependencies) {
         return SchedulerHarness.job(id, JobKind.ARRAY, "blue", Priority.NORMAL, 2, 5)
-                .withDependencies(needs);
+                .withDependencies(dependencies);
     }
 
-    /** Steps are {@code b<a} (a row that needs others), {@code +a} (done) and {@code -a} (cancelled), oldest first. */
-    private static void applySteps(JobCache directory, List<String> steps, long from) {
-        long version = from;
+    /** Applies steps: {@code b<a} (a record that depends on others), {@code +a} (done), {@code -a} (cancelled), oldest first. */
+    private static void applySteps(JobCache jobCache, List<String> steps, long firstVersion) {
+        long version = firstVersion;
         for (String step : steps) {
             version++;
             if (step.startsWith("+") || step.startsWith("-")) {
                 JobState state = step.startsWith("+") ? JobState.DONE : JobState.CANCELLED;
-                directory.apply(
+                jobCache.apply(
                         step.substring(1),
                         new StoredRecord.JobRecord(state, null, 0, 2, state == JobState.DONE ? version : -1, 0),
                         version);
             } else {
                 String[] parts = step.split("<");
-                List<String> needs = parts.length > 1 ? List.of(parts[1].split("&")) : List.of();
-                directory.apply(
-                        parts[0], new StoredRecord.JobRecord(JobState.OPEN, spec(parts[0], needs), 0, 2), version);
+                List<String> dependencies = parts.length > 1 ? List.of(parts[1].split("&")) : List.of();
+                jobCache.apply(
+                        parts[0],
+                        new StoredRecord.JobRecord(JobState.OPEN, spec(parts[0], dependencies), 0, 2),
+                        version);
             }
         }
     }
 
-    /** How each job stands: ready, waiting, done or withdrawn, in the order of their names. */
-    private static String describeStates(JobCache directory, String names) {
+    /** State of each job in the given order: r ready, w waiting, d done, x cancelled. */
+    private static String describeStates(JobCache jobCache, String names) {
         StringBuilder text = new StringBuilder();
         for (String name : names.split("")) {
-            JobCache.View view = directory.view(name);
+            JobCache.View view = jobCache.view(name);
             text.append(
                     view.state() == JobState.DONE
                             ? 'd'
@@ -61,7 +63,7 @@
 
     @ParameterizedTest
     @CsvSource({
-        // rows as they are written, jobs, how they stand
+        // records in the order of writing, jobs, states
         "a b<a, ab, rw",
         "a b<a +a, ab, dr",
         "a b<a -a, ab, xx",
@@ -81,51 +83,51 @@
         "a b<a -a -b c<b, abc, xxx",
         "a b<a c<b -c, abc, rwx",
     })
-    void everyControllerDerivesTheSameStates(String rows, String jobs, String told) {
-        List<String> steps = List.of(rows.split(" "));
+    void everyControllerDerivesTheSameStates(String records, String jobs, String expected) {
+        List<String> steps = List.of(records.split(" "));
         JobCache live = new JobCache();
         applySteps(live, steps, 0);
-        assertEquals(told, describeStates(live, jobs), "as it happened");
-        // A controller that starts later reads only the last row of each job, here by name and against it.
+        assertEquals(expected, describeStates(live, jobs), "in the order of writing");
+        // A controller that starts later reads only the last record of each job, here in both orders of the names.
         for (int order = 0; order < 2; order++) {
-            JobCache late = new JobCache();
-            List<JobCache.Entry> rowsNow = new ArrayList<>();
+            JobCache laterReader = new JobCache();
+            List<JobCache.Entry> lastEntries = new ArrayList<>();
             for (String name : jobs.split("")) {
-                rowsNow.add(order == 0 ? rowsNow.size() : 0, live.get(name));
+                lastEntries.add(order == 0 ? lastEntries.size() : 0, live.get(name));
             }
-            rowsNow.forEach(entry -> late.apply(entry.id(), entry.record(), entry.version()));
-            assertEquals(told, describeStates(late, jobs), "read later, order " + order);
+            lastEntries.forEach(entry -> laterReader.apply(entry.id(), entry.record(), entry.version()));
+            assertEquals(expected, describeStates(laterReader, jobs), "read later, order " + order);
         }
     }
 
-    /** One cancellation is one row however long the chain; nothing here may recurse as deep as a chain is long. */
+    /** A cancellation is one record for a chain of any length. Its evaluation must not recurse to the depth of the chain. */
     @ParameterizedTest
     @CsvSource({"50, true", "50, false", "20000, true", "20000, false"})
     void longChainsAreResolvedWithoutRecursion(int length, boolean cancel) {
-        JobCache directory = new JobCache();
+        JobCache jobCache = new JobCache();
         List<String> steps = new ArrayList<>(List.of("j0"));
         for (int i = 1; i < length; i++) {
             steps.add("j" + i + "<j" + (i - 1));
         }
-        applySteps(directory, steps, 0);
-        List<String> changed = directory.apply(
+        applySteps(jobCache, steps, 0);
+        List<String> changed = jobCache.apply(
                 "j0", new StoredRecord.JobRecord(cancel ? JobState.CANCELLED : JobState.DONE, null, 0, 2), length + 1);
         assertEquals(cancel ? length : 2, changed.size());
-        assertEquals(cancel ? JobState.CANCELLED : JobState.OPEN, directory.state("j" + (length - 1)));
+        assertEquals(cancel ? JobState.CANCELLED : JobState.OPEN, jobCache.state("j" + (length - 1)));
     }
 
     @Test
     void readyTimeIsTheEndOfTheLastDependency() {
-        JobCache directory = new JobCache();
-        applySteps(directory, List.of("a", "b", "c<a&b", "+b", "+a"), 0);
-        assertEquals(5, directory.view("c").readyWall());
-        assertEquals(0, directory.view("a").readyWall());
+        JobCache jobCache = new JobCache();
+        applySteps(jobCache, List.of("a", "b", "c<a&b", "+b", "+a"), 0);
+        assertEquals(5, jobCache.view("c").readyWall());
+        assertEquals(0, jobCache.view("a").readyWall());
     }
 
-    /** What is said to a submission that names others. */
+    /** Outcome of a submission with dependencies. */
     @ParameterizedTest
     @CsvSource({
-        // rows before, mark seen, needs, outcome
+        // records before the submission, whether the layout is marked, dependencies, outcome
         "a, true, a, OPEN 1",
         "a, false, a, Deferred",
         "a +a, false, a, OPEN 0",
@@ -137,48 +139,51 @@
         "a, true, z, Refused",
         "a, true, x, Refused",
     })
-    void admissionOfSubmissionsWithDependencies(String rows, boolean marked, String needs, String outcome) {
-        JobCache directory = new JobCache();
-        applySteps(directory, List.of(rows.split(" ")), 0);
-        directory.apply(
+    void admissionOfSubmissionsWithDependencies(
+            String records, boolean isLayoutMarked, String dependencies, String outcome) {
+        JobCache jobCache = new JobCache();
+        applySteps(jobCache, List.of(records.split(" ")), 0);
+        jobCache.apply(
                 "s",
                 new StoredRecord.JobRecord(
                         JobState.OPEN, SchedulerHarness.job("s", JobKind.SERVICE, "blue", Priority.NORMAL, 2, 0), 0, 2),
                 50);
-        directory.layoutMarked(marked ? 7 : 0, new StoredRecord.Layout(2, 2048));
-        DependencyAdmission said = DependencyAdmission.evaluate(spec("x", List.of(needs.split("&"))), directory);
-        String text = said instanceof DependencyAdmission.Accepted accepted
+        jobCache.layoutMarked(isLayoutMarked ? 7 : 0, new StoredRecord.Layout(2, 2048));
+        DependencyAdmission admission =
+                DependencyAdmission.evaluate(spec("x", List.of(dependencies.split("&"))), jobCache);
+        String text = admission instanceof DependencyAdmission.Accepted accepted
                 ? accepted.state() + " "
                         + (accepted.spec() == null
                                 ? 0
                                 : accepted.spec().dependencies().size())
-                : said.getClass().getSimpleName();
+                : admission.getClass().getSimpleName();
         assertEquals(outcome, text);
         assertInstanceOf(
-                DependencyAdmission.Refused.class, DependencyAdmission.evaluate(spec("x", List.of("s")), directory));
+                DependencyAdmission.Refused.class, DependencyAdmission.evaluate(spec("x", List.of("s")), jobCache));
     }
 
     /**
-     * Deadline and priority stand on the last job only. Estimates are 5 s, so each job is wanted its own time and a step
-     * before the next one; both go again when the last job is cancelled.
+     * Only the last job has a deadline and a high priority, which the first one inherits. Run times are estimated as 5 s, so
+     * each job is due its run time and a start delay before the next one. The due time is removed with the last job.
      */
     @ParameterizedTest
     @CsvSource({
-        // needs of the others, first job's priority, due before the deadline of the last job (ms; 0: not asked for)
+        // dependencies, first job's own and inherited priority, pipeline steps from its due time to the deadline (0:
+        // none)
         "b<a c<b d<c, LOW, HIGH, 3",
         "b<a d<b, LOW, HIGH, 2",
         "b<a c<a d<b&c, NORMAL, HIGH, 2",
         "d<a, PRODUCTION, PRODUCTION, 1",
         "c<a, LOW, NORMAL, 0",
     })
-    void deadlineAndPriorityOfTheLastJobAreInherited(String rows, Priority own, Priority inherited, int steps) {
+    void deadlineAndPriorityOfTheLastJobAreInherited(String records, Priority priority, Priority inherited, int steps) {
         Settings settings = new SchedulerHarness(1, 0).settings;
-        RuntimeEstimator runTimes = new RuntimeEstimator();
+        RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
         JobLedgers ledgers = new JobLedgers(settings, 5);
-        DagInheritance pipelines = new DagInheritance(ledgers, runTimes);
-        Job first = ledgers.addJob(SchedulerHarness.job("a", JobKind.ARRAY, "blue", own, 2, 5), 1, 0, 0, 0);
+        DagInheritance dagInheritance = new DagInheritance(ledgers, runtimeEstimator);
+        Job first = ledgers.addJob(SchedulerHarness.job("a", JobKind.ARRAY, "blue", priority, 2, 5), 1, 0, 0, 0);
         long version = 1;
-        for (String step : rows.split(" ")) {
+        for (String step : records.split(" ")) {
             String[] parts = step.split("<");
             JobSpec waiting = spec(parts[0], List.of(parts[1].split("&")));
             if (parts[0].equals("d")) {
@@ -203,45 +208,47 @@
                         100 * Micros.SECOND,
                         waiting.dependencies());
             }
-            pipelines.addWaitingJob(waiting, ++version, 0);
+            dagInheritance.addWaitingJob(waiting, ++version, 0);
         }
-        pipelines.refresh(0);
+        dagInheritance.refresh(0);
         assertEquals(inherited, first.priority());
-        long before = 100 * Micros.SECOND - first.dependentsDueMicros;
+        long dueBeforeDeadlineMicros = 100 * Micros.SECOND - first.dependentsDueMicros;
         if (steps == 0) {
             assertEquals(Long.MAX_VALUE, first.dependentsDueMicros);
         } else {
             assertTrue(
-                    before >= steps * 5 * Micros.SECOND && before <= steps * 12 * Micros.SECOND, "before: " + before);
+                    dueBeforeDeadlineMicros >= steps * 5 * Micros.SECOND
+                            && dueBeforeDeadlineMicros <= steps * 12 * Micros.SECOND,
+                    "before: " + dueBeforeDeadlineMicros);
         }
-        pipelines.removeWaitingJob("d");
-        pipelines.refresh(0);
+        dagInheritance.removeWaitingJob("d");
+        dagInheritance.refresh(0);
         assertEquals(Long.MAX_VALUE, first.dependentsDueMicros);
     }
 
-    /** Names that a row has no room for come in rows of their own, before it or after it: nothing is told of half a list. */
+    /** Dependencies that do not fit into a job record have further records. The job is known only once all were read. */
     @ParameterizedTest
     @CsvSource({"r12, true", "12r, true", "1r2, true", "r1, false", "12, false", "r, false"})
-    void furtherDependenciesBelongToTheJobRecord(String order, boolean known) {
-        JobCache directory = new JobCache();
-        applySteps(directory, List.of("a", "b", "c"), 0);
-        StoredRecord.JobRecord row = new StoredRecord.JobRecord(JobState.OPEN, spec("d", List.of("a")), 0, 2)
+    void furtherDependenciesBelongToTheJobRecord(String order, boolean isKnown) {
+        JobCache jobCache = new JobCache();
+        applySteps(jobCache, List.of("a", "b", "c"), 0);
+        StoredRecord.JobRecord jobRecord = new StoredRecord.JobRecord(JobState.OPEN, spec("d", List.of("a")), 0, 2)
                 .withDependencies(List.of("a"), 2);
         for (char part : order.toCharArray()) {
             if (part == 'r') {
-                directory.apply("d", row, 9);
+                jobCache.apply("d", jobRecord, 9);
             } else {
-                directory.applyDependencies("d", part - '0', List.of(part == '1' ? "b" : "c"));
+                jobCache.applyDependencies("d", part - '0', List.of(part == '1' ? "b" : "c"));
             }
         }
-        assertEquals(known, directory.get("d") != null);
-        if (known) {
+        assertEquals(isKnown, jobCache.get("d") != null);
+        if (isKnown) {
             assertEquals(
-                    List.of("a", "b", "c"), directory.get("d").record().spec().dependencies());
-            applySteps(directory, List.of("+a", "+b"), 20);
-            assertTrue(directory.view("d").hasUnfinishedDependencies());
-            applySteps(directory, List.of("-c"), 30);
-            assertEquals(JobState.CANCELLED, directory.state("d"));
+                    List.of("a", "b", "c"), jobCache.get("d").record().spec().dependencies());
+            applySteps(jobCache, List.of("+a", "+b"), 20);
+            assertTrue(jobCache.view("d").hasUnfinishedDependencies());
+            applySteps(jobCache, List.of("-c"), 30);
+            assertEquals(JobState.CANCELLED, jobCache.state("d"));
         }
     }
 }
--- a/src/test/java/io/micatide/scheduler/JobLedgersTest.java
+++ b/src/test/java/io/micatide/scheduler/JobLedgersTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class JobLedgersTest {
-    /** The next batch, or null if nothing is to be written; {@code candidates} may be named in advance. */
+    /** Returns the next batch, or null if there is nothing to write; {@code candidates} may be named in advance. */
     private static WriteBatch nextBatch(
             JobLedgers ledgers, long nowMicros, int maxWrites, int maxDeferrableWrites, List<String> candidates) {
         return ledgers.nextWriteBatch(
@@ -44,7 +44,7 @@
         return ledgers.addJob(SchedulerHarness.job(id, JobKind.ARRAY, "blue", Priority.NORMAL, tasks, 5), 7, 0, 0, 0);
     }
 
-    /** Every n-th task of a job is finished: its batches keep the limits, and the next leader reads back the same. */
+    /** Every n-th task of a job is finished: its batches respect the limits, and the next leader reads the same tasks. */
     @ParameterizedTest
     @CsvSource({
         "10, 1, 16384",
@@ -73,16 +73,16 @@
             if (batch == null) {
                 break;
             }
-            assertTrue(++batches < 200, "it never ends");
-            int sum = 0;
+            assertTrue(++batches < 200, "still writing after 200 batches");
+            int estimatedBytes = 0;
             for (Transaction.Write write : batch.transaction().writes()) {
                 StoredRecord.Ledger ledger = (StoredRecord.Ledger) write.record();
                 assertTrue(ledger.finishedTasks().length() < settings.maxValueBytes() * 5 / 8, write.key());
                 assertTrue(StoreCodec.encodedBytes(ledger) <= bytes, write.key());
-                sum += ledger.finishedTasks().length() + 200;
+                estimatedBytes += ledger.finishedTasks().length() + 200;
                 stored.put(write.key(), ledger);
             }
-            assertTrue(sum < 60_000, "a transaction of " + sum + " bytes");
+            assertTrue(estimatedBytes < 60_000, "a transaction of " + estimatedBytes + " bytes");
             assertTrue(batch.transaction().writes().size() <= settings.maxTransactionWrites());
             assertTrue(batch.transaction().conditions().size() <= 4 * settings.maxTransactionWrites());
             ledgers.writeConfirmed(batch, 100 + batches, now);
@@ -93,25 +93,25 @@
         if (bytes == settings.maxValueBytes()) {
             assertEquals(job.finishedTasks, job.recordedTasks);
         } else {
-            // The rest stays with the workers; what fits is recorded once and not written again.
+            // Tasks that fit are recorded once and not written again. Workers keep reporting the others.
             assertTrue(
                     job.recordedTasks.cardinality() > Math.min(tasks / step - 2, 300),
                     "recorded: " + job.recordedTasks.cardinality());
         }
-        JobLedgers next = new JobLedgers(settings, 900);
-        Job found = next.addJob(spec, 7, 0, 0, 0);
-        stored.forEach((key, ledger) -> assertTrue(next.loadLedger(key, ledger, 1)));
-        assertEquals(job.recordedTasks, found.finishedTasks);
+        JobLedgers nextLeaderLedgers = new JobLedgers(settings, 900);
+        Job loadedJob = nextLeaderLedgers.addJob(spec, 7, 0, 0, 0);
+        stored.forEach((key, ledger) -> assertTrue(nextLeaderLedgers.loadLedger(key, ledger, 1)));
+        assertEquals(job.recordedTasks, loadedJob.finishedTasks);
     }
 
     /**
-     * A failover after the limits fell, of a job whose ledger an earlier leader wrote under the larger ones: more machines
-     * than fit now, finished tasks in pieces. No machine is dropped before it is reconciled, no batch is larger than the new limits
-     * allow, nothing is written again and again, and in the end all is recorded or over.
+     * Failover after the limits were lowered, of a job whose ledger a previous leader wrote under larger limits: it names
+     * more machines than fit now, and its finished tasks are fragmented. No machine is dropped before it is reconciled, no
+     * batch exceeds the new limits, writing comes to an end, and the job can be completed.
      */
     @ParameterizedTest
     @CsvSource({
-        // tasks, every n-th finished before, machines in the old ledger, changes in a transaction, compressed names
+        // tasks, every n-th finished before, machines in the previous ledger, writes per transaction, compressed names
         "350, 2, 250, 5, false",
         "3000, 2, 219, 5, false",
         "100000, 3, 40, 5, false",
@@ -120,8 +120,9 @@
         "3000, 2, 500, 5, true",
         "100000, 3, 40, 5, true",
     })
-    void ledgersWrittenUnderLargerLimitsAreTakenOver(int tasks, int step, int machines, int ops, boolean compressed) {
-        Settings settings = new SchedulerHarness(1, 0, 2048, ops).settings;
+    void ledgersWrittenUnderLargerLimitsAreTakenOver(
+            int tasks, int step, int machines, int maxWrites, boolean compressed) {
+        Settings settings = new SchedulerHarness(1, 0, 2048, maxWrites).settings;
         JobLedgers ledgers = new JobLedgers(settings, 900);
         ledgers.layoutMarked(compressed ? 44 : 0, ledgers.pageTasks());
         Job job = addJob(ledgers, "wk-1", tasks);
@@ -129,26 +130,26 @@
         for (int i = 0; i < machines; i++) {
             names.add(String.format("i-%06d", i));
         }
-        BitSet before = new BitSet();
+        BitSet previouslyFinished = new BitSet();
         for (int i = 0; i < tasks; i += step) {
-            before.set(i);
+            previouslyFinished.set(i);
         }
-        int size = settings.pageTasks();
-        for (int page = 0; page * size < tasks; page++) {
+        int pageTasks = settings.pageTasks();
+        for (int page = 0; page * pageTasks < tasks; page++) {
             assertTrue(ledgers.loadLedger(
                     StoreKeys.ledger("wk-1", page),
                     new StoredRecord.Ledger(
                             page == 0 ? names : List.of(),
                             0,
-                            TaskRanges.format(before, page * size, (page + 1) * size)),
+                            TaskRanges.format(previouslyFinished, page * pageTasks, (page + 1) * pageTasks)),
                     5));
         }
-        assertEquals(before, job.recordedTasks);
+        assertEquals(previouslyFinished, job.recordedTasks);
         int written = 0;
         int idle = 0;
         for (int second = 1; second < 400 && idle < 20; second++) {
             long now = second * Micros.SECOND;
-            // Machines are reconciled one after the other, and tasks end here and there.
+            // Machines are reconciled one by one, and scattered tasks finish.
             if (second % 2 == 0 && !job.unreconciledMachines.isEmpty()) {
                 job.unreconciledMachines.remove(
                         job.unreconciledMachines.iterator().next());
@@ -164,13 +165,13 @@
                 continue;
             }
             written++;
-            assertTrue(batch.transaction().writes().size() <= ops);
-            assertTrue(batch.transaction().conditions().size() <= 4 * ops);
+            assertTrue(batch.transaction().writes().size() <= maxWrites);
+            assertTrue(batch.transaction().conditions().size() <= 4 * maxWrites);
             for (Transaction.Write write : batch.transaction().writes()) {
                 assertTrue(StoreCodec.encodedBytes(write.record()) <= 2048, write.key());
                 if (write.key().equals(StoreKeys.ledger("wk-1", 0))) {
                     assertTrue(((StoredRecord.Ledger) write.record()).machines().containsAll(job.unreconciledMachines));
-                    // Compressed names are written on condition that every controller reads them.
+                    // Compressed names are written on condition of the layout record: every controller can read them.
                     assertEquals(compressed, ((StoredRecord.Ledger) write.record()).compressedNames());
                     assertEquals(
                             compressed,
@@ -178,21 +179,21 @@
                 }
             }
             ledgers.writeConfirmed(batch, 1000 + second, now);
-            BitSet kept = (BitSet) before.clone();
-            kept.andNot(job.recordedTasks);
-            assertTrue(kept.isEmpty(), "what was recorded is kept");
+            BitSet dropped = (BitSet) previouslyFinished.clone();
+            dropped.andNot(job.recordedTasks);
+            assertTrue(dropped.isEmpty(), "a recorded task was dropped from the ledger");
         }
-        assertTrue(idle >= 20, "it is written again and again: " + written);
+        assertTrue(idle >= 20, "the ledger is still rewritten, batches: " + written);
         for (int i = 0; i < tasks; i++) {
             ledgers.markTaskFinished(job, i, 500 * Micros.SECOND);
         }
-        WriteBatch last = nextBatch(ledgers, 510 * Micros.SECOND, ops, ops, List.of());
-        assertTrue(last.transaction().writes().get(0).record() instanceof StoredRecord.JobRecord row
-                && row.state() == JobState.DONE);
-        assertTrue(last.transaction().writes().size() <= ops);
+        WriteBatch last = nextBatch(ledgers, 510 * Micros.SECOND, maxWrites, maxWrites, List.of());
+        assertTrue(last.transaction().writes().get(0).record() instanceof StoredRecord.JobRecord jobRecord
+                && jobRecord.state() == JobState.DONE);
+        assertTrue(last.transaction().writes().size() <= maxWrites);
     }
 
-    /** A job goes to no more machines than a small ledger can name. */
+    /** A job is placed on no more machines than its ledger can name within the value limit. */
     @ParameterizedTest
     @CsvSource({
         "2048, 112, 1, false",
@@ -201,25 +202,25 @@
         "2048, 615, 2, true",
         "2048, 248, 1000, true"
     })
-    void aJobUsesNoMoreMachinesThanItsLedgerCanName(int bytes, int most, int apart, boolean compressed) {
+    void aJobUsesNoMoreMachinesThanItsLedgerCanName(int bytes, int maxMachines, int nameStep, boolean compressed) {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, bytes, 5).settings, 900);
         ledgers.layoutMarked(compressed ? 44 : 0, ledgers.pageTasks());
         Job job = addJob(ledgers, "wk-1", 5000);
 
         int used = 0;
         for (int i = 0; i < 1000; i++) {
-            Machine machine = new Machine(String.format("i-%06d", i * apart), 0);
+            Machine machine = new Machine(String.format("i-%06d", i * nameStep), 0);
             if (ledgers.mayRecordMachine(job, machine, i)) {
                 ledgers.recordMachine(job, machine, 0);
                 used++;
             }
         }
-        assertEquals(most, used);
+        assertEquals(maxMachines, used);
         WriteBatch batch = nextBatch(ledgers, 0, 5, 5, List.of());
         assertTrue(StoreCodec.encodedBytes(batch.transaction().writes().get(0).record()) <= bytes);
     }
 
-    /** What the store rejects delays neither the other jobs nor, after a backoff, its own. */
+    /** A batch that the store rejects delays no other job, and its own job only for the backoff. */
     @Test
     void aRejectedBatchDelaysNoOtherJob() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
@@ -232,15 +233,15 @@
         ledgers.recordMachine(second, new Machine("i-1", 0), 0);
         WriteBatch next = nextBatch(ledgers, 100, 5, 5, List.of());
         assertEquals(List.of(second), jobsOf(next));
-        assertTrue(first.ledgerFull, "what waits for that write is given back");
+        assertTrue(first.ledgerFull, "placements that wait for the rejected write are removed");
         WriteBatch later = nextBatch(ledgers, 20 * Micros.SECOND, 5, 5, List.of());
         assertEquals(List.of(first), jobsOf(later));
     }
 
     /**
-     * A batch that conflicts with a cancellation is sent again at once without that job, and only the key in conflict is read.
-     * Before, five batches a second were refused whole after a restart of all controllers, and reading their keys used up the
-     * store's request rate.
+     * After a conflict with a cancellation, the other jobs of the batch are written at once, and only the key in conflict is
+     * read back. Otherwise, after a restart of all controllers, five batches a second are refused as a whole, and reading
+     * their keys uses up the request rate of the store.
      */
     @ParameterizedTest
     @CsvSource({"job/wk-2", "ledger/wk-2"})
@@ -263,7 +264,7 @@
         assertEquals(List.of(jobs.get(1)), jobsOf(later));
     }
 
-    /** Finished tasks wait at their workers while the rate is short; what starts or ends a job is written all the same. */
+    /** Without deferrable writes, finished tasks are not written, but starts of jobs are. */
     @Test
     void finishedTasksLeaveTheWriteRateToStarts() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0, 2048, 5).settings, 900);
@@ -280,7 +281,7 @@
         assertEquals(3, nextBatch(ledgers, now, 4, 3, List.of()).jobWrites().size());
     }
 
-    /** Pages that were written under one limit are read with their own size, also where the settings name another since. */
+    /** Stored pages are read with the page size of the layout record, even if the settings now give another size. */
     @Test
     void theLayoutRecordKeepsThePageSize() {
         JobLedgers ledgers = new JobLedgers(new SchedulerHarness(1, 0).settings, 900);
