--- a/src/main/java/io/micatide/scheduler/DagInheritance.java
+++ b/src/main/java/io/micatide/scheduler/DagInheritance.java
@@ -42,14 +42,14 @@
     private final Map<String, WaitingJob> waitingJobs = new LinkedHashMap<>();
     /** Open jobs that inherited a demand at the last refresh. */
     private final List<Job> jobsWithDemands = new ArrayList<>();
-    /** Whether jobs were added or removed since the last refresh. */
+    /** Whether an open or waiting job was added, or a waiting one removed, since the last refresh. */
     private boolean openJobAdded;
 
     private long refreshedMicros = Long.MIN_VALUE / 2;
 
-    DagInheritance(JobLedgers ledgers, RuntimeEstimator runTimes) {
+    DagInheritance(JobLedgers ledgers, RuntimeEstimator runtimeEstimator) {
         this.ledgers = ledgers;
-        this.runtimeEstimator = runTimes;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     int waitingJobCount() {
--- a/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
+++ b/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
@@ -31,11 +31,11 @@
         /** Whether the job can finish on time; set by {@link #markFeasible}. */
         boolean isFeasible;
 
-        JobEstimate(Job job, double remainingWork, long lengthMicros, long dueMicros, double weight) {
+        JobEstimate(Job job, double remainingWork, long slowestTaskMicros, long dueMicros, double weight) {
             this.job = job;
             this.remainingWork = remainingWork;
             this.weight = weight;
-            this.slowestTaskMicros = lengthMicros;
+            this.slowestTaskMicros = slowestTaskMicros;
             this.dueMicros = dueMicros;
         }
 
--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -58,6 +58,7 @@
     /** Machines named by a previous leader's ledger that have not been reconciled. */
     final Set<String> unreconciledMachines = new HashSet<>();
 
+    /** Number of the gang's latest attempt, shared by all its tasks; 0 before the first one. */
     long gangAttempt;
     /** Version of each stored ledger page, by page number; a page that is not stored has no entry. */
     final Map<Integer, Long> pageVersions = new HashMap<>();
@@ -82,9 +83,9 @@
     long lastStartMicros = -1;
     /** Number of task starts in this term. */
     int attemptCount;
-    /** Total run time of the tasks that completed in this term. */
+    /** Total run time of {@link #completedTasks}. */
     long completedRuntimeMicros;
-    /** Number of tasks that completed in this term. */
+    /** Number of tasks whose completion was observed by this leader or reported in a hint of a previous one. */
     int completedTasks;
     /** Time before which the job does not preempt other work. */
     long nextPreemptionMicros;
