--- a/src/main/java/io/micatide/scheduler/WriteBudget.java
+++ b/src/main/java/io/micatide/scheduler/WriteBudget.java
@@ -59,7 +59,7 @@
         return (int) Math.max(0, Math.min(maxTransactionWrites, availableWrites - writesPerSecond / 2));
     }
 
-    /** Number of writes that batches do not need: those above four fifths of one second, at least 0. */
+    /** Number of writes that batches and users leave over: those above four fifths of one second, at least 0. */
     int spareWrites() {
         return (int) Math.max(0, availableWrites - writesPerSecond * RESERVED_SHARE);
     }
