--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -141,7 +141,7 @@
     /** Jobs may wait for what a transaction has ended: they need not wait for the next read of the changes as well. */
     private void publishEndedJobs() {
         scheduler
-                .takeEndedJobs()
+                .takeFinishedJobs()
                 .forEach(each -> users.tell(new UsersActor.JobEnded(each.id(), each.record(), each.version())));
     }
 
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -357,7 +357,7 @@
     }
 
     @Override
-    public List<EndedJob> takeEndedJobs() {
+    public List<EndedJob> takeFinishedJobs() {
         return term.jobOutcomes.takeEndedJobs();
     }
 
--- a/src/main/java/io/micatide/scheduler/WriteBatchSource.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchSource.java
@@ -109,7 +109,7 @@
      *
      * @return the final records since the last call
      */
-    List<EndedJob> takeEndedJobs();
+    List<EndedJob> takeFinishedJobs();
 
     /**
      * Returns how many writes of the leader's share of the write rate are available for other purposes now.
