--- a/src/main/java/io/micatide/scheduler/GangPlacement.java
+++ b/src/main/java/io/micatide/scheduler/GangPlacement.java
@@ -59,7 +59,7 @@
 
     /** Returns whether the gang lost a task, or has started and still has live attempts that must end first. */
     private static boolean isEnding(Job job) {
-        return job.gangBroken || (job.gangStarted && !job.liveAttempts.isEmpty());
+        return job.gangAttemptEnded || (job.gangStarted && !job.liveAttempts.isEmpty());
     }
 
     /** Returns whether this plan has already recorded that a gang of this class has too little capacity. */
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -116,7 +116,7 @@
     /** Applies the hint about a job that was read from its ledger, unless this leader knows something of the job by itself. */
     void apply(Job job) {
         Hint.JobHint hint = jobHints.remove(job.id());
-        if (hint == null || job.completedTasks > 0 || job.quarantined || job.attempts > 0) {
+        if (hint == null || job.completedTasks > 0 || job.quarantined || job.attemptCount > 0) {
             return;
         }
         job.completedRuntimeMicros = hint.meanRuntimeMicros() * hint.completedTasks();
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -86,8 +86,8 @@
     List<QueuedJob> order(long nowMicros) {
         Map<String, Resources> requestedByTeam = new HashMap<>();
         List<QueuedJob> result = new ArrayList<>();
-        Map<Job, DeadlineFeasibility.Entry> deadlines = new HashMap<>();
-        for (DeadlineFeasibility.Entry entry : assessDeadlines(nowMicros)) {
+        Map<Job, DeadlineFeasibility.JobEstimate> deadlines = new HashMap<>();
+        for (DeadlineFeasibility.JobEstimate entry : assessDeadlines(nowMicros)) {
             deadlines.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
@@ -114,10 +114,11 @@
     }
 
     /** @param deadline null for a service, which never ends */
-    private static QueuedJob toQueuedJob(Job job, boolean isGuaranteed, DeadlineFeasibility.Entry deadline) {
+    private static QueuedJob toQueuedJob(Job job, boolean isGuaranteed, DeadlineFeasibility.JobEstimate deadline) {
         return deadline == null
                 ? new QueuedJob(job, job.pendingCount(), isGuaranteed, true, job.readyMicros)
-                : new QueuedJob(job, job.pendingCount(), isGuaranteed, deadline.feasible, deadline.latestStartMicros());
+                : new QueuedJob(
+                        job, job.pendingCount(), isGuaranteed, deadline.isFeasible, deadline.latestStartMicros());
     }
 
     /**
@@ -134,11 +135,11 @@
      * Determines which jobs can meet their deadline: first within the limit of each team, since capacity beyond it
      * helps none of the team's jobs, then with all CPUs.
      */
-    private List<DeadlineFeasibility.Entry> assessDeadlines(long nowMicros) {
+    private List<DeadlineFeasibility.JobEstimate> assessDeadlines(long nowMicros) {
         double cpus = cpusForFiniteJobs(nowMicros);
-        Map<String, List<DeadlineFeasibility.Entry>> byTeam = new LinkedHashMap<>();
-        List<DeadlineFeasibility.Entry> lowPriority = new ArrayList<>();
-        for (DeadlineFeasibility.Entry entry : finiteJobs(nowMicros)) {
+        Map<String, List<DeadlineFeasibility.JobEstimate>> byTeam = new LinkedHashMap<>();
+        List<DeadlineFeasibility.JobEstimate> lowPriority = new ArrayList<>();
+        for (DeadlineFeasibility.JobEstimate entry : finiteJobs(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // Low priority gets the remaining CPUs: one large job of a rare class would otherwise outweigh many
                 // other jobs.
@@ -148,12 +149,12 @@
                         .add(entry);
             }
         }
-        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
-        List<DeadlineFeasibility.Entry> onTimeInTeam = new ArrayList<>();
+        List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
+        List<DeadlineFeasibility.JobEstimate> onTimeInTeam = new ArrayList<>();
         byTeam.forEach((team, entries) -> {
-            for (DeadlineFeasibility.Entry entry :
+            for (DeadlineFeasibility.JobEstimate entry :
                     DeadlineFeasibility.markFeasible(entries, Math.min(cpus, cpuLimit(team)), nowMicros)) {
-                (entry.feasible ? onTimeInTeam : result).add(entry);
+                (entry.isFeasible ? onTimeInTeam : result).add(entry);
             }
         });
         result.addAll(DeadlineFeasibility.markFeasible(onTimeInTeam, cpus, nowMicros));
@@ -167,12 +168,12 @@
     }
 
     /** Returns the remaining work of every unfinished job that is not a service. */
-    List<DeadlineFeasibility.Entry> finiteJobs(long nowMicros) {
-        List<DeadlineFeasibility.Entry> result = new ArrayList<>();
+    List<DeadlineFeasibility.JobEstimate> finiteJobs(long nowMicros) {
+        List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
                 long slowestTaskMicros = runtimes.slowestMicros(job);
-                result.add(new DeadlineFeasibility.Entry(
+                result.add(new DeadlineFeasibility.JobEstimate(
                         job,
                         remainingWork(job),
                         slowestTaskMicros,
