--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -324,7 +324,7 @@
             cloud.send(call, now);
         }
         scheduler.takeNotices().forEach(LOG::info);
-        scheduler.takeCompletions(now).forEach(LOG::debug);
+        scheduler.takeCompletionLines(now).forEach(LOG::debug);
     }
 
     /** Logs the state of the deployment every five seconds. */
--- a/src/main/java/io/micatide/scheduler/CloudReconciliation.java
+++ b/src/main/java/io/micatide/scheduler/CloudReconciliation.java
@@ -39,7 +39,7 @@
             if (!fleet.isDeleted(machineName)) {
                 Machine machine = fleet.getOrAdd(machineName, nowMicros);
                 if (machine.type == null) {
-                    fleet.describe(machine, request.type, request.zone, request.spot);
+                    fleet.updateTypeAndZone(machine, request.type, request.zone, request.spot);
                 }
                 machine.bootStartedMicros = nowMicros;
             }
@@ -49,9 +49,9 @@
     /**
      * A whole list of machines. Machines that nobody expected are used, or deleted when idle.
      *
-     * @param askedMicros when the list was asked for
+     * @param requestedMicros when the list was asked for
      */
-    void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
+    void machinesListed(List<ListedMachine> machines, long requestedMicros, long nowMicros) {
         Set<String> names = new HashSet<>();
         for (ListedMachine listed : machines) {
             names.add(listed.name());
@@ -60,21 +60,21 @@
             }
         }
         for (Machine machine : fleet.machines()) {
-            if (!names.contains(machine.name) && isGone(machine, askedMicros, nowMicros)) {
+            if (!names.contains(machine.name) && isCertainlyDeleted(machine, requestedMicros, nowMicros)) {
                 machine.deletionRequested = true;
             }
         }
-        requests.settleUnknownRequests(askedMicros);
+        requests.settleUnknownRequests(requestedMicros);
     }
 
     private void machineListed(ListedMachine listed, long nowMicros) {
         Machine machine = fleet.getOrAdd(listed.name(), nowMicros);
-        machine.listedByCloud = true;
+        machine.wasListedByCloud = true;
         if (machine.type == null) {
-            fleet.describe(machine, listed.type(), listed.zone(), listed.spot());
+            fleet.updateTypeAndZone(machine, listed.type(), listed.zone(), listed.spot());
         }
-        boolean isKnownToBoot = machine.bootStartedMicros >= 0 || machine.lastHeartbeatMicros >= 0;
-        if (!isKnownToBoot && listed.state() == ListedMachine.State.BOOTING) {
+        boolean hasKnownBootStart = machine.bootStartedMicros >= 0 || machine.lastHeartbeatMicros >= 0;
+        if (!hasKnownBootStart && listed.state() == ListedMachine.State.BOOTING) {
             machine.bootStartedMicros = nowMicros - listed.ageMicros();
         }
         if (listed.state() == ListedMachine.State.FAILED) {
@@ -83,16 +83,16 @@
     }
 
     /** Whether a machine that is not in the list is certainly gone. */
-    private boolean isGone(Machine machine, long askedMicros, long nowMicros) {
+    private boolean isCertainlyDeleted(Machine machine, long requestedMicros, long nowMicros) {
         boolean isSilent = machine.lastHeartbeatMicros >= 0
                 && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros();
-        return (machine.listedByCloud && isSilent) || wasNeverThere(machine, askedMicros);
+        return (machine.wasListedByCloud && isSilent) || wasNeverSeen(machine, requestedMicros);
     }
 
     /** A ledger names it, nobody has heard of it, and a list from well after the term began does not have it. */
-    private boolean wasNeverThere(Machine machine, long askedMicros) {
+    private boolean wasNeverSeen(Machine machine, long requestedMicros) {
         return machine.lastHeartbeatMicros < 0
                 && machine.bootStartedMicros < 0
-                && askedMicros - machine.knownSinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND;
+                && requestedMicros - machine.knownSinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND;
     }
 }
--- a/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
+++ b/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
@@ -24,18 +24,18 @@
     /** Machines that have reported are dead after so many times their lease. */
     private static final int DEAD_AFTER_LEASES = 4;
     /** A zone is reachable if at least one in so many of its machines has reported just now. */
-    private static final int REACHABLE_ZONE_SHARE = 2;
+    private static final int REACHABLE_ZONE_DIVISOR = 2;
     /** One unresponsive machine in so many may have hung by itself. */
-    private static final int FEW_SHARE = 20;
+    private static final int FEW_UNRESPONSIVE_DIVISOR = 20;
 
     private final Settings settings;
     private final Fleet fleet;
 
     /** What one look at all machines found. */
     private static final class Survey {
-        int heardFrom;
+        int reported;
         int silent;
-        int neverHeardFrom;
+        int neverReported;
         final List<Machine> dead = new ArrayList<>();
         /** Those that miss heartbeats and may be alive; a machine may stand here twice and counts as two then. */
         final List<Machine> unresponsive = new ArrayList<>();
@@ -44,13 +44,13 @@
          * Nearly all silent at once: it is the leader that is cut off, and the machines may be fine. That holds for a new
          * leader too that no worker has reached yet: one once returned all 334 machines 15 s after its claim.
          */
-        boolean isLeaderCutOff() {
-            int unheard = silent + neverHeardFrom;
-            return unheard * 2 > heardFrom + neverHeardFrom && unheard > 2;
+        boolean isLeaderDisconnected() {
+            int withoutContact = silent + neverReported;
+            return withoutContact * 2 > reported + neverReported && withoutContact > 2;
         }
 
         boolean areFewUnresponsive() {
-            return unresponsive.size() <= Math.max(1, heardFrom / FEW_SHARE);
+            return unresponsive.size() <= Math.max(1, reported / FEW_UNRESPONSIVE_DIVISOR);
         }
     }
 
@@ -69,7 +69,7 @@
         for (Machine machine : fleet.machines()) {
             examine(machine, survey, nowMicros, termStartMicros);
         }
-        if (survey.isLeaderCutOff()) {
+        if (survey.isLeaderDisconnected()) {
             return;
         }
         for (Machine machine : survey.dead) {
@@ -83,34 +83,34 @@
             survey.unresponsive.add(machine);
         }
         if (machine.lastHeartbeatMicros >= 0) {
-            examineHeardFrom(machine, survey, nowMicros);
+            examineReported(machine, survey, nowMicros);
         } else if (machine.bootStartedMicros >= 0) {
             if (nowMicros - machine.bootStartedMicros > bootTimeoutMicros(machine)) {
                 survey.dead.add(machine);
             }
         } else if (nowMicros - Math.max(termStartMicros, machine.knownSinceMicros) > firstHeartbeatTimeoutMicros()) {
-            survey.neverHeardFrom++;
+            survey.neverReported++;
             survey.dead.add(machine);
         }
     }
 
     /** A ledger names it, and it has not found the new leader. */
     private boolean missesFirstHeartbeatOfTerm(Machine machine, long nowMicros, long termStartMicros) {
-        long lastHeardMicros = Math.max(termStartMicros, machine.lastHeartbeatMicros);
-        return machine.awaitedAfterFailover
+        long lastContactMicros = Math.max(termStartMicros, machine.lastHeartbeatMicros);
+        return machine.isAwaitedAfterFailover
                 && !machine.deletionRequested
-                && nowMicros - lastHeardMicros > unresponsiveAfterMicros() + Micros.SECOND;
+                && nowMicros - lastContactMicros > unresponsiveAfterMicros() + Micros.SECOND;
     }
 
-    private void examineHeardFrom(Machine machine, Survey survey, long nowMicros) {
+    private void examineReported(Machine machine, Survey survey, long nowMicros) {
         long silentMicros = nowMicros - machine.lastHeartbeatMicros;
-        survey.heardFrom++;
-        if (machine.reconciled && !machine.deletionRequested && silentMicros > unresponsiveAfterMicros()) {
+        survey.reported++;
+        if (machine.isReconciled && !machine.deletionRequested && silentMicros > unresponsiveAfterMicros()) {
             survey.unresponsive.add(machine);
         }
         if (silentMicros > settings.workerLeaseExpiryMicros()) {
             survey.silent++;
-            if (!machine.reconciled || silentMicros > DEAD_AFTER_LEASES * settings.workerLeaseExpiryMicros()) {
+            if (!machine.isReconciled || silentMicros > DEAD_AFTER_LEASES * settings.workerLeaseExpiryMicros()) {
                 survey.dead.add(machine);
             }
         }
@@ -141,7 +141,7 @@
         for (Machine machine : survey.unresponsive) {
             boolean isLeaderReachable = areFew || (machine.zone != null && reachableZones.contains(machine.zone));
             // Not for tasks of arrays alone: a machine that hangs is there again before another one has booted.
-            if (isLeaderReachable && (machine.awaitedAfterFailover || hasReplica(machine))) {
+            if (isLeaderReachable && (machine.isAwaitedAfterFailover || hasReplica(machine))) {
                 machine.deletionRequested = true;
             }
         }
@@ -158,7 +158,7 @@
         Multiset<String> reporting = HashMultiset.create();
         for (Machine machine : fleet.machines()) {
             boolean hasReported = machine.lastHeartbeatMicros >= 0;
-            if (machine.zone != null && !machine.deletionRequested && (hasReported || machine.awaitedAfterFailover)) {
+            if (machine.zone != null && !machine.deletionRequested && (hasReported || machine.isAwaitedAfterFailover)) {
                 known.add(machine.zone);
                 if (hasReported && nowMicros - machine.lastHeartbeatMicros < unresponsiveAfterMicros() / 2) {
                     reporting.add(machine.zone);
@@ -167,7 +167,7 @@
         }
         Set<String> reachable = new HashSet<>();
         for (String zone : known.elementSet()) {
-            if (reporting.count(zone) * REACHABLE_ZONE_SHARE >= known.count(zone)) {
+            if (reporting.count(zone) * REACHABLE_ZONE_DIVISOR >= known.count(zone)) {
                 reachable.add(zone);
             }
         }
--- a/src/main/java/io/micatide/scheduler/Evictions.java
+++ b/src/main/java/io/micatide/scheduler/Evictions.java
@@ -14,7 +14,7 @@
  */
 final class Evictions {
     /** For how long a full ledger is named no further machines. */
-    private static final long LEDGER_FULL_MICROS = Micros.SECOND;
+    private static final long LEDGER_FULL_PAUSE_MICROS = Micros.SECOND;
 
     private final Settings settings;
     private final Fleet fleet;
@@ -64,7 +64,7 @@
                 }
             }
         }
-        if (machine.reconciled && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros()) {
+        if (machine.isReconciled && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros()) {
             placements.removeAll(machine);
         }
     }
@@ -135,7 +135,7 @@
 
     private void removeUnrecorded(Job job, long nowMicros) {
         job.ledgerFull = false;
-        job.ledgerFullUntilMicros = nowMicros + LEDGER_FULL_MICROS;
+        job.ledgerFullUntilMicros = nowMicros + LEDGER_FULL_PAUSE_MICROS;
         for (Placement placement : job.livePlacements()) {
             if (placement.phase == Placement.Phase.AWAITING_LEDGER) {
                 placements.remove(placement);
--- a/src/main/java/io/micatide/scheduler/FailoverProgress.java
+++ b/src/main/java/io/micatide/scheduler/FailoverProgress.java
@@ -8,7 +8,7 @@
  * when the first task was started. One line for the log, once; operators see from it what a take-over cost them.
  */
 final class FailoverProgress implements FailoverTimings {
-    private static final double[] SHARES = {0.5, 0.9, 0.99};
+    private static final double[] RECONCILED_SHARES = {0.5, 0.9, 0.99};
 
     private final long termStartMicros;
     private final long[] reconciledAtMicros = {-1, -1, -1};
@@ -16,10 +16,10 @@
     private int reconciledMachines;
     private long stateLoadedAtMicros = -1;
     private long firstStartMicros = -1;
-    private boolean logged;
+    private boolean wasLogged;
 
-    FailoverProgress(long beganMicros) {
-        this.termStartMicros = beganMicros;
+    FailoverProgress(long claimedMicros) {
+        this.termStartMicros = claimedMicros;
     }
 
     /** All rows are read. {@code machines}: how many the ledgers name. */
@@ -47,8 +47,8 @@
     }
 
     @Override
-    public long machinesReconciledMicros(int share) {
-        return sinceTermStart(reconciledAtMicros[share]);
+    public long machinesReconciledMicros(int shareIndex) {
+        return sinceTermStart(reconciledAtMicros[shareIndex]);
     }
 
     @Override
@@ -61,19 +61,23 @@
     }
 
     private void recordSharesReached(long nowMicros) {
-        for (int each = 0; each < SHARES.length; each++) {
-            if (reconciledAtMicros[each] < 0 && reconciledMachines >= Math.ceil(expectedMachines * SHARES[each])) {
-                reconciledAtMicros[each] = nowMicros;
+        for (int share = 0; share < RECONCILED_SHARES.length; share++) {
+            if (reconciledAtMicros[share] < 0
+                    && reconciledMachines >= Math.ceil(expectedMachines * RECONCILED_SHARES[share])) {
+                reconciledAtMicros[share] = nowMicros;
             }
         }
     }
 
     /** Null until 99% are confirmed and something was started, or with no machines; then the line, once. */
     String logLine() {
-        if (logged || expectedMachines == 0 || reconciledAtMicros[SHARES.length - 1] < 0 || firstStartMicros < 0) {
+        if (wasLogged
+                || expectedMachines == 0
+                || reconciledAtMicros[RECONCILED_SHARES.length - 1] < 0
+                || firstStartMicros < 0) {
             return null;
         }
-        logged = true;
+        wasLogged = true;
         return String.format(
                 Locale.ROOT,
                 "recovery: rebuilt after %s; of %d machines 50%% confirmed after %s, 90%% %s, 99%% %s; first start"
--- a/src/main/java/io/micatide/scheduler/FailoverRecovery.java
+++ b/src/main/java/io/micatide/scheduler/FailoverRecovery.java
@@ -87,23 +87,23 @@
         loading = false;
         for (Job job : ledgers.jobs()) {
             for (String name : job.unreconciledMachines) {
-                fleet.getOrAdd(name, nowMicros).awaitedAfterFailover = true;
+                fleet.getOrAdd(name, nowMicros).isAwaitedAfterFailover = true;
             }
-            placements.markLedgerIfStopped(job, nowMicros);
+            placements.markLedgerDirtyIfStopped(job, nowMicros);
         }
         applyHints(nowMicros);
         progress.stateLoaded(
                 (int) fleet.machines().stream()
-                        .filter(machine -> machine.awaitedAfterFailover)
+                        .filter(machine -> machine.isAwaitedAfterFailover)
                         .count(),
                 nowMicros);
     }
 
     /** The machine has reported under this term: no start of an earlier leader can land on it any more. */
     void markReconciled(Machine machine, long nowMicros) {
-        machine.reconciled = true;
-        if (machine.awaitedAfterFailover) {
-            machine.awaitedAfterFailover = false;
+        machine.isReconciled = true;
+        if (machine.isAwaitedAfterFailover) {
+            machine.isAwaitedAfterFailover = false;
             progress.machineReconciled(nowMicros);
         }
         applyHint(machine, nowMicros);
@@ -112,7 +112,7 @@
 
     /** The deletion of the machine is answered: it is not waited for any longer. */
     void machineDeleted(Machine machine, long nowMicros) {
-        if (machine.awaitedAfterFailover) {
+        if (machine.isAwaitedAfterFailover) {
             progress.machineReconciled(nowMicros);
         }
     }
@@ -123,7 +123,7 @@
         // write
         // rate for seconds.
         for (Job job : ledgers.reconcileMachine(machineName)) {
-            placements.markLedgerIfStopped(job, nowMicros);
+            placements.markLedgerDirtyIfStopped(job, nowMicros);
             ledgers.markDirty(job, nowMicros);
         }
     }
@@ -131,10 +131,10 @@
     /**
      * What an earlier leader had learned.
      *
-     * @param stored whether it comes from the store: older than what a standby was sent, which it leaves as it is
+     * @param isStored whether it comes from the store: older than what a standby was sent, which it leaves as it is
      */
-    void hintsReceived(List<Hint> earlier, boolean stored, RuntimeEstimator runtimeEstimator, long nowMicros) {
-        hints.add(earlier, stored, runtimeEstimator);
+    void hintsReceived(List<Hint> previousHints, boolean isStored, RuntimeEstimator runtimeEstimator, long nowMicros) {
+        hints.add(previousHints, isStored, runtimeEstimator);
         if (!loading) {
             applyHints(nowMicros);
         }
@@ -143,8 +143,8 @@
     private void applyHints(long nowMicros) {
         ledgers.jobs().forEach(hints::apply);
         for (Machine machine : fleet.machines()) {
-            machine.deletionRequested |= machine.awaitedAfterFailover && hints.wasDeleted(machine.name);
-            if (machine.reconciled) {
+            machine.deletionRequested |= machine.isAwaitedAfterFailover && hints.wasDeleted(machine.name);
+            if (machine.isReconciled) {
                 applyHint(machine, nowMicros);
             }
         }
@@ -169,11 +169,11 @@
             if (result.size() >= limit) {
                 break;
             }
-            if (machine.awaitedAfterFailover
-                    && !machine.announced
+            if (machine.isAwaitedAfterFailover
+                    && !machine.wasAnnounced
                     && !machine.deletionRequested
                     && machine.lastHeartbeatMicros < 0) {
-                machine.announced = true;
+                machine.wasAnnounced = true;
                 TermAnnouncement announcement = hints.announcementFor(machine.name);
                 if (announcement != null) {
                     result.add(announcement);
--- a/src/main/java/io/micatide/scheduler/FailoverTimings.java
+++ b/src/main/java/io/micatide/scheduler/FailoverTimings.java
@@ -12,10 +12,10 @@
     /**
      * Until so many of the machines that the ledgers name were reconciled.
      *
-     * @param share 0: half of them, 1: nine tenths, 2: 99%
+     * @param shareIndex 0: half of them, 1: nine tenths, 2: 99%
      * @return microseconds since the claim, or -1
      */
-    long machinesReconciledMicros(int share);
+    long machinesReconciledMicros(int shareIndex);
 
     /**
      * Until the first task was started.
--- a/src/main/java/io/micatide/scheduler/FailureAttribution.java
+++ b/src/main/java/io/micatide/scheduler/FailureAttribution.java
@@ -45,7 +45,7 @@
     void taskSucceeded(Machine machine, Job job) {
         machine.failedJobs.clear();
         machine.unattributedJobs.clear();
-        machine.failures = 0;
+        machine.failureCount = 0;
         job.failedMachines.remove(machine.name);
         job.quarantined = false;
         job.failedProbes = 0;
@@ -72,7 +72,7 @@
     private static boolean tellsPace(Placement placement) {
         return placement.job.spec.kind() == JobKind.ARRAY
                 && placement.runningSinceMicros >= 0
-                && !placement.adopted
+                && !placement.wasAdopted
                 && placement.job.completedTasks >= MIN_TASKS_FOR_PACE;
     }
 
@@ -90,14 +90,14 @@
         job.failedMachines.add(machine.name);
         if (job.hasSucceeded()) {
             machine.failedJobs.add(job.id());
-            machine.failures++;
+            machine.failureCount++;
         } else if (job.quarantined || job.failedMachines.size() >= MACHINES_TO_QUARANTINE_JOB) {
             quarantine(job, machines, nowMicros);
         } else {
             machine.unattributedJobs.add(job.id());
         }
         machine.quarantined |= machine.failedJobs.size() >= JOBS_TO_QUARANTINE_MACHINE
-                || machine.failures >= FAILURES_TO_QUARANTINE_MACHINE
+                || machine.failureCount >= FAILURES_TO_QUARANTINE_MACHINE
                 || machine.unattributedJobs.size() >= UNATTRIBUTED_JOBS_TO_QUARANTINE_MACHINE;
     }
 
--- a/src/main/java/io/micatide/scheduler/EndedJob.java
+++ b/src/main/java/io/micatide/scheduler/FinishedJob.java
@@ -9,4 +9,4 @@
  * @param record the final record
  * @param version of the record
  */
-public record EndedJob(String id, StoredRecord.JobRecord record, long version) {}
+public record FinishedJob(String id, StoredRecord.JobRecord record, long version) {}
--- a/src/main/java/io/micatide/scheduler/Fleet.java
+++ b/src/main/java/io/micatide/scheduler/Fleet.java
@@ -65,7 +65,7 @@
         }
         machineTypes = byName;
         for (Machine machine : machines.values()) {
-            describe(machine, machine.type, machine.zone, machine.spot);
+            updateTypeAndZone(machine, machine.type, machine.zone, machine.spot);
         }
     }
 
@@ -84,7 +84,7 @@
         machine.touchImage(job.spec.image(), job.spec.imageGb(), type == null ? 0 : type.cacheGb());
     }
 
-    void describe(Machine machine, String type, String zone, boolean spot) {
+    void updateTypeAndZone(Machine machine, String type, String zone, boolean spot) {
         machine.type = type;
         machine.zone = zone;
         machine.spot = spot;
--- a/src/main/java/io/micatide/scheduler/FleetForecast.java
+++ b/src/main/java/io/micatide/scheduler/FleetForecast.java
@@ -64,7 +64,7 @@
 
     /** Whether the machine sends heartbeats and has not confirmed this leader's fencing token yet. */
     private boolean isUnreconciled(Machine machine, long nowMicros) {
-        return !machine.reconciled
+        return !machine.isReconciled
                 && machine.lastHeartbeatMicros >= 0
                 && machine.capacity() != null
                 && !machine.deletionRequested
@@ -92,6 +92,6 @@
     }
 
     private boolean isOrWillBeSchedulable(Machine machine, long nowMicros) {
-        return machine.isSchedulable(nowMicros, settings) || isBooting(machine, nowMicros) || !machine.reconciled;
+        return machine.isSchedulable(nowMicros, settings) || isBooting(machine, nowMicros) || !machine.isReconciled;
     }
 }
--- a/src/main/java/io/micatide/scheduler/HeartbeatCommands.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatCommands.java
@@ -27,7 +27,7 @@
      */
     void addStopsAndStarts(Machine machine, List<Command> commands, long nowMicros) {
         addStops(machine, commands);
-        if (machine.reconciled && !machine.deletionRequested && startGuard.mayStartTasks(nowMicros)) {
+        if (machine.isReconciled && !machine.deletionRequested && startGuard.mayStartTasks(nowMicros)) {
             addStarts(machine, commands, nowMicros);
         }
     }
--- a/src/main/java/io/micatide/scheduler/HeartbeatListener.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatListener.java
@@ -36,8 +36,8 @@
     /**
      * Announcements of the term to machines that jobs wait for and that have not reported to this leader, each once.
      *
-     * @param most how many at most
+     * @param limit how many at most
      * @return those that are due now
      */
-    List<TermAnnouncement> nextAnnouncements(int most);
+    List<TermAnnouncement> nextAnnouncements(int limit);
 }
--- a/src/main/java/io/micatide/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatReconciler.java
@@ -52,19 +52,19 @@
             return null;
         }
         Machine machine = fleet.getOrAdd(heartbeat.machine(), nowMicros);
-        if (!heartbeat.isNewerThan(machine.incarnation, machine.sequence)) {
+        if (!heartbeat.isNewerThan(machine.incarnation, machine.latestSequence)) {
             return null;
         }
         machine.heartbeatReceived(heartbeat, nowMicros);
         if (machine.type == null || !machine.type.equals(heartbeat.type()) || machine.capacity() == null) {
-            fleet.describe(machine, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
+            fleet.updateTypeAndZone(machine, heartbeat.type(), heartbeat.zone(), heartbeat.spot());
         }
         if (heartbeat.spotNoticeMicros() >= 0 && machine.spotNoticeEndsMicros < 0) {
             machine.spotNoticeEndsMicros = nowMicros + heartbeat.spotNoticeMicros();
             evictions.spotNoticeReceived(machine, nowMicros);
         }
         reconcileTasks(machine, heartbeat, commands, nowMicros);
-        if (heartbeat.fencingToken() == fencingToken && !machine.reconciled) {
+        if (heartbeat.fencingToken() == fencingToken && !machine.isReconciled) {
             recovery.markReconciled(machine, nowMicros);
         }
         if (machine.placements.isEmpty() && machine.idleSinceMicros < 0) {
@@ -109,7 +109,7 @@
     private Placement adopt(Machine machine, Job job, TaskStatus status, long nowMicros) {
         Placement placement =
                 new Placement(job, status.taskIndex(), status.attempt(), machine, Placement.Phase.REPORTED, nowMicros);
-        placement.adopted = true;
+        placement.wasAdopted = true;
         placements.add(placement);
         boolean isFinished = job.spec.kind() != JobKind.SERVICE && job.finishedTasks.get(status.taskIndex());
         if (job.cancelled || isFinished) {
--- a/src/main/java/io/micatide/scheduler/JobOutcomes.java
+++ b/src/main/java/io/micatide/scheduler/JobOutcomes.java
@@ -8,8 +8,8 @@
 /** Jobs that ended, each kept until it is taken once: as a record for those who wait for it, and as a line for the log. */
 final class JobOutcomes {
     private final RuntimeEstimator runtimeEstimator;
-    private final List<Job> completed = new ArrayList<>();
-    private final List<EndedJob> ended = new ArrayList<>();
+    private final List<Job> completedJobs = new ArrayList<>();
+    private final List<FinishedJob> finishedJobs = new ArrayList<>();
 
     JobOutcomes(RuntimeEstimator runtimeEstimator) {
         this.runtimeEstimator = runtimeEstimator;
@@ -17,28 +17,28 @@
 
     /** The record of its completion, written by this leader, is confirmed. */
     void jobCompleted(Job job) {
-        completed.add(job);
+        completedJobs.add(job);
     }
 
     /** The final record of a job is in the store, whoever wrote it. */
     void finalRecordStored(String id, StoredRecord.JobRecord record, long version) {
-        ended.add(new EndedJob(id, record, version));
+        finishedJobs.add(new FinishedJob(id, record, version));
     }
 
     /** Final records since the last call. */
-    List<EndedJob> takeEndedJobs() {
-        List<EndedJob> result = List.copyOf(ended);
-        ended.clear();
+    List<FinishedJob> takeFinishedJobs() {
+        List<FinishedJob> result = List.copyOf(finishedJobs);
+        finishedJobs.clear();
         return result;
     }
 
     /** A line for the log on each job completed since the last call. */
     List<String> takeCompletionLines(long nowMicros) {
         List<String> lines = new ArrayList<>();
-        for (Job job : completed) {
+        for (Job job : completedJobs) {
             lines.add(completionLine(job, nowMicros));
         }
-        completed.clear();
+        completedJobs.clear();
         return lines;
     }
 
@@ -50,11 +50,11 @@
                 Micros.toSeconds(nowMicros - job.submittedMicros),
                 Micros.toSeconds(nowMicros - job.readyMicros),
                 job.spec.taskCount(),
-                startsOf(job),
+                describeStarts(job),
                 Micros.toSeconds(runtimeEstimator.expectedMicros(job)));
     }
 
-    private static String startsOf(Job job) {
+    private static String describeStarts(Job job) {
         if (job.attempts == 0) {
             return "all started before this term";
         }
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -193,7 +193,7 @@
         double cpus = 0;
         for (Machine machine : fleet.machines()) {
             if (isAvailable(machine, nowMicros)) {
-                cpus += machine.cpusBesideReplicas();
+                cpus += machine.cpusNotUsedByReplicas();
             }
         }
         return cpus;
--- a/src/main/java/io/micatide/scheduler/JobReconciler.java
+++ b/src/main/java/io/micatide/scheduler/JobReconciler.java
@@ -48,13 +48,13 @@
         ledgers.cancelledBeforeStart(id);
         if (record.state() == JobState.OPEN) {
             long readyMicros = nowMicros - Math.max(0, wallMicros - view.readyWall());
-            jobOpen(view, submittedMicros, readyMicros);
+            applyOpenRecord(view, submittedMicros, readyMicros);
         } else {
-            jobEnded(id, record, nowMicros);
+            applyFinalRecord(id, record, nowMicros);
         }
     }
 
-    private void jobOpen(JobCache.View view, long submittedMicros, long readyMicros) {
+    private void applyOpenRecord(JobCache.View view, long submittedMicros, long readyMicros) {
         Job job = ledgers.get(view.id());
         if (job != null) {
             job.version = view.version();
@@ -65,7 +65,7 @@
         dagInheritance.jobAdded();
     }
 
-    private void jobEnded(String id, StoredRecord.JobRecord record, long nowMicros) {
+    private void applyFinalRecord(String id, StoredRecord.JobRecord record, long nowMicros) {
         Job job = ledgers.get(id);
         boolean isCancelled = record.state() == JobState.CANCELLED;
         if (job == null) {
@@ -85,7 +85,7 @@
     private void cancel(Job job, long nowMicros) {
         job.cancelled = true;
         placements.removeOrStopAll(job, 0, nowMicros);
-        placements.markLedgerIfStopped(job, nowMicros);
+        placements.markLedgerDirtyIfStopped(job, nowMicros);
     }
 
     /**
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -22,7 +22,7 @@
 
     private FreeCapacityIndex index;
     /** What could be freed on it, and at what loss. */
-    final Preemption.Estimates estimates = new Preemption.Estimates();
+    final Preemption.Estimates preemptionEstimates = new Preemption.Estimates();
 
     String address;
     String type;
@@ -30,7 +30,7 @@
     boolean spot;
     private Resources capacity;
     long incarnation;
-    long sequence;
+    long latestSequence;
     /** The highest number of any of its messages. */
     long highestSequence;
     /**
@@ -39,7 +39,7 @@
      */
     boolean receivesResponses;
     /** Its report shows our token: no start of an older leader can land any more. */
-    boolean reconciled;
+    boolean isReconciled;
     /** Receipt of the last report that was answered with our token, or -1. */
     long lastHeartbeatMicros = -1;
 
@@ -49,11 +49,11 @@
     boolean deletionRequested;
 
     long deletionRequestedMicros = -1;
-    boolean listedByCloud;
+    boolean wasListedByCloud;
     /** It was told of this term. */
-    boolean announced;
+    boolean wasAnnounced;
     /** A ledger names it: until it reports to this leader or is gone, those jobs' missing tasks may be on it. */
-    boolean awaitedAfterFailover;
+    boolean isAwaitedAfterFailover;
 
     long bootStartedMicros = -1;
     boolean quarantined;
@@ -61,7 +61,7 @@
     /** Jobs that succeed elsewhere and failed here since the last success here, and how often they did. */
     final Set<String> failedJobs = new HashSet<>();
 
-    int failures;
+    int failureCount;
     /** Jobs of which nothing has succeeded anywhere yet and that failed here: it may be they or the machine. */
     final Set<String> unattributedJobs = new HashSet<>();
     /** Tasks that told its pace, fading by the second, and the sum of the logarithms of how much too long they took. */
@@ -93,7 +93,7 @@
 
     /** What counts as room on it, or could be freed, has changed. */
     void capacityChanged() {
-        estimates.clear();
+        preemptionEstimates.clear();
         if (index != null) {
             index.machineChanged(this);
         }
@@ -133,7 +133,7 @@
     }
 
     boolean isSchedulable(long nowMicros, Settings settings) {
-        return reconciled
+        return isReconciled
                 && !deletionRequested
                 && !quarantined
                 && spotNoticeEndsMicros < 0
@@ -145,7 +145,7 @@
     /** Its newest heartbeat came. */
     void heartbeatReceived(Heartbeat heartbeat, long nowMicros) {
         incarnation = heartbeat.incarnation();
-        sequence = heartbeat.sequence();
+        latestSequence = heartbeat.sequence();
         messageReceived(heartbeat.sequence());
         address = heartbeat.address();
         lastHeartbeatMicros = nowMicros;
@@ -162,9 +162,9 @@
     }
 
     /** A message with this number came. */
-    void messageReceived(long number) {
-        receivesResponses = number <= highestSequence + 1;
-        highestSequence = Math.max(highestSequence, number);
+    void messageReceived(long messageSequence) {
+        receivesResponses = messageSequence <= highestSequence + 1;
+        highestSequence = Math.max(highestSequence, messageSequence);
     }
 
     void add(Placement placement) {
@@ -187,15 +187,15 @@
     }
 
     /** Processors, in thousandths, that replicas leave to work that ends; only where the size is known. */
-    long cpusBesideReplicas() {
+    long cpusNotUsedByReplicas() {
         return capacity.cpus() - replicaCpus;
     }
 
-    void touchImage(String image, double gb, double cacheGb) {
-        images.put(image, gb);
+    void touchImage(String image, double sizeGb, double cacheGb) {
+        images.put(image, sizeGb);
         double total = 0;
-        for (double each : images.values()) {
-            total += each;
+        for (double imageGb : images.values()) {
+            total += imageGb;
         }
         var oldest = images.entrySet().iterator();
         while (total > cacheGb && oldest.hasNext()) {
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -153,7 +153,7 @@
     private boolean isDue(List<Machine> unrecorded, long nowMicros) {
         boolean isDue = nowMicros - lastWriteMicros >= BATCH_WINDOW_MICROS;
         for (Machine machine : unrecorded) {
-            isDue |= machine.awaitedAfterFailover || !machine.placements.isEmpty();
+            isDue |= machine.isAwaitedAfterFailover || !machine.placements.isEmpty();
         }
         return isDue;
     }
--- a/src/main/java/io/micatide/scheduler/Placement.java
+++ b/src/main/java/io/micatide/scheduler/Placement.java
@@ -29,7 +29,7 @@
     long createdMicros;
     long runningSinceMicros = -1;
     /** Found running by this leader: how long it ran before is not known, so it teaches nothing about run times. */
-    boolean adopted;
+    boolean wasAdopted;
     /** When a stop was first decided, or -1. */
     long stopRequestedMicros = -1;
 
@@ -46,9 +46,9 @@
 
     /** Moves on; once it is sent, stopping it loses work. */
     void transitionTo(Phase next) {
-        boolean before = isUnsent();
+        boolean wasUnsent = isUnsent();
         phase = next;
-        if (before != isUnsent()) {
+        if (wasUnsent != isUnsent()) {
             machine.capacityChanged();
         }
     }
@@ -61,9 +61,9 @@
         return stopRequestedMicros >= 0;
     }
 
-    boolean matches(TaskStatus heartbeat) {
-        return attempt == heartbeat.attempt()
-                && taskIndex == heartbeat.taskIndex()
-                && job.id().equals(heartbeat.job());
+    boolean matches(TaskStatus status) {
+        return attempt == status.attempt()
+                && taskIndex == status.taskIndex()
+                && job.id().equals(status.job());
     }
 }
--- a/src/main/java/io/micatide/scheduler/PlacementTable.java
+++ b/src/main/java/io/micatide/scheduler/PlacementTable.java
@@ -57,7 +57,7 @@
             placement.job.gangBroken = false;
         }
         if (placement.job.cancelled) {
-            markLedgerIfStopped(placement.job, placement.createdMicros);
+            markLedgerDirtyIfStopped(placement.job, placement.createdMicros);
         }
     }
 
@@ -127,8 +127,8 @@
     public void placeTask(Job job, int taskIndex, Machine machine, long nowMicros) {
         long attempt = (fencingToken << ATTEMPT_COUNTER_BITS) + ++attemptCounter;
         if (job.spec.kind() == JobKind.GANG) {
-            long live = job.liveGangAttempt();
-            attempt = live != 0 ? live : attempt;
+            long liveAttempt = job.liveGangAttempt();
+            attempt = liveAttempt != 0 ? liveAttempt : attempt;
             job.gangAttempt = attempt;
         }
         boolean isRecorded = job.ledgerMachines.contains(machine.name);
@@ -149,7 +149,7 @@
     }
 
     /** Has the ledger of a cancelled job removed, which stays until nothing of the job can be on a machine. */
-    void markLedgerIfStopped(Job job, long nowMicros) {
+    void markLedgerDirtyIfStopped(Job job, long nowMicros) {
         if (job.cancelled && !job.mayBeRunning()) {
             ledgers.markDirty(job, nowMicros);
         }
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -147,7 +147,7 @@
     }
 
     private Estimate estimate(Job job, Machine machine) {
-        Estimates estimates = machine.estimates;
+        Estimates estimates = machine.preemptionEstimates;
         PreemptionRequest last = estimates.lastRequest;
         if (last != null
                 && last.priority() == job.priority()
@@ -180,7 +180,7 @@
 
     /** Whether there are arrays of the job's own priority on the machine; its own team's count as well. */
     private static boolean hasArraysOfSamePriority(Job job, Machine machine) {
-        Estimates estimates = machine.estimates;
+        Estimates estimates = machine.preemptionEstimates;
         if (estimates.arraysOfPriority == null) {
             estimates.arraysOfPriority = new boolean[Priority.values().length];
             for (Placement placement : machine.placements) {
--- a/src/main/java/io/micatide/scheduler/ScaleIn.java
+++ b/src/main/java/io/micatide/scheduler/ScaleIn.java
@@ -52,7 +52,7 @@
     }
 
     private static boolean isIdle(Machine machine) {
-        return machine.reconciled
+        return machine.isReconciled
                 && !machine.deletionRequested
                 && machine.placements.isEmpty()
                 && machine.idleSinceMicros >= 0;
@@ -106,7 +106,7 @@
                 && !machine.deletionRequested
                 && machine.lastHeartbeatMicros < 0
                 && machine.bootStartedMicros >= 0
-                && !machine.awaitedAfterFailover
+                && !machine.isAwaitedAfterFailover
                 && nowMicros - machine.bootStartedMicros > LATE_BOOT_FACTOR * type.bootMicros();
     }
 }
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -27,7 +27,7 @@
  */
 public final class Scheduler
         implements HeartbeatListener, StoredStateListener, WriteBatchSource, CloudCallSource, TermStatus {
-    private final SchedulerComponents term;
+    private final SchedulerComponents components;
 
     /**
      * A term that begins.
@@ -47,7 +47,7 @@
             long fencingToken,
             long nowMicros,
             SchedulerComponents.PlannerFactory plannerFactory) {
-        this.term = new SchedulerComponents(settings, tuning, fencingToken, nowMicros, plannerFactory);
+        this.components = new SchedulerComponents(settings, tuning, fencingToken, nowMicros, plannerFactory);
     }
 
     /**
@@ -56,67 +56,67 @@
      * @return the token that all commands of this leader carry
      */
     public long fencingToken() {
-        return term.fencingToken;
+        return components.fencingToken;
     }
 
     @Override
     public void jobChanged(JobCache.View view, long wallMicros, long nowMicros) {
-        term.jobReconciler.jobChanged(view, wallMicros, nowMicros);
+        components.jobReconciler.jobChanged(view, wallMicros, nowMicros);
     }
 
     @Override
     public void ledgerLoaded(String key, StoredRecord.Ledger ledger, long version, long nowMicros) {
-        if (!term.recovery.ledgerLoaded(key, ledger, version, nowMicros)) {
-            term.writeBatches.deleteOrphanedLedger(key);
+        if (!components.recovery.ledgerLoaded(key, ledger, version, nowMicros)) {
+            components.writeBatches.deleteOrphanedLedger(key);
         }
     }
 
     @Override
     public void provisioningRequestLoaded(String name, StoredRecord.Provisioning record, long version, long nowMicros) {
-        term.provisioningRequests.load(name, record, version, nowMicros);
+        components.provisioningRequests.load(name, record, version, nowMicros);
     }
 
     @Override
     public void provisioningFenceRead(long version, long number) {
-        term.provisioningRequests.fenceRead(version, number);
+        components.provisioningRequests.fenceRead(version, number);
     }
 
     @Override
-    public void featureFlagsChanged(long version, boolean fenced, boolean recorded) {
-        term.cloudRecords.featureFlagsChanged(version, fenced, recorded);
+    public void featureFlagsChanged(long version, boolean fencesRequests, boolean recordsDeletions) {
+        components.cloudRecords.featureFlagsChanged(version, fencesRequests, recordsDeletions);
     }
 
     @Override
     public void machineDeletionLoaded(String key, StoredRecord.MachinesToDelete record, long version, long nowMicros) {
-        term.machineDeletions.load(key, record.machines(), version);
-        record.machines().forEach(name -> term.fleet.getOrAdd(name, nowMicros).deletionRequested = true);
+        components.machineDeletions.load(key, record.machines(), version);
+        record.machines().forEach(name -> components.fleet.getOrAdd(name, nowMicros).deletionRequested = true);
     }
 
     @Override
     public void layoutMarked(long version, StoredRecord.Layout layout) {
-        term.ledgers.layoutMarked(version, layout.pageTasks());
+        components.ledgers.layoutMarked(version, layout.pageTasks());
     }
 
     @Override
     public void archiveEnabled() {
-        term.ledgers.archiveEnabled();
+        components.ledgers.archiveEnabled();
     }
 
     @Override
     public void allRecordsLoaded(long nowMicros) {
-        if (!term.recovery.hasFoundLedgers() && term.provisioningRequests.requests.isEmpty()) {
-            term.autoscaler.noteFirstTerm();
+        if (!components.recovery.hasFoundLedgers() && components.provisioningRequests.requests.isEmpty()) {
+            components.autoscaler.noteFirstTerm();
         }
-        term.recovery.allRecordsLoaded(nowMicros);
+        components.recovery.allRecordsLoaded(nowMicros);
     }
 
     /**
      * The store was read, and the answer is applied.
      *
-     * @param askedMicros when the read was asked for
+     * @param requestedMicros when the read was asked for
      */
-    public void storeReadAt(long askedMicros) {
-        term.startGuard.storeReadAt(askedMicros);
+    public void storeReadAt(long requestedMicros) {
+        components.startGuard.storeReadAt(requestedMicros);
     }
 
     /**
@@ -126,7 +126,7 @@
      * @param untilMicros the end of the lease as far as it is known
      */
     public void leaseHeldUntil(long untilMicros) {
-        term.startGuard.leaseHeldUntil(untilMicros);
+        components.startGuard.leaseHeldUntil(untilMicros);
     }
 
     /**
@@ -135,40 +135,40 @@
      * @param nowMicros when it went on
      */
     public void processResumed(long nowMicros) {
-        term.startGuard.processResumed(nowMicros);
+        components.startGuard.processResumed(nowMicros);
     }
 
     private boolean mayPlaceTasks(long nowMicros) {
-        return term.startGuard.mayStartTasks(nowMicros)
-                && !term.fleet.machineTypes().isEmpty();
+        return components.startGuard.mayStartTasks(nowMicros)
+                && !components.fleet.machineTypes().isEmpty();
     }
 
     @Override
     public List<Command> handleHeartbeat(Heartbeat heartbeat, long nowMicros) {
         List<Command> commands = new ArrayList<>();
-        Machine machine = term.heartbeatReconciler.apply(heartbeat, commands, nowMicros);
+        Machine machine = components.heartbeatReconciler.apply(heartbeat, commands, nowMicros);
         if (machine != null) {
-            if (machine.reconciled && mayPlaceTasks(nowMicros)) {
-                term.planner.refill(machine, nowMicros);
+            if (machine.isReconciled && mayPlaceTasks(nowMicros)) {
+                components.planner.refill(machine, nowMicros);
             }
-            term.heartbeatCommands.addStopsAndStarts(machine, commands, nowMicros);
+            components.heartbeatCommands.addStopsAndStarts(machine, commands, nowMicros);
         }
         return commands;
     }
 
     @Override
     public void announcementAnswered(Heartbeat heartbeat, long nowMicros) {
-        Machine machine = term.fleet.get(heartbeat.machine());
-        if (machine == null || !machine.reconciled) {
-            term.heartbeatReconciler.apply(heartbeat, new ArrayList<>(), nowMicros);
+        Machine machine = components.fleet.get(heartbeat.machine());
+        if (machine == null || !machine.isReconciled) {
+            components.heartbeatReconciler.apply(heartbeat, new ArrayList<>(), nowMicros);
         } else {
             machine.highestSequence = Math.max(machine.highestSequence, heartbeat.sequence());
         }
     }
 
     @Override
-    public List<TermAnnouncement> nextAnnouncements(int most) {
-        return term.recovery.nextAnnouncements(most);
+    public List<TermAnnouncement> nextAnnouncements(int limit) {
+        return components.recovery.nextAnnouncements(limit);
     }
 
     /**
@@ -177,65 +177,65 @@
      * @param nowMicros the time
      */
     public void tick(long nowMicros) {
-        if (!term.startGuard.mayDetectFailures(nowMicros)) {
+        if (!components.startGuard.mayDetectFailures(nowMicros)) {
             return;
         }
-        term.evictions.expireLeases(nowMicros);
-        term.evictions.stopBrokenGangs(nowMicros);
-        term.evictions.evictFromSlowMachines(nowMicros);
-        term.dagInheritance.refresh(nowMicros);
-        term.evictions.removeFromFullLedgers(nowMicros);
+        components.evictions.expireLeases(nowMicros);
+        components.evictions.stopBrokenGangs(nowMicros);
+        components.evictions.evictFromSlowMachines(nowMicros);
+        components.dagInheritance.refresh(nowMicros);
+        components.evictions.removeFromFullLedgers(nowMicros);
         if (mayPlaceTasks(nowMicros)) {
-            term.planner.plan(nowMicros);
+            components.planner.plan(nowMicros);
         }
-        term.autoscaler.plan(nowMicros, term.termStartMicros);
+        components.autoscaler.plan(nowMicros, components.termStartMicros);
     }
 
     @Override
     public Transaction nextWriteBatch(long nowMicros, long wallMicros) {
-        return term.writeBatches.next(nowMicros, wallMicros);
+        return components.writeBatches.next(nowMicros, wallMicros);
     }
 
     @Override
     public void writeConfirmed(long revision, long nowMicros) {
-        term.writeBatches.confirmed(revision, nowMicros);
+        components.writeBatches.confirmed(revision, nowMicros);
     }
 
     @Override
     public List<String> unresolvedWriteKeys() {
-        return term.writeBatches.unresolvedKeys();
+        return components.writeBatches.unresolvedKeys();
     }
 
     @Override
     public void writeResolved(long nowMicros) {
-        term.writeBatches.resolved(nowMicros);
+        components.writeBatches.resolved(nowMicros);
     }
 
     @Override
     public void writeRejected(long nowMicros) {
-        term.writeBatches.rejected(nowMicros);
+        components.writeBatches.rejected(nowMicros);
     }
 
     @Override
     public void writeNotExecuted(long nowMicros) {
-        term.writeBatches.notExecuted(nowMicros);
+        components.writeBatches.notExecuted(nowMicros);
     }
 
     @Override
     public List<String> writeConflicted(List<String> failed, long nowMicros) {
-        return term.writeBatches.conflicted(failed, nowMicros);
+        return components.writeBatches.conflicted(failed, nowMicros);
     }
 
     @Override
     public void keyReadBack(String key, long nowMicros) {
         if (!isCloudRecord(key)) {
-            term.ledgers.keyReadBack(key, nowMicros);
+            components.ledgers.keyReadBack(key, nowMicros);
         }
     }
 
     @Override
     public void cloudRecordReadBack(String key, StoredRecord record, long version) {
-        term.cloudRecords.readBack(key, record, version);
+        components.cloudRecords.readBack(key, record, version);
     }
 
     /**
@@ -250,121 +250,122 @@
 
     @Override
     public void ledgerReadBack(String key, StoredRecord.Ledger ledger, long version) {
-        term.ledgers.ledgerReadBack(key, ledger, version);
+        components.ledgers.ledgerReadBack(key, ledger, version);
     }
 
     @Override
     public void jobReadBack(String id, StoredRecord.JobRecord record, long version, long nowMicros) {
-        term.jobReconciler.jobReadBack(id, record, version, nowMicros);
+        components.jobReconciler.jobReadBack(id, record, version, nowMicros);
     }
 
     @Override
     public int spareWriteBudget(long nowMicros) {
-        return term.writeBatches.spareWrites(nowMicros);
+        return components.writeBatches.spareWrites(nowMicros);
     }
 
     @Override
     public void writesSpent(int writes) {
-        term.writeBatches.spend(writes);
+        components.writeBatches.spend(writes);
     }
 
     @Override
     public void machineTypesChanged(List<MachineType> types, long nowMicros) {
-        term.fleet.setMachineTypes(types);
+        components.fleet.setMachineTypes(types);
     }
 
     @Override
     public List<CloudCall> cloudCalls(long nowMicros) {
-        return term.startGuard.mayCallCloud(nowMicros) ? term.autoscaler.nextCalls(nowMicros) : List.of();
+        return components.startGuard.mayCallCloud(nowMicros) ? components.autoscaler.nextCalls(nowMicros) : List.of();
     }
 
     @Override
     public void machinesRented(String request, List<String> names, long nowMicros) {
-        term.autoscaler.machinesRented(request, names, nowMicros);
+        components.autoscaler.machinesRented(request, names, nowMicros);
     }
 
     @Override
     public void noCapacity(String request, long nowMicros) {
-        term.autoscaler.noCapacity(request, nowMicros);
+        components.autoscaler.noCapacity(request, nowMicros);
     }
 
     @Override
     public void provisioningUnanswered(String request, long nowMicros) {
-        term.autoscaler.requestUnanswered(request, nowMicros);
+        components.autoscaler.requestUnanswered(request, nowMicros);
     }
 
     @Override
     public void provisioningNotExecuted(String request) {
-        term.autoscaler.requestNotExecuted(request);
+        components.autoscaler.requestNotExecuted(request);
     }
 
     @Override
     public void machinesDeleted(List<String> names, long nowMicros) {
         for (String name : names) {
-            Machine machine = term.fleet.get(name);
+            Machine machine = components.fleet.get(name);
             if (machine != null) {
-                term.recovery.machineDeleted(machine, nowMicros);
-                term.placements.removeAll(machine);
+                components.recovery.machineDeleted(machine, nowMicros);
+                components.placements.removeAll(machine);
             }
-            term.machineDeletions.machineDeleted(name, nowMicros);
-            term.fleet.markDeleted(name, nowMicros);
-            term.recovery.reconcileLedgers(name, nowMicros);
+            components.machineDeletions.machineDeleted(name, nowMicros);
+            components.fleet.markDeleted(name, nowMicros);
+            components.recovery.reconcileLedgers(name, nowMicros);
         }
     }
 
     @Override
-    public void machinesListed(List<ListedMachine> machines, long askedMicros, long nowMicros) {
-        term.autoscaler.machinesListed(machines, askedMicros, nowMicros);
+    public void machinesListed(List<ListedMachine> machines, long requestedMicros, long nowMicros) {
+        components.autoscaler.machinesListed(machines, requestedMicros, nowMicros);
     }
 
     @Override
     public int machineCount() {
-        return term.fleet.machines().size();
+        return components.fleet.machines().size();
     }
 
     @Override
     public boolean mayBeArchived(String id) {
-        return !term.recovery.isLoading() && term.ledgers.mayBeArchived(id);
+        return !components.recovery.isLoading() && components.ledgers.mayBeArchived(id);
     }
 
     @Override
     public FailoverTimings failoverTimings() {
-        return term.failoverProgress;
+        return components.failoverProgress;
     }
 
     @Override
     public List<Hint> hints(long nowMicros) {
-        return Hints.snapshot(term.fleet, term.ledgers.jobs(), term.runtimeEstimator, nowMicros);
+        return Hints.snapshot(components.fleet, components.ledgers.jobs(), components.runtimeEstimator, nowMicros);
     }
 
     @Override
     public List<Hint> durableHints(long nowMicros) {
-        return Hints.durableSnapshot(term.fleet, term.ledgers.jobs(), term.runtimeEstimator, nowMicros);
+        return Hints.durableSnapshot(
+                components.fleet, components.ledgers.jobs(), components.runtimeEstimator, nowMicros);
     }
 
     @Override
-    public void hintsReceived(List<Hint> earlier, boolean kept, long nowMicros) {
-        term.recovery.hintsReceived(earlier, kept, term.runtimeEstimator, nowMicros);
+    public void hintsReceived(List<Hint> previousHints, boolean isStored, long nowMicros) {
+        components.recovery.hintsReceived(previousHints, isStored, components.runtimeEstimator, nowMicros);
     }
 
     @Override
     public List<JobProgress> progress() {
         List<JobProgress> result = new ArrayList<>();
-        for (Job job : term.ledgers.jobs()) {
+        for (Job job : components.ledgers.jobs()) {
             result.add(new JobProgress(job.id(), job.finishedCount(), job.runningCount()));
         }
         return result;
     }
 
     @Override
-    public List<EndedJob> takeEndedJobs() {
-        return term.jobOutcomes.takeEndedJobs();
+    public List<FinishedJob> takeEndedJobs() {
+        return components.jobOutcomes.takeFinishedJobs();
     }
 
     @Override
     public List<String> takeNotices() {
-        List<String> lines = term.taskOutcomes.takeNotices();
-        String failoverLine = term.failoverProgress.logLine();
+        List<String> lines = components.taskOutcomes.takeNotices();
+        String failoverLine = components.failoverProgress.logLine();
         if (failoverLine != null) {
             lines.add(failoverLine);
         }
@@ -372,26 +373,26 @@
     }
 
     @Override
-    public List<String> takeCompletions(long nowMicros) {
-        return term.jobOutcomes.takeCompletionLines(nowMicros);
+    public List<String> takeCompletionLines(long nowMicros) {
+        return components.jobOutcomes.takeCompletionLines(nowMicros);
     }
 
     @Override
     public String summary(long nowMicros) {
-        return new TermSummary(term.fleet, term.ledgers, term.settings, nowMicros)
+        return new TermSummary(components.fleet, components.ledgers, components.settings, nowMicros)
                 .line(
-                        term.dagInheritance.waitingJobCount(),
-                        term.planner,
-                        term.evictions.slowMachinesFound(),
-                        term.provisioningRequests);
+                        components.dagInheritance.waitingJobCount(),
+                        components.planner,
+                        components.evictions.slowMachinesFound(),
+                        components.provisioningRequests);
     }
 
     /** Machines that plans looked at in this term. */
     long machinesExamined() {
-        return term.planner.machinesExamined();
+        return components.planner.machinesExamined();
     }
 
     Resources teamUsage(String team) {
-        return term.placements.teamUsage(team);
+        return components.placements.teamUsage(team);
     }
 }
--- a/src/main/java/io/micatide/scheduler/StartGuard.java
+++ b/src/main/java/io/micatide/scheduler/StartGuard.java
@@ -16,21 +16,21 @@
     /** Longer ago than any time that is compared with it, and far enough from overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    private final long silenceAfterResumeMicros;
+    private final long resumeGracePeriodMicros;
     private long storeReadMicros;
     private long leaseHeldUntilMicros = Long.MAX_VALUE;
     private long resumedMicros = NEVER_MICROS;
 
     /** @param nowMicros the claim of the term, which counts as a read of the store */
     StartGuard(Settings settings, long nowMicros) {
-        this.silenceAfterResumeMicros = 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
+        this.resumeGracePeriodMicros = 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
         this.storeReadMicros = nowMicros;
     }
 
     /** The store was asked at that time, and the answer is applied. */
-    void storeReadAt(long askedMicros) {
-        if (askedMicros >= resumedMicros) {
-            storeReadMicros = Math.max(storeReadMicros, askedMicros);
+    void storeReadAt(long requestedMicros) {
+        if (requestedMicros >= resumedMicros) {
+            storeReadMicros = Math.max(storeReadMicros, requestedMicros);
         }
     }
 
@@ -52,7 +52,7 @@
 
     /** Whether a machine that is silent for too long may be taken for failed. */
     boolean mayDetectFailures(long nowMicros) {
-        return nowMicros - resumedMicros > silenceAfterResumeMicros;
+        return nowMicros - resumedMicros > resumeGracePeriodMicros;
     }
 
     /** Whether machines may be rented and returned: cloud calls are not fenced. */
--- a/src/main/java/io/micatide/scheduler/StoredStateListener.java
+++ b/src/main/java/io/micatide/scheduler/StoredStateListener.java
@@ -53,10 +53,10 @@
      * The features that the running versions of the program have in common are known, or have changed.
      *
      * @param version of the record of feature stages, a condition of what depends on them
-     * @param fenced whether provisioning requests are written on condition of their versions and of their fence
-     * @param recorded whether a machine is named in a record before its deletion is asked for
+     * @param fencesRequests whether provisioning requests are written on condition of their versions and of their fence
+     * @param recordsDeletions whether a machine is named in a record before its deletion is asked for
      */
-    void featureFlagsChanged(long version, boolean fenced, boolean recorded);
+    void featureFlagsChanged(long version, boolean fencesRequests, boolean recordsDeletions);
 
     /**
      * Machines that an earlier leader was deleting: nothing is placed on them, and their deletion is asked for again.
@@ -82,11 +82,11 @@
     /**
      * What an earlier leader had learned.
      *
-     * @param earlier its hints
-     * @param kept whether they come from the store: older than what a standby was sent, which they leave as it is
+     * @param previousHints its hints
+     * @param isStored whether they come from the store: older than what a standby was sent, which they leave as it is
      * @param nowMicros the time
      */
-    void hintsReceived(List<Hint> earlier, boolean kept, long nowMicros);
+    void hintsReceived(List<Hint> previousHints, boolean isStored, long nowMicros);
 
     /**
      * All records are read: machines that the ledgers name are known of from here on.
--- a/src/main/java/io/micatide/scheduler/TaskOutcomes.java
+++ b/src/main/java/io/micatide/scheduler/TaskOutcomes.java
@@ -88,7 +88,7 @@
             return;
         }
         failureAttribution.recordPace(machine, placement, nowMicros);
-        if (machine.slowUntilMicros < nowMicros && !placement.adopted) {
+        if (machine.slowUntilMicros < nowMicros && !placement.wasAdopted) {
             runtimeEstimator.taskFinished(placement.job, nowMicros - placement.runningSinceMicros);
         }
     }
@@ -125,7 +125,7 @@
             notices.add(String.format(
                     "%s is quarantined: %d failures of jobs that succeed elsewhere, %d jobs that never succeeded"
                             + " failed on it",
-                    machine.name, machine.failures, machine.unattributedJobs.size()));
+                    machine.name, machine.failureCount, machine.unattributedJobs.size()));
         }
     }
 
--- a/src/main/java/io/micatide/scheduler/TermStatus.java
+++ b/src/main/java/io/micatide/scheduler/TermStatus.java
@@ -68,7 +68,7 @@
      * @param nowMicros the time
      * @return one for each job since the last call
      */
-    List<String> takeCompletions(long nowMicros);
+    List<String> takeCompletionLines(long nowMicros);
 
     /**
      * The state of the term in one line for the log.
--- a/src/main/java/io/micatide/scheduler/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -34,23 +34,23 @@
         }
     }
 
-    private void count(Machine machine, boolean isUsable) {
-        reconciledMachines += machine.reconciled ? 1 : 0;
+    private void count(Machine machine, boolean isSchedulable) {
+        reconciledMachines += machine.isReconciled ? 1 : 0;
         bootingMachines += machine.lastHeartbeatMicros < 0 ? 1 : 0;
-        if (isUsable) {
+        if (isSchedulable) {
             schedulableMachines++;
             capacity = capacity.plus(machine.capacity());
             used = used.plus(machine.used);
             spotCpus += machine.spot ? machine.capacity().cpus() : 0;
         }
-        int before = replicas;
+        int replicasBefore = replicas;
         for (Placement placement : machine.placements) {
             replicas += placement.job.spec.kind() == JobKind.SERVICE ? 1 : 0;
             if (placement.phase == Placement.Phase.REPORTED && placement.state == TaskState.RUNNING) {
                 runningCpus += placement.job.spec.taskResources().cpus();
             }
         }
-        machinesWithReplicas += replicas > before ? 1 : 0;
+        machinesWithReplicas += replicas > replicasBefore ? 1 : 0;
     }
 
     private void count(Job job) {
@@ -63,16 +63,22 @@
     /**
      * The line; processors are whole ones.
      *
-     * @param awaiting jobs that wait for others
-     * @param slowFound machines that were found slow in this term
+     * @param waitingJobs jobs that wait for others
+     * @param slowMachinesFound machines that were found slow in this term
      */
-    String line(int awaiting, PlacementPlanner planner, int slowFound, ProvisioningRequests rentals) {
-        return "jobs=" + ledgers.jobs().size() + " awaiting=" + awaiting + " waiting=" + pendingTasks + " unsettled="
+    String line(
+            int waitingJobs,
+            PlacementPlanner planner,
+            int slowMachinesFound,
+            ProvisioningRequests provisioningRequests) {
+        return "jobs=" + ledgers.jobs().size() + " awaiting=" + waitingJobs + " waiting=" + pendingTasks + " unsettled="
                 + unreconciledJobs + " machines=" + fleet.machines().size() + " confirmed=" + reconciledMachines
                 + " usable=" + schedulableMachines + " cpus=" + used.cpus() / 1000 + "/" + capacity.cpus() / 1000
                 + " running=" + runningCpus / 1000 + " spot=" + spotCpus / 1000 + " booting=" + bootingMachines
                 + " replicas=" + replicas + " serving=" + machinesWithReplicas + " looked=" + planner.machinesExamined()
-                + " cut=" + planner.truncatedPlans() + " evicted=" + planner.evictionCounts() + " slow=" + slowFound
-                + " suspect=" + quarantinedJobs + " full=" + fullLedgers + " bookings=" + rentals.requests.size();
+                + " cut=" + planner.truncatedPlans() + " evicted=" + planner.evictionCounts() + " slow="
+                + slowMachinesFound
+                + " suspect=" + quarantinedJobs + " full=" + fullLedgers + " bookings="
+                + provisioningRequests.requests.size();
     }
 }
--- a/src/main/java/io/micatide/scheduler/WriteBatchSource.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchSource.java
@@ -109,7 +109,7 @@
      *
      * @return those since the last call
      */
-    List<EndedJob> takeEndedJobs();
+    List<FinishedJob> takeEndedJobs();
 
     /**
      * How many writes of the leader's share of the rate are left over for other purposes now.
--- a/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
+++ b/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
@@ -24,8 +24,8 @@
         fleet.setMachineTypes(List.of(SchedulerHarness.TYPE));
         for (int i = 0; i < MACHINES; i++) {
             Machine machine = fleet.getOrAdd("i-" + i, 0);
-            fleet.describe(machine, SchedulerHarness.TYPE.name(), "a", false);
-            machine.reconciled = true;
+            fleet.updateTypeAndZone(machine, SchedulerHarness.TYPE.name(), "a", false);
+            machine.isReconciled = true;
             machine.lastHeartbeatMicros = NOW;
         }
     }
@@ -50,7 +50,7 @@
     @CsvSource({"60, 0", "61, 1"})
     void machineIsDeletedThatDoesNotComeUp(int bootingSeconds, int deleted) {
         Machine machine = fleet.getOrAdd("i-new", NOW - bootingSeconds * Micros.SECOND);
-        fleet.describe(machine, SchedulerHarness.TYPE.name(), "a", false);
+        fleet.updateTypeAndZone(machine, SchedulerHarness.TYPE.name(), "a", false);
         machine.bootStartedMicros = NOW - bootingSeconds * Micros.SECOND;
         assertEquals(deleted, deleted());
     }
@@ -59,7 +59,7 @@
     void hungMachineIsDeletedEarlyOnlyIfRecoveryWaitsForIt() {
         fleet.get("i-0").lastHeartbeatMicros = NOW - 8 * Micros.SECOND;
         assertEquals(0, deleted());
-        fleet.get("i-0").awaitedAfterFailover = true;
+        fleet.get("i-0").isAwaitedAfterFailover = true;
         assertEquals(1, deleted());
     }
 }
--- a/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
+++ b/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
@@ -23,7 +23,7 @@
         int what = random.nextInt(10);
         if (what < 4 || fleet.machines().isEmpty()) {
             Machine machine = fleet.getOrAdd("i-" + machinesNamed++, step);
-            fleet.describe(machine, TYPE.name(), "a", false);
+            fleet.updateTypeAndZone(machine, TYPE.name(), "a", false);
         } else if (what < 7) {
             fleet.markDeleted(randomMachine().name, step);
         } else if (randomMachine().placements.isEmpty()) {
--- a/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
+++ b/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
@@ -36,7 +36,7 @@
         world.takeOver();
         world.run(Micros.SECOND * 30);
         assertEquals(JobState.DONE, world.state("wk-1"));
-        List<String> lines = world.leader.takeCompletions(world.now);
+        List<String> lines = world.leader.takeCompletionLines(world.now);
         assertTrue(lines.get(0).contains("20.0 s expected"), lines.get(0));
     }
 }
