--- a/src/main/java/io/micatide/scheduler/CloudReconciliation.java
+++ b/src/main/java/io/micatide/scheduler/CloudReconciliation.java
@@ -8,9 +8,10 @@
 import java.util.Set;
 
 /**
- * Brings the fleet in line with what the cloud answers. The cloud's list lags behind. Invariant: a machine whose deletion was
- * answered does not come back by an older list, and one that is missing in a list is taken for gone only if the list is
- * newer than what is known of it.
+ * Reconciles the fleet with the responses of the cloud, whose list of machines lags behind its real state.
+ *
+ * <p>Invariant: a machine whose deletion is confirmed is not added again by an older list, and a machine that is missing in a list is regarded as deleted
+ * only if the list is newer than the state of the machine that the leader knows.
  */
 final class CloudReconciliation {
     private final Settings settings;
@@ -24,9 +25,9 @@
     }
 
     /**
-     * A request was answered with machines.
+     * Records the machines that the cloud returned for a provisioning request and adds them to the fleet.
      *
-     * @param name of the request; nothing is done for one that is not known
+     * @param name name of the request; an unknown request is ignored
      * @param machines names of the machines, which may be fewer than requested
      */
     void machinesRented(String name, List<String> machines, long nowMicros) {
@@ -47,9 +48,9 @@
     }
 
     /**
-     * A whole list of machines. Machines that nobody expected are used, or deleted when idle.
+     * Applies a complete list of machines. Unexpected machines are used, or deleted when they become idle.
      *
-     * @param requestedMicros when the list was asked for
+     * @param requestedMicros time at which the list was requested
      */
     void machinesListed(List<ListedMachine> machines, long requestedMicros, long nowMicros) {
         Set<String> names = new HashSet<>();
@@ -82,14 +83,14 @@
         }
     }
 
-    /** Whether a machine that is not in the list is certainly gone. */
+    /** Returns whether a machine that is missing in the list is certainly deleted. */
     private boolean isCertainlyDeleted(Machine machine, long requestedMicros, long nowMicros) {
         boolean isSilent = machine.lastHeartbeatMicros >= 0
                 && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros();
         return (machine.wasListedByCloud && isSilent) || wasNeverSeen(machine, requestedMicros);
     }
 
-    /** A ledger names it, nobody has heard of it, and a list from well after the term began does not have it. */
+    /** Returns whether a machine that only a ledger names sent no heartbeat and is missing in a list requested well after it became known. */
     private boolean wasNeverSeen(Machine machine, long requestedMicros) {
         return machine.lastHeartbeatMicros < 0
                 && machine.bootStartedMicros < 0
--- a/src/main/java/io/micatide/scheduler/ClusterState.java
+++ b/src/main/java/io/micatide/scheduler/ClusterState.java
@@ -3,12 +3,12 @@
 import io.micatide.model.Settings;
 
 /**
- * What a leader knows of the cluster in its term. The parts are the owners of their state; this only hands them to those who work on several.
+ * The cluster state of one term, bundled for components that need several of its parts. Each part owns its state.
  *
- * @param settings of the deployment
- * @param fencingToken of the leader's term
+ * @param settings settings of the deployment
+ * @param fencingToken fencing token of the leader's term
  * @param fleet machines and machine types
- * @param ledgers open jobs and what is stored of their progress
- * @param placements which attempt is on which machine, and what teams use
+ * @param ledgers open jobs and their stored progress
+ * @param placements attempts on machines, and the resource usage of teams
  */
 record ClusterState(Settings settings, long fencingToken, Fleet fleet, JobLedgers ledgers, PlacementTable placements) {}
--- a/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
+++ b/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
@@ -12,45 +12,50 @@
 import java.util.Set;
 
 /**
- * Marks machines for deletion that fell silent, hang or never came up. Invariant: none is marked while it may be the leader
- * that is cut off.
+ * Marks machines for deletion that stopped sending heartbeats, hang or never completed their boot.
+ *
+ * <p>Invariant: no machine is marked while the leader itself may be the one that lost its connection.
  */
 final class DeadMachineDetector {
-    /** Of a type that is not known. */
+    /** Boot time of machines of unknown type. */
     private static final long DEFAULT_BOOT_MICROS = 60 * Micros.SECOND;
 
     private static final int BOOT_TIMEOUT_FACTOR = 4;
     private static final long BOOT_TIMEOUT_MARGIN_MICROS = 20 * Micros.SECOND;
-    /** Machines that have reported are dead after so many times their lease. */
+    /** Number of lease durations without a heartbeat after which a reconciled machine counts as dead. */
     private static final int DEAD_AFTER_LEASES = 4;
-    /** A zone is reachable if at least one in so many of its machines has reported just now. */
+    /** A zone is reachable if at least one in this number of its known machines has sent a heartbeat recently. */
     private static final int REACHABLE_ZONE_DIVISOR = 2;
-    /** One unresponsive machine in so many may have hung by itself. */
+    /** If at most one in this number of machines is unresponsive, the machines hang independently of each other. */
     private static final int FEW_UNRESPONSIVE_DIVISOR = 20;
 
     private final Settings settings;
     private final Fleet fleet;
 
-    /** What one look at all machines found. */
+    /** Result of one examination of all machines. */
     private static final class Survey {
-        int reported;
-        int silent;
-        int neverReported;
+        /** Machines that have sent a heartbeat in this term. */
+        int reportedCount;
+        /** Those of them whose worker lease has certainly expired. */
+        int silentCount;
+        /** Machines without a heartbeat and without a known boot whose time for the first heartbeat has passed. */
+        int neverReportedCount;
+
         final List<Machine> dead = new ArrayList<>();
-        /** Those that miss heartbeats and may be alive; a machine may stand here twice and counts as two then. */
+        /** Machines that miss heartbeats and may be alive. A machine may be listed twice and then counts twice. */
         final List<Machine> unresponsive = new ArrayList<>();
 
         /**
-         * Nearly all silent at once: it is the leader that is cut off, and the machines may be fine. That holds for a new
-         * leader too that no worker has reached yet: one once returned all 334 machines 15 s after its claim.
+         * Returns whether more than half of the machines, and more than two, are silent at once: then the leader has lost its connection and the machines
+         * may be healthy. This includes a new leader that no worker has reached yet; one returned all 334 machines 15 s after its claim.
          */
         boolean isLeaderDisconnected() {
-            int withoutContact = silent + neverReported;
-            return withoutContact * 2 > reported + neverReported && withoutContact > 2;
+            int withoutContact = silentCount + neverReportedCount;
+            return withoutContact * 2 > reportedCount + neverReportedCount && withoutContact > 2;
         }
 
         boolean areFewUnresponsive() {
-            return unresponsive.size() <= Math.max(1, reported / FEW_UNRESPONSIVE_DIVISOR);
+            return unresponsive.size() <= Math.max(1, reportedCount / FEW_UNRESPONSIVE_DIVISOR);
         }
     }
 
@@ -62,7 +67,7 @@
     /**
      * Marks dead and hung machines for deletion.
      *
-     * @param termStartMicros when this leader's term began: before that it heard of nothing
+     * @param termStartMicros start of this leader's term, before which it received no heartbeats
      */
     void markDeadMachines(long nowMicros, long termStartMicros) {
         Survey survey = new Survey();
@@ -89,12 +94,12 @@
                 survey.dead.add(machine);
             }
         } else if (nowMicros - Math.max(termStartMicros, machine.knownSinceMicros) > firstHeartbeatTimeoutMicros()) {
-            survey.neverReported++;
+            survey.neverReportedCount++;
             survey.dead.add(machine);
         }
     }
 
-    /** A ledger names it, and it has not found the new leader. */
+    /** Returns whether a machine that a ledger names has not found the new leader in time. */
     private boolean missesFirstHeartbeatOfTerm(Machine machine, long nowMicros, long termStartMicros) {
         long lastContactMicros = Math.max(termStartMicros, machine.lastHeartbeatMicros);
         return machine.isAwaitedAfterFailover
@@ -104,12 +109,12 @@
 
     private void examineReported(Machine machine, Survey survey, long nowMicros) {
         long silentMicros = nowMicros - machine.lastHeartbeatMicros;
-        survey.reported++;
+        survey.reportedCount++;
         if (machine.isReconciled && !machine.deletionRequested && silentMicros > unresponsiveAfterMicros()) {
             survey.unresponsive.add(machine);
         }
         if (silentMicros > settings.workerLeaseExpiryMicros()) {
-            survey.silent++;
+            survey.silentCount++;
             if (!machine.isReconciled || silentMicros > DEAD_AFTER_LEASES * settings.workerLeaseExpiryMicros()) {
                 survey.dead.add(machine);
             }
@@ -131,16 +136,17 @@
     }
 
     /**
-     * One machine alone that says nothing has hung or lost its network, and most likely loses its tasks: once its deletion is
-     * answered they may start elsewhere, some seconds before its lease is certainly over. The same holds for one that a
-     * ledger names and that has not found a new leader while all others have.
+     * Marks unresponsive machines while the leader is reachable. A single unresponsive machine hangs or has lost its network, and most likely loses its tasks:
+     * once its deletion is confirmed, the tasks may start on other machines some seconds before its lease has certainly expired. The same holds for a machine
+     * that a ledger names and that has not found a new leader while all others have.
      */
     private void markHungMachines(Survey survey, long nowMicros) {
         boolean areFew = survey.areFewUnresponsive();
         Set<String> reachableZones = areFew ? Set.of() : reachableZones(nowMicros);
         for (Machine machine : survey.unresponsive) {
             boolean isLeaderReachable = areFew || (machine.zone != null && reachableZones.contains(machine.zone));
-            // Not for tasks of arrays alone: a machine that hangs is there again before another one has booted.
+            // Array tasks alone don't justify a deletion: a machine that hangs recovers before a replacement
+            // has booted.
             if (isLeaderReachable && (machine.isAwaitedAfterFailover || hasReplica(machine))) {
                 machine.deletionRequested = true;
             }
@@ -148,10 +154,9 @@
     }
 
     /**
-     * Zones of which most machines have reported just now: what is silent there is not cut off with its zone, nor is the
-     * leader from it. A tenth of a fleet that died at once was neither one machine nor most of them, and its tasks waited
-     * until the lease of each was certainly over: 17.8 s, and 24 s after a failover, while all jobs that it held up waited
-     * with processors free around them.
+     * Returns the zones in which at least half of the known machines have sent a heartbeat recently. Neither the zone nor the leader's connection to it has
+     * failed then, so the unresponsive machines in it have. Without this rule a tenth of a fleet that failed at once was neither a single machine nor most of
+     * the fleet, and its tasks waited until the lease of each machine had certainly expired, 17.8 s, and 24 s after a failover, although CPUs were free.
      */
     private Set<String> reachableZones(long nowMicros) {
         Multiset<String> known = HashMultiset.create();
--- a/src/main/java/io/micatide/scheduler/EquivalenceClass.java
+++ b/src/main/java/io/micatide/scheduler/EquivalenceClass.java
@@ -23,7 +23,7 @@
 
     /** Whether jobs of this class may use the machine, whatever its size. */
     boolean allowsMachine(Machine machine) {
-        return allowsMachine(machine.type, machine.zone, machine.spot);
+        return allowsMachine(machine.type, machine.zone, machine.isSpot);
     }
 
     /** Whether jobs of this class may use machines of this type in this zone, whatever their size. */
--- a/src/main/java/io/micatide/scheduler/Evictions.java
+++ b/src/main/java/io/micatide/scheduler/Evictions.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Takes tasks away from where they cannot stay: from machines that the cloud reclaims, that are silent or slow, from broken gangs, and from ledgers that are
- * full.
+ * Evicts tasks that cannot stay on their machines: tasks on machines that the cloud reclaims, that are unresponsive or slow, tasks of broken gangs, and tasks
+ * on machines that a full ledger cannot name.
  *
- * <p>Invariants: a gang that lost a task after it started is stopped whole, since it cannot go on. A task is evicted once at most because its machine seems
- * slow. What was sent to a machine is given up only when the lease of its worker has certainly run out.
+ * <p>Invariants: a gang that lost a task after its start is stopped as a whole, since it cannot continue. A task is evicted at most once because its machine
+ * seems slow. A task that was sent to a machine is regarded as lost only when the lease of the machine's worker has certainly expired.
  */
 final class Evictions {
-    /** For how long a full ledger is named no further machines. */
+    /** Time during which no further machines are added to a full ledger. */
     private static final long LEDGER_FULL_PAUSE_MICROS = Micros.SECOND;
 
     private final Settings settings;
@@ -31,12 +31,12 @@
         this.failureAttribution = failureAttribution;
     }
 
-    /** How many machines were found slow in this term. */
+    /** Returns how often a machine was found slow in this term. */
     int slowMachinesFound() {
         return slowMachinesFound;
     }
 
-    /** The cloud reclaims the machine: what can save a checkpoint is told to, the rest may still finish in time. */
+    /** Stops the tasks that can save a checkpoint on a machine that the cloud reclaims; the other tasks may still finish in time. */
     void spotNoticeReceived(Machine machine, long nowMicros) {
         for (Placement placement : List.copyOf(machine.placements)) {
             if (placement.isUnsent()) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Removes what was not sent to machines that are silent, and everything from those whose workers' leases have run out. */
+    /** Removes unsent placements from unresponsive machines, and all placements from machines whose worker leases have certainly expired. */
     void expireLeases(long nowMicros) {
         for (Machine machine : List.copyOf(fleet.machines())) {
             if (!machine.placements.isEmpty()) {
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Stops gangs that lost a task after they started, and gangs that gave up waiting and cannot be completed. */
+    /** Stops gangs that lost a task after their start, and gangs whose tasks stopped waiting for their peers and cannot be completed. */
     void stopBrokenGangs(long nowMicros) {
         for (Job job : ledgers.jobs()) {
             if (job.spec.kind() != JobKind.GANG
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Starts over elsewhere what would take longer on machines that were found slow just now. */
+    /** Evicts array tasks from machines that were just found slow, so that they start again on other machines. */
     void evictFromSlowMachines(long nowMicros) {
         for (Machine machine : failureAttribution.findSlowMachines(fleet.machines(), nowMicros)) {
             slowMachinesFound++;
@@ -112,9 +112,9 @@
         if (placement.isUnsent()) {
             placements.remove(placement);
         } else if (!placement.job.evictedAsSlow.get(placement.taskIndex)) {
-            // One that was long elsewhere too is long itself: of an array whose tasks take very different times the
-            // long ones
-            // made each machine seem slow, and were started over without end.
+            // A task is evicted only once: if it is slow on another machine too, the task itself is long.
+            // Long tasks of arrays with very different run times made each machine seem slow and were
+            // restarted endlessly.
             placement.job.evictedAsSlow.set(placement.taskIndex);
             if (placement.job.spec.checkpointIntervalMicros() > 0) {
                 placements.stopWithCheckpoint(placement, nowMicros);
@@ -124,7 +124,7 @@
         }
     }
 
-    /** What waits for a machine that a full ledger cannot name is removed, to wait for others of the job's machines. */
+    /** Removes placements that wait for a full ledger to name their machines; the tasks then wait for machines that the ledger names. */
     void removeFromFullLedgers(long nowMicros) {
         for (Job job : ledgers.jobs()) {
             if (job.ledgerFull) {
--- a/src/main/java/io/micatide/scheduler/FailoverProgress.java
+++ b/src/main/java/io/micatide/scheduler/FailoverProgress.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 
 /**
- * How a term got back what the one before knew: when half, nine tenths and 99% of the machines that the ledgers name were confirmed, and
- * when the first task was started. One line for the log, once; operators see from it what a take-over cost them.
+ * Records how fast a term rebuilt the state of the previous term: when 50%, 90% and 99% of the machines that the ledgers name were reconciled, and when the
+ * first task was started. The result is logged once as one line, which shows operators how long a failover took.
  */
 final class FailoverProgress implements FailoverTimings {
     private static final double[] RECONCILED_SHARES = {0.5, 0.9, 0.99};
@@ -22,19 +22,24 @@
         this.termStartMicros = claimedMicros;
     }
 
-    /** All rows are read. {@code machines}: how many the ledgers name. */
+    /**
+     * Records that all records are read.
+     *
+     * @param machines number of machines that the ledgers name
+     */
     void stateLoaded(int machines, long nowMicros) {
         expectedMachines = machines;
         stateLoadedAtMicros = nowMicros;
         recordSharesReached(nowMicros);
     }
 
-    /** A machine that a ledger names has settled: it reported under this term, or is gone. */
+    /** Counts a machine that a ledger names as reconciled: it sent a heartbeat under this term or was deleted. */
     void machineReconciled(long nowMicros) {
         reconciledMachines++;
         recordSharesReached(nowMicros);
     }
 
+    /** Records the start of a task; only the first one counts. */
     void taskStarted(long nowMicros) {
         if (firstStartMicros < 0) {
             firstStartMicros = nowMicros;
@@ -69,7 +74,7 @@
         }
     }
 
-    /** Null until 99% are confirmed and something was started, or with no machines; then the line, once. */
+    /** Returns the log line once 99% of the machines are reconciled and a task was started; null before, after the first time, or if no ledger names a machine. */
     String logLine() {
         if (wasLogged
                 || expectedMachines == 0
--- a/src/main/java/io/micatide/scheduler/FailoverRecovery.java
+++ b/src/main/java/io/micatide/scheduler/FailoverRecovery.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * How a leader gets back what the leader before it knew: it waits for the machines that the ledgers name, applies hints, and knows the jobs that were
- * cancelled while nobody led.
+ * Rebuilds the state of the previous leader after a failover: waits for the machines that the ledgers name, applies hints, and keeps the jobs that were
+ * cancelled while there was no leader.
  *
- * <p>Invariant: a machine that a ledger names is awaited until it reports under this term or its deletion is answered. Only then do the ledgers cease to
- * name it for the leader before, and the tasks of these jobs that nobody reported may be started elsewhere.
+ * <p>Invariant: a machine that a ledger names is awaited until it sends a heartbeat under this term or its deletion is confirmed. Only then do the ledgers
+ * stop naming it on behalf of the previous leader, and tasks of these jobs that no heartbeat listed may be started on other machines.
  */
 final class FailoverRecovery {
     private final Fleet fleet;
@@ -23,7 +23,7 @@
     private final PlacementTable placements;
     private final FailoverProgress progress;
     private final Hints hints = new Hints();
-    /** Records of jobs that were cancelled before this term, by job. */
+    /** Records of jobs that were cancelled before this term, by job id. */
     private final Map<String, StoredRecord.JobRecord> cancelledBeforeTerm = new HashMap<>();
 
     private boolean loading = true;
@@ -36,26 +36,26 @@
         this.progress = progress;
     }
 
-    /** Whether stored records are still being read. */
+    /** Returns whether the stored records are still being read. */
     boolean isLoading() {
         return loading;
     }
 
-    /** Whether a ledger was stored when the term began: without any, nothing was running. */
+    /** Returns whether a ledger was stored when the term began. Without any ledger no task was running. */
     boolean hasFoundLedgers() {
         return hasFoundLedgers;
     }
 
-    /** The job was cancelled before this term; its tasks may still run. */
+    /** Keeps the record of a job that was cancelled before this term and whose tasks may still run. */
     void jobCancelledBeforeTerm(String id, StoredRecord.JobRecord record) {
         cancelledBeforeTerm.put(id, record);
     }
 
     /**
-     * A ledger without an open job belongs to one that was cancelled while nobody led: its tasks may still run, have to be stopped and count for their
-     * team until then. Of completed jobs only further pages can be left.
+     * Loads a ledger of an earlier leader. A ledger without an open job belongs to a job that was cancelled while there was no leader: its tasks may still
+     * run, must be stopped, and count towards the usage of their team until then. Of completed jobs only pages after the first can be left in the store.
      *
-     * @return whether it belongs to a job; otherwise it is to be deleted
+     * @return whether the ledger belongs to a job; if not, it must be deleted
      */
     boolean ledgerLoaded(String key, StoredRecord.Ledger ledger, long version, long nowMicros) {
         String id = StoreKeys.jobIdOf(key);
@@ -67,10 +67,10 @@
     }
 
     /**
-     * Adds a job that was cancelled before this term, so that what is found of it counts for its team like anything else. It has no ledger if a former
-     * version removed that too early.
+     * Adds a job that was cancelled before this term, so that its remaining tasks count towards the usage of its team like all others. The job has no ledger
+     * if a previous version of the program deleted the ledger too early.
      *
-     * @return the job, or null if no such job was cancelled
+     * @return the job, or null if no job of this id was cancelled before this term
      */
     Job addCancelledBeforeTerm(String id, long nowMicros) {
         StoredRecord.JobRecord record = cancelledBeforeTerm.get(id);
@@ -82,7 +82,7 @@
         return job;
     }
 
-    /** All records are read: machines that the ledgers name are known of from here on. */
+    /** Adds the machines that the ledgers name to the fleet, after all records have been read. */
     void allRecordsLoaded(long nowMicros) {
         loading = false;
         for (Job job : ledgers.jobs()) {
@@ -99,7 +99,7 @@
                 nowMicros);
     }
 
-    /** The machine has reported under this term: no start of an earlier leader can land on it any more. */
+    /** Marks the machine as reconciled: it sent a heartbeat under this term, so no start of an earlier leader can take effect on it. */
     void markReconciled(Machine machine, long nowMicros) {
         machine.isReconciled = true;
         if (machine.isAwaitedAfterFailover) {
@@ -110,18 +110,17 @@
         reconcileLedgers(machine.name, nowMicros);
     }
 
-    /** The deletion of the machine is answered: it is not waited for any longer. */
+    /** Stops waiting for a machine whose deletion is confirmed. */
     void machineDeleted(Machine machine, long nowMicros) {
         if (machine.isAwaitedAfterFailover) {
             progress.machineReconciled(nowMicros);
         }
     }
 
-    /** Nothing that an earlier leader sent can appear on this machine any more. */
+    /** Releases the jobs that waited for the machine, on which no start of an earlier leader can take effect any more. */
     void reconcileLedgers(String machineName, long nowMicros) {
-        // Only of jobs that wait for no other machine. Written anew at each of them, all ledgers together took the
-        // write
-        // rate for seconds.
+        // Marks only jobs that wait for no further machine: rewriting a ledger for each of its machines
+        // used up the write rate for seconds.
         for (Job job : ledgers.reconcileMachine(machineName)) {
             placements.markLedgerDirtyIfStopped(job, nowMicros);
             ledgers.markDirty(job, nowMicros);
@@ -129,9 +128,9 @@
     }
 
     /**
-     * What an earlier leader had learned.
+     * Adds hints of an earlier leader and applies them once all records have been read.
      *
-     * @param isStored whether it comes from the store: older than what a standby was sent, which it leaves as it is
+     * @param isStored whether the hints come from the store; these are older than the hints sent to a standby and don't replace them
      */
     void hintsReceived(List<Hint> previousHints, boolean isStored, RuntimeEstimator runtimeEstimator, long nowMicros) {
         hints.add(previousHints, isStored, runtimeEstimator);
@@ -158,10 +157,10 @@
     }
 
     /**
-     * Announcements of the term to machines that jobs wait for and that have not reported to this leader, each once. The leader before told where they are;
-     * the others come by themselves, and are not waited for here.
+     * Returns announcements of the term to awaited machines that have not sent a heartbeat to this leader, at most one for each machine. The hints of the
+     * previous leader hold their addresses; machines without a known address find the new leader on their own.
      *
-     * @param limit how many at most
+     * @param limit maximum number of announcements
      */
     List<TermAnnouncement> nextAnnouncements(int limit) {
         List<TermAnnouncement> result = new ArrayList<>();
--- a/src/main/java/io/micatide/scheduler/FailoverTimings.java
+++ b/src/main/java/io/micatide/scheduler/FailoverTimings.java
@@ -1,24 +1,24 @@
 package io.micatide.scheduler;
 
-/** How a term got back what the one before knew. Times in microseconds since the claim, -1 for what has not happened. */
+/** Times that a term took to rebuild the state of the previous term, in microseconds since the claim; -1 for steps that are not completed. */
 public interface FailoverTimings {
     /**
-     * Until all stored records were read.
+     * Returns the time until all stored records were read.
      *
      * @return microseconds since the claim, or -1
      */
     long stateLoadedMicros();
 
     /**
-     * Until so many of the machines that the ledgers name were reconciled.
+     * Returns the time until a share of the machines that the ledgers name was reconciled.
      *
-     * @param shareIndex 0: half of them, 1: nine tenths, 2: 99%
+     * @param shareIndex 0 for 50%, 1 for 90%, 2 for 99% of the machines
      * @return microseconds since the claim, or -1
      */
     long machinesReconciledMicros(int shareIndex);
 
     /**
-     * Until the first task was started.
+     * Returns the time until the first task was started.
      *
      * @return microseconds since the claim, or -1
      */
--- a/src/main/java/io/micatide/scheduler/FinishedJob.java
+++ b/src/main/java/io/micatide/scheduler/FinishedJob.java
@@ -5,8 +5,8 @@
 /**
  * A job whose final record is in the store.
  *
- * @param id of the job
+ * @param id id of the job
  * @param record the final record
- * @param version of the record
+ * @param version version of the record
  */
 public record FinishedJob(String id, StoredRecord.JobRecord record, long version) {}
--- a/src/main/java/io/micatide/scheduler/Fleet.java
+++ b/src/main/java/io/micatide/scheduler/Fleet.java
@@ -8,18 +8,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** All machines that are known of, and the machine types. */
+/** All machines that the leader knows, and the machine types that the cloud offers. */
 final class Fleet {
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final FreeCapacityIndex freeCapacityIndex = new FreeCapacityIndex(machines.values());
     private Map<String, MachineType> machineTypes = new LinkedHashMap<>();
-    /** Machines whose deletion was answered: nothing can be on them, whatever a lagging list says. */
+    /** Times at which deletions of machines were confirmed. No task can be on these machines, even if a lagging list still names them. */
     private final Map<String, Long> deletedMachines = new HashMap<>();
 
     Collection<Machine> machines() {
         return machines.values();
     }
 
+    /** Returns the machine of this name, or null. */
     Machine get(String name) {
         return machines.get(name);
     }
@@ -35,7 +36,7 @@
         return machine;
     }
 
-    /** Which of the machines have room for what. */
+    /** Returns the index of the machines by free capacity. */
     FreeCapacityIndex freeCapacityIndex() {
         return freeCapacityIndex;
     }
@@ -44,11 +45,12 @@
         return deletedMachines.containsKey(name);
     }
 
-    /** Names whose deletion was answered in the last ten minutes. */
+    /** Returns the names of machines whose deletion was confirmed in the last ten minutes. */
     Collection<String> deletedMachines() {
         return deletedMachines.keySet();
     }
 
+    /** Removes the machine, and keeps its name for ten minutes so that lagging lists and late heartbeats don't add it again. */
     void markDeleted(String name, long nowMicros) {
         deletedMachines.put(name, nowMicros);
         Machine machine = machines.remove(name);
@@ -58,6 +60,7 @@
         deletedMachines.values().removeIf(since -> nowMicros - since > 600 * Micros.SECOND);
     }
 
+    /** Replaces the machine types and updates the capacities of all machines accordingly. */
     void setMachineTypes(List<MachineType> list) {
         Map<String, MachineType> byName = new LinkedHashMap<>();
         for (MachineType type : list) {
@@ -65,7 +68,7 @@
         }
         machineTypes = byName;
         for (Machine machine : machines.values()) {
-            updateTypeAndZone(machine, machine.type, machine.zone, machine.spot);
+            updateTypeAndZone(machine, machine.type, machine.zone, machine.isSpot);
         }
     }
 
@@ -73,21 +76,22 @@
         return machineTypes;
     }
 
-    /** The machine's type, null if the machine does not tell it or the cloud has not listed it yet. */
+    /** Returns the type of the machine, or null if the machine did not report it or the cloud has not listed it yet. */
     MachineType typeOf(Machine machine) {
         return machine.type == null ? null : machineTypes.get(machine.type);
     }
 
-    /** The machine has the image of the job in its cache, used now. */
+    /** Records that the machine has the image of the job in its cache and uses it now. */
     void recordImage(Machine machine, Job job) {
         MachineType type = typeOf(machine);
         machine.touchImage(job.spec.image(), job.spec.imageGb(), type == null ? 0 : type.cacheGb());
     }
 
+    /** Sets type, zone and pricing of the machine, and its capacity: null if {@code type} is null or not listed by the cloud. */
     void updateTypeAndZone(Machine machine, String type, String zone, boolean spot) {
         machine.type = type;
         machine.zone = zone;
-        machine.spot = spot;
+        machine.isSpot = spot;
         MachineType known = type == null ? null : machineTypes.get(type);
         machine.resize(known == null ? null : known.resources());
     }
--- a/src/main/java/io/micatide/scheduler/FleetForecast.java
+++ b/src/main/java/io/micatide/scheduler/FleetForecast.java
@@ -32,7 +32,7 @@
         Resources spot = Resources.NONE;
         for (Machine machine : fleet.machines()) {
             if (isBooting(machine, nowMicros) || isUnreconciled(machine, nowMicros)) {
-                if (machine.spot) {
+                if (machine.isSpot) {
                     spot = spot.plus(machine.freeCapacity());
                 } else {
                     onDemand = onDemand.plus(machine.freeCapacity());
--- a/src/main/java/io/micatide/scheduler/HeartbeatCommands.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatCommands.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * The stops and starts in the answer to a heartbeat.
+ * Adds the stop and start commands to the response to a heartbeat.
  *
- * <p>Invariants: a start goes only to a machine that has reported under this term, is not being deleted and whose placement the ledger holds, and only while
- * the lease is held. A stop is repeated in each answer until the task is gone.
+ * <p>Invariants: a start is sent only to a reconciled machine that is not being deleted and that the ledger of the job names, and only while the lease is
+ * held. A stop is repeated in each response until the task is no longer on the machine.
  */
 final class HeartbeatCommands {
+    /** Starts are added to a response only while it has fewer commands than this. */
     private static final int MAX_COMMANDS = 500;
 
     private final StartGuard startGuard;
@@ -21,9 +22,9 @@
     }
 
     /**
-     * Adds what is due on the machine.
+     * Adds the stops and starts that are due on the machine.
      *
-     * @param commands of the answer, to be added to
+     * @param commands commands of the response, to which the new ones are added
      */
     void addStopsAndStarts(Machine machine, List<Command> commands, long nowMicros) {
         addStops(machine, commands);
--- a/src/main/java/io/micatide/scheduler/HeartbeatListener.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatListener.java
@@ -6,38 +6,39 @@
 import java.util.List;
 
 /**
- * Applies the heartbeats of workers and answers them.
+ * Applies the heartbeats of workers and responds to them.
  *
- * <p>Called by the leader's actor alone. Times are microseconds of the leader's steady clock.
+ * <p>Called only by the leader's actor. Times are microseconds of the leader's steady clock.
  */
 public interface HeartbeatListener {
     /**
-     * Applies a heartbeat and answers it.
+     * Applies a heartbeat and returns the commands of the response.
      *
-     * @param heartbeat whose fencing token is not above this term's
-     * @param nowMicros of its receipt
-     * @return the commands for its worker, in the order in which they are to be executed
+     * @param heartbeat heartbeat whose fencing token is not higher than that of this term
+     * @param nowMicros time of receipt
+     * @return the commands for the worker, in the order in which they must be executed
      */
     List<Command> handleHeartbeat(Heartbeat heartbeat, long nowMicros);
 
     /**
-     * Applies a heartbeat that came as the answer to an announcement of the term. It proves as much as any other, but no command can be sent in answer to
-     * it, and the worker's lease runs on from the last answer that it had: what is taken for gone from then on is taken for so too late.
+     * Applies a heartbeat that was received as the answer to an announcement of the term. It is as valid as any other heartbeat, but no command can be sent in
+     * response to it. The worker counts its lease from the last response that it received, so the leader, which counts from this heartbeat, regards tasks as
+     * lost later than necessary, never too early.
      *
-     * <p>Only for a machine that is not reconciled, which no start of this term can be on its way to. A worker has one heartbeat under way at a time, so a
-     * newer one shows what became of a start in the answer to the one before; this one may have been made before that answer came, and four starts that
-     * were on their way were taken for lost and made again elsewhere (ran_twice, on three of some 6,300 drawn days).
+     * <p>Applied only to a machine that is not reconciled, since no start of this term can be in flight to it. A worker has one heartbeat in flight at a time,
+     * so a newer regular heartbeat shows whether a start in the previous response was executed. An answer to an announcement may have been created before that
+     * response arrived: four starts in flight were regarded as lost and repeated on other machines (ran_twice in three of some 6,300 generated scenarios).
      *
-     * @param heartbeat whose fencing token is not above this term's
-     * @param nowMicros of its receipt
+     * @param heartbeat heartbeat whose fencing token is not higher than that of this term
+     * @param nowMicros time of receipt
      */
     void announcementAnswered(Heartbeat heartbeat, long nowMicros);
 
     /**
-     * Announcements of the term to machines that jobs wait for and that have not reported to this leader, each once.
+     * Returns announcements of the term to machines that jobs wait for and that have not sent a heartbeat to this leader, at most one for each machine.
      *
-     * @param limit how many at most
-     * @return those that are due now
+     * @param limit maximum number of announcements
+     * @return the announcements that are due now
      */
     List<TermAnnouncement> nextAnnouncements(int limit);
 }
--- a/src/main/java/io/micatide/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatReconciler.java
@@ -9,10 +9,10 @@
 import java.util.List;
 
 /**
- * Squares the cluster state with what a worker reports.
+ * Reconciles the cluster state with the heartbeats of workers.
  *
- * <p>Invariant: the newest heartbeat of a machine is the truth about everything that was sent to it before. What it lists and is not known is adopted, and
- * what was sent and is not listed is lost; what was not sent yet stays. Older heartbeats change nothing.
+ * <p>Invariant: the newest heartbeat of a machine is authoritative for everything that was sent to the machine before. A listed task without a placement is
+ * adopted, and a placement that was sent and is not listed is lost; placements that were not sent yet stay. Older heartbeats change nothing.
  */
 final class HeartbeatReconciler {
     private final long fencingToken;
@@ -43,9 +43,9 @@
     /**
      * Applies a heartbeat.
      *
-     * @param commands for the machine, to which stops of unknown tasks and reaps are added
-     * @param nowMicros of its receipt
-     * @return the machine, or null if it is deleted or the heartbeat is older than what is known
+     * @param commands commands for the machine, to which stops of unknown tasks and reaps are added
+     * @param nowMicros time of receipt
+     * @return the machine, or null if the machine is deleted or a newer heartbeat was already applied
      */
     Machine apply(Heartbeat heartbeat, List<Command> commands, long nowMicros) {
         if (fleet.isDeleted(heartbeat.machine())) {
@@ -92,9 +92,8 @@
             job = recovery.addCancelledBeforeTerm(status.job(), nowMicros);
         }
         if (job == null) {
-            // The job is over: what is left of it is stopped now and forgotten once it exited. Until then it counts for
-            // its
-            // team.
+            // The job has finished: stop its remaining task, which is reaped once it has exited. Until then
+            // an existing placement counts towards the usage of the job's team.
             commands.add(new Command.Stop(status.job(), status.taskIndex(), status.attempt(), 0));
         } else {
             placement = placement != null ? placement : adopt(machine, job, status, nowMicros);
@@ -105,7 +104,7 @@
         }
     }
 
-    /** A task that this leader did not start, or had taken for lost. */
+    /** Adds a placement for a listed task that this leader did not start or had regarded as lost. */
     private Placement adopt(Machine machine, Job job, TaskStatus status, long nowMicros) {
         Placement placement =
                 new Placement(job, status.taskIndex(), status.attempt(), machine, Placement.Phase.REPORTED, nowMicros);
--- a/src/main/java/io/micatide/scheduler/JobOutcomes.java
+++ b/src/main/java/io/micatide/scheduler/JobOutcomes.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Jobs that ended, each kept until it is taken once: as a record for those who wait for it, and as a line for the log. */
+/** Collects finished jobs until they are taken: their final records for dependent jobs, and one log line for each completed job. */
 final class JobOutcomes {
     private final RuntimeEstimator runtimeEstimator;
     private final List<Job> completedJobs = new ArrayList<>();
@@ -15,24 +15,24 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** The record of its completion, written by this leader, is confirmed. */
+    /** Adds a job whose completion was written by this leader and is confirmed. */
     void jobCompleted(Job job) {
         completedJobs.add(job);
     }
 
-    /** The final record of a job is in the store, whoever wrote it. */
+    /** Adds the final record of a job that is in the store, written by this leader or another process. */
     void finalRecordStored(String id, StoredRecord.JobRecord record, long version) {
         finishedJobs.add(new FinishedJob(id, record, version));
     }
 
-    /** Final records since the last call. */
+    /** Returns the final records that were added since the last call. */
     List<FinishedJob> takeFinishedJobs() {
         List<FinishedJob> result = List.copyOf(finishedJobs);
         finishedJobs.clear();
         return result;
     }
 
-    /** A line for the log on each job completed since the last call. */
+    /** Returns a log line for each job that was completed since the last call. */
     List<String> takeCompletionLines(long nowMicros) {
         List<String> lines = new ArrayList<>();
         for (Job job : completedJobs) {
--- a/src/main/java/io/micatide/scheduler/JobReconciler.java
+++ b/src/main/java/io/micatide/scheduler/JobReconciler.java
@@ -5,10 +5,10 @@
 import io.micatide.store.StoredRecord;
 
 /**
- * Squares the open jobs with their records in the store.
+ * Reconciles the open jobs with their records in the store.
  *
- * <p>Invariants: a job is open here exactly while its record says so and nothing that it depends on is unfinished. A cancelled job stays until nothing of it
- * can be on a machine; it starts nothing, and all that it has is stopped.
+ * <p>Invariants: a job is open here exactly while its record is open and all of its dependencies are finished. A cancelled job stays until none of its tasks
+ * can be on a machine; no task of it is started, and its existing tasks are stopped.
  */
 final class JobReconciler {
     private final JobLedgers ledgers;
@@ -27,10 +27,10 @@
     }
 
     /**
-     * A record of a job was read, or what it depends on has changed.
+     * Applies a job after its record was read or its dependencies changed.
      *
-     * @param wallMicros the time of day, used only for the ages of jobs
-     * @param nowMicros the time, steady clock
+     * @param wallMicros time of day, used only for the ages of jobs
+     * @param nowMicros current time of the steady clock
      */
     void jobChanged(JobCache.View view, long wallMicros, long nowMicros) {
         String id = view.id();
@@ -76,7 +76,8 @@
             if (isCancelled) {
                 cancel(job, nowMicros);
             } else if (!job.writeInFlight) {
-                // Only a leader writes this, so it was our own write whose answer is still to come or was lost.
+                // Only a leader writes completions, so this was written by this leader, and the response
+                // was lost or is still outstanding.
                 ledgers.removeJob(job);
             }
         }
@@ -89,9 +90,9 @@
     }
 
     /**
-     * A record of a job was read back after a write of unknown outcome: our own completion of it, a cancellation, or still open.
+     * Applies the record of a job that was read back after a write of unknown outcome: completed by this leader, cancelled, or still open.
      *
-     * @param version of the record
+     * @param version version of the record
      */
     void jobReadBack(String id, StoredRecord.JobRecord record, long version, long nowMicros) {
         Job job = ledgers.get(id);
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -14,84 +14,89 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What is known of one machine. */
+/** State of one machine as the leader knows it. Mutable; owned by {@link Fleet}. */
 final class Machine {
     final String name;
-    /** Its place in the index of room, which is the index's to change. */
+    /** Slot of the machine in the {@link FreeCapacityIndex}; changed only by the index. */
     int indexSlot;
 
     private FreeCapacityIndex index;
-    /** What could be freed on it, and at what loss. */
+    /** Cached estimates of the capacity that preemption could free on the machine, and of the work that would be lost. */
     final Preemption.Estimates preemptionEstimates = new Preemption.Estimates();
 
     String address;
     String type;
     String zone;
-    boolean spot;
+    boolean isSpot;
     private Resources capacity;
     long incarnation;
     long latestSequence;
-    /** The highest number of any of its messages. */
+    /** Highest sequence number of all messages of the machine, including answers to announcements. */
     long highestSequence;
     /**
-     * It came straight back with its newest report, so it has heard the answer to the one before: a worker that heard nothing goes to
-     * another controller first. Of a deaf machine every report comes and no start arrives; each that was sent there was lost for a lease.
+     * Whether the newest message follows the previous one without a gap in the sequence numbers, which shows that the worker received the response to the
+     * previous one: a worker without a response tries another controller first. A machine that can send but not receive still delivers every heartbeat
+     * while no start reaches it, and each start that was sent to it was lost until its lease expired.
      */
     boolean receivesResponses;
-    /** Its report shows our token: no start of an older leader can land any more. */
+    /** Whether a heartbeat of the machine carried the fencing token of this term, so that no start of an earlier leader can take effect on it. */
     boolean isReconciled;
-    /** Receipt of the last report that was answered with our token, or -1. */
+    /** Time of receipt of the newest heartbeat that was applied in this term, or -1. */
     long lastHeartbeatMicros = -1;
 
     final long knownSinceMicros;
+    /** Time at which the cloud reclaims the spot machine, or -1 without a notice. */
     long spotNoticeEndsMicros = -1;
-    /** Marked once and for all: a deletion that was asked for may be carried out at any later time. */
+    /** Whether the deletion of the machine was decided. Never reset, since a requested deletion may be executed at any later time. */
     boolean deletionRequested;
-
+    /** Time at which the deletion was last requested from the cloud, or -1. */
     long deletionRequestedMicros = -1;
+
     boolean wasListedByCloud;
-    /** It was told of this term. */
+    /** Whether the announcement of this term to the machine was handed out, or dropped for lack of an address; it is sent once at most. */
     boolean wasAnnounced;
-    /** A ledger names it: until it reports to this leader or is gone, those jobs' missing tasks may be on it. */
+    /** Whether a ledger names the machine and it is not reconciled: until then or until its deletion, tasks of these jobs may be on it. */
     boolean isAwaitedAfterFailover;
 
     long bootStartedMicros = -1;
     boolean quarantined;
     long idleSinceMicros = -1;
-    /** Jobs that succeed elsewhere and failed here since the last success here, and how often they did. */
+    /** Jobs that succeed on other machines and failed on this one since the last success on it. */
     final Set<String> failedJobs = new HashSet<>();
 
+    /** Number of failures of these jobs since the last success on the machine. */
     int failureCount;
-    /** Jobs of which nothing has succeeded anywhere yet and that failed here: it may be they or the machine. */
+    /** Jobs without any success so far that failed on this machine: the job or the machine may be the cause. */
     final Set<String> unattributedJobs = new HashSet<>();
-    /** Tasks that told its pace, fading by the second, and the sum of the logarithms of how much too long they took. */
+    /** Number of tasks that showed the pace of the machine, decayed every second. */
     double paceSamples;
 
+    /** Sum of the logarithms of the ratios of actual to expected run time of these tasks, decayed every second. */
     double paceLogSum;
-    /** Until when it is held to be slower than others, or -1. */
+    /** Time until which the machine counts as slower than others, or -1. */
     long slowUntilMicros = -1;
 
     final List<Placement> placements = new ArrayList<>();
     Resources used = Resources.NONE;
-    /** Of that, the processors of replicas, in thousandths. */
+    /** CPUs used by service replicas, in thousandths; part of {@link #used}. */
     private long replicaCpus;
 
     private Resources freeCapacity = Resources.NONE;
-    /** Images by last use, oldest first, with their size. */
+    /** Sizes of the cached images in GB by image name, least recently used first. */
     final Map<String, Double> images = new LinkedHashMap<>(8, 0.75f, true);
 
     Machine(String name, long nowMicros) {
         this(name, nowMicros, null);
     }
 
-    /** @param index is told of what changes its room; null for none */
+    /** @param index index that is notified of changes of the free capacity, or null */
     Machine(String name, long nowMicros, FreeCapacityIndex index) {
         this.name = name;
         this.knownSinceMicros = nowMicros;
         this.index = index;
     }
 
-    /** What counts as room on it, or could be freed, has changed. */
+    /** Handles a change of the free capacity of the machine or of what preemption could free on it. */
     void capacityChanged() {
         preemptionEstimates.clear();
         if (index != null) {
@@ -99,7 +104,7 @@
         }
     }
 
-    /** It is not known any more; what still happens to it concerns nobody. */
+    /** Removes the machine from the index, which is not notified of later changes. */
     void detachFromIndex() {
         if (index != null) {
             index.machineRemoved(this);
@@ -111,7 +116,7 @@
         return freeCapacity;
     }
 
-    /** Null until the types are known. */
+    /** Returns the capacity of the machine, or null until its machine type is known. */
     Resources capacity() {
         return capacity;
     }
@@ -142,7 +147,7 @@
                 && receivesResponses;
     }
 
-    /** Its newest heartbeat came. */
+    /** Applies the sender data of the newest heartbeat. */
     void heartbeatReceived(Heartbeat heartbeat, long nowMicros) {
         incarnation = heartbeat.incarnation();
         latestSequence = heartbeat.sequence();
@@ -151,7 +156,7 @@
         lastHeartbeatMicros = nowMicros;
     }
 
-    /** The placement that a line of its heartbeat is about, null if it is not known. */
+    /** Returns the placement that a task status in a heartbeat of the machine refers to, or null if there is none. */
     Placement placementOf(TaskStatus status) {
         for (Placement placement : placements) {
             if (placement.matches(status)) {
@@ -161,7 +166,7 @@
         return null;
     }
 
-    /** A message with this number came. */
+    /** Records the sequence number of a message of the worker. */
     void messageReceived(long messageSequence) {
         receivesResponses = messageSequence <= highestSequence + 1;
         highestSequence = Math.max(highestSequence, messageSequence);
@@ -186,11 +191,12 @@
         return spec.kind() == JobKind.SERVICE ? spec.taskResources().cpus() : 0;
     }
 
-    /** Processors, in thousandths, that replicas leave to work that ends; only where the size is known. */
+    /** Returns the CPUs, in thousandths, that service replicas leave to array and gang tasks. Requires a known capacity. */
     long cpusNotUsedByReplicas() {
         return capacity.cpus() - replicaCpus;
     }
 
+    /** Marks the image as used now and evicts the least recently used images, never the given one, while the cache exceeds {@code cacheGb}. */
     void touchImage(String image, double sizeGb, double cacheGb) {
         images.put(image, sizeGb);
         double total = 0;
--- a/src/main/java/io/micatide/scheduler/MachineSelection.java
+++ b/src/main/java/io/micatide/scheduler/MachineSelection.java
@@ -18,7 +18,7 @@
 final class MachineSelection {
     /** Fills up spot machines first, and of those the fullest: whole machines stay free for large tasks. */
     static final Comparator<Machine> LEAST_FREE_CAPACITY_FIRST = Comparator.comparing(
-                    (Machine machine) -> !machine.spot)
+                    (Machine machine) -> !machine.isSpot)
             .thenComparing(machine -> machine.freeCapacity().cpus());
 
     /** A machine that has to fetch the image first should take many of the tasks that need it. */
@@ -82,7 +82,7 @@
     /** Whether the job may use a machine of this kind and with this history, full as it may be now. */
     static boolean isFeasible(Job job, Machine machine, long nowMicros) {
         JobSpec spec = job.spec;
-        return spec.allowsMachine(machine.type, machine.zone, machine.spot)
+        return spec.allowsMachine(machine.type, machine.zone, machine.isSpot)
                 && !job.failedMachines.contains(machine.name)
                 && (spec.kind() == JobKind.SERVICE || machine.slowUntilMicros < nowMicros);
     }
--- a/src/main/java/io/micatide/scheduler/Placement.java
+++ b/src/main/java/io/micatide/scheduler/Placement.java
@@ -3,17 +3,17 @@
 import io.micatide.model.TaskState;
 import io.micatide.model.TaskStatus;
 
-/** One attempt of one task on one machine, from the decision to the end that was read back. */
+/** One attempt of one task on one machine, from the decision to start it until the leader learns of its end or loss. */
 final class Placement {
-    /** Where an attempt stands, as far as this leader can know. */
+    /** State of an attempt as far as this leader can know it. */
     enum Phase {
-        /** Decided; the round that records the machine is not confirmed yet, so nothing was sent. */
+        /** The start is decided, but the write that adds the machine to the ledger is not confirmed, so it was not sent. */
         AWAITING_LEDGER,
-        /** Goes out with the next answer to the machine. */
+        /** The start is sent with the next response to a heartbeat of the machine. */
         READY,
-        /** Went out and was not reported since: unknown, never failed. */
+        /** The start was sent and no heartbeat has listed the task since: its state is unknown, never failed. */
         SENT,
-        /** In the machine's newest report. */
+        /** The newest heartbeat of the machine lists the task. */
         REPORTED
     }
 
@@ -23,16 +23,18 @@
     final Machine machine;
     Phase phase;
     TaskState state = TaskState.FETCHING;
-    /** The newest report that listed it. */
+    /** Sequence number of the newest heartbeat that listed the attempt, or -1. */
     long lastListedSequence = -1;
 
     long createdMicros;
+    /** Time of the first heartbeat of this term that listed the task as running, or -1. */
     long runningSinceMicros = -1;
-    /** Found running by this leader: how long it ran before is not known, so it teaches nothing about run times. */
+    /** Whether this leader found the task in a heartbeat instead of starting it. Its earlier run time is unknown and not used for estimates. */
     boolean wasAdopted;
-    /** When a stop was first decided, or -1. */
+    /** Time at which a stop was first requested, or -1. */
     long stopRequestedMicros = -1;
 
+    /** Time that the task may use to save its work before it is stopped; the shortest of all requested stops. */
     long stopGraceMicros;
 
     Placement(Job job, int index, long attempt, Machine machine, Phase phase, long nowMicros) {
@@ -44,7 +46,7 @@
         this.createdMicros = nowMicros;
     }
 
-    /** Moves on; once it is sent, stopping it loses work. */
+    /** Changes the phase. Once the start is sent, preempting the task loses work, so the machine's estimates change. */
     void transitionTo(Phase next) {
         boolean wasUnsent = isUnsent();
         phase = next;
@@ -53,6 +55,7 @@
         }
     }
 
+    /** Returns whether the start was not sent yet, so that the task cannot be on the machine. */
     boolean isUnsent() {
         return phase == Phase.AWAITING_LEDGER || phase == Phase.READY;
     }
--- a/src/main/java/io/micatide/scheduler/PlacementTable.java
+++ b/src/main/java/io/micatide/scheduler/PlacementTable.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 
 /**
- * Every attempt that is on a machine as far as its leader knows, or is to be started there. The only place that adds and removes placements.
+ * All attempts that are on a machine as far as the leader knows, or that are to be started there. Only this class adds and removes placements.
  *
- * <p>Invariants: a placement is on the list of its machine exactly while it is among the live attempts of its job, and the usage of a team is the
- * sum of the resources of the placements of its jobs, cancelled ones included. A gang without placements is neither started nor broken. The
- * ledger of a cancelled job is due to be written as soon as its last placement is gone.
+ * <p>Invariants: a placement is in the list of its machine exactly while it is among the live attempts of its job, and the usage of a team is the
+ * sum of the resources of the placements of its jobs, including cancelled jobs. A gang without placements is neither started nor broken. The
+ * ledger of a cancelled job is marked for its next write as soon as the last placement of the job is removed and no machine has to be reconciled.
  */
 final class PlacementTable implements PlacementActions {
-    /** The attempt number is the fencing token followed by a counter of so many bits. */
+    /** Number of low bits of an attempt number that hold a counter; the bits above hold the fencing token. */
     private static final int ATTEMPT_COUNTER_BITS = 20;
 
     private final long fencingToken;
@@ -32,12 +32,12 @@
         this.gangPeerTimeoutMicros = settings.gangPeerTimeoutMicros();
     }
 
-    /** Sets who is told of changes; has to be called before the first of them. */
+    /** Sets the listener that is notified of changes. Must be called before the first change. */
     void setListener(PlacementListener newListener) {
         listener = newListener;
     }
 
-    /** Adds a placement that is not in the table. */
+    /** Adds a placement that is not in the table yet. */
     void add(Placement placement) {
         placement.machine.add(placement);
         placement.job.add(placement);
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Removes what was not sent of the job; what was sent stays. */
+    /** Removes the placements of the job that were not sent; placements that were sent stay. */
     void removeUnsent(Job job) {
         for (Placement placement : job.livePlacements()) {
             if (placement.isUnsent()) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Removes everything from a machine on which nothing runs any more. */
+    /** Removes all placements of a machine on which no task can run any more. */
     void removeAll(Machine machine) {
         for (Placement placement : List.copyOf(machine.placements)) {
             remove(placement);
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Stops a placement that was sent, removes one that was not. */
+    /** Stops the placement if it was sent, otherwise removes it. */
     void removeOrStop(Placement placement, long graceMicros, long nowMicros) {
         if (placement.isUnsent()) {
             remove(placement);
@@ -99,30 +99,38 @@
         }
     }
 
-    /** Removes or stops all of a job. */
+    /** Removes or stops all placements of the job. */
     void removeOrStopAll(Job job, long graceMicros, long nowMicros) {
         for (Placement placement : job.livePlacements()) {
             removeOrStop(placement, graceMicros, nowMicros);
         }
     }
 
-    /** A gang saves only together: all its tasks have to be told within the time that they wait for one another. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>The tasks of a gang save a checkpoint only together, so all of them must receive their stop within the time that they wait for their peers; this
+     * time is added to the grace period.
+     */
     @Override
     public void stopWithCheckpoint(Placement placement, long nowMicros) {
         Job job = placement.job;
         long graceMicros = Micros.withDrift(job.spec.saveMicros()) + Micros.SECOND;
         if (job.spec.kind() == JobKind.GANG) {
             removeOrStopAll(job, graceMicros + gangPeerTimeoutMicros, nowMicros);
-            // Of two tasks that have to yield at once the first takes the whole gang away: with nothing left of it
-            // there is
-            // nothing to wait for. A gang that was held to be broken then was never placed again.
+            // If two tasks are preempted at once, the first call removes the whole gang. Without live
+            // attempts the gang must not be marked as broken, or it would never be placed again.
             job.gangBroken = !job.liveAttempts.isEmpty();
         } else {
             stop(placement, graceMicros, nowMicros);
         }
     }
 
-    /** The attempt number carries the fencing token, so that it is unique without being written; the tasks of a gang share one. */
+    /**
+     * {@inheritDoc}
+     *
+     * <p>The attempt number contains the fencing token, which makes it unique without a write to the store. All tasks of a gang share one attempt number.
+     */
     @Override
     public void placeTask(Job job, int taskIndex, Machine machine, long nowMicros) {
         long attempt = (fencingToken << ATTEMPT_COUNTER_BITS) + ++attemptCounter;
@@ -148,7 +156,7 @@
         return teamUsage.getOrDefault(team, Resources.NONE);
     }
 
-    /** Has the ledger of a cancelled job removed, which stays until nothing of the job can be on a machine. */
+    /** Marks the ledger of a cancelled job for removal once no task of the job can be on a machine. */
     void markLedgerDirtyIfStopped(Job job, long nowMicros) {
         if (job.cancelled && !job.mayBeRunning()) {
             ledgers.markDirty(job, nowMicros);
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -18,24 +18,25 @@
 import java.util.List;
 
 /**
- * One term of leadership: what a leader knows and decides from its claim until it is fenced. Everything here is gone with the term; the next leader reads
- * the ledgers and the workers' heartbeats again.
+ * The scheduler of one term of leadership, from the leader's claim until it is fenced. Its state ends with the term; the next leader rebuilds it from the
+ * ledgers and the workers' heartbeats.
  *
- * <p>This only hands what comes in to those who own the state: {@link HeartbeatReconciler}, {@link JobReconciler} and {@link FailoverRecovery} learn what is,
- * {@link Evictions}, {@link PlacementPlanner} and {@link Autoscaler} decide, {@link WriteBatches} writes. Their order within one call is part of the
- * behavior. Times are microseconds of the leader's steady clock, but for the wall time of jobs. Not thread-safe: called by the leader's actor alone.
+ * <p>This class only dispatches to the components that own the state: {@link HeartbeatReconciler}, {@link JobReconciler} and {@link FailoverRecovery} update
+ * the cluster state, {@link Evictions}, {@link PlacementPlanner} and {@link Autoscaler} make decisions, and {@link WriteBatches} writes to the store. The
+ * order in which one call invokes them is part of the behavior. Times are microseconds of the leader's steady clock, except for the wall time of jobs. Not
+ * thread-safe: called only by the leader's actor.
  */
 public final class Scheduler
         implements HeartbeatListener, StoredStateListener, WriteBatchSource, CloudCallSource, TermStatus {
     private final SchedulerComponents components;
 
     /**
-     * A term that begins.
+     * Creates the scheduler of a new term.
      *
-     * @param settings of the deployment
-     * @param tuning the operator's own settings
-     * @param fencingToken of the term
-     * @param nowMicros the time of the claim
+     * @param settings settings of the deployment
+     * @param tuning settings that the operator may change
+     * @param fencingToken fencing token of the term
+     * @param nowMicros time of the claim
      */
     public Scheduler(Settings settings, Tuning tuning, long fencingToken, long nowMicros) {
         this(settings, tuning, fencingToken, nowMicros, PlacementPlanner::new);
@@ -51,7 +52,7 @@
     }
 
     /**
-     * The fencing token of the term.
+     * Returns the fencing token of the term.
      *
      * @return the token that all commands of this leader carry
      */
@@ -111,28 +112,29 @@
     }
 
     /**
-     * The store was read, and the answer is applied.
+     * Records that the store was read and the response has been applied.
      *
-     * @param requestedMicros when the read was asked for
+     * @param requestedMicros time at which the read was requested
      */
     public void storeReadAt(long requestedMicros) {
         components.startGuard.storeReadAt(requestedMicros);
     }
 
     /**
-     * Until when the leader certainly holds its lease. Later nothing is started, rented or returned: a leader that stood still for 20 s takes every task
-     * for gone, and on a machine that has not heard of its successor a start of its own would land.
+     * Sets the time until which the leader certainly holds its lease. After that time no task is started and no machine is rented or returned: a leader whose
+     * process was paused for 20 s regards every task as lost, and a machine that does not know the leader's successor yet would still execute its starts.
      *
-     * @param untilMicros the end of the lease as far as it is known
+     * @param untilMicros end of the lease as it is known now
      */
     public void leaseHeldUntil(long untilMicros) {
         components.startGuard.leaseHeldUntil(untilMicros);
     }
 
     /**
-     * This process stood still while its clock ran: what it held as fresh is old, and machines only seem silent until they had time to report again.
+     * Records that this process resumed after a pause during which its clock ran on. The state that it read before is outdated, and a machine without recent
+     * heartbeats is not evidence of a failure until its worker has had time to send the next one.
      *
-     * @param nowMicros when it went on
+     * @param nowMicros time at which the process resumed
      */
     public void processResumed(long nowMicros) {
         components.startGuard.processResumed(nowMicros);
@@ -172,9 +174,9 @@
     }
 
     /**
-     * Detects failures, places, preempts and scales; to be called several times a second.
+     * Detects failures, places and preempts tasks, and scales the fleet. Must be called several times a second.
      *
-     * @param nowMicros the time
+     * @param nowMicros current time
      */
     public void tick(long nowMicros) {
         if (!components.startGuard.mayDetectFailures(nowMicros)) {
@@ -239,10 +241,10 @@
     }
 
     /**
-     * Whether a key is of what is asked of the cloud, and not of a job.
+     * Returns whether a key of the store belongs to a record about cloud calls instead of a job.
      *
-     * @param key of the store
-     * @return whether it is to be given to {@link #cloudRecordReadBack}
+     * @param key key of the store
+     * @return true if the record must be passed to {@link #cloudRecordReadBack}
      */
     public static boolean isCloudRecord(String key) {
         return CloudRecords.owns(key);
@@ -387,7 +389,7 @@
                         components.provisioningRequests);
     }
 
-    /** Machines that plans looked at in this term. */
+    /** Returns the number of machines that planning passes examined in this term. */
     long machinesExamined() {
         return components.planner.machinesExamined();
     }
--- a/src/main/java/io/micatide/scheduler/SchedulerComponents.java
+++ b/src/main/java/io/micatide/scheduler/SchedulerComponents.java
@@ -4,22 +4,22 @@
 import io.micatide.model.Tuning;
 
 /**
- * The parts of one term of leadership, wired. Each owns its state and knows only those before it; {@link Scheduler} calls them in the order that a message
- * needs.
+ * Creates and holds the components of the scheduler of one term. Each component owns its state and depends only on components that are declared before it;
+ * {@link Scheduler} calls them in the order that a message requires.
  */
 final class SchedulerComponents {
     final Settings settings;
     final long fencingToken;
     final long termStartMicros;
 
-    // ---- the cluster state
+    // ---- cluster state
     final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     final Fleet fleet = new Fleet();
     final JobLedgers ledgers;
     final PlacementTable placements;
     final DagInheritance dagInheritance;
 
-    // ---- what squares it with the world
+    // ---- reconciliation of the cluster state with heartbeats and records
     final StartGuard startGuard;
     final FailoverProgress failoverProgress;
     final FailoverRecovery recovery;
@@ -30,7 +30,7 @@
     final JobOutcomes jobOutcomes = new JobOutcomes(runtimeEstimator);
     final JobReconciler jobReconciler;
 
-    // ---- what decides, asks the cloud and writes
+    // ---- decisions, cloud calls and writes
     final PlacementPlanner planner;
     final ProvisioningRequests provisioningRequests;
     final MachineDeletions machineDeletions;
@@ -38,7 +38,7 @@
     final Autoscaler autoscaler;
     final WriteBatches writeBatches;
 
-    /** How the planner of a term is made. */
+    /** Creates the planner of a term; tests replace it. */
     @FunctionalInterface
     interface PlannerFactory {
         PlacementPlanner create(
--- a/src/main/java/io/micatide/scheduler/StartGuard.java
+++ b/src/main/java/io/micatide/scheduler/StartGuard.java
@@ -4,16 +4,17 @@
 import io.micatide.model.Settings;
 
 /**
- * Whether a leader may act on what it knows, by three times: its last read of the store, the end of its lease, and when its process last went on
- * after it had stood still.
+ * Decides whether the leader may act on the state that it knows. Three times matter: the last read of the store, the end of the lease, and the last time that
+ * the process resumed after a pause.
  *
- * <p>Invariants: a task is started only while the lease is certainly held and the store was read a short time ago, since cancellations are found
- * there; a read that was asked for before the process stood still never counts. Silent machines are taken for failed only after they had time to
- * report to the process that went on.
+ * <p>Invariants: a task is started only while the lease is certainly held and the store, which holds the cancellations, was read recently; a read that was
+ * requested before a pause of the process never counts. Machines without heartbeats are regarded as failed only after they had time to send one to the
+ * resumed process.
  */
 final class StartGuard {
+    /** Tasks are started only if the last read of the store was requested within this time. */
     private static final long MAX_STORE_READ_AGE_MICROS = 4 * Micros.SECOND;
-    /** Longer ago than any time that is compared with it, and far enough from overflow. */
+    /** Earlier than any time that is compared with it, and small enough in magnitude that differences don't overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final long resumeGracePeriodMicros;
@@ -21,41 +22,41 @@
     private long leaseHeldUntilMicros = Long.MAX_VALUE;
     private long resumedMicros = NEVER_MICROS;
 
-    /** @param nowMicros the claim of the term, which counts as a read of the store */
+    /** @param nowMicros time of the claim of the term, which counts as a read of the store */
     StartGuard(Settings settings, long nowMicros) {
         this.resumeGracePeriodMicros = 2 * settings.heartbeatIntervalMicros() + Micros.SECOND;
         this.storeReadMicros = nowMicros;
     }
 
-    /** The store was asked at that time, and the answer is applied. */
+    /** Records a read of the store that was requested at the given time and whose response has been applied. */
     void storeReadAt(long requestedMicros) {
         if (requestedMicros >= resumedMicros) {
             storeReadMicros = Math.max(storeReadMicros, requestedMicros);
         }
     }
 
-    /** Until when the lease is certainly held, as far as is known now. */
+    /** Sets the time until which the lease is certainly held as it is known now. */
     void leaseHeldUntil(long untilMicros) {
         leaseHeldUntilMicros = untilMicros;
     }
 
-    /** The process stood still until now. */
+    /** Records that the process resumed after a pause, which outdates all earlier reads of the store. */
     void processResumed(long nowMicros) {
         resumedMicros = nowMicros;
         storeReadMicros = Math.min(storeReadMicros, nowMicros - MAX_STORE_READ_AGE_MICROS - 1);
     }
 
-    /** Whether tasks may be started. */
+    /** Returns whether tasks may be started. */
     boolean mayStartTasks(long nowMicros) {
         return nowMicros - storeReadMicros <= MAX_STORE_READ_AGE_MICROS && nowMicros < leaseHeldUntilMicros;
     }
 
-    /** Whether a machine that is silent for too long may be taken for failed. */
+    /** Returns whether a machine without recent heartbeats may be regarded as failed. */
     boolean mayDetectFailures(long nowMicros) {
         return nowMicros - resumedMicros > resumeGracePeriodMicros;
     }
 
-    /** Whether machines may be rented and returned: cloud calls are not fenced. */
+    /** Returns whether machines may be rented and returned. Cloud calls are not fenced, so the lease must certainly be held. */
     boolean mayCallCloud(long nowMicros) {
         return nowMicros < leaseHeldUntilMicros && mayDetectFailures(nowMicros);
     }
--- a/src/main/java/io/micatide/scheduler/StoredStateListener.java
+++ b/src/main/java/io/micatide/scheduler/StoredStateListener.java
@@ -6,92 +6,93 @@
 import java.util.List;
 
 /**
- * Is told of the stored state: all of it when a term begins, and what changes of it later.
+ * Receives the stored state: all records when a term begins, and later changes.
  *
- * <p>Records of jobs come first, by a read that began after the claim of the term, then the others in any order, then {@link #allRecordsLoaded}. Called by the
- * leader's actor alone. Times are microseconds of the leader's steady clock.
+ * <p>Records of jobs come first, from a read that began after the claim of the term, then the other records in any order, then {@link #allRecordsLoaded}.
+ * Called only by the leader's actor. Times are microseconds of the leader's steady clock.
  */
 public interface StoredStateListener {
     /**
-     * A record of a job was read, or what it depends on has changed.
+     * Applies a job after its record was read or its dependencies changed.
      *
-     * @param view the job as its record and those of its dependencies show it
-     * @param wallMicros the time of day, used only for the ages of jobs
-     * @param nowMicros the time
+     * @param view state of the job that follows from its record and those of its dependencies
+     * @param wallMicros time of day, used only for the ages of jobs
+     * @param nowMicros current time
      */
     void jobChanged(JobCache.View view, long wallMicros, long nowMicros);
 
     /**
-     * A ledger of an earlier leader was read; all records of jobs were before.
+     * Loads a ledger page of an earlier leader. All records of jobs have been read before.
      *
-     * @param key of the ledger's page
-     * @param ledger as stored
-     * @param version of the record
-     * @param nowMicros the time
+     * @param key key of the ledger page
+     * @param ledger stored value
+     * @param version version of the record
+     * @param nowMicros current time
      */
     void ledgerLoaded(String key, StoredRecord.Ledger ledger, long version, long nowMicros);
 
     /**
-     * A provisioning request of an earlier leader was read.
+     * Loads a provisioning request of an earlier leader.
      *
-     * @param name of the request
-     * @param record as stored
-     * @param version of the record
-     * @param nowMicros the time
+     * @param name name of the request
+     * @param record stored value
+     * @param version version of the record
+     * @param nowMicros current time
      */
     void provisioningRequestLoaded(String name, StoredRecord.Provisioning record, long version, long nowMicros);
 
     /**
-     * The fence of the provisioning requests was read.
+     * Applies the fence of the provisioning requests that was read.
      *
-     * @param version of the record, 0 if there is none
-     * @param number that it holds
+     * @param version version of the record, 0 if there is none
+     * @param number number that the fence holds
      */
     void provisioningFenceRead(long version, long number);
 
     /**
-     * The features that the running versions of the program have in common are known, or have changed.
+     * Sets the features that all running versions of the program support, at the start of the term and after each change.
      *
-     * @param version of the record of feature stages, a condition of what depends on them
+     * @param version version of the record of feature stages; writes that depend on a feature are conditional on it
      * @param fencesRequests whether provisioning requests are written on condition of their versions and of their fence
-     * @param recordsDeletions whether a machine is named in a record before its deletion is asked for
+     * @param recordsDeletions whether a machine is named in a record before its deletion is requested
      */
     void featureFlagsChanged(long version, boolean fencesRequests, boolean recordsDeletions);
 
     /**
-     * Machines that an earlier leader was deleting: nothing is placed on them, and their deletion is asked for again.
+     * Loads the names of machines that an earlier leader was deleting. No task is placed on them, and their deletion is requested again.
      *
-     * @param key of the record
-     * @param record as stored
-     * @param version of the record
-     * @param nowMicros the time
+     * @param key key of the record
+     * @param record stored value
+     * @param version version of the record
+     * @param nowMicros current time
      */
     void machineDeletionLoaded(String key, StoredRecord.MachinesToDelete record, long version, long nowMicros);
 
     /**
-     * Every controller reads the present layout: what an older one could not read may be written, on that condition.
+     * Applies the layout record, which is stored once every controller can read the current layout. Values that a previous version of the program cannot read
+     * may be written from then on, on condition that the layout record is unchanged.
      *
-     * @param version of the record
-     * @param layout as stored
+     * @param version version of the record
+     * @param layout stored value
      */
     void layoutMarked(long version, StoredRecord.Layout layout);
 
-    /** There is an archive of final states. */
+    /** Records that the deployment has an archive of the final states of jobs. */
     void archiveEnabled();
 
     /**
-     * What an earlier leader had learned.
+     * Adds hints of an earlier leader.
      *
-     * @param previousHints its hints
-     * @param isStored whether they come from the store: older than what a standby was sent, which they leave as it is
-     * @param nowMicros the time
+     * @param previousHints hints of the earlier leader
+     * @param isStored whether the hints come from the store; these are older than the hints sent to a standby and don't replace them
+     * @param nowMicros current time
      */
     void hintsReceived(List<Hint> previousHints, boolean isStored, long nowMicros);
 
     /**
-     * All records are read: machines that the ledgers name are known of from here on.
+     * Completes the load: all records have been read, and the machines that the ledgers name are added to the fleet.
      *
-     * @param nowMicros the time
+     * @param nowMicros current time
      */
     void allRecordsLoaded(long nowMicros);
 }
--- a/src/main/java/io/micatide/scheduler/TaskOutcomes.java
+++ b/src/main/java/io/micatide/scheduler/TaskOutcomes.java
@@ -9,10 +9,10 @@
 import java.util.List;
 
 /**
- * What follows from the end of a task: its job advances or its failure is attributed, what was learned from it is kept, and the worker is told when it may
- * forget the task.
+ * Handles tasks that exited: marks a completed task as finished or attributes a failure, records the observed run time, and sends the worker a reap command
+ * when it may discard the task.
  *
- * <p>Invariant: a worker may forget a completed task only once a confirmed write holds it; until then its heartbeats are the only record of it.
+ * <p>Invariant: a worker may discard a completed task only once a confirmed write holds the completion; until then its heartbeats are the only record of it.
  */
 final class TaskOutcomes {
     private final Fleet fleet;
@@ -31,10 +31,10 @@
     }
 
     /**
-     * A heartbeat shows a task that has exited.
+     * Handles a task that a heartbeat lists as exited.
      *
-     * @param job of the task, null if it is over
-     * @param commands for the machine, to be added to
+     * @param job job of the task, or null if the job has finished
+     * @param commands commands for the machine, to which a reap is added if the worker may discard the task
      */
     void taskExited(Machine machine, Job job, TaskStatus status, List<Command> commands, long nowMicros) {
         Placement placement = machine.placementOf(status);
@@ -69,7 +69,7 @@
         failureAttribution.taskSucceeded(machine, job);
         fleet.recordImage(machine, job);
         if (job.spec.kind() == JobKind.GANG) {
-            // A gang completes together, so one heartbeat tells of all, also of those that are lost now.
+            // The tasks of a gang complete together, so the exit of one proves that all completed, even lost ones.
             for (int index = 0; index < job.spec.taskCount(); index++) {
                 ledgers.markTaskFinished(job, index, nowMicros);
             }
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Lines for the log on jobs and machines that were quarantined since the last call, a list of the caller's own. */
+    /** Returns log lines on the jobs and machines that were quarantined since the last call, as a list that the caller may change. */
     List<String> takeNotices() {
         List<String> lines = new ArrayList<>(notices);
         notices.clear();
--- a/src/main/java/io/micatide/scheduler/TermStatus.java
+++ b/src/main/java/io/micatide/scheduler/TermStatus.java
@@ -5,76 +5,76 @@
 import java.util.List;
 
 /**
- * What a leader shows of its term: to users, to standbys, to the archive and in the log.
+ * Provides the state of a term to users, standbys, the archive and the log.
  *
- * <p>Called by the leader's actor alone. Times are microseconds of the leader's steady clock.
+ * <p>Called only by the leader's actor. Times are microseconds of the leader's steady clock.
  */
 public interface TermStatus {
     /**
-     * How many machines are known of.
+     * Returns the number of machines that the leader knows.
      *
-     * @return their number, those that boot or are being deleted included
+     * @return the number of machines, including those that are booting or being deleted
      */
     int machineCount();
 
     /**
-     * Whether a job that is over may be archived as far as this leader's own work goes.
+     * Returns whether this leader has no work left for a finished job, so that the job may be archived.
      *
-     * @param id of the job
-     * @return false as long as not all records are read
+     * @param id id of the job
+     * @return whether the job may be archived; false until all records have been read
      */
     boolean mayBeArchived(String id);
 
     /**
-     * How this term got back what the one before knew.
+     * Returns the times that this term took to rebuild the state of the previous term.
      *
-     * @return the times, which change as the term goes on
+     * @return a live view of the times, which change as the failover proceeds
      */
     FailoverTimings failoverTimings();
 
     /**
-     * What this leader has learned and no record holds, for standbys.
+     * Returns what this leader learned and no record holds, for standbys.
      *
-     * @param nowMicros the time
-     * @return hints on machines, jobs and job classes
+     * @param nowMicros current time
+     * @return hints about machines, jobs and job classes
      */
     List<Hint> hints(long nowMicros);
 
     /**
-     * What lasts beyond a failover without a standby: run times, quarantines, slow and deleted machines.
+     * Returns the hints that must survive a failover without a standby: run times, quarantines, slow and deleted machines.
      *
-     * @param nowMicros the time
+     * @param nowMicros current time
      * @return the hints to be stored
      */
     List<Hint> durableHints(long nowMicros);
 
     /**
-     * Counts of tasks of every open job, for display.
+     * Returns the numbers of finished and running tasks of each open job, for display.
      *
-     * @return one for each job
+     * @return one entry for each job
      */
     List<JobProgress> progress();
 
     /**
-     * Lines for the log on jobs and machines that were quarantined, and once on the failover.
+     * Returns log lines on jobs and machines that were quarantined, and once a line on the failover.
      *
-     * @return those since the last call
+     * @return the lines since the last call
      */
     List<String> takeNotices();
 
     /**
-     * Lines for the log on completed jobs.
+     * Returns log lines on completed jobs.
      *
-     * @param nowMicros the time
-     * @return one for each job since the last call
+     * @param nowMicros current time
+     * @return one line for each job that was completed since the last call
      */
     List<String> takeCompletionLines(long nowMicros);
 
     /**
-     * The state of the term in one line for the log.
+     * Returns the state of the term as one log line.
      *
-     * @param nowMicros the time
-     * @return counts as {@code name=count}
+     * @param nowMicros current time
+     * @return counts in the form {@code name=count}, separated by spaces
      */
     String summary(long nowMicros);
 }
--- a/src/main/java/io/micatide/scheduler/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -5,7 +5,7 @@
 import io.micatide.model.Settings;
 import io.micatide.model.TaskState;
 
-/** What a leader tells of its term in one line of the log: counts of jobs, machines and what runs on them, at one moment. */
+/** The one-line summary of a term for the log: counts of jobs, machines and running tasks at the time of construction. */
 final class TermSummary {
     private final Fleet fleet;
     private final JobLedgers ledgers;
@@ -41,7 +41,7 @@
             schedulableMachines++;
             capacity = capacity.plus(machine.capacity());
             used = used.plus(machine.used);
-            spotCpus += machine.spot ? machine.capacity().cpus() : 0;
+            spotCpus += machine.isSpot ? machine.capacity().cpus() : 0;
         }
         int replicasBefore = replicas;
         for (Placement placement : machine.placements) {
@@ -61,10 +61,10 @@
     }
 
     /**
-     * The line; processors are whole ones.
+     * Returns the log line, with CPUs rounded down to whole numbers.
      *
-     * @param waitingJobs jobs that wait for others
-     * @param slowMachinesFound machines that were found slow in this term
+     * @param waitingJobs number of jobs that wait for their dependencies
+     * @param slowMachinesFound number of times that a machine was found slow in this term
      */
     String line(
             int waitingJobs,
--- a/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
+++ b/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
@@ -48,7 +48,7 @@
     void spotMachinesWithTheImageGoFirst() {
         Machine onDemand = machine("on-demand", 2, true);
         Machine spot = machine("spot", 16, true);
-        spot.spot = true;
+        spot.isSpot = true;
         assertEquals(spot, MachineSelection.bestFitting(job, List.of(onDemand, spot)));
     }
 }
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -44,7 +44,7 @@
     /** A job whose image is there goes before one that is due so much earlier and has to fetch its own. */
     private static final long PRECEDENCE_MICROS = 5 * Micros.SECOND;
 
-    private static final Comparator<Machine> LEAST_ROOM = Comparator.comparing((Machine machine) -> !machine.spot)
+    private static final Comparator<Machine> LEAST_ROOM = Comparator.comparing((Machine machine) -> !machine.isSpot)
             .thenComparing(machine -> machine.freeCapacity().cpus());
     private static final Comparator<Machine> MOST_ROOM =
             Comparator.comparing((Machine machine) -> -machine.freeCapacity().cpus());
@@ -407,7 +407,7 @@
 
     private static boolean suits(Job job, Machine machine, long nowMicros) {
         JobSpec spec = job.spec;
-        return spec.allowsMachine(machine.type, machine.zone, machine.spot)
+        return spec.allowsMachine(machine.type, machine.zone, machine.isSpot)
                 && !job.failedMachines.contains(machine.name)
                 && (spec.kind() == JobKind.SERVICE || machine.slowUntilMicros < nowMicros);
     }
