--- a/src/main/java/io/micatide/scheduler/CloudReconciliation.java
+++ b/src/main/java/io/micatide/scheduler/CloudReconciliation.java
@@ -10,8 +10,8 @@
 /**
  * Reconciles the fleet with the responses of the cloud, whose list of machines lags behind its real state.
  *
- * <p>Invariant: a machine whose deletion is confirmed is not added again by an older list, and a machine that is missing in a list is regarded as deleted
- * only if the list is newer than the state of the machine that the leader knows.
+ * <p>Invariant: a machine whose deletion is confirmed is not added again by an older list, and a machine that is missing in a list is regarded as
+ * deleted only if the list is newer than the state of the machine that the leader knows.
  */
 final class CloudReconciliation {
     private final Settings settings;
--- a/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
+++ b/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
@@ -26,7 +26,7 @@
     private static final int DEAD_AFTER_LEASES = 4;
     /** A zone is reachable if at least one in this number of its known machines has sent a heartbeat recently. */
     private static final int REACHABLE_ZONE_DIVISOR = 2;
-    /** If at most one in this number of machines is unresponsive, the machines hang independently of each other. */
+    /** Up to one in this number of machines may hang independently of the others; more unresponsive machines suggest a common cause. */
     private static final int FEW_UNRESPONSIVE_DIVISOR = 20;
 
     private final Settings settings;
@@ -46,8 +46,8 @@
         final List<Machine> unresponsive = new ArrayList<>();
 
         /**
-         * Returns whether more than half of the machines, and more than two, are silent at once: then the leader has lost its connection and the machines
-         * may be healthy. This includes a new leader that no worker has reached yet; one returned all 334 machines 15 s after its claim.
+         * Returns whether more than half of the machines, and more than two, are silent at once: then the leader has lost its connection and the
+         * machines may be healthy. This includes a new leader that no worker has reached yet; one returned all 334 machines 15 s after its claim.
          */
         boolean isLeaderDisconnected() {
             int withoutContact = silentCount + neverReportedCount;
@@ -136,9 +136,9 @@
     }
 
     /**
-     * Marks unresponsive machines while the leader is reachable. A single unresponsive machine hangs or has lost its network, and most likely loses its tasks:
-     * once its deletion is confirmed, the tasks may start on other machines some seconds before its lease has certainly expired. The same holds for a machine
-     * that a ledger names and that has not found a new leader while all others have.
+     * Marks unresponsive machines while the leader is reachable. A single unresponsive machine hangs or has lost its network, and most likely loses
+     * its tasks: once its deletion is confirmed, the tasks may start on other machines some seconds before its lease has certainly expired. The same
+     * holds for a machine that a ledger names and that has not found a new leader while all others have.
      */
     private void markHungMachines(Survey survey, long nowMicros) {
         boolean areFew = survey.areFewUnresponsive();
@@ -154,9 +154,10 @@
     }
 
     /**
-     * Returns the zones in which at least half of the known machines have sent a heartbeat recently. Neither the zone nor the leader's connection to it has
-     * failed then, so the unresponsive machines in it have. Without this rule a tenth of a fleet that failed at once was neither a single machine nor most of
-     * the fleet, and its tasks waited until the lease of each machine had certainly expired, 17.8 s, and 24 s after a failover, although CPUs were free.
+     * Returns the zones in which at least half of the known machines have sent a heartbeat recently. Neither the zone nor the leader's connection to
+     * it has failed then, so the unresponsive machines in it have. Without this rule a tenth of a fleet that failed at once was neither a single
+     * machine nor most of the fleet, and its tasks waited until the lease of each machine had certainly expired: 17.8 s, and 24 s after a failover.
+     * All jobs that these tasks delayed waited as long, although CPUs on other machines were free.
      */
     private Set<String> reachableZones(long nowMicros) {
         Multiset<String> known = HashMultiset.create();
--- a/src/main/java/io/micatide/scheduler/Evictions.java
+++ b/src/main/java/io/micatide/scheduler/Evictions.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * Evicts tasks that cannot stay on their machines: tasks on machines that the cloud reclaims, that are unresponsive or slow, tasks of broken gangs, and tasks
- * on machines that a full ledger cannot name.
+ * Evicts tasks that cannot stay on their machines: tasks on machines that the cloud reclaims, that are unresponsive or slow, tasks of broken gangs,
+ * and tasks on machines that a full ledger cannot name.
  *
- * <p>Invariants: a gang that lost a task after its start is stopped as a whole, since it cannot continue. A task is evicted at most once because its machine
- * seems slow. A task that was sent to a machine is regarded as lost only when the lease of the machine's worker has certainly expired.
+ * <p>Invariants: a gang that lost a task after its start is stopped as a whole, since it cannot continue. A task is evicted at most once because its
+ * machine seems slow. A task that was sent to a machine is regarded as lost only when the lease of the machine's worker has certainly expired.
  */
 final class Evictions {
     /** Time during which no further machines are added to a full ledger. */
--- a/src/main/java/io/micatide/scheduler/FailoverProgress.java
+++ b/src/main/java/io/micatide/scheduler/FailoverProgress.java
@@ -4,8 +4,8 @@
 import java.util.Locale;
 
 /**
- * Records how fast a term rebuilt the state of the previous term: when 50%, 90% and 99% of the machines that the ledgers name were reconciled, and when the
- * first task was started. The result is logged once as one line, which shows operators how long a failover took.
+ * Records how fast a term rebuilt the state of the previous term: when 50%, 90% and 99% of the machines that the ledgers name were reconciled, and
+ * when the first task was started. The result is logged once as one line, which shows operators how long a failover took.
  */
 final class FailoverProgress implements FailoverTimings {
     private static final double[] RECONCILED_SHARES = {0.5, 0.9, 0.99};
@@ -74,7 +74,10 @@
         }
     }
 
-    /** Returns the log line once 99% of the machines are reconciled and a task was started; null before, after the first time, or if no ledger names a machine. */
+    /**
+     * Returns the log line once 99% of the machines are reconciled and a task was started; null before, after the first time, or if no ledger names a
+     * machine.
+     */
     String logLine() {
         if (wasLogged
                 || expectedMachines == 0
--- a/src/main/java/io/micatide/scheduler/FailoverRecovery.java
+++ b/src/main/java/io/micatide/scheduler/FailoverRecovery.java
@@ -11,11 +11,11 @@
 import java.util.Map;
 
 /**
- * Rebuilds the state of the previous leader after a failover: waits for the machines that the ledgers name, applies hints, and keeps the jobs that were
- * cancelled while there was no leader.
+ * Rebuilds the state of the previous leader after a failover: waits for the machines that the ledgers name, applies hints, and keeps the jobs that
+ * were cancelled while there was no leader.
  *
- * <p>Invariant: a machine that a ledger names is awaited until it sends a heartbeat under this term or its deletion is confirmed. Only then do the ledgers
- * stop naming it on behalf of the previous leader, and tasks of these jobs that no heartbeat listed may be started on other machines.
+ * <p>Invariant: a machine that a ledger names is awaited until it sends a heartbeat under this term or its deletion is confirmed. Only then do the
+ * ledgers stop naming it on behalf of the previous leader, and tasks of these jobs that no heartbeat listed may be started on other machines.
  */
 final class FailoverRecovery {
     private final Fleet fleet;
@@ -52,8 +52,9 @@
     }
 
     /**
-     * Loads a ledger of an earlier leader. A ledger without an open job belongs to a job that was cancelled while there was no leader: its tasks may still
-     * run, must be stopped, and count towards the usage of their team until then. Of completed jobs only pages after the first can be left in the store.
+     * Loads a ledger of an earlier leader. A ledger without an open job belongs to a job that was cancelled while there was no leader: its tasks may
+     * still run, must be stopped, and count towards the usage of their team until then. Of completed jobs only pages after the first can be left in
+     * the store.
      *
      * @return whether the ledger belongs to a job; if not, it must be deleted
      */
@@ -67,8 +68,8 @@
     }
 
     /**
-     * Adds a job that was cancelled before this term, so that its remaining tasks count towards the usage of its team like all others. The job has no ledger
-     * if a previous version of the program deleted the ledger too early.
+     * Adds a job that was cancelled before this term, so that its remaining tasks count towards the usage of its team like all others. The job has no
+     * ledger if a previous version of the program deleted the ledger too early.
      *
      * @return the job, or null if no job of this id was cancelled before this term
      */
@@ -157,8 +158,8 @@
     }
 
     /**
-     * Returns announcements of the term to awaited machines that have not sent a heartbeat to this leader, at most one for each machine. The hints of the
-     * previous leader hold their addresses; machines without a known address find the new leader on their own.
+     * Returns announcements of the term to awaited machines that have not sent a heartbeat to this leader, at most one for each machine. The hints of
+     * the previous leader hold their addresses; machines without a known address find the new leader on their own.
      *
      * @param limit maximum number of announcements
      */
--- a/src/main/java/io/micatide/scheduler/HeartbeatCommands.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatCommands.java
@@ -6,8 +6,8 @@
 /**
  * Adds the stop and start commands to the response to a heartbeat.
  *
- * <p>Invariants: a start is sent only to a reconciled machine that is not being deleted and that the ledger of the job names, and only while the lease is
- * held. A stop is repeated in each response until the task is no longer on the machine.
+ * <p>Invariants: a start is sent only to a reconciled machine that is not being deleted and that the ledger of the job names, and only while the
+ * lease is held. A stop is repeated in each response until the task is no longer on the machine.
  */
 final class HeartbeatCommands {
     /** Starts are added to a response only while it has fewer commands than this. */
--- a/src/main/java/io/micatide/scheduler/HeartbeatReconciler.java
+++ b/src/main/java/io/micatide/scheduler/HeartbeatReconciler.java
@@ -11,8 +11,9 @@
 /**
  * Reconciles the cluster state with the heartbeats of workers.
  *
- * <p>Invariant: the newest heartbeat of a machine is authoritative for everything that was sent to the machine before. A listed task without a placement is
- * adopted, and a placement that was sent and is not listed is lost; placements that were not sent yet stay. Older heartbeats change nothing.
+ * <p>Invariant: the newest heartbeat of a machine is authoritative for everything that was sent to the machine before. A listed task without a
+ * placement is adopted, and a placement that was sent and is not listed is lost; placements that were not sent yet stay. Older heartbeats change
+ * nothing.
  */
 final class HeartbeatReconciler {
     private final long fencingToken;
--- a/src/main/java/io/micatide/scheduler/JobReconciler.java
+++ b/src/main/java/io/micatide/scheduler/JobReconciler.java
@@ -7,8 +7,8 @@
 /**
  * Reconciles the open jobs with their records in the store.
  *
- * <p>Invariants: a job is open here exactly while its record is open and all of its dependencies are finished. A cancelled job stays until none of its tasks
- * can be on a machine; no task of it is started, and its existing tasks are stopped.
+ * <p>Invariants: a job is open here exactly while its record is open and all of its dependencies are finished. A cancelled job stays until none of
+ * its tasks can be on a machine; no task of it is started, and its existing tasks are stopped.
  */
 final class JobReconciler {
     private final JobLedgers ledgers;
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -34,9 +34,9 @@
     /** Highest sequence number of all messages of the machine, including answers to announcements. */
     long highestSequence;
     /**
-     * Whether the newest message follows the previous one without a gap in the sequence numbers, which shows that the worker received the response to the
-     * previous one: a worker without a response tries another controller first. A machine that can send but not receive still delivers every heartbeat
-     * while no start reaches it, and each start that was sent to it was lost until its lease expired.
+     * Whether the newest message follows the previous one without a gap in the sequence numbers, which shows that the worker received the response to
+     * the previous one: a worker without a response tries another controller first. A machine that can send but not receive still delivers every
+     * heartbeat while no start reaches it, and each start that was sent to it was lost until the worker's lease expired.
      */
     boolean receivesResponses;
     /** Whether a heartbeat of the machine carried the fencing token of this term, so that no start of an earlier leader can take effect on it. */
--- a/src/main/java/io/micatide/scheduler/PlacementTable.java
+++ b/src/main/java/io/micatide/scheduler/PlacementTable.java
@@ -109,8 +109,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>The tasks of a gang save a checkpoint only together, so all of them must receive their stop within the time that they wait for their peers; this
-     * time is added to the grace period.
+     * <p>The tasks of a gang save a checkpoint only together, so all of them must receive their stop within the time that they wait for their peers;
+     * this time is added to the grace period.
      */
     @Override
     public void stopWithCheckpoint(Placement placement, long nowMicros) {
@@ -129,7 +129,8 @@
     /**
      * {@inheritDoc}
      *
-     * <p>The attempt number contains the fencing token, which makes it unique without a write to the store. All tasks of a gang share one attempt number.
+     * <p>The attempt number contains the fencing token, which makes it unique without a write to the store. All tasks of a gang share one attempt
+     * number.
      */
     @Override
     public void placeTask(Job job, int taskIndex, Machine machine, long nowMicros) {
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -18,13 +18,13 @@
 import java.util.List;
 
 /**
- * The scheduler of one term of leadership, from the leader's claim until it is fenced. Its state ends with the term; the next leader rebuilds it from the
- * ledgers and the workers' heartbeats.
+ * The scheduler of one term of leadership, from the leader's claim until it is fenced. Its state ends with the term; the next leader rebuilds it from
+ * the ledgers and the workers' heartbeats.
  *
- * <p>This class only dispatches to the components that own the state: {@link HeartbeatReconciler}, {@link JobReconciler} and {@link FailoverRecovery} update
- * the cluster state, {@link Evictions}, {@link PlacementPlanner} and {@link Autoscaler} make decisions, and {@link WriteBatches} writes to the store. The
- * order in which one call invokes them is part of the behavior. Times are microseconds of the leader's steady clock, except for the wall time of jobs. Not
- * thread-safe: called only by the leader's actor.
+ * <p>This class only dispatches to the components that own the state: {@link HeartbeatReconciler}, {@link JobReconciler} and {@link FailoverRecovery}
+ * update the cluster state, {@link Evictions}, {@link PlacementPlanner} and {@link Autoscaler} make decisions, and {@link WriteBatches} writes to the
+ * store. The order in which one call invokes them is part of the behavior. Times are microseconds of the leader's steady clock, except for the wall
+ * time of jobs. Not thread-safe: called only by the leader's actor.
  */
 public final class Scheduler
         implements HeartbeatListener, StoredStateListener, WriteBatchSource, CloudCallSource, TermStatus {
@@ -121,8 +121,9 @@
     }
 
     /**
-     * Sets the time until which the leader certainly holds its lease. After that time no task is started and no machine is rented or returned: a leader whose
-     * process was paused for 20 s regards every task as lost, and a machine that does not know the leader's successor yet would still execute its starts.
+     * Sets the time until which the leader certainly holds its lease. After that time no task is started and no machine is rented or returned: a
+     * leader whose process was paused for 20 s regards every task as lost, and a machine that does not know the leader's successor yet would still
+     * execute its starts.
      *
      * @param untilMicros end of the lease as it is known now
      */
@@ -131,8 +132,8 @@
     }
 
     /**
-     * Records that this process resumed after a pause during which its clock ran on. The state that it read before is outdated, and a machine without recent
-     * heartbeats is not evidence of a failure until its worker has had time to send the next one.
+     * Records that this process resumed after a pause during which its clock ran on. The state that it read before is outdated, and a machine without
+     * recent heartbeats is not evidence of a failure until its worker has had time to send the next one.
      *
      * @param nowMicros time at which the process resumed
      */
--- a/src/main/java/io/micatide/scheduler/SchedulerComponents.java
+++ b/src/main/java/io/micatide/scheduler/SchedulerComponents.java
@@ -4,8 +4,8 @@
 import io.micatide.model.Tuning;
 
 /**
- * Creates and holds the components of the scheduler of one term. Each component owns its state and depends only on components that are declared before it;
- * {@link Scheduler} calls them in the order that a message requires.
+ * Creates and holds the components of the scheduler of one term. Each component owns its state and depends only on components that are declared
+ * before it; {@link Scheduler} calls them in the order that a message requires.
  */
 final class SchedulerComponents {
     final Settings settings;
--- a/src/main/java/io/micatide/scheduler/StartGuard.java
+++ b/src/main/java/io/micatide/scheduler/StartGuard.java
@@ -4,12 +4,12 @@
 import io.micatide.model.Settings;
 
 /**
- * Decides whether the leader may act on the state that it knows. Three times matter: the last read of the store, the end of the lease, and the last time that
- * the process resumed after a pause.
+ * Decides whether the leader may act on the state that it knows. Three times matter: the last read of the store, the end of the lease, and the last
+ * time that the process resumed after a pause.
  *
- * <p>Invariants: a task is started only while the lease is certainly held and the store, which holds the cancellations, was read recently; a read that was
- * requested before a pause of the process never counts. Machines without heartbeats are regarded as failed only after they had time to send one to the
- * resumed process.
+ * <p>Invariants: a task is started only while the lease is certainly held and the store, which holds the cancellations, was read recently; a read
+ * that was requested before a pause of the process never counts. Machines without heartbeats are regarded as failed only after they had time to send
+ * one to the resumed process.
  */
 final class StartGuard {
     /** Tasks are started only if the last read of the store was requested within this time. */
--- a/src/main/java/io/micatide/scheduler/StoredStateListener.java
+++ b/src/main/java/io/micatide/scheduler/StoredStateListener.java
@@ -8,8 +8,8 @@
 /**
  * Receives the stored state: all records when a term begins, and later changes.
  *
- * <p>Records of jobs come first, from a read that began after the claim of the term, then the other records in any order, then {@link #allRecordsLoaded}.
- * Called only by the leader's actor. Times are microseconds of the leader's steady clock.
+ * <p>Records of jobs come first, from a read that began after the claim of the term, then the other records in any order, then {@link
+ * #allRecordsLoaded}. Called only by the leader's actor. Times are microseconds of the leader's steady clock.
  */
 public interface StoredStateListener {
     /**
@@ -69,8 +69,8 @@
     void machineDeletionLoaded(String key, StoredRecord.MachinesToDelete record, long version, long nowMicros);
 
     /**
-     * Applies the layout record, which is stored once every controller can read the current layout. Values that a previous version of the program cannot read
-     * may be written from then on, on condition that the layout record is unchanged.
+     * Applies the layout record, which is stored once every controller can read the current layout. Values that a previous version of the program
+     * cannot read may be written from then on, on condition that the layout record is unchanged.
      *
      * @param version version of the record
      * @param layout stored value
--- a/src/main/java/io/micatide/scheduler/TaskOutcomes.java
+++ b/src/main/java/io/micatide/scheduler/TaskOutcomes.java
@@ -9,10 +9,11 @@
 import java.util.List;
 
 /**
- * Handles tasks that exited: marks a completed task as finished or attributes a failure, records the observed run time, and sends the worker a reap command
- * when it may discard the task.
+ * Handles tasks that exited: marks a completed task as finished or attributes a failure, records the observed run time, and sends the worker a reap
+ * command when it may discard the task.
  *
- * <p>Invariant: a worker may discard a completed task only once a confirmed write holds the completion; until then its heartbeats are the only record of it.
+ * <p>Invariant: a worker may discard a completed task only once a confirmed write holds the completion; until then its heartbeats are the only record
+ * of it.
  */
 final class TaskOutcomes {
     private final Fleet fleet;
