--- a/src/main/java/io/micatide/scheduler/FailoverRecovery.java
+++ b/src/main/java/io/micatide/scheduler/FailoverRecovery.java
@@ -83,7 +83,7 @@
         return job;
     }
 
-    /** Adds the machines that the ledgers name to the fleet, after all records have been read. */
+    /** Completes the load after all records have been read: adds the machines that the ledgers name to the fleet as awaited, and applies the hints. */
     void allRecordsLoaded(long nowMicros) {
         loading = false;
         for (Job job : ledgers.jobs()) {
@@ -111,7 +111,7 @@
         reconcileLedgers(machine.name, nowMicros);
     }
 
-    /** Stops waiting for a machine whose deletion is confirmed. */
+    /** Counts an awaited machine as reconciled when its deletion is confirmed. */
     void machineDeleted(Machine machine, long nowMicros) {
         if (machine.isAwaitedAfterFailover) {
             progress.machineReconciled(nowMicros);
