--- a/src/main/java/io/micatide/scheduler/FailoverRecovery.java
+++ b/src/main/java/io/micatide/scheduler/FailoverRecovery.java
@@ -83,7 +83,9 @@
         return job;
     }
 
-    /** Completes the load after all records have been read: adds the machines that the ledgers name to the fleet as awaited, and applies the hints. */
+    /**
+     * Completes the load after all records have been read: adds the machines that the ledgers name to the fleet as awaited, and applies the hints.
+     */
     void allRecordsLoaded(long nowMicros) {
         loading = false;
         for (Job job : ledgers.jobs()) {
