--- a/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
+++ b/src/main/java/io/micatide/scheduler/DeadMachineDetector.java
@@ -12,45 +12,50 @@
 import java.util.Set;
 
 /**
- * Marks machines for deletion that fell silent, hang or never came up. Invariant: none is marked while it may be the leader
- * that is cut off.
+ * Marks machines for deletion that stopped sending heartbeats, hang or never completed their boot.
+ *
+ * <p>Invariant: no machine is marked while the leader itself may be the one that lost its connection.
  */
 final class DeadMachineDetector {
-    /** Of a type that is not known. */
+    /** Boot time of machines of unknown type. */
     private static final long DEFAULT_BOOT_MICROS = 60 * Micros.SECOND;
 
     private static final int BOOT_TIMEOUT_FACTOR = 4;
     private static final long BOOT_TIMEOUT_MARGIN_MICROS = 20 * Micros.SECOND;
-    /** Machines that have reported are dead after so many times their lease. */
+    /** Number of lease durations without a heartbeat after which a reconciled machine counts as dead. */
     private static final int DEAD_AFTER_LEASES = 4;
-    /** A zone is reachable if at least one in so many of its machines has reported just now. */
-    private static final int REACHABLE_ZONE_SHARE = 2;
-    /** One unresponsive machine in so many may have hung by itself. */
-    private static final int FEW_SHARE = 20;
+    /** A zone is reachable if at least one in this number of its known machines has sent a heartbeat recently. */
+    private static final int REACHABLE_ZONE_DIVISOR = 2;
+    /** Up to one in this number of machines may hang independently of the others; more unresponsive machines suggest a common cause. */
+    private static final int FEW_UNRESPONSIVE_DIVISOR = 20;
 
     private final Settings settings;
     private final Fleet fleet;
 
-    /** What one look at all machines found. */
+    /** Result of one examination of all machines. */
     private static final class Survey {
-        int heardFrom;
-        int silent;
-        int neverHeardFrom;
+        /** Machines that have sent a heartbeat in this term. */
+        int reportedCount;
+        /** Those of them whose worker lease has certainly expired. */
+        int silentCount;
+        /** Machines without a heartbeat and without a known boot whose time for the first heartbeat has passed. */
+        int neverReportedCount;
+
         final List<Machine> dead = new ArrayList<>();
-        /** Those that miss heartbeats and may be alive; a machine may stand here twice and counts as two then. */
+        /** Machines that miss heartbeats and may be alive. A machine may be listed twice and then counts twice. */
         final List<Machine> unresponsive = new ArrayList<>();
 
         /**
-         * Nearly all silent at once: it is the leader that is cut off, and the machines may be fine. That holds for a new
-         * leader too that no worker has reached yet: one once returned all 334 machines 15 s after its claim.
+         * Returns whether more than half of the machines, and more than two, are silent at once: then the leader has lost its connection and the
+         * machines may be healthy. This includes a new leader that no worker has reached yet; one returned all 334 machines 15 s after its claim.
          */
-        boolean isLeaderCutOff() {
-            int unheard = silent + neverHeardFrom;
-            return unheard * 2 > heardFrom + neverHeardFrom && unheard > 2;
+        boolean isLeaderDisconnected() {
+            int withoutContact = silentCount + neverReportedCount;
+            return withoutContact * 2 > reportedCount + neverReportedCount && withoutContact > 2;
         }
 
         boolean areFewUnresponsive() {
-            return unresponsive.size() <= Math.max(1, heardFrom / FEW_SHARE);
+            return unresponsive.size() <= Math.max(1, reportedCount / FEW_UNRESPONSIVE_DIVISOR);
         }
     }
 
@@ -62,14 +67,14 @@
     /**
      * Marks dead and hung machines for deletion.
      *
-     * @param termStartMicros when this leader's term began: before that it heard of nothing
+     * @param termStartMicros start of this leader's term, before which it received no heartbeats
      */
     void markDeadMachines(long nowMicros, long termStartMicros) {
         Survey survey = new Survey();
         for (Machine machine : fleet.machines()) {
             examine(machine, survey, nowMicros, termStartMicros);
         }
-        if (survey.isLeaderCutOff()) {
+        if (survey.isLeaderDisconnected()) {
             return;
         }
         for (Machine machine : survey.dead) {
@@ -83,34 +88,34 @@
             survey.unresponsive.add(machine);
         }
         if (machine.lastHeartbeatMicros >= 0) {
-            examineHeardFrom(machine, survey, nowMicros);
+            examineReported(machine, survey, nowMicros);
         } else if (machine.bootStartedMicros >= 0) {
             if (nowMicros - machine.bootStartedMicros > bootTimeoutMicros(machine)) {
                 survey.dead.add(machine);
             }
         } else if (nowMicros - Math.max(termStartMicros, machine.knownSinceMicros) > firstHeartbeatTimeoutMicros()) {
-            survey.neverHeardFrom++;
+            survey.neverReportedCount++;
             survey.dead.add(machine);
         }
     }
 
-    /** A ledger names it, and it has not found the new leader. */
+    /** Returns whether a machine that a ledger names has not found the new leader in time. */
     private boolean missesFirstHeartbeatOfTerm(Machine machine, long nowMicros, long termStartMicros) {
-        long lastHeardMicros = Math.max(termStartMicros, machine.lastHeartbeatMicros);
-        return machine.awaitedAfterFailover
+        long lastContactMicros = Math.max(termStartMicros, machine.lastHeartbeatMicros);
+        return machine.isAwaitedAfterFailover
                 && !machine.deletionRequested
-                && nowMicros - lastHeardMicros > unresponsiveAfterMicros() + Micros.SECOND;
+                && nowMicros - lastContactMicros > unresponsiveAfterMicros() + Micros.SECOND;
     }
 
-    private void examineHeardFrom(Machine machine, Survey survey, long nowMicros) {
+    private void examineReported(Machine machine, Survey survey, long nowMicros) {
         long silentMicros = nowMicros - machine.lastHeartbeatMicros;
-        survey.heardFrom++;
-        if (machine.reconciled && !machine.deletionRequested && silentMicros > unresponsiveAfterMicros()) {
+        survey.reportedCount++;
+        if (machine.isReconciled && !machine.deletionRequested && silentMicros > unresponsiveAfterMicros()) {
             survey.unresponsive.add(machine);
         }
         if (silentMicros > settings.workerLeaseExpiryMicros()) {
-            survey.silent++;
-            if (!machine.reconciled || silentMicros > DEAD_AFTER_LEASES * settings.workerLeaseExpiryMicros()) {
+            survey.silentCount++;
+            if (!machine.isReconciled || silentMicros > DEAD_AFTER_LEASES * settings.workerLeaseExpiryMicros()) {
                 survey.dead.add(machine);
             }
         }
@@ -131,34 +136,35 @@
     }
 
     /**
-     * One machine alone that says nothing has hung or lost its network, and most likely loses its tasks: once its deletion is
-     * answered they may start elsewhere, some seconds before its lease is certainly over. The same holds for one that a
-     * ledger names and that has not found a new leader while all others have.
+     * Marks unresponsive machines while the leader is reachable. A single unresponsive machine hangs or has lost its network, and most likely loses
+     * its tasks: once its deletion is confirmed, the tasks may start on other machines some seconds before its lease has certainly expired. The same
+     * holds for a machine that a ledger names and that has not found a new leader while all others have.
      */
     private void markHungMachines(Survey survey, long nowMicros) {
         boolean areFew = survey.areFewUnresponsive();
         Set<String> reachableZones = areFew ? Set.of() : reachableZones(nowMicros);
         for (Machine machine : survey.unresponsive) {
             boolean isLeaderReachable = areFew || (machine.zone != null && reachableZones.contains(machine.zone));
-            // Not for tasks of arrays alone: a machine that hangs is there again before another one has booted.
-            if (isLeaderReachable && (machine.awaitedAfterFailover || hasReplica(machine))) {
+            // Array tasks alone don't justify a deletion: a machine that hangs recovers before a replacement
+            // has booted.
+            if (isLeaderReachable && (machine.isAwaitedAfterFailover || hasReplica(machine))) {
                 machine.deletionRequested = true;
             }
         }
     }
 
     /**
-     * Zones of which most machines have reported just now: what is silent there is not cut off with its zone, nor is the
-     * leader from it. A tenth of a fleet that died at once was neither one machine nor most of them, and its tasks waited
-     * until the lease of each was certainly over: 17.8 s, and 24 s after a failover, while all jobs that it held up waited
-     * with processors free around them.
+     * Returns the zones in which at least half of the known machines have sent a heartbeat recently. Neither the zone nor the leader's connection to
+     * it has failed then, so the unresponsive machines in it have. Without this rule a tenth of a fleet that failed at once was neither a single
+     * machine nor most of the fleet, and its tasks waited until the lease of each machine had certainly expired: 17.8 s, and 24 s after a failover.
+     * All jobs that these tasks delayed waited as long, although CPUs on other machines were free.
      */
     private Set<String> reachableZones(long nowMicros) {
         Multiset<String> known = HashMultiset.create();
         Multiset<String> reporting = HashMultiset.create();
         for (Machine machine : fleet.machines()) {
             boolean hasReported = machine.lastHeartbeatMicros >= 0;
-            if (machine.zone != null && !machine.deletionRequested && (hasReported || machine.awaitedAfterFailover)) {
+            if (machine.zone != null && !machine.deletionRequested && (hasReported || machine.isAwaitedAfterFailover)) {
                 known.add(machine.zone);
                 if (hasReported && nowMicros - machine.lastHeartbeatMicros < unresponsiveAfterMicros() / 2) {
                     reporting.add(machine.zone);
@@ -167,7 +173,7 @@
         }
         Set<String> reachable = new HashSet<>();
         for (String zone : known.elementSet()) {
-            if (reporting.count(zone) * REACHABLE_ZONE_SHARE >= known.count(zone)) {
+            if (reporting.count(zone) * REACHABLE_ZONE_DIVISOR >= known.count(zone)) {
                 reachable.add(zone);
             }
         }
--- a/src/main/java/io/micatide/scheduler/FailoverProgress.java
+++ b/src/main/java/io/micatide/scheduler/FailoverProgress.java
@@ -4,11 +4,11 @@
 import java.util.Locale;
 
 /**
- * How a term got back what the one before knew: when half, nine tenths and 99% of the machines that the ledgers name were confirmed, and
- * when the first task was started. One line for the log, once; operators see from it what a take-over cost them.
+ * Records how fast a term rebuilt the state of the previous term: when 50%, 90% and 99% of the machines that the ledgers name were reconciled, and
+ * when the first task was started. The result is logged once as one line, which shows operators how long a failover took.
  */
 final class FailoverProgress implements FailoverTimings {
-    private static final double[] SHARES = {0.5, 0.9, 0.99};
+    private static final double[] RECONCILED_SHARES = {0.5, 0.9, 0.99};
 
     private final long termStartMicros;
     private final long[] reconciledAtMicros = {-1, -1, -1};
@@ -16,25 +16,30 @@
     private int reconciledMachines;
     private long stateLoadedAtMicros = -1;
     private long firstStartMicros = -1;
-    private boolean logged;
+    private boolean wasLogged;
 
-    FailoverProgress(long beganMicros) {
-        this.termStartMicros = beganMicros;
+    FailoverProgress(long claimedMicros) {
+        this.termStartMicros = claimedMicros;
     }
 
-    /** All rows are read. {@code machines}: how many the ledgers name. */
+    /**
+     * Records that all records are read.
+     *
+     * @param machines number of machines that the ledgers name
+     */
     void stateLoaded(int machines, long nowMicros) {
         expectedMachines = machines;
         stateLoadedAtMicros = nowMicros;
         recordSharesReached(nowMicros);
     }
 
-    /** A machine that a ledger names has settled: it reported under this term, or is gone. */
+    /** Counts a machine that a ledger names as reconciled: it sent a heartbeat under this term or was deleted. */
     void machineReconciled(long nowMicros) {
         reconciledMachines++;
         recordSharesReached(nowMicros);
     }
 
+    /** Records the start of a task; only the first one counts. */
     void taskStarted(long nowMicros) {
         if (firstStartMicros < 0) {
             firstStartMicros = nowMicros;
@@ -47,8 +52,8 @@
     }
 
     @Override
-    public long machinesReconciledMicros(int share) {
-        return sinceTermStart(reconciledAtMicros[share]);
+    public long machinesReconciledMicros(int shareIndex) {
+        return sinceTermStart(reconciledAtMicros[shareIndex]);
     }
 
     @Override
@@ -61,19 +66,26 @@
     }
 
     private void recordSharesReached(long nowMicros) {
-        for (int each = 0; each < SHARES.length; each++) {
-            if (reconciledAtMicros[each] < 0 && reconciledMachines >= Math.ceil(expectedMachines * SHARES[each])) {
-                reconciledAtMicros[each] = nowMicros;
+        for (int share = 0; share < RECONCILED_SHARES.length; share++) {
+            if (reconciledAtMicros[share] < 0
+                    && reconciledMachines >= Math.ceil(expectedMachines * RECONCILED_SHARES[share])) {
+                reconciledAtMicros[share] = nowMicros;
             }
         }
     }
 
-    /** Null until 99% are confirmed and something was started, or with no machines; then the line, once. */
+    /**
+     * Returns the log line once 99% of the machines are reconciled and a task was started; null before, after the first time, or if no ledger names a
+     * machine.
+     */
     String logLine() {
-        if (logged || expectedMachines == 0 || reconciledAtMicros[SHARES.length - 1] < 0 || firstStartMicros < 0) {
+        if (wasLogged
+                || expectedMachines == 0
+                || reconciledAtMicros[RECONCILED_SHARES.length - 1] < 0
+                || firstStartMicros < 0) {
             return null;
         }
-        logged = true;
+        wasLogged = true;
         return String.format(
                 Locale.ROOT,
                 "recovery: rebuilt after %s; of %d machines 50%% confirmed after %s, 90%% %s, 99%% %s; first start"
--- a/src/main/java/io/micatide/scheduler/FleetForecast.java
+++ b/src/main/java/io/micatide/scheduler/FleetForecast.java
@@ -32,7 +32,7 @@
         Resources spot = Resources.NONE;
         for (Machine machine : fleet.machines()) {
             if (isBooting(machine, nowMicros) || isUnreconciled(machine, nowMicros)) {
-                if (machine.spot) {
+                if (machine.isSpot) {
                     spot = spot.plus(machine.freeCapacity());
                 } else {
                     onDemand = onDemand.plus(machine.freeCapacity());
@@ -64,7 +64,7 @@
 
     /** Returns whether the machine sends heartbeats, but none has confirmed this leader's fencing token yet. */
     private boolean isUnreconciled(Machine machine, long nowMicros) {
-        return !machine.reconciled
+        return !machine.isReconciled
                 && machine.lastHeartbeatMicros >= 0
                 && machine.capacity() != null
                 && !machine.deletionRequested
@@ -92,6 +92,6 @@
     }
 
     private boolean isOrWillBeSchedulable(Machine machine, long nowMicros) {
-        return machine.isSchedulable(nowMicros, settings) || isBooting(machine, nowMicros) || !machine.reconciled;
+        return machine.isSchedulable(nowMicros, settings) || isBooting(machine, nowMicros) || !machine.isReconciled;
     }
 }
--- a/src/main/java/io/micatide/scheduler/JobReconciler.java
+++ b/src/main/java/io/micatide/scheduler/JobReconciler.java
@@ -5,10 +5,10 @@
 import io.micatide.store.StoredRecord;
 
 /**
- * Squares the open jobs with their records in the store.
+ * Reconciles the open jobs with their records in the store.
  *
- * <p>Invariants: a job is open here exactly while its record says so and nothing that it depends on is unfinished. A cancelled job stays until nothing of it
- * can be on a machine; it starts nothing, and all that it has is stopped.
+ * <p>Invariants: a job is open here exactly while its record is open and all of its dependencies are finished. A cancelled job stays until none of
+ * its tasks can be on a machine; no task of it is started, and its existing tasks are stopped.
  */
 final class JobReconciler {
     private final JobLedgers ledgers;
@@ -27,10 +27,10 @@
     }
 
     /**
-     * A record of a job was read, or what it depends on has changed.
+     * Applies a job after its record was read or its dependencies changed.
      *
-     * @param wallMicros the time of day, used only for the ages of jobs
-     * @param nowMicros the time, steady clock
+     * @param wallMicros time of day, used only for the ages of jobs
+     * @param nowMicros current time of the steady clock
      */
     void jobChanged(JobCache.View view, long wallMicros, long nowMicros) {
         String id = view.id();
@@ -48,13 +48,13 @@
         ledgers.removeDependencyCancellation(id);
         if (record.state() == JobState.OPEN) {
             long readyMicros = nowMicros - Math.max(0, wallMicros - view.readyWall());
-            jobOpen(view, submittedMicros, readyMicros);
+            applyOpenRecord(view, submittedMicros, readyMicros);
         } else {
-            jobEnded(id, record, nowMicros);
+            applyFinalRecord(id, record, nowMicros);
         }
     }
 
-    private void jobOpen(JobCache.View view, long submittedMicros, long readyMicros) {
+    private void applyOpenRecord(JobCache.View view, long submittedMicros, long readyMicros) {
         Job job = ledgers.get(view.id());
         if (job != null) {
             job.version = view.version();
@@ -65,7 +65,7 @@
         dagInheritance.openJobAdded();
     }
 
-    private void jobEnded(String id, StoredRecord.JobRecord record, long nowMicros) {
+    private void applyFinalRecord(String id, StoredRecord.JobRecord record, long nowMicros) {
         Job job = ledgers.get(id);
         boolean isCancelled = record.state() == JobState.CANCELLED;
         if (job == null) {
@@ -76,7 +76,8 @@
             if (isCancelled) {
                 cancel(job, nowMicros);
             } else if (!job.writeInFlight) {
-                // Only a leader writes this, so it was our own write whose answer is still to come or was lost.
+                // Only a leader writes completions, so this was written by this leader, and the response
+                // was lost or is still outstanding.
                 ledgers.removeJob(job);
             }
         }
@@ -85,13 +86,13 @@
     private void cancel(Job job, long nowMicros) {
         job.cancelled = true;
         placements.removeOrStopAll(job, 0, nowMicros);
-        placements.markLedgerIfStopped(job, nowMicros);
+        placements.markLedgerDirtyIfStopped(job, nowMicros);
     }
 
     /**
-     * A record of a job was read back after a write of unknown outcome: our own completion of it, a cancellation, or still open.
+     * Applies the record of a job that was read back after a write of unknown outcome: completed by this leader, cancelled, or still open.
      *
-     * @param version of the record
+     * @param version version of the record
      */
     void jobReadBack(String id, StoredRecord.JobRecord record, long version, long nowMicros) {
         Job job = ledgers.get(id);
--- a/src/main/java/io/micatide/scheduler/MachineSelection.java
+++ b/src/main/java/io/micatide/scheduler/MachineSelection.java
@@ -22,7 +22,7 @@
      * tasks.
      */
     static final Comparator<Machine> LEAST_FREE_CAPACITY_FIRST = Comparator.comparing(
-                    (Machine machine) -> !machine.spot)
+                    (Machine machine) -> !machine.isSpot)
             .thenComparing(machine -> machine.freeCapacity().cpus());
 
     /**
@@ -92,7 +92,7 @@
      */
     static boolean isFeasible(Job job, Machine machine, long nowMicros) {
         JobSpec spec = job.spec;
-        return spec.allowsMachine(machine.type, machine.zone, machine.spot)
+        return spec.allowsMachine(machine.type, machine.zone, machine.isSpot)
                 && !job.failedMachines.contains(machine.name)
                 && (spec.kind() == JobKind.SERVICE || machine.slowUntilMicros < nowMicros);
     }
--- a/src/main/java/io/micatide/scheduler/Preemption.java
+++ b/src/main/java/io/micatide/scheduler/Preemption.java
@@ -148,7 +148,7 @@
     }
 
     private Estimate estimate(Job job, Machine machine) {
-        Estimates estimates = machine.estimates;
+        Estimates estimates = machine.preemptionEstimates;
         PreemptionRequest last = estimates.lastRequest;
         if (last != null
                 && last.priority() == job.priority()
@@ -181,7 +181,7 @@
 
     /** Returns whether the machine has arrays of the job's priority, including arrays of the job's own team. */
     private static boolean hasArraysOfSamePriority(Job job, Machine machine) {
-        Estimates estimates = machine.estimates;
+        Estimates estimates = machine.preemptionEstimates;
         if (estimates.hasArraysOfPriority == null) {
             estimates.hasArraysOfPriority = new boolean[Priority.values().length];
             for (Placement placement : machine.placements) {
--- a/src/main/java/io/micatide/scheduler/TermSummary.java
+++ b/src/main/java/io/micatide/scheduler/TermSummary.java
@@ -5,7 +5,7 @@
 import io.micatide.model.Settings;
 import io.micatide.model.TaskState;
 
-/** What a leader tells of its term in one line of the log: counts of jobs, machines and what runs on them, at one moment. */
+/** The one-line summary of a term for the log: counts of jobs, machines and running tasks at the time of construction. */
 final class TermSummary {
     private final Fleet fleet;
     private final JobLedgers ledgers;
@@ -34,23 +34,23 @@
         }
     }
 
-    private void count(Machine machine, boolean isUsable) {
-        reconciledMachines += machine.reconciled ? 1 : 0;
+    private void count(Machine machine, boolean isSchedulable) {
+        reconciledMachines += machine.isReconciled ? 1 : 0;
         bootingMachines += machine.lastHeartbeatMicros < 0 ? 1 : 0;
-        if (isUsable) {
+        if (isSchedulable) {
             schedulableMachines++;
             capacity = capacity.plus(machine.capacity());
             used = used.plus(machine.used);
-            spotCpus += machine.spot ? machine.capacity().cpus() : 0;
+            spotCpus += machine.isSpot ? machine.capacity().cpus() : 0;
         }
-        int before = replicas;
+        int replicasBefore = replicas;
         for (Placement placement : machine.placements) {
             replicas += placement.job.spec.kind() == JobKind.SERVICE ? 1 : 0;
             if (placement.phase == Placement.Phase.REPORTED && placement.state == TaskState.RUNNING) {
                 runningCpus += placement.job.spec.taskResources().cpus();
             }
         }
-        machinesWithReplicas += replicas > before ? 1 : 0;
+        machinesWithReplicas += replicas > replicasBefore ? 1 : 0;
     }
 
     private void count(Job job) {
@@ -61,18 +61,24 @@
     }
 
     /**
-     * The line; processors are whole ones.
+     * Returns the log line, with CPUs rounded down to whole numbers.
      *
-     * @param awaiting jobs that wait for others
-     * @param slowFound machines that were found slow in this term
+     * @param waitingJobs number of jobs that wait for their dependencies
+     * @param slowMachinesFound number of times that a machine was found slow in this term
      */
-    String line(int awaiting, PlacementPlanner planner, int slowFound, ProvisioningRequests rentals) {
-        return "jobs=" + ledgers.jobs().size() + " awaiting=" + awaiting + " waiting=" + pendingTasks + " unsettled="
+    String line(
+            int waitingJobs,
+            PlacementPlanner planner,
+            int slowMachinesFound,
+            ProvisioningRequests provisioningRequests) {
+        return "jobs=" + ledgers.jobs().size() + " awaiting=" + waitingJobs + " waiting=" + pendingTasks + " unsettled="
                 + unreconciledJobs + " machines=" + fleet.machines().size() + " confirmed=" + reconciledMachines
                 + " usable=" + schedulableMachines + " cpus=" + used.cpus() / 1000 + "/" + capacity.cpus() / 1000
                 + " running=" + runningCpus / 1000 + " spot=" + spotCpus / 1000 + " booting=" + bootingMachines
                 + " replicas=" + replicas + " serving=" + machinesWithReplicas + " looked=" + planner.machinesExamined()
-                + " cut=" + planner.truncatedPlans() + " evicted=" + planner.evictionCounts() + " slow=" + slowFound
-                + " suspect=" + quarantinedJobs + " full=" + fullLedgers + " bookings=" + rentals.requests.size();
+                + " cut=" + planner.truncatedPlans() + " evicted=" + planner.evictionCounts() + " slow="
+                + slowMachinesFound
+                + " suspect=" + quarantinedJobs + " full=" + fullLedgers + " bookings="
+                + provisioningRequests.requests.size();
     }
 }
--- a/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
+++ b/src/test/java/io/micatide/scheduler/FreeCapacityIndexTest.java
@@ -26,7 +26,7 @@
         int action = random.nextInt(10);
         if (action < 4 || fleet.machines().isEmpty()) {
             Machine machine = fleet.getOrAdd("i-" + addedMachines++, step);
-            fleet.describe(machine, TYPE.name(), "a", false);
+            fleet.updateTypeAndZone(machine, TYPE.name(), "a", false);
         } else if (action < 7) {
             fleet.markDeleted(randomMachine().name, step);
         } else if (randomMachine().placements.isEmpty()) {
--- a/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
+++ b/src/test/java/io/micatide/scheduler/MachineSelectionTest.java
@@ -51,7 +51,7 @@
     void spotMachinesWithTheImageRankFirst() {
         Machine onDemand = machine("on-demand", 2, true);
         Machine spot = machine("spot", 16, true);
-        spot.spot = true;
+        spot.isSpot = true;
         assertEquals(spot, MachineSelection.bestFitting(job, List.of(onDemand, spot)));
     }
 }
--- a/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
+++ b/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
@@ -40,7 +40,7 @@
         harness.takeOver();
         harness.run(Micros.SECOND * 30);
         assertEquals(JobState.DONE, harness.state("wk-1"));
-        List<String> completions = harness.leader.takeCompletions(harness.now);
+        List<String> completions = harness.leader.takeCompletionLines(harness.now);
         assertTrue(completions.get(0).contains("20.0 s expected"), completions.get(0));
     }
 }
