--- a/src/main/java/io/micatide/controller/Actor.java
+++ b/src/main/java/io/micatide/controller/Actor.java
@@ -25,8 +25,8 @@
     }
 
     /** The executor's time of day, in microseconds since 1970. */
-    final long wall() {
-        return executor.wall();
+    final long wallClockMicros() {
+        return executor.wallClockMicros();
     }
 
     /** Sends a message, which is handled after those sent before. An exception in its handling is logged and ends nothing. */
@@ -46,7 +46,7 @@
     }
 
     /** A callback that turns the answer to a request into a message to this actor. */
-    final Consumer<Reply> answer(Function<Reply, M> message) {
+    final Consumer<Reply> onReply(Function<Reply, M> message) {
         return reply -> tell(message.apply(reply));
     }
 
--- a/src/main/java/io/micatide/controller/ActorExecutor.java
+++ b/src/main/java/io/micatide/controller/ActorExecutor.java
@@ -29,5 +29,5 @@
      *
      * @return microseconds since 1970
      */
-    long wall();
+    long wallClockMicros();
 }
--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -140,7 +140,7 @@
             List<PendingLookup> waiting = lookupsBySegment.get(key);
             if (waiting == null) {
                 lookupsBySegment.put(key, new ArrayList<>(List.of(question)));
-                store.read(key, answer(r -> new SegmentRead(r, key)));
+                store.read(key, onReply(r -> new SegmentRead(r, key)));
             } else {
                 waiting.add(question);
             }
@@ -227,7 +227,7 @@
         }
         filterKey = wanted;
         lookupsBySegment.put(wanted, new ArrayList<>());
-        store.read(wanted, answer(r -> new SegmentRead(r, wanted)));
+        store.read(wanted, onReply(r -> new SegmentRead(r, wanted)));
     }
 
     private void scheduleFilterBuild(long micros) {
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -125,7 +125,7 @@
 
     private Consumer<Reply> answerTo(ArchiveOperation operation) {
         long term = fencingToken;
-        return answer(reply -> new OperationAnswered(reply, term, operation));
+        return onReply(reply -> new OperationAnswered(reply, term, operation));
     }
 
     private void operationAnswered(OperationAnswered message) {
--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -40,7 +40,7 @@
     /** The job cache holds all that the store had when the read was sent. */
     void storeRead(LeaderMessage.StoreRead message) {
         readRevision = Math.max(readRevision, message.revision());
-        horizon.storeRead(message.askedMicros());
+        horizon.storeRead(message.requestSentMicros());
     }
 
     // ---- the leader's side
@@ -60,7 +60,7 @@
     /** The jobs of a digest are in the job cache, and the term has been told of them. */
     void digestRecorded(LeaderMessage.DigestRecorded message) {
         if (!horizon.digestReceived(
-                message.peer(), message.digest(), message.askedMicros(), message.receivedMicros())) {
+                message.peer(), message.digest(), message.requestSentMicros(), message.receivedMicros())) {
             LOG.debug(
                     "cancellation digest of {} leaves a gap: uptime {} us, complete: {}",
                     message.digest().controller(),
--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -76,7 +76,7 @@
         Transaction put = new Transaction(
                 List.of(new Transaction.Condition(StoreKeys.job(id), entry.version())),
                 List.of(new Transaction.Write(StoreKeys.job(id), row, 0)));
-        store.transaction(put, owner.answer(r -> new UsersActor.CancellationWritten(r, request, row, id, tries)));
+        store.transaction(put, owner.onReply(r -> new UsersActor.CancellationWritten(r, request, row, id, tries)));
     }
 
     /**
--- a/src/main/java/io/micatide/controller/Clock.java
+++ b/src/main/java/io/micatide/controller/Clock.java
@@ -22,7 +22,7 @@
      *
      * @return microseconds since 1970, of a resolution of milliseconds
      */
-    public static long wall() {
+    public static long wallClockMicros() {
         return System.currentTimeMillis() * Micros.MILLISECOND;
     }
 }
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -50,7 +50,7 @@
      */
     void send(CloudCall call, long nowMicros) {
         long fencingToken = scheduler.fencingToken();
-        Consumer<Reply> answer = owner.answer(reply -> new TermMessage.CloudCallAnswered(reply, fencingToken, call));
+        Consumer<Reply> answer = owner.onReply(reply -> new TermMessage.CloudCallAnswered(reply, fencingToken, call));
         if (call instanceof CloudCall.Rent rent) {
             String kind = rent.spot() ? "spot" : "on-demand";
             LOG.info("requests {} {} machines of type {} in {}", rent.count(), kind, rent.type(), rent.zone());
@@ -121,7 +121,7 @@
                 new Transaction.Write(StoreKeys.MACHINE_TYPES, new StoredRecord.MachineTypes(types), 0);
         store.transaction(
                 new Transaction(List.of(stillLeader), List.of(write)),
-                owner.answer(reply -> new TermMessage.MachineTypesWritten(reply, fencingToken)));
+                owner.onReply(reply -> new TermMessage.MachineTypesWritten(reply, fencingToken)));
     }
 
     /** The write of the machine types was answered; one that failed is made again with the next types. */
@@ -140,16 +140,16 @@
                 machines.addAll(page.machines());
                 if (page.more() && !page.machines().isEmpty()) {
                     String lastName = machines.get(machines.size() - 1).name();
-                    requestListPage(lastName, message.fencingToken(), message.askedMicros(), machines);
+                    requestListPage(lastName, message.fencingToken(), message.requestSentMicros(), machines);
                 } else {
-                    scheduler.machinesListed(machines, message.askedMicros(), owner.now());
+                    scheduler.machinesListed(machines, message.requestSentMicros(), owner.now());
                 }
                 return;
             } catch (MalformedException e) {
                 LOG.error("cloud: {}", e.getMessage());
             }
         }
-        scheduler.machinesListed(null, message.askedMicros(), owner.now());
+        scheduler.machinesListed(null, message.requestSentMicros(), owner.now());
     }
 
     /**
@@ -162,6 +162,7 @@
      */
     private void requestListPage(String after, long fencingToken, long askedMicros, List<ListedMachine> before) {
         cloud.list(
-                after, owner.answer(reply -> new TermMessage.MachinesListed(reply, fencingToken, askedMicros, before)));
+                after,
+                owner.onReply(reply -> new TermMessage.MachinesListed(reply, fencingToken, askedMicros, before)));
     }
 }
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -29,7 +29,7 @@
     record ReplicaLoaded(String prefix, List<StoreCodec.Item> records) implements Message {}
 
     /** A key or the page of a prefix after a key, null for the first one, is to be read. */
-    record ReadDue(String prefix, String after) implements Message {}
+    record ReadDue(String prefix, String afterKey) implements Message {}
 
     /** The store answered a read. */
     record ReadAnswered(Reply reply, ReadDue request) implements Message {}
@@ -96,9 +96,9 @@
 
     private void read(ReadDue request) {
         if (isSingleKey(request.prefix())) {
-            store.read(request.prefix(), answer(r -> new ReadAnswered(r, request)));
+            store.read(request.prefix(), onReply(r -> new ReadAnswered(r, request)));
         } else {
-            store.list(request.prefix(), request.after(), answer(r -> new ReadAnswered(r, request)));
+            store.list(request.prefix(), request.afterKey(), onReply(r -> new ReadAnswered(r, request)));
         }
     }
 
--- a/src/main/java/io/micatide/controller/HeartbeatHandler.java
+++ b/src/main/java/io/micatide/controller/HeartbeatHandler.java
@@ -19,7 +19,7 @@
     private final LeaderActor owner;
     private final String label;
     private final LeaderElection election;
-    private final WorkerConnectivity workers;
+    private final WorkerConnectivity workerConnectivity;
     private final CancellationExchange cancellations;
 
     /** @param label of this controller */
@@ -27,7 +27,7 @@
         this.owner = owner;
         this.label = label;
         this.election = collaborators.election();
-        this.workers = collaborators.workers();
+        this.workerConnectivity = collaborators.workerConnectivity();
         this.cancellations = collaborators.cancellations();
     }
 
@@ -54,13 +54,13 @@
     private void redirect(Heartbeat heartbeat, Request request) {
         String leader = election.leader();
         long now = owner.now();
-        workers.heartbeatRedirected(heartbeat, election.highestFencingToken(), now);
-        boolean isLeaderUnknown = label.equals(leader) || workers.isLeaderUnreachable(now);
+        workerConnectivity.heartbeatRedirected(heartbeat, election.highestFencingToken(), now);
+        boolean isLeaderUnknown = label.equals(leader) || workerConnectivity.isLeaderUnreachable(now);
         request.answer(421, WorkerCodec.elsewhere(isLeaderUnknown ? null : leader));
     }
 
     private void answerAsLeader(LeaderTerm term, Heartbeat heartbeat, Request request) {
-        workers.heartbeatReceived(owner.now());
+        workerConnectivity.heartbeatReceived(owner.now());
         if (cancellations.mayAnswerWorkers(owner.now())) {
             request.answer(200, WorkerCodec.answer(term.fencingToken(), term.handleHeartbeat(heartbeat)));
         } else {
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -116,7 +116,7 @@
     }
 
     void readPage(String after) {
-        store.list(StoreKeys.JOBS, after, owner.answer(r -> new UsersActor.JobPageRead(r, after)));
+        store.list(StoreKeys.JOBS, after, owner.onReply(r -> new UsersActor.JobPageRead(r, after)));
     }
 
     void pageRead(UsersActor.JobPageRead message) {
@@ -227,7 +227,7 @@
         refreshRequested = false;
         inFlightQuestions = new ArrayList<>(nextQuestions);
         nextQuestions.clear();
-        store.changes(StoreKeys.JOBS, jobCache.revision(), owner.answer(r -> new UsersActor.ChangesRead(r, now)));
+        store.changes(StoreKeys.JOBS, jobCache.revision(), owner.onReply(r -> new UsersActor.ChangesRead(r, now)));
     }
 
     void changesRead(UsersActor.ChangesRead message) {
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -21,11 +21,11 @@
     private static final long TICK_MICROS = 100 * Micros.MILLISECOND;
     private static final long LEASE_TICK_MICROS = 50 * Micros.MILLISECOND;
     /** No message for so long, with a timer every 50 ms, means that the process was paused. */
-    private static final long PAUSE_MICROS = Micros.SECOND;
+    private static final long PAUSE_THRESHOLD_MICROS = Micros.SECOND;
 
     private final LeaderCollaborators collaborators;
-    private final LeaderTermFactory terms;
-    private final HeartbeatHandler heartbeats;
+    private final LeaderTermFactory termFactory;
+    private final HeartbeatHandler heartbeatHandler;
     private final LeadershipTransfer transfer;
     private final PeerExchange peerExchange;
 
@@ -47,8 +47,8 @@
                 services.store(),
                 this);
         this.collaborators = collaborators(services, users, components, peers);
-        this.terms = new LeaderTermFactory(this, services, users, archiver, collaborators);
-        this.heartbeats = new HeartbeatHandler(this, settings.label(), collaborators);
+        this.termFactory = new LeaderTermFactory(this, services, users, archiver, collaborators);
+        this.heartbeatHandler = new HeartbeatHandler(this, settings.label(), collaborators);
         this.transfer = new LeadershipTransfer(this, services, users, collaborators);
         this.peerExchange = new PeerExchange(this, services.store(), users, collaborators, transfer);
     }
@@ -57,7 +57,7 @@
             ControllerServices services, UsersActor users, ControllerComponents components, PeerClients peers) {
         Settings settings = services.settings();
         Tuning tuning = services.tuning();
-        WorkerConnectivity workers = new WorkerConnectivity(settings, now());
+        WorkerConnectivity workerConnectivity = new WorkerConnectivity(settings, now());
         CancellationExchange cancellations = new CancellationExchange(settings, users);
         LeaderElection election = new LeaderElection(settings.label(), tuning.leaderLeaseMicros());
         RolloutParticipant rollout =
@@ -66,8 +66,9 @@
         StandbyActor standbyActor = tuning.standbyEnabled()
                 ? new StandbyActor(services.executor(), settings, services.store(), users, this, components.replicas())
                 : null;
-        StandbyCoordinator standby = new StandbyCoordinator(this, settings, peers, lease, standbyActor);
-        return new LeaderCollaborators(election, lease, workers, cancellations, standby, peers, rollout);
+        StandbyCoordinator standbyCoordinator = new StandbyCoordinator(this, settings, peers, lease, standbyActor);
+        return new LeaderCollaborators(
+                election, lease, workerConnectivity, cancellations, standbyCoordinator, peers, rollout);
     }
 
     /** How this controller's term began, null if it does not lead. */
@@ -77,12 +78,12 @@
 
     /** Whether the leader has designated this controller to take over. */
     boolean isDesignatedStandby() {
-        return collaborators.standby().isDesignated();
+        return collaborators.standbyCoordinator().isDesignated();
     }
 
     /** Shows {@code observer} the records that the standby's replicas bring to each failover to this controller. */
     void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> observer) {
-        collaborators.standby().standby().setReplicaObserver(observer);
+        collaborators.standbyCoordinator().standby().setReplicaObserver(observer);
     }
 
     /** The present term, null while this controller does not lead; not an Optional, as it is asked for with each heartbeat. */
@@ -101,7 +102,7 @@
     protected void receive(LeaderMessage message) {
         detectPause();
         if (message instanceof LeaderMessage.HeartbeatReceived m) {
-            heartbeats.answer(m.request());
+            heartbeatHandler.answer(m.request());
         } else if (message instanceof TermMessage m) {
             termMessageReceived(m);
         } else if (message instanceof LeaderMessage.TickDue) {
@@ -132,9 +133,9 @@
     /** Called before the messages that waited during a pause are handled: they must not be taken for prompt ones. */
     private void detectPause() {
         long now = now();
-        if (now - lastMessageMicros > PAUSE_MICROS) {
+        if (now - lastMessageMicros > PAUSE_THRESHOLD_MICROS) {
             log.warn("process paused for {} ms", (now - lastMessageMicros) / Micros.MILLISECOND);
-            collaborators.workers().processPaused(now);
+            collaborators.workerConnectivity().processPaused(now);
             if (term != null) {
                 term.processResumed(now);
             }
@@ -184,7 +185,7 @@
     private void storeRead(LeaderMessage.StoreRead message) {
         collaborators.cancellations().storeRead(message);
         if (term != null) {
-            term.storeRead(message.askedMicros());
+            term.storeRead(message.requestSentMicros());
         }
     }
 
@@ -211,7 +212,7 @@
     }
 
     private void standbyMessageReceived(StandbyMessage message) {
-        collaborators.standby().receive(message, term == null ? 0 : term.fencingToken());
+        collaborators.standbyCoordinator().receive(message, term == null ? 0 : term.fencingToken());
         advanceElection();
     }
 
@@ -223,8 +224,8 @@
             return;
         }
         collaborators.rollout().advance(collaborators.election().leaseId(), now);
-        boolean hasWorkers = collaborators.workers().isConnected(now);
-        collaborators.lease().advance(now, collaborators.standby().claimDelayMicros(hasWorkers, now));
+        boolean hasWorkers = collaborators.workerConnectivity().isConnected(now);
+        collaborators.lease().advance(now, collaborators.standbyCoordinator().claimDelayMicros(hasWorkers, now));
     }
 
     // ---- the term
@@ -233,9 +234,9 @@
     void startTerm(long fencingToken, long now) {
         log.info("became leader with fencing token {}", fencingToken);
         collaborators.peers().termStarted();
-        collaborators.standby().termStarted(fencingToken, now);
-        collaborators.workers().termStarted(now);
-        term = terms.create(fencingToken, now);
+        collaborators.standbyCoordinator().termStarted(fencingToken, now);
+        collaborators.workerConnectivity().termStarted(now);
+        term = termFactory.create(fencingToken, now);
         term.start();
     }
 
--- a/src/main/java/io/micatide/controller/LeaderCollaborators.java
+++ b/src/main/java/io/micatide/controller/LeaderCollaborators.java
@@ -8,17 +8,17 @@
  *
  * @param election who leads, and by which fencing token
  * @param lease the leader record and its lease in the store
- * @param workers whether workers reach this controller
+ * @param workerConnectivity whether workers reach this controller
  * @param cancellations up to when this controller knows of all cancellations
- * @param standby which peers are to take over, and whether this controller is
+ * @param standbyCoordinator which peers are to take over, and whether this controller is
  * @param peers the clients of the other controllers
  * @param rollout this controller's part in the rollout of features
  */
 record LeaderCollaborators(
         LeaderElection election,
         LeaderLease lease,
-        WorkerConnectivity workers,
+        WorkerConnectivity workerConnectivity,
         CancellationExchange cancellations,
-        StandbyCoordinator standby,
+        StandbyCoordinator standbyCoordinator,
         PeerClients peers,
         RolloutParticipant rollout) {}
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -38,7 +38,7 @@
     /** Changes of the leader record up to this revision have been observed. */
     private long watchRevision;
     /** The lease of the leader record that an earlier process of this controller wrote, 0 if there is none as far as is known. */
-    private long formerLeaseId;
+    private long previousLeaseId;
 
     /** @param label of this controller, which a claim writes into the leader record */
     LeaderLease(
@@ -64,12 +64,12 @@
      * Ends the lease of this controller's earlier process, so that its leader record goes and warm standbys see it at once. That process is
      * gone, as for a claim in place of its own record; and what it had sent is fenced by the next claim either way.
      */
-    void endFormerLease() {
-        if (formerLeaseId != 0 && formerLeaseId != election.leaseId()) {
+    void endPreviousLease() {
+        if (previousLeaseId != 0 && previousLeaseId != election.leaseId()) {
             LOG.info("ends the lease of its earlier process, a peer is the better leader");
-            store.endLease(formerLeaseId, reply -> LOG.debug("lease of the earlier process: {}", reply.status()));
+            store.endLease(previousLeaseId, reply -> LOG.debug("lease of the earlier process: {}", reply.status()));
         }
-        formerLeaseId = 0;
+        previousLeaseId = 0;
     }
 
     /**
@@ -85,11 +85,11 @@
         // has read it.
         long delayMicros = rollout.mayLead() ? claimDelayMicros : NEVER_CLAIM_MICROS;
         switch (election.nextAction(now, delayMicros)) {
-            case READ_RECORD -> store.read(StoreKeys.LEADER, owner.answer(LeaderMessage.LeaderRecordRead::new));
+            case READ_RECORD -> store.read(StoreKeys.LEADER, owner.onReply(LeaderMessage.LeaderRecordRead::new));
             case GRANT_LEASE ->
-                store.grant(election.leaseMicros(), owner.answer(r -> new LeaderMessage.LeaseGranted(r, now)));
+                store.grant(election.leaseMicros(), owner.onReply(r -> new LeaderMessage.LeaseGranted(r, now)));
             case RENEW_LEASE ->
-                store.touch(election.leaseId(), owner.answer(r -> new LeaderMessage.LeaseRenewed(r, now)));
+                store.touch(election.leaseId(), owner.onReply(r -> new LeaderMessage.LeaseRenewed(r, now)));
             case CLAIM -> claim();
             case NOTHING -> {}
         }
@@ -101,7 +101,7 @@
                 StoreKeys.LEADER,
                 Math.max(election.recordVersion(), watchRevision),
                 WATCH_TIMEOUT_MICROS,
-                owner.answer(LeaderMessage.LeaderRecordObserved::new));
+                owner.onReply(LeaderMessage.LeaderRecordObserved::new));
     }
 
     private void claim() {
@@ -111,7 +111,7 @@
         store.transaction(
                 new Transaction(
                         conditions, List.of(new Transaction.Write(StoreKeys.LEADER, leader, election.leaseId()))),
-                owner.answer(LeaderMessage.LeadershipClaimed::new));
+                owner.onReply(LeaderMessage.LeadershipClaimed::new));
     }
 
     /** Handles an answer of the store about the leader record or the lease. */
@@ -121,9 +121,9 @@
             if (message instanceof LeaderMessage.LeaderRecordRead m) {
                 recordRead(m.reply(), now);
             } else if (message instanceof LeaderMessage.LeaseGranted m) {
-                leaseGranted(m.reply(), m.askedMicros(), now);
+                leaseGranted(m.reply(), m.requestSentMicros(), now);
             } else if (message instanceof LeaderMessage.LeaseRenewed m) {
-                leaseRenewed(m.reply(), m.askedMicros(), now);
+                leaseRenewed(m.reply(), m.requestSentMicros(), now);
             } else if (message instanceof LeaderMessage.LeadershipClaimed m) {
                 leadershipClaimed(m.reply(), now);
             } else if (message instanceof LeaderMessage.LeaderRecordObserved m) {
@@ -135,9 +135,9 @@
         }
     }
 
-    private void leaseGranted(Reply reply, long askedMicros, long now) throws MalformedException {
+    private void leaseGranted(Reply reply, long requestSentMicros, long now) throws MalformedException {
         if (reply.ok()) {
-            election.leaseGranted(StoreCodec.grantedLeaseId(reply.body()), askedMicros);
+            election.leaseGranted(StoreCodec.grantedLeaseId(reply.body()), requestSentMicros);
         } else {
             election.requestFailed(now, RETRY_MICROS);
         }
@@ -148,7 +148,7 @@
             StoreCodec.Item item = StoreCodec.item(reply.body());
             watchRevision = Math.max(watchRevision, item.version());
             String recordOwner = ((StoredRecord.Leader) item.record()).owner();
-            formerLeaseId =
+            previousLeaseId =
                     label.equals(recordOwner) && !election.isLeader() ? StoreCodec.attachedLeaseId(reply.body()) : 0;
             election.recordRead(recordOwner, item.version());
         } else if (reply.status() == 404) {
@@ -158,9 +158,9 @@
         }
     }
 
-    private void leaseRenewed(Reply reply, long askedMicros, long now) {
+    private void leaseRenewed(Reply reply, long requestSentMicros, long now) {
         if (reply.ok()) {
-            election.leaseRenewed(askedMicros);
+            election.leaseRenewed(requestSentMicros);
             owner.leaseRenewed();
         } else if (reply.status() == 404) {
             election.leaseExpired();
@@ -196,7 +196,7 @@
             for (StoreCodec.Item item : changes.items()) {
                 if (item.version() >= election.recordVersion()) {
                     election.recordObserved(
-                            item.record() instanceof StoredRecord.Leader row ? row.owner() : null,
+                            item.record() instanceof StoredRecord.Leader leaderRecord ? leaderRecord.owner() : null,
                             item.record() == null ? 0 : item.version());
                 }
             }
--- a/src/main/java/io/micatide/controller/LeaderMessage.java
+++ b/src/main/java/io/micatide/controller/LeaderMessage.java
@@ -37,9 +37,9 @@
     /**
      * The job cache holds all changes up to a revision of the store.
      *
-     * @param askedMicros when the read was sent, on the steady clock
+     * @param requestSentMicros when the read was sent, on the steady clock
      */
-    record StoreRead(long askedMicros, long revision) implements LeaderMessage {}
+    record StoreRead(long requestSentMicros, long revision) implements LeaderMessage {}
 
     /** This process was told to end; {@code onCompleted} runs once others can go on without it. */
     record ShutdownRequested(Runnable onCompleted) implements LeaderMessage {}
@@ -56,13 +56,13 @@
     record LeaderRecordRead(Reply reply) implements LeaseMessage {}
 
     /** The store answered the request for a lease that was sent at {@code askedMicros}. */
-    record LeaseGranted(Reply reply, long askedMicros) implements LeaseMessage {}
+    record LeaseGranted(Reply reply, long requestSentMicros) implements LeaseMessage {}
 
     /** The store answered the transaction that writes the leader record. */
     record LeadershipClaimed(Reply reply) implements LeaseMessage {}
 
     /** The store answered the renewal that was sent at {@code askedMicros}. */
-    record LeaseRenewed(Reply reply, long askedMicros) implements LeaseMessage {}
+    record LeaseRenewed(Reply reply, long requestSentMicros) implements LeaseMessage {}
 
     /** The watch of the leader record ended with changes, without any or with an error. */
     record LeaderRecordObserved(Reply reply) implements LeaseMessage {}
@@ -116,13 +116,14 @@
     record PeerStatusReceived(Request request) implements PeerMessage {}
 
     /** A peer answered the status that this controller sent as leader at {@code askedMicros}. */
-    record PeerStatusAnswered(Reply reply, long fencingToken, int peer, long askedMicros) implements PeerMessage {}
+    record PeerStatusAnswered(Reply reply, long fencingToken, int peer, long requestSentMicros)
+            implements PeerMessage {}
 
     /** A peer that has just started asks whether this controller would be the better leader. */
     record ReadinessRequested(Request request) implements PeerMessage {}
 
     /** The jobs of a peer's cancellation digest are in the job cache. */
-    record DigestRecorded(int peer, CancellationDigest digest, long askedMicros, long receivedMicros)
+    record DigestRecorded(int peer, CancellationDigest digest, long requestSentMicros, long receivedMicros)
             implements PeerMessage {}
 
     /** A user of this controller was told that a job is cancelled. */
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -40,7 +40,7 @@
     private final Scheduler scheduler;
     private final FailoverLoader loader;
     private final LedgerCommitter committer;
-    private final CloudCalls cloud;
+    private final CloudCalls cloudCalls;
     private final RolloutDriver rollout;
     private final TermArchiving archiving;
     private final LearnedStateWriter learnedState;
@@ -59,7 +59,7 @@
         this.scheduler = scheduler;
         this.loader = components.loader();
         this.committer = components.committer();
-        this.cloud = components.cloudCalls();
+        this.cloudCalls = components.cloudCalls();
         this.rollout = components.rollout();
         this.archiving = components.archiving();
         this.learnedState = components.learnedState();
@@ -109,8 +109,8 @@
     }
 
     /** The job cache holds all that the store had at {@code askedMicros}. */
-    void storeRead(long askedMicros) {
-        scheduler.storeReadAt(askedMicros);
+    void storeRead(long requestSentMicros) {
+        scheduler.storeReadAt(requestSentMicros);
     }
 
     /** The stages of features are not as they were. */
@@ -159,7 +159,7 @@
         } else if (message instanceof TermMessage.CloudMessage m) {
             cloudMessageReceived(m);
         } else if (message instanceof TermMessage.AnnouncementAnswered m) {
-            announcer.answered(m);
+            announcer.announcementAnswered(m);
         } else if (message instanceof TermMessage.LoadMessage m) {
 
             loadMessageReceived(m);
@@ -190,11 +190,11 @@
 
     private void cloudMessageReceived(TermMessage.CloudMessage message) {
         if (message instanceof TermMessage.CloudCallAnswered m) {
-            cloud.handleAnswer(m);
+            cloudCalls.handleAnswer(m);
         } else if (message instanceof TermMessage.MachinesListed m) {
-            cloud.handleListPage(m);
+            cloudCalls.handleListPage(m);
         } else if (message instanceof TermMessage.MachineTypesWritten m) {
-            cloud.machineTypesStored(m.reply());
+            cloudCalls.machineTypesStored(m.reply());
         }
     }
 
@@ -202,7 +202,7 @@
         if (message instanceof TermMessage.RecordsLoaded m) {
             recordsLoaded(m.records());
         } else if (message instanceof TermMessage.MachineTypesLoaded m) {
-            cloud.machineTypesLoaded(m.types(), owner.now());
+            cloudCalls.machineTypesLoaded(m.types(), owner.now());
         } else if (message instanceof TermMessage.ReceivedHintsLoaded m) {
             scheduler.hintsReceived(m.hints(), false, owner.now());
         } else if (message instanceof TermMessage.ProvisioningFenceRead m) {
@@ -255,7 +255,7 @@
         if (!isLoaded() && view.state() == JobState.CANCELLED) {
             cancelledJobs.add(view.id());
         }
-        scheduler.jobChanged(view, owner.wall(), owner.now());
+        scheduler.jobChanged(view, owner.wallClockMicros(), owner.now());
     }
 
     /** The open and the cancelled jobs, by a read that began after the claim: each task that an earlier leader started is of one of them. */
@@ -321,7 +321,7 @@
         archiving.tick(now);
         learnedState.tick(now);
         for (CloudCall call : scheduler.cloudCalls(now)) {
-            cloud.send(call, now);
+            cloudCalls.send(call, now);
         }
         scheduler.takeNotices().forEach(LOG::info);
         scheduler.takeCompletions(now).forEach(LOG::debug);
--- a/src/main/java/io/micatide/controller/LeaderTermFactory.java
+++ b/src/main/java/io/micatide/controller/LeaderTermFactory.java
@@ -58,7 +58,7 @@
                 services.executor(),
                 services.store(),
                 owner,
-                collaborators.standby().standby(),
+                collaborators.standbyCoordinator().standby(),
                 fencingToken);
     }
 
@@ -68,6 +68,6 @@
                 services.settings(),
                 scheduler,
                 services.connector(),
-                collaborators.standby().wasHandedOver(now));
+                collaborators.standbyCoordinator().wasHandedOver(now));
     }
 }
--- a/src/main/java/io/micatide/controller/LeadershipTransfer.java
+++ b/src/main/java/io/micatide/controller/LeadershipTransfer.java
@@ -18,15 +18,15 @@
     /** A process that ends never claims again. */
     private static final long NEVER_CLAIM_MICROS = Long.MAX_VALUE / 4;
 
-    private static final int NOBODY = -1;
+    private static final int NO_SUCCESSOR = -1;
 
     private final LeaderActor owner;
     private final Settings settings;
     private final StoreClient store;
     private final UsersActor users;
     private final LeaderElection election;
-    private final WorkerConnectivity workers;
-    private final StandbyCoordinator standby;
+    private final WorkerConnectivity workerConnectivity;
+    private final StandbyCoordinator standbyCoordinator;
     private final PeerClients peers;
     /** Null until this process is told to end. */
     private GracefulHandover handover;
@@ -38,8 +38,8 @@
         this.store = services.store();
         this.users = users;
         this.election = collaborators.election();
-        this.workers = collaborators.workers();
-        this.standby = collaborators.standby();
+        this.workerConnectivity = collaborators.workerConnectivity();
+        this.standbyCoordinator = collaborators.standbyCoordinator();
         this.peers = collaborators.peers();
     }
 
@@ -72,15 +72,15 @@
      * Leaves leadership to a peer that the workers reach. Ending the lease removes the leader record at once; should that request be
      * lost, the lease expires by itself.
      */
-    void resignIfWorkersAreElsewhere(long now) {
+    void resignIfPeerReachesWorkers(long now) {
         LeaderTerm term = owner.term();
-        if (term == null || !workers.shouldResign(store.reach().isConnected(now), now)) {
+        if (term == null || !workerConnectivity.shouldResign(store.reach().isConnected(now), now)) {
             return;
         }
         LOG.warn(
                 "resigns from term {}: no heartbeat for {} ms, and workers turn to a peer",
                 term.fencingToken(),
-                workers.silentMicros(now) / Micros.MILLISECOND);
+                workerConnectivity.silentMicros(now) / Micros.MILLISECOND);
         long leaseId = election.resign(now, settings.workerLeaseMicros());
         store.endLease(leaseId, reply -> LOG.info("lease of the former term ended: {}", reply.status()));
         owner.endTermIfFenced();
@@ -97,14 +97,15 @@
         }
         long now = owner.now();
         LeaderTerm term = owner.term();
-        int successor = term == null ? NOBODY : standby.firstWarmStandby(now);
-        String label =
-                successor == NOBODY ? null : settings.siblings().get(successor).label();
-        logShutdown(term, label);
+        int successor = term == null ? NO_SUCCESSOR : standbyCoordinator.firstWarmStandby(now);
+        String successorLabel = successor == NO_SUCCESSOR
+                ? null
+                : settings.siblings().get(successor).label();
+        logShutdown(term, successorLabel);
         users.tell(new UsersActor.Closing());
         handover = new GracefulHandover(
                 term,
-                label,
+                successorLabel,
                 now,
                 () -> peers.requestHandover(successor, term.fencingToken(), term.lastWrittenRevision()),
                 () -> releaseLease(onCompleted));
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -119,7 +119,7 @@
                                         StoreKeys.FEATURE_STAGES,
                                         rollout.featureFlags().version())),
                         List.of(new Transaction.Write(key, record, 0))),
-                owner.answer(reply -> new TermMessage.LearnedStateWritten(reply, fencingToken, key, record)));
+                owner.onReply(reply -> new TermMessage.LearnedStateWritten(reply, fencingToken, key, record)));
     }
 
     /** A write without an answer is repeated: the latest content counts, and only this leader writes. */
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -47,12 +47,12 @@
     }
 
     void writeNextBatch(long now) {
-        Transaction transaction = scheduler.nextWriteBatch(now, owner.wall());
+        Transaction transaction = scheduler.nextWriteBatch(now, owner.wallClockMicros());
         if (transaction != null) {
             long fencingToken = scheduler.fencingToken();
             isWriteInFlight = true;
             store.transaction(
-                    transaction, owner.answer(r -> new TermMessage.WriteBatchAnswered(r, fencingToken, transaction)));
+                    transaction, owner.onReply(r -> new TermMessage.WriteBatchAnswered(r, fencingToken, transaction)));
         }
     }
 
@@ -111,7 +111,7 @@
 
     void readConflictedKey(String key) {
         long fencingToken = scheduler.fencingToken();
-        store.read(key, owner.answer(r -> new TermMessage.ConflictingKeyRead(r, fencingToken, key)));
+        store.read(key, owner.onReply(r -> new TermMessage.ConflictingKeyRead(r, fencingToken, key)));
     }
 
     void conflictedKeyRead(TermMessage.ConflictingKeyRead message) {
@@ -154,7 +154,7 @@
         String key = unresolvedKeys.next();
         if (key != null) {
             long fencingToken = scheduler.fencingToken();
-            store.read(key, owner.answer(r -> new TermMessage.UnresolvedKeyRead(r, fencingToken, key)));
+            store.read(key, owner.onReply(r -> new TermMessage.UnresolvedKeyRead(r, fencingToken, key)));
         }
     }
 
--- a/src/main/java/io/micatide/controller/NettyActorExecutor.java
+++ b/src/main/java/io/micatide/controller/NettyActorExecutor.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public long wall() {
-        return Clock.wall();
+    public long wallClockMicros() {
+        return Clock.wallClockMicros();
     }
 }
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -107,7 +107,7 @@
                     .get(
                             "/standby",
                             Http.PATIENCE_MICROS,
-                            owner.answer(r -> new StandbyMessage.ReadinessAnswered(r, peer)));
+                            owner.onReply(r -> new StandbyMessage.ReadinessAnswered(r, peer)));
         }
     }
 
@@ -120,7 +120,7 @@
                                 "/hints",
                                 HintCodec.batch(batch),
                                 Http.PATIENCE_MICROS,
-                                owner.answer(r -> new StandbyMessage.HintsAcknowledged(r, fencingToken, standby)));
+                                owner.onReply(r -> new StandbyMessage.HintsAcknowledged(r, fencingToken, standby)));
             }
         }
     }
@@ -132,7 +132,7 @@
                         "/handover",
                         PeerCodec.handover(fencingToken, revision),
                         HANDOVER_TIMEOUT_MICROS,
-                        owner.answer(LeaderMessage.HandoverAnswered::new));
+                        owner.onReply(LeaderMessage.HandoverAnswered::new));
     }
 
     /** Sends confirmed cancellations to the leader, if it is a peer; it would learn of them with its next read or digest. */
@@ -166,7 +166,7 @@
                                 status.featureStagesVersion(),
                                 status.readRevision())),
                         Http.PATIENCE_MICROS,
-                        owner.answer(r ->
+                        owner.onReply(r ->
                                 new LeaderMessage.PeerStatusAnswered(r, status.fencingToken(), peer, askedMicros)));
     }
 }
--- a/src/main/java/io/micatide/controller/PeerExchange.java
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -61,7 +61,7 @@
 
     /** Sends the status between two regular ones while no heartbeat comes: a peer may know where the workers are. */
     void sendUrgentStatusIfWorkersAreSilent(LeaderTerm term, long now) {
-        if (collaborators.workers().shouldAskPeers(now)) {
+        if (collaborators.workerConnectivity().shouldAskPeers(now)) {
             collaborators.peers().sendUrgentStatus(currentStatus(term, now), now);
         }
     }
@@ -77,7 +77,7 @@
         }
         collaborators.peers().sendStatus(currentStatus(term, now), jobs, now);
         if (term.isLoaded()) {
-            collaborators.standby().sendHints(term, now);
+            collaborators.standbyCoordinator().sendHints(term, now);
         }
     }
 
@@ -85,8 +85,8 @@
         return new PeerClients.LeaderStatus(
                 term.fencingToken(),
                 store.reach().isConnected(now),
-                collaborators.workers().silentMicros(now),
-                collaborators.standby().selectStandbys(now),
+                collaborators.workerConnectivity().silentMicros(now),
+                collaborators.standbyCoordinator().selectStandbys(now),
                 collaborators.rollout().featureFlags().version(),
                 collaborators.cancellations().readRevision());
     }
@@ -100,14 +100,14 @@
             PeerCodec.PeerStatus answer = PeerCodec.peerStatus(reply.body());
             owner.observeFencingToken(answer.fencingToken(), null);
             long now = owner.now();
-            collaborators.workers().peerReportedWorkerLostLeader(answer.strayAgentAgoMicros(), now);
-            transfer.resignIfWorkersAreElsewhere(now);
+            collaborators.workerConnectivity().peerReportedWorkerLostLeader(answer.strayAgentAgoMicros(), now);
+            transfer.resignIfPeerReachesWorkers(now);
             LeaderTerm term = owner.term();
             if (term != null && term.fencingToken() == message.fencingToken()) {
                 collaborators
                         .cancellations()
-                        .digestReceived(message.peer(), answer.cancellations(), message.askedMicros(), now);
-                collaborators.standby().peerStatusAnswered(message.peer(), answer, now);
+                        .digestReceived(message.peer(), answer.cancellations(), message.requestSentMicros(), now);
+                collaborators.standbyCoordinator().peerStatusAnswered(message.peer(), answer, now);
             }
         } catch (MalformedException e) {
             LOG.error("peer {}: malformed answer to the status: {}", message.peer(), e.getMessage());
@@ -132,7 +132,7 @@
         boolean isOfLatestTerm =
                 status.fencingToken() == collaborators.election().highestFencingToken();
         if (isOfLatestTerm) {
-            collaborators.workers().leaderReportedSilence(status.agentSilenceMicros(), now);
+            collaborators.workerConnectivity().leaderReportedSilence(status.agentSilenceMicros(), now);
         }
         collaborators.rollout().newerVersionReported(status.featureFlagsVersion());
         if (status.storeReachable()) {
@@ -140,16 +140,18 @@
         }
         if (owner.term() == null && isOfLatestTerm) {
             users.tell(new UsersActor.ProgressReported(status.replacesProgress(), status.jobs()));
-            collaborators.standby().leaderStatusReceived(status, now);
+            collaborators.standbyCoordinator().leaderStatusReceived(status, now);
         }
     }
 
     private PeerCodec.PeerStatus statusAnswer(long now) {
         return new PeerCodec.PeerStatus(
                 collaborators.election().highestFencingToken(),
-                collaborators.workers().workerLostLeaderAgoMicros(now),
+                collaborators.workerConnectivity().workerLostLeaderAgoMicros(now),
                 Settings.LAYOUT,
                 store.reach().isConnected(now),
-                transfer.isShuttingDown() ? null : collaborators.standby().readiness(now));
+                transfer.isShuttingDown()
+                        ? null
+                        : collaborators.standbyCoordinator().readiness(now));
     }
 }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -132,7 +132,7 @@
         store.list(
                 StoreKeys.ROLLOUT,
                 null,
-                owner.answer(reply -> new TermMessage.RolloutRecordsRead(reply, fencingToken)));
+                owner.onReply(reply -> new TermMessage.RolloutRecordsRead(reply, fencingToken)));
     }
 
     private long readIntervalMicros(long nowMicros) {
@@ -211,7 +211,7 @@
                 new Transaction(
                         conditions(registry, new Transaction.Condition(StoreKeys.LAYOUT, 0)),
                         List.of(new Transaction.Write(StoreKeys.LAYOUT, first, 0))),
-                owner.answer(reply -> new TermMessage.LayoutWritten(reply, fencingToken, first)));
+                owner.onReply(reply -> new TermMessage.LayoutWritten(reply, fencingToken, first)));
     }
 
     /** The answer to {@link #markLayout}. */
@@ -246,9 +246,9 @@
                                 new Transaction.Write(StoreKeys.LAYOUT, renewed, 0),
                                 new Transaction.Write(
                                         StoreKeys.ARCHIVE_MANIFEST,
-                                        Archiver.emptyManifest(fencingToken, owner.wall()),
+                                        Archiver.emptyManifest(fencingToken, owner.wallClockMicros()),
                                         0))),
-                owner.answer(reply -> new TermMessage.ArchiveManifestCreated(reply, fencingToken)));
+                owner.onReply(reply -> new TermMessage.ArchiveManifestCreated(reply, fencingToken)));
     }
 
     /** The answer to {@link #startArchive}. Whoever wrote the manifest, the copy of the job records tells of it. */
@@ -277,7 +277,7 @@
                                         StoreKeys.FEATURE_STAGES,
                                         rollout.featureFlags().version())),
                         List.of(new Transaction.Write(StoreKeys.FEATURE_STAGES, plan.newStages(), 0))),
-                owner.answer(reply -> new TermMessage.FeatureStagesWritten(
+                owner.onReply(reply -> new TermMessage.FeatureStagesWritten(
                         reply, fencingToken, plan.newStages(), plan.transitions())));
     }
 
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -58,8 +58,8 @@
         this.users = users;
         this.capabilities = capabilities;
         this.featureFlags = new FeatureFlags(capabilities);
-        this.registration =
-                new ControllerRegistration(settings.label(), BuildVersion.name(), capabilities, owner.wall());
+        this.registration = new ControllerRegistration(
+                settings.label(), BuildVersion.name(), capabilities, owner.wallClockMicros());
     }
 
     FeatureFlags featureFlags() {
@@ -115,17 +115,17 @@
         if (!isReadInFlight && nowMicros >= readRetryMicros && isReadNeeded()) {
 
             isReadInFlight = true;
-            store.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderMessage.FeatureStagesRead::new));
+            store.read(StoreKeys.FEATURE_STAGES, owner.onReply(LeaderMessage.FeatureStagesRead::new));
         }
         if (isBlocked && nowMicros - loggedMicros >= LOG_INTERVAL_MICROS) {
             loggedMicros = nowMicros;
             LOG.warn("waits, and does not serve, because of {}", String.join(", ", featureFlags.unsupportedFeatures()));
         }
         switch (registration.nextAction(isBlocked ? 0 : lease, featureFlags.version(), nowMicros)) {
-            case READ -> store.read(registration.key(), owner.answer(LeaderMessage.RegistrationRead::new));
+            case READ -> store.read(registration.key(), owner.onReply(LeaderMessage.RegistrationRead::new));
             case PUT ->
                 store.transaction(
-                        registration.registrationTransaction(), owner.answer(LeaderMessage.RegistrationWritten::new));
+                        registration.registrationTransaction(), owner.onReply(LeaderMessage.RegistrationWritten::new));
             case NOTHING -> {}
         }
     }
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -196,7 +196,7 @@
 
     private void readPage(KeyspaceReplica replica, String after) {
         long asked = generation;
-        store.list(replica.prefix(), after, answer(reply -> new PageRead(reply, asked, replica, after == null)));
+        store.list(replica.prefix(), after, onReply(reply -> new PageRead(reply, asked, replica, after == null)));
     }
 
     private void reloadDue(ReloadDue message) {
@@ -228,7 +228,7 @@
         store.changes(
                 replica.prefix(),
                 replica.revision(),
-                answer(reply -> new ChangesRead(reply, asked, replica, askedMicros)));
+                onReply(reply -> new ChangesRead(reply, asked, replica, askedMicros)));
     }
 
     private void logState(long nowMicros) {
@@ -364,7 +364,7 @@
     private void readCatchUp(CatchUp catchUp) {
         KeyspaceReplica replica = catchUp.replica();
 
-        store.changes(replica.prefix(), replica.revision(), answer(reply -> new CatchUpRead(reply, catchUp)));
+        store.changes(replica.prefix(), replica.revision(), onReply(reply -> new CatchUpRead(reply, catchUp)));
     }
 
     /**
@@ -415,7 +415,7 @@
         store.changes(
                 ledgers.prefix(),
                 ledgers.revision(),
-                answer(reply -> new HandoverChangesRead(reply, asked, ledgers, request, revision)));
+                onReply(reply -> new HandoverChangesRead(reply, asked, ledgers, request, revision)));
     }
 
     private void handoverChangesRead(HandoverChangesRead message) {
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -92,7 +92,7 @@
         if (claimableForMicros >= 0 && (isCold || !hasWorkers)) {
             peers.requestReadiness(now);
             if (isCold && electionDelay.hasWarmerPeer(now)) {
-                lease.endFormerLease();
+                lease.endPreviousLease();
             }
         }
         return electionDelay.delayMicros(Math.max(0, claimableForMicros), hasWorkers, now);
--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -111,7 +111,7 @@
                 if (spec.dependencies().isEmpty()) {
                     writeJob(
                             submission,
-                            new StoredRecord.JobRecord(JobState.OPEN, spec, owner.wall(), spec.taskCount()));
+                            new StoredRecord.JobRecord(JobState.OPEN, spec, owner.wallClockMicros(), spec.taskCount()));
                 } else {
                     submitDependent(submission);
                 }
@@ -128,7 +128,7 @@
         JobSpec spec = submission.spec();
         DependencyAdmission admission = DependencyAdmission.evaluate(spec, jobCache);
         if (admission instanceof DependencyAdmission.Accepted accepted) {
-            writeJob(submission, accepted.toRecord(owner.wall()));
+            writeJob(submission, accepted.toRecord(owner.wallClockMicros()));
             return;
         }
         refresher.afterRefresh(request, () -> {
@@ -157,7 +157,7 @@
         DependencyAdmission now =
                 DependencyAdmission.evaluate(needs.submission().spec(), jobCache, needs.archived());
         if (now instanceof DependencyAdmission.Accepted accepted) {
-            writeJob(needs.submission(), accepted.toRecord(owner.wall()));
+            writeJob(needs.submission(), accepted.toRecord(owner.wallClockMicros()));
         } else if (now instanceof DependencyAdmission.Refused refused) {
             request.answer(422, Json.error("awaits", refused.reason()));
         } else {
@@ -200,7 +200,7 @@
         } else {
             store.transaction(
                     new Transaction(conditions, writes.get()),
-                    owner.answer(r -> new UsersActor.SubmissionWritten(r, submission, row)));
+                    owner.onReply(r -> new UsersActor.SubmissionWritten(r, submission, row)));
         }
     }
 
--- a/src/main/java/io/micatide/controller/TermAnnouncer.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -93,19 +93,19 @@
                 "/commands",
                 WorkerCodec.greeting(fencingToken, announcement.incarnation()),
                 TIMEOUT_MICROS,
-                owner.answer(r -> new TermMessage.AnnouncementAnswered(r, fencingToken, announcement, worker)));
+                owner.onReply(r -> new TermMessage.AnnouncementAnswered(r, fencingToken, announcement, worker)));
     }
 
     /** A worker answered, or did not within the timeout: it comes by itself. */
-    void answered(TermMessage.AnnouncementAnswered message) {
+    void announcementAnswered(TermMessage.AnnouncementAnswered message) {
         inFlight--;
-        boolean isSentAgain = false;
+        boolean isRetried = false;
         try {
             if (message.reply().ok()) {
                 Heartbeat heartbeat = WorkerCodec.heartbeat(message.reply().body());
                 scheduler.announcementAnswered(heartbeat, owner.now());
             } else if (message.reply().status() == 409) {
-                isSentAgain = refused(message);
+                isRetried = handleRefusal(message);
             }
         } catch (MalformedException e) {
             LOG.error(
@@ -113,13 +113,13 @@
                     message.announcement().machine(),
                     e.getMessage());
         }
-        if (!isSentAgain) {
+        if (!isRetried) {
             message.worker().close();
         }
     }
 
     /** The worker's incarnation is a later one than was known, which is told again, or it knows a higher fencing token. */
-    private boolean refused(TermMessage.AnnouncementAnswered message) throws MalformedException {
+    private boolean handleRefusal(TermMessage.AnnouncementAnswered message) throws MalformedException {
         TermAnnouncement announcement = message.announcement();
         Heartbeat heartbeat = WorkerCodec.heartbeat(message.reply().body());
         if (heartbeat.fencingToken() <= message.fencingToken()
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -77,10 +77,10 @@
     /**
      * The cloud provider answered with a page of the machines.
      *
-     * @param askedMicros when the first page was asked for
+     * @param requestSentMicros when the first page was asked for
      * @param earlierPages the machines of the pages before
      */
-    record MachinesListed(Reply reply, long fencingToken, long askedMicros, List<ListedMachine> earlierPages)
+    record MachinesListed(Reply reply, long fencingToken, long requestSentMicros, List<ListedMachine> earlierPages)
             implements CloudMessage {}
 
     /** The store answered the write of the machine types. */
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -176,7 +176,7 @@
             if (!typesAsked) {
                 // Once: it repeats by itself until the types are known.
                 typesAsked = true;
-                store.read(StoreKeys.MACHINE_TYPES, answer(StoredMachineTypesRead::new));
+                store.read(StoreKeys.MACHINE_TYPES, onReply(StoredMachineTypesRead::new));
             }
         } else if (message instanceof JobPageRead m) {
             refresher.pageRead(m);
@@ -233,7 +233,7 @@
                 log.error("stored machine types: {}", e.getMessage());
             }
         }
-        cloud.types(answer(CloudMachineTypesRead::new));
+        cloud.types(onReply(CloudMachineTypesRead::new));
     }
 
     private void typesAnswered(Reply reply) {
--- a/src/main/java/io/micatide/simulation/VirtualTime.java
+++ b/src/main/java/io/micatide/simulation/VirtualTime.java
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public long wall() {
+        public long wallClockMicros() {
             return WALL_MICROS + now;
         }
     }
--- a/src/test/java/io/micatide/archive/ArchiveUsers.java
+++ b/src/test/java/io/micatide/archive/ArchiveUsers.java
@@ -49,7 +49,7 @@
     }
 
     long wall() {
-        return process.wall();
+        return process.wallClockMicros();
     }
 
     byte[] submitted(Job job) {
