--- a/src/main/java/io/micatide/controller/Actor.java
+++ b/src/main/java/io/micatide/controller/Actor.java
@@ -7,9 +7,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns its state, which only its own messages change, handled one at a time on the {@link ActorExecutor}.
+ * Base class of the actors of a controller. An actor's state changes only while it handles one of its messages, which are handled one at a
+ * time on the {@link ActorExecutor}.
  *
- * @param <M> its messages
+ * @param <M> the type of the actor's messages
  */
 abstract class Actor<M> {
     protected final Logger log = LoggerFactory.getLogger(getClass());
@@ -19,37 +20,40 @@
         this.executor = executor;
     }
 
-    /** The executor's steady clock, in microseconds; never 0. */
+    /** Returns the time on the executor's steady clock, in microseconds; never 0. */
     final long now() {
         return executor.now();
     }
 
-    /** The executor's time of day, in microseconds since 1970. */
+    /** Returns the executor's time of day, in microseconds since 1970. */
     final long wallClockMicros() {
         return executor.wallClockMicros();
     }
 
-    /** Sends a message, which is handled after those sent before. An exception in its handling is logged and ends nothing. */
+    /**
+     * Sends a message to this actor, which handles it after the messages sent before. An exception thrown by the handler is logged, and the
+     * actor goes on with the next message.
+     */
     final void tell(M message) {
         executor.execute(() -> {
             try {
                 receive(message);
             } catch (RuntimeException e) {
-                log.error("message {} failed", message.getClass().getSimpleName(), e);
+                log.error("handling of message {} failed", message.getClass().getSimpleName(), e);
             }
         });
     }
 
-    /** Sends a message after a delay. */
+    /** Sends a message to this actor after a delay. */
     final void tellLater(M message, long delayMicros) {
         executor.executeLater(() -> tell(message), delayMicros);
     }
 
-    /** A callback that turns the answer to a request into a message to this actor. */
+    /** Returns a callback for the reply to a request, which sends this actor the message that the given function makes of the reply. */
     final Consumer<Reply> onReply(Function<Reply, M> message) {
         return reply -> tell(message.apply(reply));
     }
 
-    /** Handles one message, on the executor. */
+    /** Handles one message; called on the executor. */
     protected abstract void receive(M message);
 }
--- a/src/main/java/io/micatide/controller/ActorExecutor.java
+++ b/src/main/java/io/micatide/controller/ActorExecutor.java
@@ -1,31 +1,31 @@
 package io.micatide.controller;
 
-/** Runs the actors of a controller, one message at a time, and has its clocks. Times are in microseconds. */
+/** Runs the actors of a controller, one message at a time, and provides the controller's clocks. Times are in microseconds. */
 public interface ActorExecutor {
     /**
-     * Runs a task after those that were given before. May be called from any thread.
+     * Runs a task after the tasks that were given before. May be called from any thread.
      *
-     * @param task to run once
+     * @param task the task to run, once
      */
     void execute(Runnable task);
 
     /**
      * Runs a task after a delay.
      *
-     * @param task to run once
-     * @param delayMicros how long to wait at least
+     * @param task the task to run, once
+     * @param delayMicros the minimum delay
      */
     void executeLater(Runnable task, long delayMicros);
 
     /**
-     * The steady clock, for delays and timeouts.
+     * Returns the time on the steady clock, which serves for delays and timeouts.
      *
-     * @return microseconds since some time; never 0
+     * @return microseconds since an arbitrary origin; never 0
      */
     long now();
 
     /**
-     * The time of day, for what other controllers have to understand.
+     * Returns the time of day, which serves for times that are sent to other controllers.
      *
      * @return microseconds since 1970
      */
--- a/src/main/java/io/micatide/controller/Clock.java
+++ b/src/main/java/io/micatide/controller/Clock.java
@@ -2,14 +2,14 @@
 
 import io.micatide.model.Micros;
 
-/** The steady clock of this process, and the time of day for what other controllers have to understand. Usable from any thread. */
+/** The steady clock of this process, and the time of day for times that are sent to other controllers. Thread-safe. */
 public final class Clock {
     private static final long START_NANOS = System.nanoTime();
 
     private Clock() {}
 
     /**
-     * The steady clock.
+     * Returns the time on the steady clock.
      *
      * @return whole microseconds since this class was loaded, plus 1; never 0
      */
@@ -18,9 +18,9 @@
     }
 
     /**
-     * The time of day.
+     * Returns the time of day.
      *
-     * @return microseconds since 1970, of a resolution of milliseconds
+     * @return microseconds since 1970, with a resolution of one millisecond
      */
     public static long wallClockMicros() {
         return System.currentTimeMillis() * Micros.MILLISECOND;
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -11,24 +11,35 @@
 import java.util.List;
 
 /**
- * Reads what a new leader has to know before its first decision: machine deletions, provisioning requests, machine types and, once the
- * leader has the jobs, the ledgers. Takes what the standby's replicas prove to hold as of the claim and reads the rest from the store,
- * again until each read succeeds; sends the leader what it finds, and which step is complete. One for each term.
+ * Loads what a new leader has to know before its first decision: machine deletions, provisioning requests, machine types and, once the
+ * leader has the jobs, the ledgers. Uses the keyspace replicas of this controller's standby where they are known to hold the state as of
+ * the claim of the leader record, and reads the rest from the store, with retries until each read succeeds. Sends the leader the records
+ * and a message for each completed step. Also reads the fence of the provisioning requests and the learned state, for which the first
+ * decision does not wait. There is one loader for each term.
  */
 final class FailoverLoader extends Actor<FailoverLoader.Message> {
-    /** What happens to the loader. */
+    /** A message to the loader. */
     sealed interface Message {}
 
-    /** The term has begun. */
+    /** The term has begun: loading starts. */
     record LoadRequested() implements Message {}
 
-    /** The leader has the jobs, by a read that began after the claim. */
+    /** The leader has the jobs, as of a read that began after the claim. */
     record JobsLoaded() implements Message {}
 
-    /** What the standby's replica of a prefix holds as of the claim or later; {@code records} is null if there is none. */
+    /**
+     * The standby has answered for one prefix.
+     *
+     * @param records the contents of its replica as of the claim or later; null if it has none, in which case the store is read
+     */
     record ReplicaLoaded(String prefix, List<StoreCodec.Item> records) implements Message {}
 
-    /** A key or the page of a prefix after a key, null for the first one, is to be read. */
+    /**
+     * A read of the store is due.
+     *
+     * @param prefix the single key or the prefix to read
+     * @param afterKey the last key of the previous page of the prefix; null for the first page and for a single key
+     */
     record ReadDue(String prefix, String afterKey) implements Message {}
 
     /** The store answered a read. */
@@ -38,15 +49,15 @@
 
     private final StoreClient store;
     private final LeaderActor leader;
-    /** Null where the operator has switched standbys off. */
+    /** Null if the operator has disabled standbys. */
     private final StandbyActor standby;
 
     private final long fencingToken;
     private boolean areJobsLoaded;
-    /** Ledgers that wait for the jobs; null before they are there and once they are delivered. */
+    /** The standby's answer for the ledgers while the jobs are not loaded; null before it has come and after it was delivered. */
     private ReplicaLoaded pendingLedgers;
 
-    /** @param standby null where the operator has switched standbys off */
+    /** @param standby null if the operator has disabled standbys */
     FailoverLoader(
             ActorExecutor executor, StoreClient store, LeaderActor leader, StandbyActor standby, long fencingToken) {
         super(executor);
@@ -106,7 +117,7 @@
         return prefix.equals(StoreKeys.MACHINE_TYPES) || prefix.equals(StoreKeys.PROVISIONING_FENCE);
     }
 
-    /** A ledger can be interpreted only beside its job, so the jobs come first. */
+    /** Delivers the ledgers once the jobs are loaded: a ledger can be interpreted only together with its job. */
     private void deliverLedgersAfterJobs() {
         if (areJobsLoaded && pendingLedgers != null) {
             deliverOrRead(pendingLedgers);
@@ -150,7 +161,7 @@
         leader.tell(new TermMessage.LoadStepCompleted(fencingToken));
     }
 
-    /** Not a step that the term waits for: only writes of provisioning requests do. */
+    /** Handles the reply to the read of the fence. It completes no step of loading, since only writes of provisioning requests wait for it. */
     private void provisioningFenceRead(ReadDue request, Reply reply) {
         if (reply.ok() || reply.status() == 404) {
             leader.tell(new TermMessage.ProvisioningFenceRead(reply, fencingToken));
@@ -170,7 +181,7 @@
             tell(new ReadDue(
                     request.prefix(), page.items().get(page.items().size() - 1).key()));
         } else if (!request.prefix().equals(StoreKeys.LEARNED_STATE)) {
-            // Nothing waits for learned state.
+            // Learned state completes no step: the first decision does not wait for it.
             leader.tell(new TermMessage.LoadStepCompleted(fencingToken));
         }
     }
--- a/src/main/java/io/micatide/controller/GracefulHandover.java
+++ b/src/main/java/io/micatide/controller/GracefulHandover.java
@@ -3,9 +3,9 @@
 import io.micatide.model.Micros;
 
 /**
- * The steps of a graceful shutdown: the write that is under way is answered or given up, the successor catches up, the lease is released.
- * Each step has a timeout, so that a store or a successor that does not answer delays the shutdown by no more than that. Part of the
- * leader's actor.
+ * The steps of a graceful shutdown: the write in flight is answered or abandoned, the successor catches up, the lease is released. The
+ * waits for the write and for the successor have timeouts, which bound the delay by a store or a successor that does not answer. Part of
+ * the leader's actor.
  */
 final class GracefulHandover {
     private static final long WRITE_TIMEOUT_MICROS = 300 * Micros.MILLISECOND;
@@ -17,7 +17,7 @@
         COMPLETED
     }
 
-    /** Null if this controller does not lead. */
+    /** The term that ends; null if this controller does not lead. */
     private final LeaderTerm term;
 
     private final String successor;
@@ -27,12 +27,12 @@
     private long stepStartedMicros;
 
     /**
-     * Nothing is done before the first {@link #advance}.
+     * Creates a handover, whose first step is taken by the first call of {@link #advance}.
      *
-     * @param term null if this controller does not lead
-     * @param successor the label of the warm standby that is to take over, null for none
+     * @param term the term that ends; null if this controller does not lead
+     * @param successor the label of the warm standby that is to take over; null for none
      * @param notifySuccessor asks the successor to catch up
-     * @param releaseLease ends the term and its lease; run last and once
+     * @param releaseLease ends the term and its lease; run once, as the last step
      */
     GracefulHandover(
             LeaderTerm term, String successor, long nowMicros, Runnable notifySuccessor, Runnable releaseLease) {
@@ -43,17 +43,17 @@
         this.stepStartedMicros = nowMicros;
     }
 
-    /** The label of the controller that workers should turn to, null for none. */
+    /** Returns the label of the controller to which workers are redirected; null for none. */
     String successor() {
         return successor;
     }
 
-    /** Whether the lease has been released: nothing is answered in the name of the term. */
+    /** Returns whether the release of the lease has begun; from then on this controller answers no request in the name of the term. */
     boolean isCompleted() {
         return step == Step.COMPLETED;
     }
 
-    /** Takes the next step once the present one is done or has timed out. */
+    /** Takes the next step if the current one is finished or has timed out. */
     void advance(long nowMicros) {
         long stepMicros = nowMicros - stepStartedMicros;
         if (step == Step.FINISH_WRITE) {
@@ -76,7 +76,10 @@
         }
     }
 
-    /** The successor has caught up or could not, in which case it reads all: no reason to go on leading. */
+    /**
+     * Releases the lease, since the successor has answered. A successor that could not catch up reads everything from the store after its
+     * claim, which is no reason for this controller to go on leading.
+     */
     void successorAnswered() {
         if (step == Step.NOTIFY_SUCCESSOR) {
             finish();
--- a/src/main/java/io/micatide/controller/HeartbeatHandler.java
+++ b/src/main/java/io/micatide/controller/HeartbeatHandler.java
@@ -9,8 +9,8 @@
 import io.micatide.protocol.WorkerCodec;
 
 /**
- * Answers the heartbeats of workers: a leader with commands, any other controller with the leader's label. An answer with commands
- * prolongs the worker's lease, so it is given only while the {@link CancellationExchange} allows it and before the leader's lease is
+ * Answers the heartbeats of workers: a leader with commands, any other controller with a redirection to the leader. An answer with commands
+ * renews the worker's lease, so it is given only while the {@link CancellationExchange} allows it and before the leader's lease is
  * released. Part of the leader's actor.
  */
 final class HeartbeatHandler {
@@ -22,7 +22,7 @@
     private final WorkerConnectivity workerConnectivity;
     private final CancellationExchange cancellations;
 
-    /** @param label of this controller */
+    /** @param label the label of this controller */
     HeartbeatHandler(LeaderActor owner, String label, LeaderCollaborators collaborators) {
         this.owner = owner;
         this.label = label;
@@ -51,6 +51,7 @@
         }
     }
 
+    /** Redirects the worker to the leader, or names no leader if none is known that workers reach, so that the worker looks for one itself. */
     private void redirect(Heartbeat heartbeat, Request request) {
         String leader = election.leader();
         long now = owner.now();
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -12,15 +12,15 @@
 import java.util.function.BiConsumer;
 
 /**
- * Leads, or follows whoever leads. Owns the present {@link LeaderTerm}, which lasts from the write of the leader record until a higher
- * fencing token is seen, the lease expires or leadership is given up, and passes each message to the class that handles it. A term is
- * over as soon as the {@link LeaderElection} no longer has its fencing token; {@link #endTermIfFenced()} is called after whatever may
- * have changed that.
+ * The actor of a controller that takes part in leader election, and leads or follows accordingly. Passes each message to the class that
+ * handles it. Owns the current {@link LeaderTerm}, which lasts from the write of the leader record until a higher fencing token is observed,
+ * the lease expires or leadership is given up. A term has ended as soon as the {@link LeaderElection} no longer has its fencing token;
+ * {@link #endTermIfFenced()} is called after every step that may have changed that.
  */
 final class LeaderActor extends Actor<LeaderMessage> {
     private static final long TICK_MICROS = 100 * Micros.MILLISECOND;
     private static final long LEASE_TICK_MICROS = 50 * Micros.MILLISECOND;
-    /** No message for so long, with a timer every 50 ms, means that the process was paused. */
+    /** An interval without messages that is longer than this means that the process was paused, since a timer sends one every 50 ms. */
     private static final long PAUSE_THRESHOLD_MICROS = Micros.SECOND;
 
     private final LeaderCollaborators collaborators;
@@ -30,7 +30,7 @@
     private final PeerExchange peerExchange;
 
     private long lastMessageMicros;
-    /** Null while another controller leads, or nobody. */
+    /** The current term; null while this controller does not lead. */
     private LeaderTerm term;
 
     LeaderActor(ControllerServices services, UsersActor users, ControllerComponents components) {
@@ -71,27 +71,30 @@
                 election, lease, workerConnectivity, cancellations, standbyCoordinator, peers, rollout);
     }
 
-    /** How this controller's term began, null if it does not lead. */
+    /** Returns the times at which the current term reached the stages of its failover; null if this controller does not lead. */
     FailoverTimings failoverTimings() {
         return term == null ? null : term.failoverTimings();
     }
 
-    /** Whether the leader has designated this controller to take over. */
+    /** Returns whether this controller is a designated standby of the leader. */
     boolean isDesignatedStandby() {
         return collaborators.standbyCoordinator().isDesignated();
     }
 
-    /** Shows {@code observer} the records that the standby's replicas bring to each failover to this controller. */
+    /**
+     * Sets an observer of the records that the standby's replicas provide at each failover to this controller. Requires that standbys are
+     * enabled.
+     */
     void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> observer) {
         collaborators.standbyCoordinator().standby().setReplicaObserver(observer);
     }
 
-    /** The present term, null while this controller does not lead; not an Optional, as it is asked for with each heartbeat. */
+    /** Returns the current term, null while this controller does not lead. Not an Optional, since it is called for each heartbeat. */
     LeaderTerm term() {
         return term;
     }
 
-    /** How this controller gives leadership up. */
+    /** Returns the object by which this controller gives up leadership. */
     LeadershipTransfer transfer() {
         return transfer;
     }
@@ -130,7 +133,7 @@
         }
     }
 
-    /** Called before the messages that waited during a pause are handled: they must not be taken for prompt ones. */
+    /** Detects a pause of the process. Runs before the messages that queued up during the pause are handled, since they must not count as prompt. */
     private void detectPause() {
         long now = now();
         if (now - lastMessageMicros > PAUSE_THRESHOLD_MICROS) {
@@ -143,7 +146,7 @@
         lastMessageMicros = now;
     }
 
-    /** Messages of a former term are dropped. */
+    /** Passes a message to the current term; a message of a previous term is dropped. */
     private void termMessageReceived(TermMessage message) {
         if (term != null && term.fencingToken() == message.fencingToken()) {
             term.receive(message);
@@ -203,7 +206,6 @@
             rollout.flagsRead(m.reply());
             advanceElection();
         } else if (message instanceof LeaderMessage.RegistrationRead m) {
-
             rollout.ownRecordRead(m.reply());
             advanceElection();
         } else if (message instanceof LeaderMessage.RegistrationWritten m) {
@@ -216,7 +218,7 @@
         advanceElection();
     }
 
-    /** Sends what is due about the election: a read, a lease, a renewal or a claim; during a shutdown, its next step. */
+    /** Sends the request that the election needs next (read, lease grant, renewal or claim). During a shutdown, takes its next step instead. */
     private void advanceElection() {
         long now = now();
         if (transfer.isShuttingDown()) {
@@ -230,7 +232,7 @@
 
     // ---- the term
 
-    /** The claim of the leader record succeeded; its revision is the fencing token. */
+    /** Starts a term after a successful claim of the leader record, whose revision is the fencing token. */
     void startTerm(long fencingToken, long now) {
         log.info("became leader with fencing token {}", fencingToken);
         collaborators.peers().termStarted();
@@ -240,7 +242,7 @@
         term.start();
     }
 
-    /** Ends the term if the election says that this controller no longer leads by its fencing token. */
+    /** Ends the term if the election no longer has its fencing token, that is, if this controller no longer leads. */
     void endTermIfFenced() {
         if (term != null && collaborators.election().fencingToken() != term.fencingToken()) {
             log.warn("fenced: term {} is over", term.fencingToken());
@@ -249,40 +251,40 @@
         }
     }
 
-    /** The store refused a write because the leader record is no longer ours. */
+    /** Steps down, since the store refused a write because the leader record no longer belongs to this term. */
     void writeFenced() {
         collaborators.election().stepDown();
         collaborators.election().forgetRecord();
         endTermIfFenced();
     }
 
-    /** A worker knows this fencing token, 0 for none: a higher one than ours means that another controller leads. */
+    /** Handles a fencing token that a worker knows, 0 for none. A higher one than that of this term means that another controller leads. */
     void observeFencingToken(long fencingToken) {
         observeFencingToken(fencingToken, null);
     }
 
-    /** A peer knows this fencing token, and the label of the leader that has it; null if it does not say. */
+    /** Handles a fencing token that a peer knows, 0 for none, with the label of the leader that has it; null if the label is not known. */
     void observeFencingToken(long fencingToken, String leader) {
         if (collaborators.election().observeToken(fencingToken, leader)) {
             endTermIfFenced();
         }
     }
 
-    /** The lease was renewed: the term may rely on it for longer. */
+    /** Extends the time until which the term relies on the lease, since it was renewed. */
     void leaseRenewed() {
         if (term != null) {
             term.leaseHeldUntil(collaborators.election().leaseHeldUntilMicros());
         }
     }
 
-    /** The stages of features are not as they were. */
+    /** Notifies the term that the stages of features have changed. */
     void featureStagesChanged() {
         if (term != null) {
             term.featureStagesChanged();
         }
     }
 
-    /** Whether this process was told to end: nothing new is begun. */
+    /** Returns whether a shutdown was requested, in which case no new work is begun as leader. */
     boolean isShuttingDown() {
         return transfer.isShuttingDown();
     }
--- a/src/main/java/io/micatide/controller/LeaderCollaborators.java
+++ b/src/main/java/io/micatide/controller/LeaderCollaborators.java
@@ -4,15 +4,15 @@
 import io.micatide.election.WorkerConnectivity;
 
 /**
- * What the classes of the leader's actor share. All of it lives as long as the process and is used on the actor's executor only.
+ * The objects that the classes of the leader's actor share. They live as long as the process and are used on the actor's executor only.
  *
- * @param election who leads, and by which fencing token
- * @param lease the leader record and its lease in the store
- * @param workerConnectivity whether workers reach this controller
- * @param cancellations up to when this controller knows of all cancellations
- * @param standbyCoordinator which peers are to take over, and whether this controller is
+ * @param election knows which controller leads, and with which fencing token
+ * @param lease sends the election's requests about the leader record and its lease to the store
+ * @param workerConnectivity knows whether workers reach this controller
+ * @param cancellations exchanges cancellations with peers, and knows up to which time this controller has all of them
+ * @param standbyCoordinator selects the peers that are designated standbys, and knows whether this controller is one
  * @param peers the clients of the other controllers
- * @param rollout this controller's part in the rollout of features
+ * @param rollout the part of this controller in the rollout of features
  */
 record LeaderCollaborators(
         LeaderElection election,
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -15,18 +15,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends what {@link LeaderElection} asks of the store, keeps a watch on the leader record, and tells the election what came of it. Part of
- * the leader's actor.
+ * Connects {@link LeaderElection} with the store: sends the requests that the election needs, watches the leader record, and passes the
+ * replies to the election. Part of the leader's actor.
  */
 final class LeaderLease {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long WATCH_RETRY_MICROS = 300 * Micros.MILLISECOND;
     private static final long RETRY_MICROS = 200 * Micros.MILLISECOND;
-    /** A claim that was not executed is repeated sooner than other requests: nobody leads meanwhile. */
+    /** Delay before a claim that was not executed is retried. Shorter than for other requests, since there is no leader meanwhile. */
     private static final long CLAIM_RETRY_MICROS = 100 * Micros.MILLISECOND;
 
     private static final long MALFORMED_RETRY_MICROS = Micros.SECOND;
     private static final long WATCH_TIMEOUT_MICROS = 20 * Micros.SECOND;
+    /** A claim delay that never passes. */
     private static final long NEVER_CLAIM_MICROS = Long.MAX_VALUE;
 
     private final LeaderActor owner;
@@ -35,12 +36,12 @@
     private final LeaderElection election;
     private final RolloutParticipant rollout;
     private boolean isWatching;
-    /** Changes of the leader record up to this revision have been observed. */
+    /** The revision of the store up to which changes of the leader record have been observed. */
     private long watchRevision;
-    /** The lease of the leader record that an earlier process of this controller wrote, 0 if there is none as far as is known. */
+    /** Id of the lease of a leader record that a previous process of this controller wrote; 0 if none is known. */
     private long previousLeaseId;
 
-    /** @param label of this controller, which a claim writes into the leader record */
+    /** @param label the label of this controller, which a claim writes into the leader record */
     LeaderLease(
             LeaderActor owner, String label, StoreClient store, LeaderElection election, RolloutParticipant rollout) {
         this.owner = owner;
@@ -50,39 +51,42 @@
         this.rollout = rollout;
     }
 
-    /** The watch may be opened again. */
+    /** Allows the watch of the leader record to be opened again, since the delay after an error has passed. */
     void watchDue() {
         isWatching = false;
     }
 
-    /** For how long the leader record has been claimable, or -1 if it is not. */
+    /** Returns for how long the leader record has been claimable, in microseconds; -1 if it is not. */
     long claimableForMicros(long now) {
         return election.claimableForMicros(now);
     }
 
     /**
-     * Ends the lease of this controller's earlier process, so that its leader record goes and warm standbys see it at once. That process is
-     * gone, as for a claim in place of its own record; and what it had sent is fenced by the next claim either way.
+     * Ends the lease of this controller's previous process, if there is one. That removes the process's leader record, so that warm standbys
+     * can claim leadership at once. The previous process no longer runs, which a claim that replaces the controller's own record presumes as
+     * well; and the next claim, by any controller, fences the requests that the process had sent.
      */
     void endPreviousLease() {
         if (previousLeaseId != 0 && previousLeaseId != election.leaseId()) {
             LOG.info("ends the lease of its earlier process, a peer is the better leader");
-            store.endLease(previousLeaseId, reply -> LOG.debug("lease of the earlier process: {}", reply.status()));
+            store.endLease(
+                    previousLeaseId,
+                    reply -> LOG.debug("lease of the previous process ended: status {}", reply.status()));
         }
         previousLeaseId = 0;
     }
 
     /**
-     * Sends what is due.
+     * Sends the request that the election needs next, and opens the watch of the leader record if it is not open and the leader is known.
      *
-     * @param claimDelayMicros for how long a claimable record is left to peers
+     * @param claimDelayMicros for how long a claimable leader record is left to peers
      */
     void advance(long now, long claimDelayMicros) {
         if (!isWatching && election.leader() != null) {
             watch();
         }
-        // A controller that does not know which formats the store holds must not lead, and none knows that before it
-        // has read it.
+        // A controller must not lead before it has read the stages of features and supports all of them, since it could
+        // not read the formats that the store holds.
         long delayMicros = rollout.mayLead() ? claimDelayMicros : NEVER_CLAIM_MICROS;
         switch (election.nextAction(now, delayMicros)) {
             case READ_RECORD -> store.read(StoreKeys.LEADER, owner.onReply(LeaderMessage.LeaderRecordRead::new));
@@ -114,7 +118,7 @@
                 owner.onReply(LeaderMessage.LeadershipClaimed::new));
     }
 
-    /** Handles an answer of the store about the leader record or the lease. */
+    /** Handles a reply of the store about the leader record or the lease. */
     void receive(LeaderMessage.LeaseMessage message) {
         long now = owner.now();
         try {
@@ -130,7 +134,7 @@
                 recordObserved(m.reply());
             }
         } catch (MalformedException e) {
-            LOG.error("malformed answer about the leader record: {}", e.getMessage());
+            LOG.error("malformed reply about the leader record: {}", e.getMessage());
             election.requestFailed(now, MALFORMED_RETRY_MICROS);
         }
     }
--- a/src/main/java/io/micatide/controller/LeaderMessage.java
+++ b/src/main/java/io/micatide/controller/LeaderMessage.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * What happens to the {@link LeaderActor}. Messages are grouped by the class that handles them; what concerns one term only is a {@link
- * TermMessage}, what concerns standbys a {@link StandbyMessage}.
+ * A message to the {@link LeaderActor}. Messages are grouped by the class that handles them. A message that concerns one term only is a
+ * {@link TermMessage}, a message that concerns standbys is a {@link StandbyMessage}.
  */
 sealed interface LeaderMessage
         permits LeaderMessage.TickDue,
@@ -25,46 +25,47 @@
                 LeaderMessage.PeerMessage,
                 StandbyMessage,
                 TermMessage {
-    /** It is time for the regular work of a leader. */
+    /** The periodic work of a leader is due. */
     record TickDue() implements LeaderMessage {}
 
-    /** It is time to look after the lease and the leader record. */
+    /** The periodic check of the election, the lease and the rollout, or during a shutdown of its next step, is due. */
     record LeaseTickDue() implements LeaderMessage {}
 
-    /** A worker sent a heartbeat, which awaits its answer. */
+    /** A worker sent a heartbeat; the request has to be answered. */
     record HeartbeatReceived(Request request) implements LeaderMessage {}
 
     /**
-     * The job cache holds all changes up to a revision of the store.
+     * The job cache holds all changes up to the given revision of the store.
      *
-     * @param requestSentMicros when the read was sent, on the steady clock
+     * @param requestSentMicros the time on the steady clock at which the read was sent
+     * @param revision the revision of the store up to which the job cache is complete
      */
     record StoreRead(long requestSentMicros, long revision) implements LeaderMessage {}
 
-    /** This process was told to end; {@code onCompleted} runs once others can go on without it. */
+    /** This process is to shut down; {@code onCompleted} is run once it has given up leadership and its lease. */
     record ShutdownRequested(Runnable onCompleted) implements LeaderMessage {}
 
-    /** The designated standby answered the request to take over. */
+    /** The successor answered the request to catch up and take over, or the request failed. */
     record HandoverAnswered(Reply reply) implements LeaderMessage {}
 
     // ---- the leader record and its lease
 
-    /** Concerns the leader record or the lease that it is attached to; handled by {@link LeaderLease}. */
+    /** A message about the leader record or the lease to which it is attached; handled by {@link LeaderLease}. */
     sealed interface LeaseMessage extends LeaderMessage {}
 
     /** The store answered a read of the leader record. */
     record LeaderRecordRead(Reply reply) implements LeaseMessage {}
 
-    /** The store answered the request for a lease that was sent at {@code askedMicros}. */
+    /** The store answered the request for a lease that was sent at {@code requestSentMicros}. */
     record LeaseGranted(Reply reply, long requestSentMicros) implements LeaseMessage {}
 
     /** The store answered the transaction that writes the leader record. */
     record LeadershipClaimed(Reply reply) implements LeaseMessage {}
 
-    /** The store answered the renewal that was sent at {@code askedMicros}. */
+    /** The store answered the renewal that was sent at {@code requestSentMicros}. */
     record LeaseRenewed(Reply reply, long requestSentMicros) implements LeaseMessage {}
 
-    /** The watch of the leader record ended with changes, without any or with an error. */
+    /** The watch of the leader record ended: with changes, without changes or with an error. */
     record LeaderRecordObserved(Reply reply) implements LeaseMessage {}
 
     /** The watch of the leader record may be opened again after an error. */
@@ -72,30 +73,30 @@
 
     // ---- records that the job cache has read
 
-    /** A record in the job cache is new or has changed; of interest to a term only. */
+    /** A record in the job cache is new or has changed. Handled by the current term, dropped if there is none. */
     sealed interface RecordObserved extends LeaderMessage {}
 
     /** A job is new or has changed. */
     record JobObserved(JobCache.View view) implements RecordObserved {}
 
-    /** The open and the cancelled jobs, by a read that began after the term's claim. */
+    /** The open and the cancelled jobs, as of a read that began after the claim of the term. */
     record JobsObserved(List<JobCache.View> jobs) implements RecordObserved {}
 
-    /** The store says that every controller reads this layout. */
+    /** The layout record was read; it states that every controller can read this layout of the store. */
     record LayoutObserved(long version, StoredRecord.Layout layout) implements RecordObserved {}
 
-    /** The archive's manifest is new or has changed. */
+    /** The manifest of the archive is new or has changed. */
     record ArchiveManifestObserved(long version, StoredRecord.ArchiveManifest manifest) implements RecordObserved {}
 
-    /** These jobs are cancelled, as known before the cache is complete. */
+    /** The jobs with these ids are cancelled; sent without waiting until the job cache is complete. */
     record CancellationsObserved(List<String> jobs) implements RecordObserved {}
 
     // ---- rollout of features
 
-    /** Concerns this controller's part in a rollout; handled by {@link RolloutParticipant}. */
+    /** A message about this controller's part in a rollout; handled by {@link RolloutParticipant}. */
     sealed interface RolloutMessage extends LeaderMessage {}
 
-    /** The job cache holds the stages of the features at this version. */
+    /** The job cache holds the stages of the features as of the given version of their record. */
     record FeatureStagesObserved(long version, StoredRecord.FeatureStages stages) implements RolloutMessage {}
 
     /** The store answered a read of the stages of the features. */
@@ -109,26 +110,31 @@
 
     // ---- other controllers
 
-    /** Concerns what controllers tell each other; handled by the exchange with peers. */
+    /** A message that concerns the exchange with peers; handled by {@link PeerExchange}. */
     sealed interface PeerMessage extends LeaderMessage {}
 
-    /** The leader, or a controller that still takes itself for it, sent its status. */
+    /** The leader sent its status, or a peer that has not yet observed the end of its term. */
     record PeerStatusReceived(Request request) implements PeerMessage {}
 
-    /** A peer answered the status that this controller sent as leader at {@code askedMicros}. */
+    /** A peer answered the status that this controller had sent as leader at {@code requestSentMicros}. */
     record PeerStatusAnswered(Reply reply, long fencingToken, int peer, long requestSentMicros)
             implements PeerMessage {}
 
-    /** A peer that has just started asks whether this controller would be the better leader. */
+    /** A peer that could claim the leader record, but is cold or receives no heartbeats, asks how ready this controller is to lead. */
     record ReadinessRequested(Request request) implements PeerMessage {}
 
-    /** The jobs of a peer's cancellation digest are in the job cache. */
+    /**
+     * The jobs of a peer's cancellation digest were entered into the job cache.
+     *
+     * @param requestSentMicros the time at which the status was sent that the digest answers
+     * @param receivedMicros the time at which the digest was received
+     */
     record DigestRecorded(int peer, CancellationDigest digest, long requestSentMicros, long receivedMicros)
             implements PeerMessage {}
 
-    /** A user of this controller was told that a job is cancelled. */
+    /** This controller has confirmed the cancellation of a job to a user. */
     record CancellationConfirmed(CancellationDigest.Cancelled job) implements PeerMessage {}
 
-    /** A peer told one of its users that jobs are cancelled. */
+    /** A peer reports cancellations that it has confirmed to users. */
     record PeerCancellationsReceived(Request request) implements PeerMessage {}
 }
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -25,14 +25,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a controller does while it leads: it loads the state of the deployment, lets the {@link Scheduler} decide, writes the decisions to
- * the store and acts on them once they are confirmed. Until all is loaded the scheduler decides nothing, and heartbeats are answered only
- * with stops of jobs that are known as cancelled. A term has one fencing token and ends for good. Part of the leader's actor.
+ * One term of leadership of this controller: loads the state of the deployment, lets the {@link Scheduler} decide, writes its decisions to
+ * the store and acts on them once they are confirmed. Until loading is complete the scheduler decides nothing, and heartbeats are answered
+ * only with stops of the tasks of jobs that are known to be cancelled. A term has one fencing token; a term that has ended is never resumed.
+ * Part of the leader's actor.
  */
 final class LeaderTerm {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long SUMMARY_INTERVAL_MICROS = 5 * Micros.SECOND;
-    /** Jobs, ledgers, provisioning requests, machine types and machine deletions. */
+    /** The number of steps of loading: jobs, ledgers, provisioning requests, machine types and machine deletions. */
     private static final int LOAD_STEPS = 5;
 
     private final LeaderActor owner;
@@ -45,14 +46,14 @@
     private final TermArchiving archiving;
     private final LearnedStateWriter learnedState;
     private final TermAnnouncer announcer;
-    /** How many of the {@link #LOAD_STEPS} are not yet complete; the scheduler decides once it is 0. */
+    /** The number of steps of loading that are not complete, from {@link #LOAD_STEPS} down to 0. The scheduler decides once it is 0. */
     private int remainingLoadSteps = LOAD_STEPS;
 
     private long lastSummaryMicros;
-    /** Jobs known as cancelled until all is loaded; from then on the scheduler has them. */
+    /** Ids of the jobs that are known to be cancelled. Empty once loading is complete, since the scheduler knows them from then on. */
     private final Set<String> cancelledJobs = new HashSet<>();
 
-    /** A term that has yet to be started; its fencing token is the scheduler's. */
+    /** Creates a term with the fencing token of the given scheduler; {@link #start} starts it. */
     LeaderTerm(LeaderActor owner, UsersActor users, Scheduler scheduler, TermComponents components) {
         this.owner = owner;
         this.users = users;
@@ -66,76 +67,76 @@
         this.announcer = components.announcer();
     }
 
-    /** Begins to load. */
+    /** Subscribes to changes of the job cache and begins to load the state of the deployment. */
     void start() {
         users.tell(new UsersActor.SubscribeLeader(owner));
         loader.tell(new FailoverLoader.LoadRequested());
     }
 
-    /** Whether the outcome of a write is still to come. */
+    /** Returns whether a write is in flight. */
     boolean isWritePending() {
         return committer.isWriteInFlight();
     }
 
-    /** The latest revision that this term is known to have written, its claim included. */
+    /** Returns the revision of the last confirmed write of this term, or that of its claim if there was none. */
     long lastWrittenRevision() {
         return Math.max(fencingToken(), committer.lastRevision());
     }
 
-    /** This controller no longer leads: nothing is sent in the name of this term any more. */
+    /** Ends the archiving of this term and its subscription to the job cache. Nothing is sent in the name of this term afterwards. */
     void end() {
         archiving.endTerm();
         users.tell(new UsersActor.UnsubscribeLeader());
     }
 
-    /** The revision of the leader record that this controller wrote. */
+    /** Returns the fencing token of this term: the revision of the write of its leader record. */
     long fencingToken() {
         return scheduler.fencingToken();
     }
 
-    /** Whether the scheduler knows all that it needs to decide. */
+    /** Returns whether loading is complete, so that the scheduler knows all that it needs to decide. */
     boolean isLoaded() {
         return remainingLoadSteps == 0;
     }
 
-    /** The leader's lease runs at least until this time on the steady clock. */
+    /** Sets the time on the steady clock until which the lease of the leader certainly lasts. */
     void leaseHeldUntil(long untilMicros) {
         scheduler.leaseHeldUntil(untilMicros);
     }
 
-    /** The process was paused and goes on. */
+    /** Notifies the scheduler that the process was paused and has resumed. */
     void processResumed(long now) {
         scheduler.processResumed(now);
     }
 
-    /** The job cache holds all that the store had at {@code askedMicros}. */
+    /** Notifies the scheduler that the job cache holds the state of the store as of {@code requestSentMicros} or later. */
     void storeRead(long requestSentMicros) {
         scheduler.storeReadAt(requestSentMicros);
     }
 
-    /** The stages of features are not as they were. */
+    /** Handles a change of the stages of features. */
     void featureStagesChanged() {
         rollout.flagsChanged();
     }
 
-    /** When this term reached the stages of its failover. */
+    /** Returns the times at which this term reached the stages of its failover. */
     FailoverTimings failoverTimings() {
         return scheduler.failoverTimings();
     }
 
-    /** What a standby should know and no record holds. */
+    /** Returns the hints for standbys: what this leader has learned and no record of the store holds. */
     List<Hint> hints(long now) {
         return scheduler.hints(now);
     }
 
-    /** The progress of jobs, which peers show to users; empty until all is loaded. */
+    /** Returns the progress of jobs, which peers show to users; empty until loading is complete. */
     List<JobProgress> progress() {
         return isLoaded() ? scheduler.progress() : List.of();
     }
 
     /**
-     * Handles a worker's heartbeat. Until all is loaded the answer, which renews the worker's lease, holds only stops of jobs that are
-     * known as cancelled, since they must not be prolonged; what else the heartbeat says is taken from the next one.
+     * Handles a worker's heartbeat. The answer renews the worker's lease. Until loading is complete it holds only stops of the tasks of jobs
+     * that are known to be cancelled, since the renewal must not prolong them; the rest of the heartbeat is ignored, as the next one repeats it.
      *
      * @return the commands to the worker
      */
@@ -161,7 +162,6 @@
         } else if (message instanceof TermMessage.AnnouncementAnswered m) {
             announcer.announcementAnswered(m);
         } else if (message instanceof TermMessage.LoadMessage m) {
-
             loadMessageReceived(m);
         } else if (message instanceof TermMessage.ArchivableJobsFound m) {
             archiving.finishedJobsFound(m);
@@ -224,12 +224,11 @@
         }
     }
 
-    /** Handles a record that the job cache of this controller has read. */
+    /** Handles a new or changed record of this controller's job cache. */
     void recordObserved(LeaderMessage.RecordObserved message) {
         if (message instanceof LeaderMessage.JobObserved m) {
             jobObserved(m.view());
         } else if (message instanceof LeaderMessage.JobsObserved m) {
-
             jobsObserved(m.jobs());
         } else if (message instanceof LeaderMessage.LayoutObserved m) {
             rollout.layoutObserved(m.version(), m.layout());
@@ -237,14 +236,13 @@
             rollout.archiveObserved();
             archiving.manifestObserved(m.version(), m.manifest());
         } else if (message instanceof LeaderMessage.CancellationsObserved m) {
-
             cancellationsObserved(m.jobs());
         }
     }
 
     // ---- loading
 
-    /** May come before anything else is known of these jobs. */
+    /** Remembers the given jobs as cancelled until loading is complete; the jobs themselves may not be known yet. */
     private void cancellationsObserved(List<String> jobs) {
         if (!isLoaded()) {
             cancelledJobs.addAll(jobs);
@@ -258,7 +256,10 @@
         scheduler.jobChanged(view, owner.wallClockMicros(), owner.now());
     }
 
-    /** The open and the cancelled jobs, by a read that began after the claim: each task that an earlier leader started is of one of them. */
+    /**
+     * Completes a step of loading with the open and the cancelled jobs, as of a read that began after the claim. Every task that a previous
+     * leader started belongs to one of them.
+     */
     private void jobsObserved(List<JobCache.View> jobs) {
         if (remainingLoadSteps > 0) {
             jobs.forEach(this::jobObserved);
@@ -284,7 +285,7 @@
         }
     }
 
-    /** Provisioning requests are written once their fence is known; nothing else waits for it. */
+    /** Gives the scheduler the fence of the provisioning requests, which are written only once it is known; nothing else waits for it. */
     private void provisioningFenceRead(Reply reply) {
         try {
             if (reply.ok()) {
@@ -312,7 +313,7 @@
 
     // ---- time
 
-    /** Does what is due; called every 100 ms once all is loaded. */
+    /** Runs the periodic work of the term; called every 100 ms once loading is complete, except during a shutdown. */
     void tick(long now) {
         announcer.sendDue(now);
         scheduler.tick(now);
@@ -327,7 +328,7 @@
         scheduler.takeCompletions(now).forEach(LOG::debug);
     }
 
-    /** Logs the state of the deployment every five seconds. */
+    /** Logs a summary of the deployment if {@link #SUMMARY_INTERVAL_MICROS} have passed since the last one. */
     void logSummaryIfDue(long now) {
         if (now - lastSummaryMicros >= SUMMARY_INTERVAL_MICROS) {
             lastSummaryMicros = now;
--- a/src/main/java/io/micatide/controller/LeaderTermFactory.java
+++ b/src/main/java/io/micatide/controller/LeaderTermFactory.java
@@ -2,7 +2,7 @@
 
 import io.micatide.scheduler.Scheduler;
 
-/** Wires the parts of a {@link LeaderTerm}. Used on the executor of the leader's actor. */
+/** Creates a {@link LeaderTerm} and its parts. Used on the executor of the leader's actor only. */
 final class LeaderTermFactory {
     private final LeaderActor owner;
     private final ControllerServices services;
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Creates the term whose leader record was written with this fencing token; it has yet to be started.
+     * Creates the term with the given fencing token. The caller starts it.
      *
      * @param fencingToken the revision of the transaction that wrote the leader record
      */
--- a/src/main/java/io/micatide/controller/LeadershipTransfer.java
+++ b/src/main/java/io/micatide/controller/LeadershipTransfer.java
@@ -9,13 +9,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives leadership up while the lease still holds: to a peer that the workers reach, or because this process is told to end. Either way
- * the election forgets the lease before the store is asked to end it, so nothing is done any more in the name of the term. Part of the
- * leader's actor.
+ * Gives up leadership while the lease still lasts: in favour of a peer that the workers reach, or because this process shuts down. In both
+ * cases the election forgets the lease before the store is asked to end it, so that nothing is done in the name of the term afterwards. Part
+ * of the leader's actor.
  */
 final class LeadershipTransfer {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    /** A process that ends never claims again. */
+    /** The pause before the next claim of a process that shuts down, which never claims again. Added to a time, so well below the maximum. */
     private static final long NEVER_CLAIM_MICROS = Long.MAX_VALUE / 4;
 
     private static final int NO_SUCCESSOR = -1;
@@ -28,7 +28,7 @@
     private final WorkerConnectivity workerConnectivity;
     private final StandbyCoordinator standbyCoordinator;
     private final PeerClients peers;
-    /** Null until this process is told to end. */
+    /** The steps of the shutdown; null until it is requested. */
     private GracefulHandover handover;
 
     LeadershipTransfer(
@@ -43,34 +43,34 @@
         this.peers = collaborators.peers();
     }
 
-    /** Whether this process was told to end: nothing new is begun. */
+    /** Returns whether a shutdown was requested, in which case no new work is begun as leader. */
     boolean isShuttingDown() {
         return handover != null;
     }
 
-    /** Whether this process was told to end and has released its lease: no heartbeat is answered as leader. */
+    /** Returns whether the release of the lease has begun during a shutdown; from then on no heartbeat is answered as leader. */
     boolean isCompleted() {
         return handover != null && handover.isCompleted();
     }
 
-    /** The label of the controller that takes over from one that ends, null if there is none. */
+    /** Returns the label of the controller that takes over, null if there is none. Requires that a shutdown was requested. */
     String successor() {
         return handover.successor();
     }
 
-    /** Takes the next step of a shutdown once its time has come. */
+    /** Takes the next step of the shutdown if the current one is finished or has timed out. Requires that a shutdown was requested. */
     void advance(long now) {
         handover.advance(now);
     }
 
-    /** The successor has caught up or says that it could not. */
+    /** Handles the successor's answer to the request to catch up, whether or not it could, and a failure of that request. */
     void successorAnswered() {
         handover.successorAnswered();
     }
 
     /**
-     * Leaves leadership to a peer that the workers reach. Ending the lease removes the leader record at once; should that request be
-     * lost, the lease expires by itself.
+     * Resigns if no heartbeats come and a peer reports that workers turn to it. Ending the lease removes the leader record at once; if that
+     * request is lost, the lease expires.
      */
     void resignIfPeerReachesWorkers(long now) {
         LeaderTerm term = owner.term();
@@ -82,14 +82,14 @@
                 term.fencingToken(),
                 workerConnectivity.silentMicros(now) / Micros.MILLISECOND);
         long leaseId = election.resign(now, settings.workerLeaseMicros());
-        store.endLease(leaseId, reply -> LOG.info("lease of the former term ended: {}", reply.status()));
+        store.endLease(leaseId, reply -> LOG.info("lease of the previous term ended: status {}", reply.status()));
         owner.endTermIfFenced();
     }
 
     /**
-     * Begins the graceful shutdown of this process; a second request changes nothing.
+     * Begins the graceful shutdown of this process. A second request has no effect.
      *
-     * @param onCompleted run once the lease is released, or at once if there is none
+     * @param onCompleted run once the store has answered the request to end the lease; without that request if there is no lease
      */
     void shutDown(Runnable onCompleted) {
         if (handover != null) {
--- a/src/main/java/io/micatide/controller/NettyActorExecutor.java
+++ b/src/main/java/io/micatide/controller/NettyActorExecutor.java
@@ -3,14 +3,14 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
 
-/** Runs actors on an event loop that they share with sockets, by this machine's clocks. */
+/** Runs actors on a Netty event loop, which also serves the controller's sockets. Uses the clocks of this machine ({@link Clock}). */
 public final class NettyActorExecutor implements ActorExecutor {
     private final EventLoop loop;
 
     /**
-     * An executor for the actors of one controller.
+     * Creates an executor for the actors of one controller.
      *
-     * @param loop that also carries the controller's sockets
+     * @param loop the event loop that also serves the controller's sockets
      */
     public NettyActorExecutor(EventLoop loop) {
         this.loop = loop;
--- a/src/main/java/io/micatide/controller/TermAnnouncer.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -12,23 +12,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Announces a new term to workers instead of waiting for their next heartbeat, by which they would find the new leader: jobs wait for every
- * machine that their ledgers name. An announcement carries the fencing token and no command, so it may arrive at any later time: a worker
- * that knows a higher token refuses it. Part of the leader's actor.
+ * Announces a new term to workers. Without an announcement the leader would have to wait until a worker's next heartbeat finds it, and jobs
+ * wait for every machine that their ledgers name. An announcement carries the fencing token and no command, so a delayed one does no harm: a
+ * worker that knows a higher token refuses it. Part of the leader's actor.
  *
- * <p>Announcements take a quarter of the processor time that heartbeats leave, and where that does not reach all machines within an
- * interval of heartbeats there are none: workers that have lost a leader look for another one by themselves in about that time, and
- * slower announcements only made their heartbeats wait (90% of 640 machines confirmed after 3.1 s instead of 2.2). Only after a graceful
- * handover does no worker look for another leader, and all are told at whatever rate.
+ * <p>Announcements use a quarter of the CPU time that heartbeats leave free. If that does not suffice for all machines within one heartbeat
+ * interval, none are sent: workers that have lost a leader look for another one themselves within about that time, and slower announcements
+ * only delayed their heartbeats (90% of 640 machines were confirmed after 3.1 s instead of 2.2 s). After a graceful handover, however, no
+ * worker looks for another leader, so announcements are sent even if they take longer.
  */
 final class TermAnnouncer {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    /** What an announcement with its connection takes of a core; a heartbeat with all that follows from it takes about as much. */
+    /** CPU time of an announcement with its connection, in seconds of a core. A heartbeat with the work that follows takes about as much. */
     private static final double CORE_SECONDS_PER_ANNOUNCEMENT = 0.001;
 
+    /** The share of the CPU time left by heartbeats that announcements may use; after a graceful handover, of all CPU time. */
     private static final double SPARE_CPU_SHARE = 0.25;
+
     private static final int MAX_IN_FLIGHT = 48;
-    /** In a partition a connection hangs; the worker comes by itself, or not at all. */
+    /** Bounds how long a connection to a partitioned worker counts as in flight. A worker that is not reached sends a heartbeat once it can. */
     private static final long TIMEOUT_MICROS = Micros.SECOND;
 
     private static final int CONNECTIONS_PER_WORKER = 1;
@@ -38,13 +40,13 @@
     private final Http.Connector connector;
     private final Settings settings;
     private final boolean wasHandedOver;
-    /** How many announcements the processor share allows now; grows with time up to {@link #MAX_IN_FLIGHT}. */
+    /** The number of announcements that may be sent now within the CPU share; grows with time up to {@link #MAX_IN_FLIGHT}. */
     private double budget;
 
     private long budgetUpdatedMicros;
     private int inFlight;
 
-    /** @param wasHandedOver whether the former leader shut down gracefully, so that no worker looks for another one yet */
+    /** @param wasHandedOver whether the previous leader has just handed over gracefully, so that no worker looks for another leader yet */
     TermAnnouncer(
             LeaderActor owner,
             Settings settings,
@@ -59,7 +61,7 @@
         this.budgetUpdatedMicros = owner.now();
     }
 
-    /** Sends as many announcements as the budget allows; called every 100 ms once all is loaded. */
+    /** Sends as many announcements as the budget allows; called every 100 ms once loading is complete. */
     void sendDue(long now) {
         double elapsedSeconds = Micros.toSeconds(now - budgetUpdatedMicros);
         budget = Math.min(MAX_IN_FLIGHT, budget + ratePerSecond() * elapsedSeconds);
@@ -96,7 +98,7 @@
                 owner.onReply(r -> new TermMessage.AnnouncementAnswered(r, fencingToken, announcement, worker)));
     }
 
-    /** A worker answered, or did not within the timeout: it comes by itself. */
+    /** Handles a worker's answer. A worker that did not answer within the timeout is not retried, since it sends heartbeats itself. */
     void announcementAnswered(TermMessage.AnnouncementAnswered message) {
         inFlight--;
         boolean isRetried = false;
@@ -109,7 +111,7 @@
             }
         } catch (MalformedException e) {
             LOG.error(
-                    "malformed answer of {} to an announcement: {}",
+                    "machine {}: malformed answer to the announcement of the term: {}",
                     message.announcement().machine(),
                     e.getMessage());
         }
@@ -118,7 +120,12 @@
         }
     }
 
-    /** The worker's incarnation is a later one than was known, which is told again, or it knows a higher fencing token. */
+    /**
+     * Handles the refusal of an announcement: sends the announcement again if the worker has a later incarnation than was known, otherwise
+     * observes the worker's fencing token, which may be higher than that of this term.
+     *
+     * @return whether the announcement was sent again
+     */
     private boolean handleRefusal(TermMessage.AnnouncementAnswered message) throws MalformedException {
         TermAnnouncement announcement = message.announcement();
         Heartbeat heartbeat = WorkerCodec.heartbeat(message.reply().body());
--- a/src/main/java/io/micatide/controller/TermMessage.java
+++ b/src/main/java/io/micatide/controller/TermMessage.java
@@ -13,7 +13,7 @@
 import io.micatide.store.Transaction;
 import java.util.List;
 
-/** What concerns one {@link LeaderTerm} only; dropped once that term is over. Grouped by the class that handles it. */
+/** A message that concerns one {@link LeaderTerm} only; dropped if that term has ended. Messages are grouped by the class that handles them. */
 sealed interface TermMessage extends LeaderMessage
         permits TermMessage.LoadMessage,
                 TermMessage.CommitMessage,
@@ -23,12 +23,12 @@
                 TermMessage.ArchiveWritesUsed,
                 TermMessage.LearnedStateWritten,
                 TermMessage.AnnouncementAnswered {
-    /** The fencing token of the term. */
+    /** Returns the fencing token of the term. */
     long fencingToken();
 
     // ---- loading
 
-    /** Part of what a new leader reads before its first decision; sent by {@link FailoverLoader} and {@link StandbyActor}. */
+    /** A message about what a new leader loads; sent by {@link FailoverLoader} and {@link StandbyActor}. */
     sealed interface LoadMessage extends TermMessage {}
 
     /** Ledgers, provisioning requests, machine deletions or learned state were read. */
@@ -37,18 +37,18 @@
     /** The machine types were read. */
     record MachineTypesLoaded(long fencingToken, List<MachineType> types) implements LoadMessage {}
 
-    /** The hints that the former leader had sent to this controller as its standby. */
+    /** The hints that the previous leader had sent to this controller as its standby. */
     record ReceivedHintsLoaded(long fencingToken, List<Hint> hints) implements LoadMessage {}
 
-    /** One of the steps that the term waits for is complete. */
+    /** One of the steps of loading for which the term waits is complete. */
     record LoadStepCompleted(long fencingToken) implements LoadMessage {}
 
-    /** The fence of the provisioning requests was read, or is known not to be there. */
+    /** The fence of the provisioning requests was read, or is known not to exist. */
     record ProvisioningFenceRead(Reply reply, long fencingToken) implements LoadMessage {}
 
     // ---- writes of the scheduler
 
-    /** Concerns a write of the scheduler; handled by {@link LedgerCommitter}. */
+    /** A message about a write of the scheduler; handled by {@link LedgerCommitter}. */
     sealed interface CommitMessage extends TermMessage {}
 
     /** The store answered a transaction. */
@@ -57,28 +57,28 @@
     /** A key of a transaction whose outcome is unknown was read. */
     record UnresolvedKeyRead(Reply reply, long fencingToken, String key) implements CommitMessage {}
 
-    /** A key whose version a transaction did not expect was read. */
+    /** A key on which a transaction conflicted, since it had another version than expected, was read. */
     record ConflictingKeyRead(Reply reply, long fencingToken, String key) implements CommitMessage {}
 
-    /** A key whose version a transaction did not expect is to be read again. */
+    /** The retry of the read of a key on which a transaction conflicted is due. */
     record ConflictingKeyReadDue(long fencingToken, String key) implements CommitMessage {}
 
-    /** The keys of a transaction whose outcome is unknown are to be read again. */
+    /** The retry of reading back a key of a transaction whose outcome is unknown is due. */
     record ReadBackDue(long fencingToken) implements CommitMessage {}
 
     // ---- cloud provider
 
-    /** Concerns requests to the cloud provider; handled by {@link CloudCalls}. */
+    /** A message about requests to the cloud provider; handled by {@link CloudCalls}. */
     sealed interface CloudMessage extends TermMessage {}
 
     /** The cloud provider answered a request. */
     record CloudCallAnswered(Reply reply, long fencingToken, CloudCall call) implements CloudMessage {}
 
     /**
-     * The cloud provider answered with a page of the machines.
+     * The cloud provider answered the request for a page of the list of machines.
      *
-     * @param requestSentMicros when the first page was asked for
-     * @param earlierPages the machines of the pages before
+     * @param requestSentMicros the time at which the request for the first page was sent
+     * @param earlierPages the machines on the previous pages
      */
     record MachinesListed(Reply reply, long fencingToken, long requestSentMicros, List<ListedMachine> earlierPages)
             implements CloudMessage {}
@@ -88,7 +88,7 @@
 
     // ---- rollout of features
 
-    /** Concerns the leader's part in a rollout; handled by {@link RolloutDriver}. */
+    /** A message about the leader's part in a rollout; handled by {@link RolloutDriver}. */
     sealed interface RolloutStepMessage extends TermMessage {}
 
     /** The store answered the write of the first archive manifest. */
@@ -108,17 +108,17 @@
     // ---- others
 
     /**
-     * Jobs that are over and that no open job needs.
+     * The job cache was searched for finished jobs that no open job depends on, and for records of jobs that are already archived.
      *
-     * @param manifestVersion the version of the archive manifest in the job cache that was searched
+     * @param manifestVersion the version of the archive manifest that the job cache held
      */
     record ArchivableJobsFound(long fencingToken, List<Archiver.ArchivableJob> jobs, long manifestVersion)
             implements TermMessage {}
 
-    /** The archiver has used so many writes of the store's budget. */
+    /** The archiver has used the given number of writes of the store's write budget. */
     record ArchiveWritesUsed(long fencingToken, int writes) implements TermMessage {}
 
-    /** The store answered the write of learned state. */
+    /** The store answered the write of a record of learned state. */
     record LearnedStateWritten(Reply reply, long fencingToken, String key, StoredRecord.LearnedState state)
             implements TermMessage {}
 
