--- a/src/main/java/io/micatide/controller/ActorExecutor.java
+++ b/src/main/java/io/micatide/controller/ActorExecutor.java
@@ -25,7 +25,7 @@
     long now();
 
     /**
-     * Returns the time of day, which serves for times that are sent to other controllers.
+     * Returns the time of day, which serves for times that are stored or sent to other processes.
      *
      * @return microseconds since 1970
      */
--- a/src/main/java/io/micatide/controller/Clock.java
+++ b/src/main/java/io/micatide/controller/Clock.java
@@ -2,7 +2,7 @@
 
 import io.micatide.model.Micros;
 
-/** The steady clock of this process, and the time of day for times that are sent to other controllers. Thread-safe. */
+/** The steady clock of this process, and the time of day for times that are stored or sent to other processes. Thread-safe. */
 public final class Clock {
     private static final long START_NANOS = System.nanoTime();
 
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -35,6 +35,7 @@
     private final StoreClient store;
     private final LeaderElection election;
     private final RolloutParticipant rollout;
+    /** Whether a watch of the leader record is open, or the delay before it is opened again after an error has not passed. */
     private boolean isWatching;
     /** The revision of the store up to which changes of the leader record have been observed. */
     private long watchRevision;
