--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -15,18 +15,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends what {@link LeaderElection} asks of the store, keeps a watch on the leader record, and tells the election what came of it. Part of
- * the leader's actor.
+ * Connects {@link LeaderElection} with the store: sends the requests that the election needs, watches the leader record, and passes the
+ * replies to the election. Part of the leader's actor.
  */
 final class LeaderLease {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long WATCH_RETRY_MICROS = 300 * Micros.MILLISECOND;
     private static final long RETRY_MICROS = 200 * Micros.MILLISECOND;
-    /** A claim that was not executed is repeated sooner than other requests: nobody leads meanwhile. */
+    /** Delay before a claim that was not executed is retried. Shorter than for other requests, since there is no leader meanwhile. */
     private static final long CLAIM_RETRY_MICROS = 100 * Micros.MILLISECOND;
 
     private static final long MALFORMED_RETRY_MICROS = Micros.SECOND;
     private static final long WATCH_TIMEOUT_MICROS = 20 * Micros.SECOND;
+    /** A claim delay that never passes. */
     private static final long NEVER_CLAIM_MICROS = Long.MAX_VALUE;
 
     private final LeaderActor owner;
@@ -34,13 +35,14 @@
     private final StoreClient store;
     private final LeaderElection election;
     private final RolloutParticipant rollout;
+    /** Whether a watch of the leader record is open, or the delay before it is opened again after an error has not passed. */
     private boolean isWatching;
-    /** Changes of the leader record up to this revision have been observed. */
+    /** The revision of the store up to which changes of the leader record have been observed. */
     private long watchRevision;
-    /** The lease of the leader record that an earlier process of this controller wrote, 0 if there is none as far as is known. */
-    private long formerLeaseId;
+    /** Id of the lease of a leader record that a previous process of this controller wrote; 0 if none is known. */
+    private long previousLeaseId;
 
-    /** @param label of this controller, which a claim writes into the leader record */
+    /** @param label the label of this controller, which a claim writes into the leader record */
     LeaderLease(
             LeaderActor owner, String label, StoreClient store, LeaderElection election, RolloutParticipant rollout) {
         this.owner = owner;
@@ -50,46 +52,49 @@
         this.rollout = rollout;
     }
 
-    /** The watch may be opened again. */
+    /** Allows the watch of the leader record to be opened again, since the delay after an error has passed. */
     void watchDue() {
         isWatching = false;
     }
 
-    /** For how long the leader record has been claimable, or -1 if it is not. */
+    /** Returns for how long the leader record has been claimable, in microseconds; -1 if it is not. */
     long claimableForMicros(long now) {
         return election.claimableForMicros(now);
     }
 
     /**
-     * Ends the lease of this controller's earlier process, so that its leader record goes and warm standbys see it at once. That process is
-     * gone, as for a claim in place of its own record; and what it had sent is fenced by the next claim either way.
+     * Ends the lease of this controller's previous process, if there is one. That removes the process's leader record, so that warm standbys
+     * can claim leadership at once. The previous process no longer runs, which a claim that replaces the controller's own record presumes as
+     * well; and the next claim, by any controller, fences the requests that the process had sent.
      */
-    void endFormerLease() {
-        if (formerLeaseId != 0 && formerLeaseId != election.leaseId()) {
+    void endPreviousLease() {
+        if (previousLeaseId != 0 && previousLeaseId != election.leaseId()) {
             LOG.info("ends the lease of its earlier process, a peer is the better leader");
-            store.endLease(formerLeaseId, reply -> LOG.debug("lease of the earlier process: {}", reply.status()));
+            store.endLease(
+                    previousLeaseId,
+                    reply -> LOG.debug("lease of the previous process ended: status {}", reply.status()));
         }
-        formerLeaseId = 0;
+        previousLeaseId = 0;
     }
 
     /**
-     * Sends what is due.
+     * Sends the request that the election needs next, and opens the watch of the leader record if it is not open and the leader is known.
      *
-     * @param claimDelayMicros for how long a claimable record is left to peers
+     * @param claimDelayMicros for how long a claimable leader record is left to peers
      */
     void advance(long now, long claimDelayMicros) {
         if (!isWatching && election.leader() != null) {
             watch();
         }
-        // A controller that does not know which formats the store holds must not lead, and none knows that before it
-        // has read it.
+        // A controller must not lead before it has read the stages of features and supports all of them, since it could
+        // not read the formats that the store holds.
         long delayMicros = rollout.mayLead() ? claimDelayMicros : NEVER_CLAIM_MICROS;
         switch (election.nextAction(now, delayMicros)) {
-            case READ_RECORD -> store.read(StoreKeys.LEADER, owner.answer(LeaderMessage.LeaderRecordRead::new));
+            case READ_RECORD -> store.read(StoreKeys.LEADER, owner.onReply(LeaderMessage.LeaderRecordRead::new));
             case GRANT_LEASE ->
-                store.grant(election.leaseMicros(), owner.answer(r -> new LeaderMessage.LeaseGranted(r, now)));
+                store.grant(election.leaseMicros(), owner.onReply(r -> new LeaderMessage.LeaseGranted(r, now)));
             case RENEW_LEASE ->
-                store.touch(election.leaseId(), owner.answer(r -> new LeaderMessage.LeaseRenewed(r, now)));
+                store.touch(election.leaseId(), owner.onReply(r -> new LeaderMessage.LeaseRenewed(r, now)));
             case CLAIM -> claim();
             case NOTHING -> {}
         }
@@ -101,7 +106,7 @@
                 StoreKeys.LEADER,
                 Math.max(election.recordVersion(), watchRevision),
                 WATCH_TIMEOUT_MICROS,
-                owner.answer(LeaderMessage.LeaderRecordObserved::new));
+                owner.onReply(LeaderMessage.LeaderRecordObserved::new));
     }
 
     private void claim() {
@@ -111,33 +116,33 @@
         store.transaction(
                 new Transaction(
                         conditions, List.of(new Transaction.Write(StoreKeys.LEADER, leader, election.leaseId()))),
-                owner.answer(LeaderMessage.LeadershipClaimed::new));
+                owner.onReply(LeaderMessage.LeadershipClaimed::new));
     }
 
-    /** Handles an answer of the store about the leader record or the lease. */
+    /** Handles a reply of the store about the leader record or the lease. */
     void receive(LeaderMessage.LeaseMessage message) {
         long now = owner.now();
         try {
             if (message instanceof LeaderMessage.LeaderRecordRead m) {
                 recordRead(m.reply(), now);
             } else if (message instanceof LeaderMessage.LeaseGranted m) {
-                leaseGranted(m.reply(), m.askedMicros(), now);
+                leaseGranted(m.reply(), m.requestSentMicros(), now);
             } else if (message instanceof LeaderMessage.LeaseRenewed m) {
-                leaseRenewed(m.reply(), m.askedMicros(), now);
+                leaseRenewed(m.reply(), m.requestSentMicros(), now);
             } else if (message instanceof LeaderMessage.LeadershipClaimed m) {
                 leadershipClaimed(m.reply(), now);
             } else if (message instanceof LeaderMessage.LeaderRecordObserved m) {
                 recordObserved(m.reply());
             }
         } catch (MalformedException e) {
-            LOG.error("malformed answer about the leader record: {}", e.getMessage());
+            LOG.error("malformed reply about the leader record: {}", e.getMessage());
             election.requestFailed(now, MALFORMED_RETRY_MICROS);
         }
     }
 
-    private void leaseGranted(Reply reply, long askedMicros, long now) throws MalformedException {
+    private void leaseGranted(Reply reply, long requestSentMicros, long now) throws MalformedException {
         if (reply.ok()) {
-            election.leaseGranted(StoreCodec.grantedLeaseId(reply.body()), askedMicros);
+            election.leaseGranted(StoreCodec.grantedLeaseId(reply.body()), requestSentMicros);
         } else {
             election.requestFailed(now, RETRY_MICROS);
         }
@@ -148,7 +153,7 @@
             StoreCodec.Item item = StoreCodec.item(reply.body());
             watchRevision = Math.max(watchRevision, item.version());
             String recordOwner = ((StoredRecord.Leader) item.record()).owner();
-            formerLeaseId =
+            previousLeaseId =
                     label.equals(recordOwner) && !election.isLeader() ? StoreCodec.attachedLeaseId(reply.body()) : 0;
             election.recordRead(recordOwner, item.version());
         } else if (reply.status() == 404) {
@@ -158,9 +163,9 @@
         }
     }
 
-    private void leaseRenewed(Reply reply, long askedMicros, long now) {
+    private void leaseRenewed(Reply reply, long requestSentMicros, long now) {
         if (reply.ok()) {
-            election.leaseRenewed(askedMicros);
+            election.leaseRenewed(requestSentMicros);
             owner.leaseRenewed();
         } else if (reply.status() == 404) {
             election.leaseExpired();
@@ -196,7 +201,7 @@
             for (StoreCodec.Item item : changes.items()) {
                 if (item.version() >= election.recordVersion()) {
                     election.recordObserved(
-                            item.record() instanceof StoredRecord.Leader row ? row.owner() : null,
+                            item.record() instanceof StoredRecord.Leader leaderRecord ? leaderRecord.owner() : null,
                             item.record() == null ? 0 : item.version());
                 }
             }
