--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -31,11 +31,11 @@
     record ManifestChanged(StoredRecord.ArchiveManifest manifest) implements Message {}
 
     /** Asks for a job by the last manifest told; {@code then} is called on the event loop, once. */
-    record FindJob(String id, Consumer<LookupResult> then) implements Message {}
+    record FindJob(String id, Consumer<LookupResult> callback) implements Message {}
 
     record SegmentRead(Reply reply, String key) implements Message {}
 
-    record FilterDue() implements Message {}
+    record FilterReadDue() implements Message {}
 
     /** What is known of a job by the manifest that was current when it was asked for. */
     sealed interface LookupResult {}
@@ -55,13 +55,13 @@
     /** How a question goes on; several segments may hold an id by what the filters know. */
     private static final class PendingLookup {
         final String id;
-        final Consumer<LookupResult> then;
+        final Consumer<LookupResult> callback;
         int unreadSegments;
         LookupResult result = new NotArchived();
 
         PendingLookup(String id, Consumer<LookupResult> then) {
             this.id = id;
-            this.then = then;
+            this.callback = then;
         }
     }
 
@@ -70,16 +70,16 @@
     /** What all filters may take of the heap: 3 million jobs. */
     private static final long MAX_FILTER_BYTES = 4 << 20;
 
-    private static final long FILTER_PAUSE_MICROS = 50 * Micros.MILLISECOND;
-    private static final long RETRY_MICROS = Micros.SECOND;
+    private static final long FILTER_READ_DELAY_MICROS = 50 * Micros.MILLISECOND;
+    private static final long RETRY_DELAY_MICROS = Micros.SECOND;
 
     private final StoreClient store;
     private final Map<String, List<PendingLookup>> lookupsBySegment = new HashMap<>();
     private final Set<String> damagedSegments = new HashSet<>();
     private MembershipFilters filters;
-    private Cache<String, JobOutcome> cache;
-    private String filterKey;
-    private boolean filterDue;
+    private Cache<String, JobOutcome> outcomeCache;
+    private String filterSegmentInFlight;
+    private boolean isFilterReadScheduled;
 
     ArchiveReader(ActorExecutor loop, StoreClient state) {
         super(loop);
@@ -94,47 +94,47 @@
             segmentRead(m);
         } else if (message instanceof ManifestChanged m) {
             manifestChanged(m.manifest());
-        } else if (message instanceof FilterDue) {
-            filterDue = false;
-            buildFilters();
+        } else if (message instanceof FilterReadDue) {
+            isFilterReadScheduled = false;
+            readNextFilterSegment();
         }
     }
 
     private void manifestChanged(StoredRecord.ArchiveManifest manifest) {
         if (filters == null) {
             filters = new MembershipFilters(MAX_FILTER_BYTES);
-            cache = CacheBuilder.newBuilder()
+            outcomeCache = CacheBuilder.newBuilder()
                     .maximumSize(MAX_CACHED_OUTCOMES)
                     .concurrencyLevel(1)
                     .build();
             log.info("there is an archive of {} runs", manifest.runs().size());
         }
         filters.setManifest(manifest);
-        buildFilters();
+        readNextFilterSegment();
     }
 
     private void findJob(FindJob message) {
         if (filters == null) {
-            message.then().accept(new NotArchived());
+            message.callback().accept(new NotArchived());
             return;
         }
-        JobOutcome known = cache.getIfPresent(message.id());
+        JobOutcome known = outcomeCache.getIfPresent(message.id());
         if (known != null) {
-            message.then().accept(new Archived(known));
+            message.callback().accept(new Archived(known));
             return;
         }
         List<String> keys = filters.candidateSegments(message.id());
         if (keys.isEmpty()) {
-            message.then().accept(new NotArchived());
+            message.callback().accept(new NotArchived());
             return;
         }
         long added =
                 keys.stream().filter(key -> !lookupsBySegment.containsKey(key)).count();
         if (lookupsBySegment.size() + added > MAX_READS_IN_FLIGHT) {
-            message.then().accept(new Unavailable());
+            message.callback().accept(new Unavailable());
             return;
         }
-        PendingLookup question = new PendingLookup(message.id(), message.then());
+        PendingLookup question = new PendingLookup(message.id(), message.callback());
         question.unreadSegments = keys.size();
         for (String key : keys) {
             List<PendingLookup> waiting = lookupsBySegment.get(key);
@@ -160,12 +160,12 @@
             } else if (reply.status() == 404) {
                 failure = new ManifestOutdated();
             }
-            if (key.equals(filterKey)) {
-                filterRead(key, segment);
+            if (key.equals(filterSegmentInFlight)) {
+                filterSegmentRead(key, segment);
             }
             if (waiting != null) {
                 for (PendingLookup question : waiting) {
-                    segmentAnswered(question, segment == null ? failure : findInSegment(key, segment, question.id));
+                    addSegmentResult(question, segment == null ? failure : findInSegment(key, segment, question.id));
                 }
             }
             return;
@@ -174,12 +174,12 @@
         } catch (DamagedSegmentException e) {
             damagedSegments(key, e.getMessage());
         }
-        if (key.equals(filterKey)) {
-            filterKey = null;
-            buildFilters();
+        if (key.equals(filterSegmentInFlight)) {
+            filterSegmentInFlight = null;
+            readNextFilterSegment();
         }
         if (waiting != null) {
-            waiting.forEach(question -> segmentAnswered(question, new Unavailable()));
+            waiting.forEach(question -> addSegmentResult(question, new Unavailable()));
         }
     }
 
@@ -189,18 +189,18 @@
         if (outcome == null) {
             return new NotArchived();
         }
-        cache.put(id, outcome);
+        outcomeCache.put(id, outcome);
         return new Archived(outcome);
     }
 
     /** One answer per question: found anywhere it is found, and it is nowhere only if every segment said so. */
-    private void segmentAnswered(PendingLookup question, LookupResult found) {
+    private void addSegmentResult(PendingLookup question, LookupResult found) {
         question.unreadSegments--;
         if ((question.result instanceof NotArchived && !(found instanceof NotArchived)) || found instanceof Archived) {
             question.result = question.result instanceof Archived ? question.result : found;
         }
         if (question.unreadSegments == 0) {
-            question.then.accept(question.result);
+            question.callback.accept(question.result);
         }
     }
 
@@ -213,8 +213,8 @@
 
     // ---- filters
 
-    private void buildFilters() {
-        if (filterKey != null || filterDue) {
+    private void readNextFilterSegment() {
+        if (filterSegmentInFlight != null || isFilterReadScheduled) {
             return;
         }
         String wanted = filters.nextSegmentToRead();
@@ -222,27 +222,27 @@
             return;
         }
         if (!store.idle() || lookupsBySegment.containsKey(wanted)) {
-            scheduleFilterBuild(FILTER_PAUSE_MICROS);
+            scheduleFilterRead(FILTER_READ_DELAY_MICROS);
             return;
         }
-        filterKey = wanted;
+        filterSegmentInFlight = wanted;
         lookupsBySegment.put(wanted, new ArrayList<>());
         store.read(wanted, answer(r -> new SegmentRead(r, wanted)));
     }
 
-    private void scheduleFilterBuild(long micros) {
-        filterDue = true;
-        tellLater(new FilterDue(), micros);
+    private void scheduleFilterRead(long micros) {
+        isFilterReadScheduled = true;
+        tellLater(new FilterReadDue(), micros);
     }
 
-    private void filterRead(String key, StoredRecord.ArchiveSegment segment) throws DamagedSegmentException {
-        filterKey = null;
+    private void filterSegmentRead(String key, StoredRecord.ArchiveSegment segment) throws DamagedSegmentException {
+        filterSegmentInFlight = null;
         if (segment != null) {
             filters.segmentRead(key, SegmentCodec.unpack(key, segment));
-            scheduleFilterBuild(FILTER_PAUSE_MICROS);
+            scheduleFilterRead(FILTER_READ_DELAY_MICROS);
         } else {
             // Gone with its run, which the next manifest tells, or not to be had now.
-            scheduleFilterBuild(RETRY_MICROS);
+            scheduleFilterRead(RETRY_DELAY_MICROS);
         }
     }
 }
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -50,15 +50,15 @@
     record OperationAnswered(Reply reply, long fencingToken, ArchiveOperation operation) implements Message {}
 
     /** How long to wait after an operation that failed, so that a store in an outage is not asked all the time. */
-    private static final long PAUSE_MICROS = Micros.SECOND;
+    private static final long RETRY_DELAY_MICROS = Micros.SECOND;
 
-    private static final long REJECTED_PAUSE_MICROS = 10 * PAUSE_MICROS;
+    private static final long REJECTED_RETRY_DELAY_MICROS = 10 * RETRY_DELAY_MICROS;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
 
     private final ArchiveLimits limits;
-    private final Archiver.Factory factory;
+    private final Archiver.Factory archiverFactory;
     private final StoreClient store;
     private final LeaderActor leader;
     /** The term's, 0 between terms. */
@@ -71,7 +71,7 @@
             ActorExecutor loop, ArchiveLimits limits, Archiver.Factory factory, StoreClient store, LeaderActor leader) {
         super(loop);
         this.limits = limits;
-        this.factory = factory;
+        this.archiverFactory = factory;
         this.store = store;
         this.leader = leader;
     }
@@ -96,7 +96,7 @@
 
     private void startTerm(StartTerm message) {
         fencingToken = message.fencingToken();
-        archiver = factory.create(fencingToken, limits, message.manifest(), message.version());
+        archiver = archiverFactory.create(fencingToken, limits, message.manifest(), message.version());
     }
 
     private void endTerm() {
@@ -163,7 +163,7 @@
     }
 
     private void retryAfterPause() {
-        pausedUntilMicros = now() + PAUSE_MICROS;
+        pausedUntilMicros = now() + RETRY_DELAY_MICROS;
         archiver.outcomeUnknown();
     }
 
@@ -181,7 +181,7 @@
                     transaction.writes().get(0).key(),
                     new String(reply.body(), StandardCharsets.UTF_8));
             if (!archiver.writeRejected()) {
-                pausedUntilMicros = now() + REJECTED_PAUSE_MICROS;
+                pausedUntilMicros = now() + REJECTED_RETRY_DELAY_MICROS;
             }
         }
     }
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -125,7 +125,7 @@
     }
 
     /** The write of the machine types was answered; one that failed is made again with the next types. */
-    void machineTypesStored(Reply reply) {
+    void machineTypesWriteAnswered(Reply reply) {
         if (!reply.ok()) {
             storedMachineTypes = List.of();
         }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -203,7 +203,7 @@
             advanceElection();
         } else if (message instanceof LeaderMessage.RegistrationRead m) {
 
-            rollout.ownRecordRead(m.reply());
+            rollout.registrationRead(m.reply());
             advanceElection();
         } else if (message instanceof LeaderMessage.RegistrationWritten m) {
             rollout.registrationAnswered(m.reply());
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -194,7 +194,7 @@
         } else if (message instanceof TermMessage.MachinesListed m) {
             cloud.handleListPage(m);
         } else if (message instanceof TermMessage.MachineTypesWritten m) {
-            cloud.machineTypesStored(m.reply());
+            cloud.machineTypesWriteAnswered(m.reply());
         }
     }
 
@@ -214,13 +214,13 @@
 
     private void rolloutStepMessageReceived(TermMessage.RolloutStepMessage message) {
         if (message instanceof TermMessage.ArchiveManifestCreated m) {
-            rollout.archiveStarted(m);
+            rollout.manifestWriteAnswered(m);
         } else if (message instanceof TermMessage.LayoutWritten m) {
-            rollout.layoutMarked(m);
+            rollout.layoutWriteAnswered(m);
         } else if (message instanceof TermMessage.RolloutRecordsRead m) {
             rollout.registryRead(m.reply());
         } else if (message instanceof TermMessage.FeatureStagesWritten m) {
-            rollout.stagesWritten(m);
+            rollout.stagesWriteAnswered(m);
         }
     }
 
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -24,27 +24,27 @@
     /** How often a record is written at most: all of them within a minute. */
     private static final long WRITE_INTERVAL_MICROS = 2 * Micros.SECOND;
 
-    private static final String CLASSES = StoreKeys.LEARNED_STATE + "classes";
-    private static final String JOBS = StoreKeys.LEARNED_STATE + "jobs";
-    private static final String MACHINES = StoreKeys.LEARNED_STATE + "machines";
-    private static final List<String> KEYS = List.of(CLASSES, JOBS, MACHINES);
+    private static final String CLASSES_KEY = StoreKeys.LEARNED_STATE + "classes";
+    private static final String JOBS_KEY = StoreKeys.LEARNED_STATE + "jobs";
+    private static final String MACHINES_KEY = StoreKeys.LEARNED_STATE + "machines";
+    private static final List<String> KEYS = List.of(CLASSES_KEY, JOBS_KEY, MACHINES_KEY);
     private static final StoredRecord.LearnedState EMPTY = new StoredRecord.LearnedState(List.of());
     /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
     /** What a record takes besides its hints. */
-    private static final int FRAME_BYTES = 32;
+    private static final int RECORD_OVERHEAD_BYTES = 32;
 
     private final LeaderActor owner;
     private final Settings settings;
     private final Scheduler scheduler;
     private final StoreClient store;
-    private final RolloutParticipant rollout;
+    private final RolloutParticipant participant;
     private final Map<String, StoredRecord.LearnedState> storedRecords = new HashMap<>();
     private boolean isWriteInFlight;
     /** Index of the key to look at next. */
-    private int nextKey;
+    private int nextKeyIndex;
 
-    private long attemptedMicros = NEVER_MICROS;
+    private long lastAttemptMicros = NEVER_MICROS;
 
     LearnedStateWriter(
             LeaderActor owner, Settings settings, Scheduler scheduler, StoreClient store, RolloutParticipant rollout) {
@@ -52,7 +52,7 @@
         this.settings = settings;
         this.scheduler = scheduler;
         this.store = store;
-        this.rollout = rollout;
+        this.participant = rollout;
     }
 
     /** A record as it is stored. */
@@ -64,15 +64,15 @@
     /** Called every so often; writes at most one record. */
     void tick(long nowMicros) {
         if (isWriteInFlight
-                || nowMicros - attemptedMicros < WRITE_INTERVAL_MICROS
-                || !rollout.featureFlags().isEnabled(Feature.LEARNED)) {
+                || nowMicros - lastAttemptMicros < WRITE_INTERVAL_MICROS
+                || !participant.featureFlags().isEnabled(Feature.LEARNED)) {
             return;
         }
-        attemptedMicros = nowMicros;
+        lastAttemptMicros = nowMicros;
         List<Hint> durable = scheduler.durableHints(nowMicros);
         for (int looked = 0; looked < KEYS.size(); looked++) {
-            String key = KEYS.get(nextKey);
-            nextKey = (nextKey + 1) % KEYS.size();
+            String key = KEYS.get(nextKeyIndex);
+            nextKeyIndex = (nextKeyIndex + 1) % KEYS.size();
             StoredRecord.LearnedState record = recordFor(key, durable);
             if (!record.equals(storedRecords.getOrDefault(key, EMPTY))) {
                 if (scheduler.spareWriteBudget(nowMicros) >= 1) {
@@ -86,7 +86,7 @@
     /** As much as a value takes; what is left out is learned anew. */
     private StoredRecord.LearnedState recordFor(String key, List<Hint> durable) {
         List<Hint> hints = new ArrayList<>();
-        int bytes = FRAME_BYTES;
+        int bytes = RECORD_OVERHEAD_BYTES;
         for (Hint hint : durable) {
             if (key.equals(keyOf(hint))) {
                 bytes += StoreCodec.encodedBytes(new StoredRecord.LearnedState(List.of(hint)));
@@ -101,9 +101,9 @@
 
     private static String keyOf(Hint hint) {
         if (hint instanceof Hint.JobClassHint) {
-            return CLASSES;
+            return CLASSES_KEY;
         }
-        return hint instanceof Hint.JobHint ? JOBS : MACHINES;
+        return hint instanceof Hint.JobHint ? JOBS_KEY : MACHINES_KEY;
     }
 
     private void write(String key, StoredRecord.LearnedState record) {
@@ -117,7 +117,7 @@
                                 new Transaction.Condition(StoreKeys.LEADER, fencingToken),
                                 new Transaction.Condition(
                                         StoreKeys.FEATURE_STAGES,
-                                        rollout.featureFlags().version())),
+                                        participant.featureFlags().version())),
                         List.of(new Transaction.Write(key, record, 0))),
                 owner.answer(reply -> new TermMessage.LearnedStateWritten(reply, fencingToken, key, record)));
     }
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -18,14 +18,14 @@
 /** A term's writes: one transaction at a time, and what is read back after one whose outcome is unknown. */
 final class LedgerCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
+    private static final long RETRY_DELAY_MICROS = 300 * Micros.MILLISECOND;
 
     private final LeaderActor owner;
     private final Scheduler scheduler;
     private final StoreClient store;
     private final UsersActor users;
     private PendingReads unresolvedKeys = new PendingReads(List.of());
-    private boolean rateLimitLogged;
+    private boolean wasRateLimitLogged;
     private boolean isWriteInFlight;
     private long lastRevision;
 
@@ -64,15 +64,15 @@
             if (reply.ok()) {
                 lastRevision = StoreCodec.revision(reply.body());
                 scheduler.writeConfirmed(lastRevision, now);
-                publishEndedJobs();
+                publishFinishedJobs();
                 if (!owner.isShuttingDown()) {
                     writeNextBatch(now);
                 }
                 return;
             }
             if (reply.notExecuted()) {
-                if (reply.status() == 429 && !rateLimitLogged) {
-                    rateLimitLogged = true;
+                if (reply.status() == 429 && !wasRateLimitLogged) {
+                    wasRateLimitLogged = true;
                     LOG.info("a transaction was above the rate of the store: tried again");
                 }
                 scheduler.writeNotExecuted(now);
@@ -117,9 +117,9 @@
     void conflictedKeyRead(TermMessage.ConflictingKeyRead message) {
         if (applyReadBack(message.key(), message.reply())) {
             scheduler.keyReadBack(message.key(), owner.now());
-            publishEndedJobs();
+            publishFinishedJobs();
         } else {
-            owner.tellLater(new TermMessage.ConflictingKeyReadDue(message.fencingToken(), message.key()), RETRY_MICROS);
+            owner.tellLater(new TermMessage.ConflictingKeyReadDue(message.fencingToken(), message.key()), RETRY_DELAY_MICROS);
         }
     }
 
@@ -139,7 +139,7 @@
     }
 
     /** Jobs may wait for what a transaction has ended: they need not wait for the next read of the changes as well. */
-    private void publishEndedJobs() {
+    private void publishFinishedJobs() {
         scheduler
                 .takeEndedJobs()
                 .forEach(each -> users.tell(new UsersActor.JobEnded(each.id(), each.record(), each.version())));
@@ -148,7 +148,7 @@
     void readNextUnresolvedKey() {
         if (unresolvedKeys.isFinished()) {
             scheduler.writeResolved(owner.now());
-            publishEndedJobs();
+            publishFinishedJobs();
             return;
         }
         String key = unresolvedKeys.next();
@@ -164,7 +164,7 @@
             readNextUnresolvedKey();
         } else {
             unresolvedKeys.keyFailed();
-            owner.tellLater(new TermMessage.ReadBackDue(message.fencingToken()), RETRY_MICROS);
+            owner.tellLater(new TermMessage.ReadBackDue(message.fencingToken()), RETRY_DELAY_MICROS);
         }
     }
 
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -33,12 +33,12 @@
     /** How often they are read while something is left to do. */
     private static final long PENDING_INTERVAL_MICROS = 2 * Micros.SECOND;
     /** How often they are read while nothing is. */
-    private static final long QUIET_INTERVAL_MICROS = 10 * Micros.SECOND;
+    private static final long IDLE_INTERVAL_MICROS = 10 * Micros.SECOND;
 
-    private static final long ACTIVE_FOR_MICROS = 10 * Micros.SECOND;
+    private static final long ACTIVE_PERIOD_MICROS = 10 * Micros.SECOND;
     private static final long LOG_INTERVAL_MICROS = 60 * Micros.SECOND;
     /** Conditions of a transition beside those on registrations. */
-    private static final int OWN_CONDITIONS = 3;
+    private static final int NON_REGISTRATION_CONDITIONS = 3;
 
     /** What the store takes of conditions, as a multiple of the writes that it takes. */
     private static final int CONDITIONS_PER_WRITE = 4;
@@ -52,8 +52,8 @@
     private final Scheduler scheduler;
     private final StoreClient store;
     private final UsersActor users;
-    private final RolloutParticipant rollout;
-    private final List<String> labels = new ArrayList<>();
+    private final RolloutParticipant participant;
+    private final List<String> controllerLabels = new ArrayList<>();
     /** The mark's version, 0 while there is none. */
     private long layoutVersion;
 
@@ -62,11 +62,11 @@
     private boolean areRecordsLoaded;
     private boolean isReadInFlight;
     private boolean isWriteInFlight;
-    private boolean isPending = true;
-    private long readMicros = NEVER_MICROS;
-    private long advancedMicros;
-    private long loggedMicros;
-    private String lastLogged = "";
+    private boolean hasPendingSteps = true;
+    private long lastReadMicros = NEVER_MICROS;
+    private long lastWriteAnswerMicros;
+    private long blockersLoggedMicros;
+    private String lastLoggedBlockers = "";
 
     RolloutDriver(
             LeaderActor owner,
@@ -82,10 +82,10 @@
         this.scheduler = scheduler;
         this.store = store;
         this.users = users;
-        this.rollout = rollout;
-        this.advancedMicros = owner.now();
-        labels.add(settings.label());
-        settings.siblings().forEach(sibling -> labels.add(sibling.label()));
+        this.participant = rollout;
+        this.lastWriteAnswerMicros = owner.now();
+        controllerLabels.add(settings.label());
+        settings.siblings().forEach(sibling -> controllerLabels.add(sibling.label()));
     }
 
     /** All records that a leader needs are read. */
@@ -98,9 +98,9 @@
     /** The scheduler writes by the feature stages as they are now. */
     void flagsChanged() {
         scheduler.featureFlagsChanged(
-                rollout.featureFlags().version(),
-                rollout.featureFlags().isEnabled(Feature.BOOKING_FENCE),
-                rollout.featureFlags().isEnabled(Feature.RETURNS));
+                participant.featureFlags().version(),
+                participant.featureFlags().isEnabled(Feature.BOOKING_FENCE),
+                participant.featureFlags().isEnabled(Feature.RETURNS));
     }
 
     /** The mark was read or written. */
@@ -119,15 +119,15 @@
     /** Called every so often. */
     void tick(long nowMicros) {
         boolean isBusy = isReadInFlight || isWriteInFlight;
-        if (!rollout.supportsRegistration()
+        if (!participant.supportsRegistration()
                 || !areRecordsLoaded
                 || isBusy
-                || nowMicros - readMicros < readIntervalMicros(nowMicros)) {
+                || nowMicros - lastReadMicros < readIntervalMicros(nowMicros)) {
 
             return;
         }
         isReadInFlight = true;
-        readMicros = nowMicros;
+        lastReadMicros = nowMicros;
         long fencingToken = scheduler.fencingToken();
         store.list(
                 StoreKeys.ROLLOUT,
@@ -136,10 +136,10 @@
     }
 
     private long readIntervalMicros(long nowMicros) {
-        if (!isPending) {
-            return QUIET_INTERVAL_MICROS;
+        if (!hasPendingSteps) {
+            return IDLE_INTERVAL_MICROS;
         }
-        return nowMicros - advancedMicros < ACTIVE_FOR_MICROS ? ACTIVE_INTERVAL_MICROS : PENDING_INTERVAL_MICROS;
+        return nowMicros - lastWriteAnswerMicros < ACTIVE_PERIOD_MICROS ? ACTIVE_INTERVAL_MICROS : PENDING_INTERVAL_MICROS;
     }
 
     /** The records of registrations and requests were read. */
@@ -149,7 +149,7 @@
         if (!reply.ok()) {
             return;
         }
-        ControllerRegistry registry = new ControllerRegistry(labels);
+        ControllerRegistry registry = new ControllerRegistry(controllerLabels);
         try {
             for (StoreCodec.Item item : StoreCodec.page(reply.body()).items()) {
                 registry.add(item.key(), item.record(), item.version());
@@ -162,7 +162,7 @@
     }
 
     private void advance(ControllerRegistry registry) {
-        isPending = true;
+        hasPendingSteps = true;
         if (layout == null) {
             if (isKnownToAll(Feature.NEEDS, registry)) {
                 markLayout(registry);
@@ -185,11 +185,11 @@
     /** Logs what is waited for when it changes, and once a minute. */
     private void logBlockers(String blockers) {
         long now = owner.now();
-        if (!blockers.isEmpty() && (!blockers.equals(lastLogged) || now - loggedMicros >= LOG_INTERVAL_MICROS)) {
+        if (!blockers.isEmpty() && (!blockers.equals(lastLoggedBlockers) || now - blockersLoggedMicros >= LOG_INTERVAL_MICROS)) {
             LOG.info("roll-out: {}", blockers);
-            loggedMicros = now;
+            blockersLoggedMicros = now;
         }
-        lastLogged = blockers;
+        lastLoggedBlockers = blockers;
     }
 
     private List<Transaction.Condition> conditions(ControllerRegistry registry, Transaction.Condition... own) {
@@ -197,7 +197,7 @@
                 new ArrayList<>(List.of(new Transaction.Condition(StoreKeys.LEADER, scheduler.fencingToken())));
         conditions.addAll(List.of(own));
         conditions.addAll(registry.registrationConditions(
-                settings.maxTransactionWrites() * CONDITIONS_PER_WRITE - OWN_CONDITIONS));
+                settings.maxTransactionWrites() * CONDITIONS_PER_WRITE - NON_REGISTRATION_CONDITIONS));
         return conditions;
     }
 
@@ -215,11 +215,11 @@
     }
 
     /** The answer to {@link #markLayout}. */
-    void layoutMarked(TermMessage.LayoutWritten message) {
+    void layoutWriteAnswered(TermMessage.LayoutWritten message) {
         writeAnswered(message.reply());
         try {
             if (message.reply().ok()) {
-                LOG.info("all {} controllers read layout {}: marked", labels.size(), Settings.LAYOUT_NEEDS);
+                LOG.info("all {} controllers read layout {}: marked", controllerLabels.size(), Settings.LAYOUT_NEEDS);
                 users.tell(new UsersActor.LayoutMarked(
                         StoreCodec.revision(message.reply().body()), message.layout()));
             }
@@ -252,17 +252,17 @@
     }
 
     /** The answer to {@link #startArchive}. Whoever wrote the manifest, the copy of the job records tells of it. */
-    void archiveStarted(TermMessage.ArchiveManifestCreated message) {
+    void manifestWriteAnswered(TermMessage.ArchiveManifestCreated message) {
         writeAnswered(message.reply());
         if (message.reply().ok()) {
-            LOG.info("all {} controllers read layout {}: the archive begins", labels.size(), Settings.LAYOUT_HISTORY);
+            LOG.info("all {} controllers read layout {}: the archive begins", controllerLabels.size(), Settings.LAYOUT_HISTORY);
         }
     }
 
     private void advanceFeatures(ControllerRegistry registry) {
-        RolloutPlan plan = RolloutPlan.create(rollout.featureFlags(), registry, tuning.rolloutEnabled());
+        RolloutPlan plan = RolloutPlan.create(participant.featureFlags(), registry, tuning.rolloutEnabled());
         logBlockers(String.join("; ", plan.blockers()));
-        isPending = plan.newStages() != null || !plan.blockers().isEmpty();
+        hasPendingSteps = plan.newStages() != null || !plan.blockers().isEmpty();
         if (plan.newStages() == null) {
             return;
         }
@@ -275,32 +275,32 @@
                                 registry,
                                 new Transaction.Condition(
                                         StoreKeys.FEATURE_STAGES,
-                                        rollout.featureFlags().version())),
+                                        participant.featureFlags().version())),
                         List.of(new Transaction.Write(StoreKeys.FEATURE_STAGES, plan.newStages(), 0))),
                 owner.answer(reply -> new TermMessage.FeatureStagesWritten(
                         reply, fencingToken, plan.newStages(), plan.transitions())));
     }
 
     /** The answer to {@link #advanceFeatures}. If the outcome is not known, the record itself tells. */
-    void stagesWritten(TermMessage.FeatureStagesWritten message) {
+    void stagesWriteAnswered(TermMessage.FeatureStagesWritten message) {
         writeAnswered(message.reply());
         try {
             if (message.reply().ok()) {
                 LOG.info("roll-out: {}", String.join(", ", message.transitions()));
-                rollout.flagsObserved(StoreCodec.revision(message.reply().body()), message.stages());
+                participant.flagsObserved(StoreCodec.revision(message.reply().body()), message.stages());
                 return;
             }
         } catch (MalformedException e) {
             LOG.error("transaction answer: {}", e.getMessage());
         }
-        rollout.newerVersionReported(rollout.featureFlags().version() + 1);
+        participant.newerVersionReported(participant.featureFlags().version() + 1);
     }
 
     /** The next read comes at once after a transition that was written, and after a pause where it was not. */
     private void writeAnswered(Reply reply) {
 
         isWriteInFlight = false;
-        advancedMicros = owner.now();
-        readMicros = reply.ok() ? NEVER_MICROS : advancedMicros;
+        lastWriteAnswerMicros = owner.now();
+        lastReadMicros = reply.ok() ? NEVER_MICROS : lastWriteAnswerMicros;
     }
 }
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -23,9 +23,9 @@
  */
 final class RolloutParticipant {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    private static final long RETRY_MICROS = 300 * Micros.MILLISECOND;
+    private static final long RETRY_DELAY_MICROS = 300 * Micros.MILLISECOND;
     /** A start waits for the first read: after an outage a claim came a quarter of a second later than the lease allowed. */
-    private static final long FIRST_RETRY_MICROS = 100 * Micros.MILLISECOND;
+    private static final long FIRST_READ_RETRY_DELAY_MICROS = 100 * Micros.MILLISECOND;
 
     private static final long LOG_INTERVAL_MICROS = 30 * Micros.SECOND;
 
@@ -42,14 +42,14 @@
     private final FeatureFlags featureFlags;
     private final ControllerRegistration registration;
     private boolean isReadInFlight;
-    private long readRetryMicros = NEVER_MICROS;
+    private long nextReadMicros = NEVER_MICROS;
     /** The newest version of the stages that was reported; they are read if it is newer than what is known. */
     private long newestReportedVersion;
 
     /** Whether the stages name what this version does not support. */
-    private boolean isBlocked;
+    private boolean hasUnsupportedFeatures;
 
-    private long loggedMicros = NEVER_MICROS;
+    private long lastLogMicros = NEVER_MICROS;
 
     RolloutParticipant(
             LeaderActor owner, Settings settings, Capabilities capabilities, StoreClient store, UsersActor users) {
@@ -73,7 +73,7 @@
 
     /** Whether it may lead as far as the stored forms go: the stages are known, and this version supports all of them. */
     boolean mayLead() {
-        return !capabilities.supportsRegistration() || (featureFlags.isKnown() && !isBlocked);
+        return !capabilities.supportsRegistration() || (featureFlags.isKnown() && !hasUnsupportedFeatures);
     }
 
     /** The conditions of a claim of the leader lease. */
@@ -94,16 +94,16 @@
             return;
         }
         List<String> unknown = featureFlags.unsupportedFeatures();
-        if (!unknown.isEmpty() && !isBlocked) {
+        if (!unknown.isEmpty() && !hasUnsupportedFeatures) {
             LOG.error(
                     "does not serve: the deployment uses {}, which this version does not know. Start a version that does, or take it back"
                             + " with `micatide rollout back`",
                     String.join(", ", unknown));
-        } else if (unknown.isEmpty() && isBlocked) {
+        } else if (unknown.isEmpty() && hasUnsupportedFeatures) {
             LOG.info("serves again: all that the deployment uses is known");
         }
-        isBlocked = !unknown.isEmpty();
-        users.tell(new UsersActor.IncompatibleStoreChanged(isBlocked));
+        hasUnsupportedFeatures = !unknown.isEmpty();
+        users.tell(new UsersActor.IncompatibleStoreChanged(hasUnsupportedFeatures));
         owner.featureStagesChanged();
     }
 
@@ -112,16 +112,16 @@
         if (!capabilities.supportsRegistration()) {
             return;
         }
-        if (!isReadInFlight && nowMicros >= readRetryMicros && isReadNeeded()) {
+        if (!isReadInFlight && nowMicros >= nextReadMicros && isReadNeeded()) {
 
             isReadInFlight = true;
             store.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderMessage.FeatureStagesRead::new));
         }
-        if (isBlocked && nowMicros - loggedMicros >= LOG_INTERVAL_MICROS) {
-            loggedMicros = nowMicros;
+        if (hasUnsupportedFeatures && nowMicros - lastLogMicros >= LOG_INTERVAL_MICROS) {
+            lastLogMicros = nowMicros;
             LOG.warn("waits, and does not serve, because of {}", String.join(", ", featureFlags.unsupportedFeatures()));
         }
-        switch (registration.nextAction(isBlocked ? 0 : lease, featureFlags.version(), nowMicros)) {
+        switch (registration.nextAction(hasUnsupportedFeatures ? 0 : lease, featureFlags.version(), nowMicros)) {
             case READ -> store.read(registration.key(), owner.answer(LeaderMessage.RegistrationRead::new));
             case PUT ->
                 store.transaction(
@@ -153,11 +153,11 @@
         } catch (MalformedException e) {
             LOG.error("feature stages: {}", e.getMessage());
         }
-        readRetryMicros = owner.now() + (featureFlags.isKnown() ? RETRY_MICROS : FIRST_RETRY_MICROS);
+        nextReadMicros = owner.now() + (featureFlags.isKnown() ? RETRY_DELAY_MICROS : FIRST_READ_RETRY_DELAY_MICROS);
     }
 
     /** The answer to a read of this controller's own registration. */
-    void ownRecordRead(Reply reply) {
+    void registrationRead(Reply reply) {
         try {
             if (reply.ok()) {
                 registration.recordRead(StoreCodec.item(reply.body()).version());
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -15,7 +15,7 @@
     /** How often finished jobs are looked for; they can wait, and finding them goes over all open jobs. */
     private static final long SEARCH_INTERVAL_MICROS = Micros.SECOND;
     /** A few finished jobs are archived after so long, lest the last of a busy day keep their records. */
-    private static final long SMALL_BATCH_MICROS = 600 * Micros.SECOND;
+    private static final long MAX_SMALL_BATCH_WAIT_MICROS = 600 * Micros.SECOND;
 
     private final LeaderActor owner;
     private final Tuning tuning;
@@ -28,7 +28,7 @@
 
     private boolean areRecordsLoaded;
     private boolean isArchiving;
-    private long searchedMicros;
+    private long lastSearchMicros;
     private long smallBatchSinceMicros;
 
     TermArchiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchiverActor archiver) {
@@ -75,8 +75,8 @@
             return;
         }
         long fencingToken = scheduler.fencingToken();
-        if (nowMicros - searchedMicros >= SEARCH_INTERVAL_MICROS) {
-            searchedMicros = nowMicros;
+        if (nowMicros - lastSearchMicros >= SEARCH_INTERVAL_MICROS) {
+            lastSearchMicros = nowMicros;
             users.tell(new UsersActor.FindArchivableJobs(fencingToken));
         }
         archiver.tell(new ArchiverActor.WriteBudget(fencingToken, scheduler.spareWriteBudget(nowMicros)));
@@ -98,7 +98,7 @@
 
     private Archiver.BatchPolicy chooseBatchPolicy(int jobs) {
         long nowMicros = owner.now();
-        boolean hasWaited = nowMicros - smallBatchSinceMicros >= SMALL_BATCH_MICROS;
+        boolean hasWaited = nowMicros - smallBatchSinceMicros >= MAX_SMALL_BATCH_WAIT_MICROS;
         if (hasWaited || jobs == 0 || jobs >= tuning.archiveBatchSize()) {
             smallBatchSinceMicros = nowMicros;
         }
