--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -21,69 +21,82 @@
 import java.util.function.Consumer;
 
 /**
- * Finds jobs in the archive. Owns the filters and a bounded cache; questions about the same segment share its read, and their number is
- * bounded. Nothing of it is loaded while there is no archive.
+ * Looks up jobs in the archive. Owns the membership filters and a bounded cache of outcomes. Lookups in the same segment share one read,
+ * and the number of reads in flight is bounded. While there is no archive, neither filters nor cache exist.
  */
 final class ArchiveReader extends Actor<ArchiveReader.Message> {
+    /** What this actor receives. */
     sealed interface Message {}
 
-    /** Questions from now on are about this manifest. */
+    /** The archive has this manifest from now on. */
     record ManifestChanged(StoredRecord.ArchiveManifest manifest) implements Message {}
 
     /** Asks for a job by the last manifest told; {@code then} is called on the event loop, once. */
     record FindJob(String id, Consumer<LookupResult> callback) implements Message {}
 
+    /** The store answered the read of the segment at the given key. */
     record SegmentRead(Reply reply, String key) implements Message {}
 
+    /** It is time to read the next segment for a filter. */
     record FilterReadDue() implements Message {}
 
-    /** What is known of a job by the manifest that was current when it was asked for. */
+    /** Result of a lookup, by the manifest that was current when the lookup began. */
     sealed interface LookupResult {}
 
-    /** It is over. */
+    /** The job is finished, with this outcome. */
     record Archived(JobOutcome outcome) implements LookupResult {}
 
-    /** The archive does not hold it. */
+    /** The archive does not hold the job. */
     record NotArchived() implements LookupResult {}
 
-    /** A segment is gone: runs were merged, and a fresh copy of the rows knows the manifest that says so. */
+    /** A segment no longer exists, since runs were merged: a fresh read of the job records yields the newer manifest. */
     record ManifestOutdated() implements LookupResult {}
 
-    /** The state service does not answer, there is too much to read, or a segment is damaged. */
+    /** The store did not answer, too many reads are in flight, or a segment is damaged. */
     record Unavailable() implements LookupResult {}
 
-    /** How a question goes on; several segments may hold an id by what the filters know. */
+    /** A lookup that waits for segments to be read; by the filters, several segments may hold its id. */
     private static final class PendingLookup {
         final String id;
         final Consumer<LookupResult> callback;
         int unreadSegments;
         LookupResult result = new NotArchived();
 
-        PendingLookup(String id, Consumer<LookupResult> then) {
+        PendingLookup(String id, Consumer<LookupResult> callback) {
             this.id = id;
-            this.callback = then;
+            this.callback = callback;
         }
     }
 
     private static final int MAX_READS_IN_FLIGHT = 40;
     private static final int MAX_CACHED_OUTCOMES = 8_192;
-    /** What all filters may take of the heap: 3 million jobs. */
+    /** Limit on the heap that all filters take together, enough for 3 million jobs. */
     private static final long MAX_FILTER_BYTES = 4 << 20;
 
+    /** Delay between reads of segments for filters. */
     private static final long FILTER_READ_DELAY_MICROS = 50 * Micros.MILLISECOND;
+    /** Delay after a segment for a filter could not be read. */
     private static final long RETRY_DELAY_MICROS = Micros.SECOND;
 
     private final StoreClient store;
+    /** Lookups that wait for a segment in flight, by the segment's key; empty lists for reads that serve filters only. */
     private final Map<String, List<PendingLookup>> lookupsBySegment = new HashMap<>();
+    /** Keys of segments that were logged as damaged. */
     private final Set<String> damagedSegments = new HashSet<>();
+    /** Null until there is an archive. */
     private MembershipFilters filters;
+
+    /** Outcomes that were found, by job id; null until there is an archive. */
     private Cache<String, JobOutcome> outcomeCache;
+
+    /** Key of the segment that is being read for a filter, or null. */
     private String filterSegmentInFlight;
+
     private boolean isFilterReadScheduled;
 
-    ArchiveReader(ActorExecutor loop, StoreClient state) {
-        super(loop);
-        this.store = state;
+    ArchiveReader(ActorExecutor executor, StoreClient store) {
+        super(executor);
+        this.store = store;
     }
 
     @Override
@@ -118,9 +131,9 @@
             message.callback().accept(new NotArchived());
             return;
         }
-        JobOutcome known = outcomeCache.getIfPresent(message.id());
-        if (known != null) {
-            message.callback().accept(new Archived(known));
+        JobOutcome cached = outcomeCache.getIfPresent(message.id());
+        if (cached != null) {
+            message.callback().accept(new Archived(cached));
             return;
         }
         List<String> keys = filters.candidateSegments(message.id());
@@ -134,15 +147,15 @@
             message.callback().accept(new Unavailable());
             return;
         }
-        PendingLookup question = new PendingLookup(message.id(), message.callback());
-        question.unreadSegments = keys.size();
+        PendingLookup lookup = new PendingLookup(message.id(), message.callback());
+        lookup.unreadSegments = keys.size();
         for (String key : keys) {
             List<PendingLookup> waiting = lookupsBySegment.get(key);
             if (waiting == null) {
-                lookupsBySegment.put(key, new ArrayList<>(List.of(question)));
-                store.read(key, answer(r -> new SegmentRead(r, key)));
+                lookupsBySegment.put(key, new ArrayList<>(List.of(lookup)));
+                store.read(key, answer(reply -> new SegmentRead(reply, key)));
             } else {
-                waiting.add(question);
+                waiting.add(lookup);
             }
         }
     }
@@ -164,8 +177,8 @@
                 filterSegmentRead(key, segment);
             }
             if (waiting != null) {
-                for (PendingLookup question : waiting) {
-                    addSegmentResult(question, segment == null ? failure : findInSegment(key, segment, question.id));
+                for (PendingLookup lookup : waiting) {
+                    addSegmentResult(lookup, segment == null ? failure : findInSegment(key, segment, lookup.id));
                 }
             }
             return;
@@ -179,7 +192,7 @@
             readNextFilterSegment();
         }
         if (waiting != null) {
-            waiting.forEach(question -> addSegmentResult(question, new Unavailable()));
+            waiting.forEach(lookup -> addSegmentResult(lookup, new Unavailable()));
         }
     }
 
@@ -193,26 +206,30 @@
         return new Archived(outcome);
     }
 
-    /** One answer per question: found anywhere it is found, and it is nowhere only if every segment said so. */
-    private void addSegmentResult(PendingLookup question, LookupResult found) {
-        question.unreadSegments--;
-        if ((question.result instanceof NotArchived && !(found instanceof NotArchived)) || found instanceof Archived) {
-            question.result = question.result instanceof Archived ? question.result : found;
+    /**
+     * Adds the result of one segment to a lookup and answers the lookup once all its segments are read. A job is found if any segment holds
+     * it, and not archived only if no segment holds it and all could be read.
+     */
+    private void addSegmentResult(PendingLookup lookup, LookupResult found) {
+        lookup.unreadSegments--;
+        if ((lookup.result instanceof NotArchived && !(found instanceof NotArchived)) || found instanceof Archived) {
+            lookup.result = lookup.result instanceof Archived ? lookup.result : found;
         }
-        if (question.unreadSegments == 0) {
-            question.callback.accept(question.result);
+        if (lookup.unreadSegments == 0) {
+            lookup.callback.accept(lookup.result);
         }
     }
 
-    private void damagedSegments(String key, String what) {
+    private void damagedSegments(String key, String reason) {
         filters.segmentUnreadable(key);
         if (damagedSegments.add(key)) {
-            log.error("damaged segment of the archive, jobs in it are answered 503: {}", what);
+            log.error("damaged segment of the archive, jobs in it are answered 503: {}", reason);
         }
     }
 
     // ---- filters
 
+    /** Reads the next segment that a filter lacks; waits while the store is busy with other requests or the segment is already being read. */
     private void readNextFilterSegment() {
         if (filterSegmentInFlight != null || isFilterReadScheduled) {
             return;
@@ -230,18 +247,19 @@
         store.read(wanted, answer(r -> new SegmentRead(r, wanted)));
     }
 
-    private void scheduleFilterRead(long micros) {
+    private void scheduleFilterRead(long delayMicros) {
         isFilterReadScheduled = true;
-        tellLater(new FilterReadDue(), micros);
+        tellLater(new FilterReadDue(), delayMicros);
     }
 
+    /** Adds a segment to its filter; {@code segment} is null if it could not be read. */
     private void filterSegmentRead(String key, StoredRecord.ArchiveSegment segment) throws DamagedSegmentException {
         filterSegmentInFlight = null;
         if (segment != null) {
             filters.segmentRead(key, SegmentCodec.unpack(key, segment));
             scheduleFilterRead(FILTER_READ_DELAY_MICROS);
         } else {
-            // Gone with its run, which the next manifest tells, or not to be had now.
+            // The run was merged, which the next manifest shows, or the store did not answer.
             scheduleFilterRead(RETRY_DELAY_MICROS);
         }
     }
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -18,23 +18,23 @@
 import java.util.function.Consumer;
 
 /**
- * Carries out the operations of a leader's {@link Archiver}, one at a time, with the writes and requests that scheduling and users leave
- * over. An answer that arrives after the term in which it was asked for is dropped.
+ * Executes the operations of a leader's {@link Archiver}, one at a time, using the write and request budget that scheduling and users
+ * leave over. An answer that arrives after the end of the term in which the request was sent is dropped.
  */
 final class ArchiverActor extends Actor<ArchiverActor.Message> {
-    /** What this actor is told. */
+    /** What this actor receives. */
     sealed interface Message {}
 
-    /** A term begins whose leader keeps the archive, or the archive itself begins during a term. */
+    /** A term starts with an archive, or the archive is created during a term. */
     record StartTerm(long fencingToken, StoredRecord.ArchiveManifest manifest, long version) implements Message {}
 
-    /** The term is over. */
+    /** The term has ended. */
     record EndTerm() implements Message {}
 
     /**
-     * What may be archived, by a copy of the job records.
+     * Jobs that may be archived, by the job cache.
      *
-     * @param manifestVersion version of the manifest that the copy held
+     * @param manifestVersion version of the archive manifest in the job cache that was searched
      */
     record CandidatesFound(
             long fencingToken,
@@ -43,16 +43,18 @@
             Archiver.BatchPolicy batchPolicy)
             implements Message {}
 
-    /** So many writes are left over now. */
+    /** The number of writes that are left over now. */
     record WriteBudget(long fencingToken, int writes) implements Message {}
 
     /** The store's answer to an operation. */
     record OperationAnswered(Reply reply, long fencingToken, ArchiveOperation operation) implements Message {}
 
-    /** How long to wait after an operation that failed, so that a store in an outage is not asked all the time. */
+    /** Delay after an operation that failed, so that a store in an outage does not receive requests continuously. */
     private static final long RETRY_DELAY_MICROS = Micros.SECOND;
 
+    /** Delay after the store rejected a write that the archiver cannot make smaller. */
     private static final long REJECTED_RETRY_DELAY_MICROS = 10 * RETRY_DELAY_MICROS;
+
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
@@ -61,17 +63,23 @@
     private final Archiver.Factory archiverFactory;
     private final StoreClient store;
     private final LeaderActor leader;
-    /** The term's, 0 between terms. */
+    /** The term's fencing token, 0 between terms. */
     private long fencingToken;
 
+    /** Null between terms. */
     private Archiver archiver;
+
     private long pausedUntilMicros;
 
     ArchiverActor(
-            ActorExecutor loop, ArchiveLimits limits, Archiver.Factory factory, StoreClient store, LeaderActor leader) {
-        super(loop);
+            ActorExecutor executor,
+            ArchiveLimits limits,
+            Archiver.Factory archiverFactory,
+            StoreClient store,
+            LeaderActor leader) {
+        super(executor);
         this.limits = limits;
-        this.archiverFactory = factory;
+        this.archiverFactory = archiverFactory;
         this.store = store;
         this.leader = leader;
     }
@@ -79,17 +87,14 @@
     @Override
     protected void receive(Message message) {
         if (message instanceof StartTerm m) {
-
             startTerm(m);
         } else if (message instanceof EndTerm) {
-
             endTerm();
         } else if (message instanceof CandidatesFound m && m.fencingToken() == fencingToken) {
             archiver.offerCandidates(m.finished(), m.manifestVersion(), m.batchPolicy());
         } else if (message instanceof WriteBudget m && m.fencingToken() == fencingToken) {
             startNextOperation(m.writes());
         } else if (message instanceof OperationAnswered m && m.fencingToken() == fencingToken) {
-
             operationAnswered(m);
         }
     }
@@ -108,7 +113,6 @@
         if (now() < pausedUntilMicros || !store.idle()) {
             return;
         }
-
         ArchiveOperation operation = archiver.nextOperation(writeBudget);
         if (operation instanceof ArchiveOperation.Write write) {
             leader.tell(new TermMessage.ArchiveWritesUsed(
@@ -124,22 +128,21 @@
     }
 
     private Consumer<Reply> answerTo(ArchiveOperation operation) {
-        long term = fencingToken;
-        return answer(reply -> new OperationAnswered(reply, term, operation));
+        long requestToken = fencingToken;
+        return answer(reply -> new OperationAnswered(reply, requestToken, operation));
     }
 
     private void operationAnswered(OperationAnswered message) {
         try {
             dispatchAnswer(message.operation(), message.reply());
         } catch (MalformedException e) {
-            log.error("archive: {}", e.getMessage());
+            log.error("malformed answer to an archive operation: {}", e.getMessage());
             archiver.outcomeUnknown();
         }
     }
 
     private void dispatchAnswer(ArchiveOperation operation, Reply reply) throws MalformedException {
         if (!reply.ok() && !isRefusal(reply.status())) {
-
             retryAfterPause();
         } else if (operation instanceof ArchiveOperation.Write write) {
             writeAnswered(write.transaction(), reply);
@@ -152,16 +155,16 @@
             StoreCodec.Item item = StoreCodec.item(reply.body());
             archiver.manifestRead((StoredRecord.ArchiveManifest) item.record(), item.version());
         } else {
-
             retryAfterPause();
         }
     }
 
-    /** Whether the store answered that it will not do what was asked, now or later. */
+    /** Whether the status says that the store refused the operation, and a retry of the same request would fail as well. */
     private static boolean isRefusal(int status) {
         return status == CONFLICT || status == NOT_FOUND || status == BAD_REQUEST;
     }
 
+    /** Lets the archiver repeat the operation after {@link #RETRY_DELAY_MICROS}. */
     private void retryAfterPause() {
         pausedUntilMicros = now() + RETRY_DELAY_MICROS;
         archiver.outcomeUnknown();
@@ -172,9 +175,7 @@
             archiver.writeSucceeded(StoreCodec.revision(reply.body()));
         } else if (reply.status() == CONFLICT) {
             conflictAnswered(StoreCodec.failedKeys(reply.body()));
-
         } else {
-
             log.warn(
                     "store rejected archive transaction of {} writes starting at {}: {}",
                     transaction.writes().size(),
@@ -188,7 +189,7 @@
 
     private void conflictAnswered(List<String> failedKeys) {
         if (failedKeys.contains(StoreKeys.LEADER)) {
-            // Fenced; the leader finds out by itself.
+            // This term is fenced; the leader learns that from its own requests.
             retryAfterPause();
         } else {
             archiver.writeConflicted(failedKeys);
@@ -198,14 +199,13 @@
     private void segmentAnswered(String key, Reply reply) {
         try {
             if (reply.ok()) {
-
                 StoreCodec.Item item = StoreCodec.item(reply.body());
                 archiver.segmentRead(key, SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) item.record()));
                 return;
             }
             log.error("archive segment {} is missing", key);
         } catch (MalformedException | DamagedSegmentException e) {
-            log.error("archive: {}", e.getMessage());
+            log.error("unreadable archive segment: {}", e.getMessage());
         }
         archiver.segmentDamaged(key);
     }
--- a/src/main/java/io/micatide/controller/BuildVersion.java
+++ b/src/main/java/io/micatide/controller/BuildVersion.java
@@ -4,13 +4,13 @@
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 
-/** The version of this program, as the build wrote it. */
+/** Reads the version of this program that the build wrote into its resources. */
 final class BuildVersion {
     private static final String UNKNOWN = "unknown";
 
     private BuildVersion() {}
 
-    /** The version, or "unknown" where the build has written none. */
+    /** Returns the version, or "unknown" if the build wrote none or it cannot be read. */
     static String name() {
         try (InputStream in = BuildVersion.class.getResourceAsStream("/micatide-version.txt")) {
             return in == null ? UNKNOWN : new String(in.readAllBytes(), StandardCharsets.UTF_8).trim();
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A term's calls to the cloud, and the machine types that the cloud offers. Runs on the leader's actor. Invariant: each answer
- * carries the fencing token of the term that made the call, and the store is told of machine types only when they differ
- * from what it has.
+ * Makes a term's calls to the cloud provider and stores the machine types that it offers. Runs on the leader's actor. Invariant: each
+ * answer carries the fencing token of the term that made the call, and machine types are written to the store only when they differ from
+ * those that it has.
  */
 final class CloudCalls {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
@@ -33,6 +33,7 @@
     private final CloudClient cloud;
     private final StoreClient store;
     private final UsersActor users;
+    /** The machine types in the store as far as known; empty if unknown, so that the next list is written. */
     private List<MachineType> storedMachineTypes = List.of();
 
     CloudCalls(LeaderActor owner, Scheduler scheduler, CloudClient cloud, StoreClient store, UsersActor users) {
@@ -44,20 +45,20 @@
     }
 
     /**
-     * Makes a call; its answer comes to this actor as a message.
+     * Makes a call; the answer arrives as a message to the leader's actor.
      *
-     * @param nowMicros the time of the call, against which a list of machines is judged
+     * @param nowMicros the time of the call; of a list of machines, the time that it is valid for
      */
     void send(CloudCall call, long nowMicros) {
         long fencingToken = scheduler.fencingToken();
         Consumer<Reply> answer = owner.answer(reply -> new TermMessage.CloudCallAnswered(reply, fencingToken, call));
         if (call instanceof CloudCall.Rent rent) {
             String kind = rent.spot() ? "spot" : "on-demand";
-            LOG.info("requests {} {} machines of type {} in {}", rent.count(), kind, rent.type(), rent.zone());
+            LOG.info("requesting {} {} machines of type {} in zone {}", rent.count(), kind, rent.type(), rent.zone());
             cloud.rent(rent, answer);
 
         } else if (call instanceof CloudCall.Delete delete) {
-            LOG.info("deletes machines {}", delete.machines());
+            LOG.info("deleting machines {}", delete.machines());
             cloud.delete(delete.machines(), answer);
 
         } else if (call instanceof CloudCall.ListTypes) {
@@ -68,7 +69,7 @@
         }
     }
 
-    /** The answer to any call but the list of machines. */
+    /** Handles the answer to any call except the list of machines. */
     void handleAnswer(TermMessage.CloudCallAnswered message) {
         Reply reply = message.reply();
         try {
@@ -80,7 +81,7 @@
                 updateMachineTypes(CloudCodec.types(reply.body()));
             }
         } catch (MalformedException e) {
-            LOG.error("cloud: {}", e.getMessage());
+            LOG.error("malformed answer from the cloud: {}", e.getMessage());
         }
     }
 
@@ -91,14 +92,13 @@
         } else if (reply.status() == SERVICE_UNAVAILABLE && CloudCodec.isNoCapacity(reply.body())) {
             scheduler.noCapacity(rent.requestName(), nowMicros);
         } else if (reply.notExecuted()) {
-
             scheduler.provisioningNotExecuted(rent.requestName());
         } else {
             scheduler.provisioningUnanswered(rent.requestName(), nowMicros);
         }
     }
 
-    /** The machine types were read from the store. */
+    /** Applies the machine types that were read from the store. */
     void machineTypesLoaded(List<MachineType> types, long nowMicros) {
         storedMachineTypes = types;
         scheduler.machineTypesChanged(types, nowMicros);
@@ -115,7 +115,6 @@
 
     private void storeMachineTypes(List<MachineType> types) {
         long fencingToken = scheduler.fencingToken();
-
         Transaction.Condition stillLeader = new Transaction.Condition(StoreKeys.LEADER, fencingToken);
         Transaction.Write write =
                 new Transaction.Write(StoreKeys.MACHINE_TYPES, new StoredRecord.MachineTypes(types), 0);
@@ -124,14 +123,14 @@
                 owner.answer(reply -> new TermMessage.MachineTypesWritten(reply, fencingToken)));
     }
 
-    /** The write of the machine types was answered; one that failed is made again with the next types. */
+    /** Handles the answer to the write of the machine types; after a failure they are written again once the cloud lists them next. */
     void machineTypesWriteAnswered(Reply reply) {
         if (!reply.ok()) {
             storedMachineTypes = List.of();
         }
     }
 
-    /** A page of the list of machines was answered: the next one is asked for, or the list is whole, or it has failed. */
+    /** Handles a page of the list of machines: requests the next page, or reports the complete list, or null if the page failed. */
     void handleListPage(TermMessage.MachinesListed message) {
         List<ListedMachine> machines = new ArrayList<>(message.earlierPages());
         if (message.reply().ok()) {
@@ -146,22 +145,25 @@
                 }
                 return;
             } catch (MalformedException e) {
-                LOG.error("cloud: {}", e.getMessage());
+                LOG.error("malformed answer from the cloud: {}", e.getMessage());
             }
         }
         scheduler.machinesListed(null, message.askedMicros(), owner.now());
     }
 
     /**
-     * Asks for one page of the list of machines.
+     * Requests one page of the list of machines.
      *
-     * @param after the name after which the page begins, null for the first page
-     * @param fencingToken of the term
-     * @param askedMicros when the first page was asked for
-     * @param before what the pages before it held
+     * @param after name of the last machine of the page before, null for the first page
+     * @param fencingToken the term's fencing token
+     * @param requestSentMicros when the first page was requested
+     * @param earlierPages the machines of the pages before
      */
-    private void requestListPage(String after, long fencingToken, long askedMicros, List<ListedMachine> before) {
+    private void requestListPage(
+            String after, long fencingToken, long requestSentMicros, List<ListedMachine> earlierPages) {
         cloud.list(
-                after, owner.answer(reply -> new TermMessage.MachinesListed(reply, fencingToken, askedMicros, before)));
+                after,
+                owner.answer(
+                        reply -> new TermMessage.MachinesListed(reply, fencingToken, requestSentMicros, earlierPages)));
     }
 }
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -16,22 +16,24 @@
 import java.util.Map;
 
 /**
- * Stores what a leader has learned during its term in a few records: run times, quarantined jobs, and slow, quarantined and deleted
- * machines, so that a leader that received no hints knows them too. One record at a time, only what changed, and only with writes that
- * scheduling and users leave over. Like hints, these records speed decisions up and never allow anything. Part of the leader's actor.
+ * Stores what a leader learned during its term in a few records, so that a later leader that received no hints knows it too: run times,
+ * quarantined jobs, and slow, quarantined and deleted machines. Writes one record at a time, only if it changed, and only with writes that
+ * scheduling and users leave over. Like hints, these records are advisory: they speed decisions up and never permit anything. Part of the
+ * leader's actor.
  */
 final class LearnedStateWriter {
-    /** How often a record is written at most: all of them within a minute. */
+    /** Minimum time between writes, short enough that all records are written within a minute. */
     private static final long WRITE_INTERVAL_MICROS = 2 * Micros.SECOND;
 
     private static final String CLASSES_KEY = StoreKeys.LEARNED_STATE + "classes";
     private static final String JOBS_KEY = StoreKeys.LEARNED_STATE + "jobs";
     private static final String MACHINES_KEY = StoreKeys.LEARNED_STATE + "machines";
     private static final List<String> KEYS = List.of(CLASSES_KEY, JOBS_KEY, MACHINES_KEY);
+    /** Stands for a record that does not exist. */
     private static final StoredRecord.LearnedState EMPTY = new StoredRecord.LearnedState(List.of());
-    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    /** Stands for a time before all others; half the minimum, so that differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
-    /** What a record takes besides its hints. */
+    /** Bytes that a record takes in addition to its hints. */
     private static final int RECORD_OVERHEAD_BYTES = 32;
 
     private final LeaderActor owner;
@@ -39,29 +41,35 @@
     private final Scheduler scheduler;
     private final StoreClient store;
     private final RolloutParticipant participant;
+    /** The records in the store, by key, as last read or written. */
     private final Map<String, StoredRecord.LearnedState> storedRecords = new HashMap<>();
+
     private boolean isWriteInFlight;
-    /** Index of the key to look at next. */
+    /** Index in {@link #KEYS} of the key to compare next. */
     private int nextKeyIndex;
 
+    /** When changes were last searched for. */
     private long lastAttemptMicros = NEVER_MICROS;
 
     LearnedStateWriter(
-            LeaderActor owner, Settings settings, Scheduler scheduler, StoreClient store, RolloutParticipant rollout) {
+            LeaderActor owner,
+            Settings settings,
+            Scheduler scheduler,
+            StoreClient store,
+            RolloutParticipant participant) {
         this.owner = owner;
         this.settings = settings;
         this.scheduler = scheduler;
         this.store = store;
-        this.participant = rollout;
+        this.participant = participant;
     }
 
-    /** A record as it is stored. */
+    /** Notes the content of a record in the store. */
     void recordObserved(String key, StoredRecord.LearnedState record) {
-
         storedRecords.put(key, record);
     }
 
-    /** Called every so often; writes at most one record. */
+    /** Writes the next record that has changed, at most one; called on each tick of the leader. */
     void tick(long nowMicros) {
         if (isWriteInFlight
                 || nowMicros - lastAttemptMicros < WRITE_INTERVAL_MICROS
@@ -70,7 +78,7 @@
         }
         lastAttemptMicros = nowMicros;
         List<Hint> durable = scheduler.durableHints(nowMicros);
-        for (int looked = 0; looked < KEYS.size(); looked++) {
+        for (int compared = 0; compared < KEYS.size(); compared++) {
             String key = KEYS.get(nextKeyIndex);
             nextKeyIndex = (nextKeyIndex + 1) % KEYS.size();
             StoredRecord.LearnedState record = recordFor(key, durable);
@@ -83,7 +91,7 @@
         }
     }
 
-    /** As much as a value takes; what is left out is learned anew. */
+    /** The record for a key, with as many hints as fit into a value of the store; a later leader learns the others again. */
     private StoredRecord.LearnedState recordFor(String key, List<Hint> durable) {
         List<Hint> hints = new ArrayList<>();
         int bytes = RECORD_OVERHEAD_BYTES;
@@ -99,6 +107,7 @@
         return new StoredRecord.LearnedState(List.copyOf(hints));
     }
 
+    /** The key of the record that holds a hint. */
     private static String keyOf(Hint hint) {
         if (hint instanceof Hint.JobClassHint) {
             return CLASSES_KEY;
@@ -108,7 +117,6 @@
 
     private void write(String key, StoredRecord.LearnedState record) {
         long fencingToken = scheduler.fencingToken();
-
         isWriteInFlight = true;
         scheduler.writesSpent(1);
         store.transaction(
@@ -122,9 +130,11 @@
                 owner.answer(reply -> new TermMessage.LearnedStateWritten(reply, fencingToken, key, record)));
     }
 
-    /** A write without an answer is repeated: the latest content counts, and only this leader writes. */
+    /**
+     * Handles the answer to a write. A write that failed, or whose outcome is unknown, is repeated, which is safe since only this leader
+     * writes these records and the latest content counts.
+     */
     void writeAnswered(TermMessage.LearnedStateWritten message) {
-
         isWriteInFlight = false;
         if (message.reply().ok()) {
             recordObserved(message.key(), message.state());
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -15,47 +15,58 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A term's writes: one transaction at a time, and what is read back after one whose outcome is unknown. */
+/**
+ * Sends the scheduler's write batches of one term to the store, one transaction at a time, and reports each outcome to the scheduler. After
+ * a transaction of unknown outcome, and for each key in conflict, it reads the keys back, retrying until the store answers. Runs on the
+ * leader's actor.
+ */
 final class LedgerCommitter {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
+    /** Delay before a key whose read failed is read again. */
     private static final long RETRY_DELAY_MICROS = 300 * Micros.MILLISECOND;
 
     private final LeaderActor owner;
     private final Scheduler scheduler;
     private final StoreClient store;
     private final UsersActor users;
+    /** Keys of the transaction of unknown outcome that are still to be read back. */
     private PendingReads unresolvedKeys = new PendingReads(List.of());
+    /** Whether this term has logged that the store refused a transaction with 429; this is logged once. */
     private boolean wasRateLimitLogged;
+
     private boolean isWriteInFlight;
     private long lastRevision;
 
-    LedgerCommitter(LeaderActor owner, Scheduler scheduler, StoreClient state, UsersActor users) {
+    LedgerCommitter(LeaderActor owner, Scheduler scheduler, StoreClient store, UsersActor users) {
         this.owner = owner;
         this.scheduler = scheduler;
-        this.store = state;
+        this.store = store;
         this.users = users;
     }
 
-    /** Whether the outcome of a transaction is still to come. */
+    /** Whether a transaction was sent that has not been answered. False while the keys of a transaction of unknown outcome are read back. */
     boolean isWriteInFlight() {
         return isWriteInFlight;
     }
 
-    /** Revision of the last transaction that was confirmed, 0 before. */
+    /** Store revision of the last confirmed transaction, 0 if there is none. */
     long lastRevision() {
         return lastRevision;
     }
 
+    /** Sends the scheduler's next write batch, if it has one. */
     void writeNextBatch(long now) {
         Transaction transaction = scheduler.nextWriteBatch(now, owner.wall());
         if (transaction != null) {
             long fencingToken = scheduler.fencingToken();
             isWriteInFlight = true;
             store.transaction(
-                    transaction, owner.answer(r -> new TermMessage.WriteBatchAnswered(r, fencingToken, transaction)));
+                    transaction,
+                    owner.answer(reply -> new TermMessage.WriteBatchAnswered(reply, fencingToken, transaction)));
         }
     }
 
+    /** Handles the store's answer to a write batch. */
     void writeAnswered(TermMessage.WriteBatchAnswered message) {
         long now = owner.now();
         Reply reply = message.reply();
@@ -88,17 +99,20 @@
                 return;
             }
         } catch (MalformedException e) {
-            LOG.error("transaction answer: {}", e.getMessage());
+            LOG.error("malformed transaction answer: {}", e.getMessage());
         }
         LOG.warn("transaction of unknown outcome (status {}): reading its keys back", reply.status());
         unresolvedKeys = new PendingReads(scheduler.unresolvedWriteKeys());
         readNextUnresolvedKey();
     }
 
-    /** Most likely a user has cancelled a job meanwhile: the rest of the batch is sent again at once. */
+    /**
+     * Handles a transaction that the store refused because of the versions of the given keys. If the leader record is among them, this term
+     * is fenced. Otherwise the usual cause is a user who cancelled a job in the meantime, so the rest of the batch is sent again at once.
+     */
     private void writeConflicted(List<String> failed, long now) {
         if (failed.contains(StoreKeys.LEADER)) {
-            LOG.info("transaction refused: fenced");
+            LOG.info("transaction refused: fenced, the leader record has changed");
             owner.writeFenced();
             return;
         }
@@ -109,17 +123,20 @@
         }
     }
 
+    /** Reads a key that was in conflict. */
     void readConflictedKey(String key) {
         long fencingToken = scheduler.fencingToken();
-        store.read(key, owner.answer(r -> new TermMessage.ConflictingKeyRead(r, fencingToken, key)));
+        store.read(key, owner.answer(reply -> new TermMessage.ConflictingKeyRead(reply, fencingToken, key)));
     }
 
+    /** Handles the answer to a read of a key that was in conflict; a read that failed is retried after a delay. */
     void conflictedKeyRead(TermMessage.ConflictingKeyRead message) {
         if (applyReadBack(message.key(), message.reply())) {
             scheduler.keyReadBack(message.key(), owner.now());
             publishFinishedJobs();
         } else {
-            owner.tellLater(new TermMessage.ConflictingKeyReadDue(message.fencingToken(), message.key()), RETRY_DELAY_MICROS);
+            owner.tellLater(
+                    new TermMessage.ConflictingKeyReadDue(message.fencingToken(), message.key()), RETRY_DELAY_MICROS);
         }
     }
 
@@ -138,13 +155,14 @@
                 text);
     }
 
-    /** Jobs may wait for what a transaction has ended: they need not wait for the next read of the changes as well. */
+    /** Reports jobs that a transaction finished to the job cache, so that dependent jobs do not wait for its next read of the changes. */
     private void publishFinishedJobs() {
         scheduler
                 .takeEndedJobs()
-                .forEach(each -> users.tell(new UsersActor.JobEnded(each.id(), each.record(), each.version())));
+                .forEach(job -> users.tell(new UsersActor.JobEnded(job.id(), job.record(), job.version())));
     }
 
+    /** Reads the next key of a transaction of unknown outcome, or reports it as resolved once all are read. */
     void readNextUnresolvedKey() {
         if (unresolvedKeys.isFinished()) {
             scheduler.writeResolved(owner.now());
@@ -154,10 +172,11 @@
         String key = unresolvedKeys.next();
         if (key != null) {
             long fencingToken = scheduler.fencingToken();
-            store.read(key, owner.answer(r -> new TermMessage.UnresolvedKeyRead(r, fencingToken, key)));
+            store.read(key, owner.answer(reply -> new TermMessage.UnresolvedKeyRead(reply, fencingToken, key)));
         }
     }
 
+    /** Handles the answer to a read of a key of a transaction of unknown outcome; a read that failed is retried after a delay. */
     void unresolvedKeyRead(TermMessage.UnresolvedKeyRead message) {
         if (applyReadBack(message.key(), message.reply())) {
             unresolvedKeys.keyRead();
@@ -168,7 +187,11 @@
         }
     }
 
-    /** What a key holds now; false if the store did not say. */
+    /**
+     * Applies the stored record of a key to the scheduler. A malformed record is logged and counts as read.
+     *
+     * @return false if the store answered neither with the record nor that there is none, so the key has to be read again
+     */
     private boolean applyReadBack(String key, Reply reply) {
         try {
             if (Scheduler.isCloudRecord(key) && (reply.ok() || reply.status() == 404)) {
@@ -179,8 +202,8 @@
                 StoreCodec.Item item = StoreCodec.item(reply.body());
                 if (item.record() instanceof StoredRecord.Ledger ledger) {
                     scheduler.ledgerReadBack(item.key(), ledger, item.version());
-                } else if (item.record() instanceof StoredRecord.JobRecord row) {
-                    scheduler.jobReadBack(StoreKeys.jobIdOf(item.key()), row, item.version(), owner.now());
+                } else if (item.record() instanceof StoredRecord.JobRecord job) {
+                    scheduler.jobReadBack(StoreKeys.jobIdOf(item.key()), job, item.version(), owner.now());
                 }
             } else if (reply.status() == 404) {
                 if (StoreKeys.isLedger(key)) {
@@ -190,7 +213,7 @@
                 return false;
             }
         } catch (MalformedException e) {
-            LOG.error("{}: {}", key, e.getMessage());
+            LOG.error("malformed record {}: {}", key, e.getMessage());
         }
         return true;
     }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -21,29 +21,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives the roll-out of features during a leader's term: reads which controllers are registered and what operators request, and writes
- * the next transition, one at a time, on condition of the fencing token and of the record that it changes. Marks come first, which former
- * versions know too; then the features of the stages. Part of the leader's actor.
+ * Drives the roll-out of features during a leader's term: reads the registrations of the controllers and the operators' requests, and
+ * writes the next transition, one at a time, on condition of the fencing token and of the version of the record that it changes. The marks
+ * (layout and archive manifest), which versions without feature stages read too, come first; the stages of the other features follow.
+ * Part of the leader's actor.
  */
 final class RolloutDriver {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
-    /** How often the registrations are read for some time after a transition. */
+    /** Time between reads of the registrations within {@link #ACTIVE_PERIOD_MICROS} while steps are left to do. */
     private static final long ACTIVE_INTERVAL_MICROS = 500 * Micros.MILLISECOND;
 
-    /** How often they are read while something is left to do. */
+    /** Time between reads after that period while steps are left to do. */
     private static final long PENDING_INTERVAL_MICROS = 2 * Micros.SECOND;
-    /** How often they are read while nothing is. */
+    /** Time between reads while no step is left to do. */
     private static final long IDLE_INTERVAL_MICROS = 10 * Micros.SECOND;
 
+    /** How long after a write of this driver, or the start of the term, the registrations are read at the shortest interval. */
     private static final long ACTIVE_PERIOD_MICROS = 10 * Micros.SECOND;
+    /** Time between log lines about the same blockers. */
     private static final long LOG_INTERVAL_MICROS = 60 * Micros.SECOND;
-    /** Conditions of a transition beside those on registrations. */
+    /** Number of conditions that are set aside in each transition for those that are not on registrations. */
     private static final int NON_REGISTRATION_CONDITIONS = 3;
 
-    /** What the store takes of conditions, as a multiple of the writes that it takes. */
+    /** Conditions that the store accepts in a transaction for each write that it accepts. */
     private static final int CONDITIONS_PER_WRITE = 4;
 
-    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    /** Stands for a time before all others; half the minimum, so that differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final LeaderActor owner;
@@ -53,18 +56,25 @@
     private final StoreClient store;
     private final UsersActor users;
     private final RolloutParticipant participant;
+    /** Labels of all controllers of the deployment, this one included. */
     private final List<String> controllerLabels = new ArrayList<>();
-    /** The mark's version, 0 while there is none. */
+    /** Version of the layout record, 0 while there is none. */
     private long layoutVersion;
 
+    /** The layout record, null while there is none. */
     private StoredRecord.Layout layout;
+
     private boolean doesArchiveExist;
     private boolean areRecordsLoaded;
     private boolean isReadInFlight;
     private boolean isWriteInFlight;
+    /** Whether a step is left to do or blocked, by the last read of the registrations. */
     private boolean hasPendingSteps = true;
+    /** When the registrations were last read or, after a write failed, that was answered; {@link #NEVER_MICROS} if a read is due. */
     private long lastReadMicros = NEVER_MICROS;
+    /** When the last write of this driver was answered; the start of the term before. */
     private long lastWriteAnswerMicros;
+
     private long blockersLoggedMicros;
     private String lastLoggedBlockers = "";
 
@@ -75,27 +85,26 @@
             Scheduler scheduler,
             StoreClient store,
             UsersActor users,
-            RolloutParticipant rollout) {
+            RolloutParticipant participant) {
         this.owner = owner;
         this.settings = settings;
         this.tuning = tuning;
         this.scheduler = scheduler;
         this.store = store;
         this.users = users;
-        this.participant = rollout;
+        this.participant = participant;
         this.lastWriteAnswerMicros = owner.now();
         controllerLabels.add(settings.label());
         settings.siblings().forEach(sibling -> controllerLabels.add(sibling.label()));
     }
 
-    /** All records that a leader needs are read. */
+    /** Marks all records that a leader needs as loaded. */
     void recordsLoaded() {
-
         areRecordsLoaded = true;
         flagsChanged();
     }
 
-    /** The scheduler writes by the feature stages as they are now. */
+    /** Passes the present feature stages to the scheduler, which writes by them from now on. */
     void flagsChanged() {
         scheduler.featureFlagsChanged(
                 participant.featureFlags().version(),
@@ -103,27 +112,25 @@
                 participant.featureFlags().isEnabled(Feature.RETURNS));
     }
 
-    /** The mark was read or written. */
+    /** Applies the layout record that was read or written. */
     void layoutObserved(long version, StoredRecord.Layout observed) {
         layoutVersion = version;
         layout = observed;
         scheduler.layoutMarked(version, observed);
     }
 
-    /** The archive's manifest was read. */
+    /** Records that the archive has a manifest. */
     void archiveObserved() {
-
         doesArchiveExist = true;
     }
 
-    /** Called every so often. */
+    /** Reads the records under the roll-out keys when a read is due and no request is in flight; called on each tick of the leader. */
     void tick(long nowMicros) {
         boolean isBusy = isReadInFlight || isWriteInFlight;
         if (!participant.supportsRegistration()
                 || !areRecordsLoaded
                 || isBusy
                 || nowMicros - lastReadMicros < readIntervalMicros(nowMicros)) {
-
             return;
         }
         isReadInFlight = true;
@@ -139,12 +146,13 @@
         if (!hasPendingSteps) {
             return IDLE_INTERVAL_MICROS;
         }
-        return nowMicros - lastWriteAnswerMicros < ACTIVE_PERIOD_MICROS ? ACTIVE_INTERVAL_MICROS : PENDING_INTERVAL_MICROS;
+        return nowMicros - lastWriteAnswerMicros < ACTIVE_PERIOD_MICROS
+                ? ACTIVE_INTERVAL_MICROS
+                : PENDING_INTERVAL_MICROS;
     }
 
-    /** The records of registrations and requests were read. */
+    /** Handles the answer to the read of the registrations and the operators' requests. */
     void registryRead(Reply reply) {
-
         isReadInFlight = false;
         if (!reply.ok()) {
             return;
@@ -155,12 +163,13 @@
                 registry.add(item.key(), item.record(), item.version());
             }
         } catch (MalformedException e) {
-            LOG.error("registrations: {}", e.getMessage());
+            LOG.error("malformed registration or roll-out request: {}", e.getMessage());
             return;
         }
         advance(registry);
     }
 
+    /** Writes the next transition if every controller is ready for it: first the layout, then the archive manifest, then the stages. */
     private void advance(ControllerRegistry registry) {
         hasPendingSteps = true;
         if (layout == null) {
@@ -182,16 +191,18 @@
         return missing.isEmpty();
     }
 
-    /** Logs what is waited for when it changes, and once a minute. */
+    /** Logs what the roll-out waits for when that changes, and once a minute while it does not. */
     private void logBlockers(String blockers) {
         long now = owner.now();
-        if (!blockers.isEmpty() && (!blockers.equals(lastLoggedBlockers) || now - blockersLoggedMicros >= LOG_INTERVAL_MICROS)) {
+        if (!blockers.isEmpty()
+                && (!blockers.equals(lastLoggedBlockers) || now - blockersLoggedMicros >= LOG_INTERVAL_MICROS)) {
             LOG.info("roll-out: {}", blockers);
             blockersLoggedMicros = now;
         }
         lastLoggedBlockers = blockers;
     }
 
+    /** The conditions of a transition: the fencing token, the given ones, and those on registrations up to the store's limit. */
     private List<Transaction.Condition> conditions(ControllerRegistry registry, Transaction.Condition... own) {
         List<Transaction.Condition> conditions =
                 new ArrayList<>(List.of(new Transaction.Condition(StoreKeys.LEADER, scheduler.fencingToken())));
@@ -201,11 +212,10 @@
         return conditions;
     }
 
-    /** From the mark on, and only then, jobs with dependencies are accepted and names are compressed. */
+    /** Writes the layout record. Jobs with dependencies are accepted and machine names are compressed only once it exists. */
     private void markLayout(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
         StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_NEEDS, settings.pageTasks());
-
         isWriteInFlight = true;
         store.transaction(
                 new Transaction(
@@ -214,7 +224,7 @@
                 owner.answer(reply -> new TermMessage.LayoutWritten(reply, fencingToken, first)));
     }
 
-    /** The answer to {@link #markLayout}. */
+    /** Handles the answer to {@link #markLayout}. */
     void layoutWriteAnswered(TermMessage.LayoutWritten message) {
         writeAnswered(message.reply());
         try {
@@ -224,17 +234,18 @@
                         StoreCodec.revision(message.reply().body()), message.layout()));
             }
         } catch (MalformedException e) {
-            LOG.error("transaction answer: {}", e.getMessage());
+            LOG.error("malformed transaction answer: {}", e.getMessage());
         }
     }
 
-    /** The archive begins with an empty manifest, once every controller reads it. */
+    /** Creates the archive with an empty manifest, once every controller supports it. */
     private void startArchive(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
-        // The mark is written anew along with it: what a former version writes of jobs with dependencies has the mark's
-        // version as a condition, and may arrive minutes late.
+        // The layout record is written again in the same transaction: writes of jobs with dependencies by a previous
+        // version have the
+        // layout record's version as a condition and may arrive minutes late; the new version makes the store refuse
+        // them.
         StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_HISTORY, layout.pageTasks());
-
         isWriteInFlight = true;
         store.transaction(
                 new Transaction(
@@ -251,11 +262,14 @@
                 owner.answer(reply -> new TermMessage.ArchiveManifestCreated(reply, fencingToken)));
     }
 
-    /** The answer to {@link #startArchive}. Whoever wrote the manifest, the copy of the job records tells of it. */
+    /** Handles the answer to {@link #startArchive}. The manifest itself, whichever controller wrote it, arrives through the job cache. */
     void manifestWriteAnswered(TermMessage.ArchiveManifestCreated message) {
         writeAnswered(message.reply());
         if (message.reply().ok()) {
-            LOG.info("all {} controllers read layout {}: the archive begins", controllerLabels.size(), Settings.LAYOUT_HISTORY);
+            LOG.info(
+                    "all {} controllers read layout {}: the archive begins",
+                    controllerLabels.size(),
+                    Settings.LAYOUT_HISTORY);
         }
     }
 
@@ -267,7 +281,6 @@
             return;
         }
         long fencingToken = scheduler.fencingToken();
-
         isWriteInFlight = true;
         store.transaction(
                 new Transaction(
@@ -281,7 +294,7 @@
                         reply, fencingToken, plan.newStages(), plan.transitions())));
     }
 
-    /** The answer to {@link #advanceFeatures}. If the outcome is not known, the record itself tells. */
+    /** Handles the answer to {@link #advanceFeatures}. If the write failed or its outcome is unknown, the stages are read from the store. */
     void stagesWriteAnswered(TermMessage.FeatureStagesWritten message) {
         writeAnswered(message.reply());
         try {
@@ -291,14 +304,13 @@
                 return;
             }
         } catch (MalformedException e) {
-            LOG.error("transaction answer: {}", e.getMessage());
+            LOG.error("malformed transaction answer: {}", e.getMessage());
         }
         participant.newerVersionReported(participant.featureFlags().version() + 1);
     }
 
-    /** The next read comes at once after a transition that was written, and after a pause where it was not. */
+    /** Ends a write: the next read is due at once if it succeeded, and after a read interval otherwise. */
     private void writeAnswered(Reply reply) {
-
         isWriteInFlight = false;
         lastWriteAnswerMicros = owner.now();
         lastReadMicros = reply.ok() ? NEVER_MICROS : lastWriteAnswerMicros;
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -18,18 +18,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This controller's part in the roll-out: the feature stages as it knows them, and its registration. It does not lead before it has read
- * the stages, and neither leads nor serves while they name what this version does not support. Part of the leader's actor.
+ * Keeps this controller's view of the feature stages and its registration, whether it leads or not. The controller does not lead before it
+ * has read the stages, and neither leads nor serves users while they name a feature or stage that this version does not support. Part of
+ * the leader's actor.
  */
 final class RolloutParticipant {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
+    /** Delay before another read of the stages after one that failed. */
     private static final long RETRY_DELAY_MICROS = 300 * Micros.MILLISECOND;
-    /** A start waits for the first read: after an outage a claim came a quarter of a second later than the lease allowed. */
+    /**
+     * Delay as {@link #RETRY_DELAY_MICROS}, but before the first successful read, on which the claim of the leader lease waits. Shorter,
+     * since after an outage a claim came a quarter of a second later than the lease allowed.
+     */
     private static final long FIRST_READ_RETRY_DELAY_MICROS = 100 * Micros.MILLISECOND;
 
+    /** Time between log lines about unsupported features. */
     private static final long LOG_INTERVAL_MICROS = 30 * Micros.SECOND;
 
-    /** A time so long ago that nothing since then counts, chosen so that differences to it do not overflow. */
+    /** Stands for a time before all others; half the minimum, so that differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private static final int NOT_FOUND = 404;
@@ -42,11 +48,12 @@
     private final FeatureFlags featureFlags;
     private final ControllerRegistration registration;
     private boolean isReadInFlight;
+    /** Earliest time of the next read of the stages. */
     private long nextReadMicros = NEVER_MICROS;
-    /** The newest version of the stages that was reported; they are read if it is newer than what is known. */
+    /** The newest version of the stages that was reported; the stages are read if it is newer than the known version. */
     private long newestReportedVersion;
 
-    /** Whether the stages name what this version does not support. */
+    /** Whether the stages name a feature or stage that this version does not support. */
     private boolean hasUnsupportedFeatures;
 
     private long lastLogMicros = NEVER_MICROS;
@@ -62,33 +69,34 @@
                 new ControllerRegistration(settings.label(), BuildVersion.name(), capabilities, owner.wall());
     }
 
+    /** The feature stages as this controller knows them. */
     FeatureFlags featureFlags() {
         return featureFlags;
     }
 
-    /** Whether this version takes part in roll-outs at all. */
+    /** Whether this version takes part in roll-outs. */
     boolean supportsRegistration() {
         return capabilities.supportsRegistration();
     }
 
-    /** Whether it may lead as far as the stored forms go: the stages are known, and this version supports all of them. */
+    /** Whether the stored forms allow this controller to lead: the stages are known and this version supports all of them. */
     boolean mayLead() {
         return !capabilities.supportsRegistration() || (featureFlags.isKnown() && !hasUnsupportedFeatures);
     }
 
-    /** The conditions of a claim of the leader lease. */
+    /** The conditions on the feature stages for a claim of the leader lease. */
     List<Transaction.Condition> claimConditions() {
         return capabilities.supportsRegistration()
                 ? List.of(new Transaction.Condition(StoreKeys.FEATURE_STAGES, featureFlags.version()))
                 : List.of();
     }
 
-    /** A claim or a registration was refused by the stages' version, or a peer's status tells of a newer one. */
+    /** Notes that the stages may have this version: a claim or registration was refused because of theirs, or a peer reported it. */
     void newerVersionReported(long version) {
         newestReportedVersion = Math.max(newestReportedVersion, version);
     }
 
-    /** The stages as the copy of the job records, a read or an own transition shows them. */
+    /** Applies the stages as seen in the job cache, in a read or in a transition that this controller wrote; older ones are ignored. */
     void flagsObserved(long version, StoredRecord.FeatureStages record) {
         if (!featureFlags.update(version, record)) {
             return;
@@ -100,28 +108,32 @@
                             + " with `micatide rollout back`",
                     String.join(", ", unknown));
         } else if (unknown.isEmpty() && hasUnsupportedFeatures) {
-            LOG.info("serves again: all that the deployment uses is known");
+            LOG.info("serves again: this version supports all features that the deployment uses");
         }
         hasUnsupportedFeatures = !unknown.isEmpty();
         users.tell(new UsersActor.IncompatibleStoreChanged(hasUnsupportedFeatures));
         owner.featureStagesChanged();
     }
 
-    /** Called every so often. */
-    void advance(long lease, long nowMicros) {
+    /**
+     * Reads the stages and renews the registration when either is due.
+     *
+     * @param leaseId the lease of this controller, 0 if it has none
+     * @param nowMicros the time, on the steady clock
+     */
+    void advance(long leaseId, long nowMicros) {
         if (!capabilities.supportsRegistration()) {
             return;
         }
         if (!isReadInFlight && nowMicros >= nextReadMicros && isReadNeeded()) {
-
             isReadInFlight = true;
             store.read(StoreKeys.FEATURE_STAGES, owner.answer(LeaderMessage.FeatureStagesRead::new));
         }
         if (hasUnsupportedFeatures && nowMicros - lastLogMicros >= LOG_INTERVAL_MICROS) {
             lastLogMicros = nowMicros;
-            LOG.warn("waits, and does not serve, because of {}", String.join(", ", featureFlags.unsupportedFeatures()));
+            LOG.warn("not serving: unsupported features {}", String.join(", ", featureFlags.unsupportedFeatures()));
         }
-        switch (registration.nextAction(hasUnsupportedFeatures ? 0 : lease, featureFlags.version(), nowMicros)) {
+        switch (registration.nextAction(hasUnsupportedFeatures ? 0 : leaseId, featureFlags.version(), nowMicros)) {
             case READ -> store.read(registration.key(), owner.answer(LeaderMessage.RegistrationRead::new));
             case PUT ->
                 store.transaction(
@@ -134,9 +146,8 @@
         return !featureFlags.isKnown() || newestReportedVersion > featureFlags.version();
     }
 
-    /** The answer to a read of the stages. */
+    /** Handles the answer to a read of the stages. */
     void flagsRead(Reply reply) {
-
         isReadInFlight = false;
         try {
             if (reply.ok()) {
@@ -151,12 +162,12 @@
                 return;
             }
         } catch (MalformedException e) {
-            LOG.error("feature stages: {}", e.getMessage());
+            LOG.error("malformed feature stages record: {}", e.getMessage());
         }
         nextReadMicros = owner.now() + (featureFlags.isKnown() ? RETRY_DELAY_MICROS : FIRST_READ_RETRY_DELAY_MICROS);
     }
 
-    /** The answer to a read of this controller's own registration. */
+    /** Handles the answer to a read of this controller's own registration. */
     void registrationRead(Reply reply) {
         try {
             if (reply.ok()) {
@@ -164,7 +175,7 @@
                 return;
             }
         } catch (MalformedException e) {
-            LOG.error("registration: {}", e.getMessage());
+            LOG.error("malformed answer about the registration: {}", e.getMessage());
         }
         if (reply.status() == NOT_FOUND) {
             registration.recordRead(0);
@@ -173,7 +184,7 @@
         }
     }
 
-    /** The answer to a put of the registration. */
+    /** Handles the answer to a write of the registration. */
     void registrationAnswered(Reply reply) {
         long now = owner.now();
         try {
@@ -186,7 +197,7 @@
                 newerVersionReported(featureFlags.version() + 1);
             }
         } catch (MalformedException e) {
-            LOG.error("registration: {}", e.getMessage());
+            LOG.error("malformed answer about the registration: {}", e.getMessage());
         }
         if (reply.notExecuted()) {
             registration.requestFailed(now);
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -8,13 +8,13 @@
 import java.util.List;
 
 /**
- * A term's link between the leader and its {@link ArchiverActor}: starts the archiver once all records are read, tells it which jobs are
- * finished, and passes on the writes that scheduling leaves over. Part of the leader's actor.
+ * Connects the leader to its {@link ArchiverActor} during one term: starts the archiver once all records are loaded, sends it the finished
+ * jobs, and passes on the writes that scheduling leaves over. Part of the leader's actor.
  */
 final class TermArchiving {
-    /** How often finished jobs are looked for; they can wait, and finding them goes over all open jobs. */
+    /** Time between searches for finished jobs; a search is not urgent, and it iterates over all open jobs. */
     private static final long SEARCH_INTERVAL_MICROS = Micros.SECOND;
-    /** A few finished jobs are archived after so long, lest the last of a busy day keep their records. */
+    /** Time after which finished jobs are archived even if they are too few for a full batch, so that no record is kept for want of later jobs. */
     private static final long MAX_SMALL_BATCH_WAIT_MICROS = 600 * Micros.SECOND;
 
     private final LeaderActor owner;
@@ -22,13 +22,18 @@
     private final Scheduler scheduler;
     private final UsersActor users;
     private final ArchiverActor archiver;
+    /** Version of {@link #manifest}, 0 until there is an archive. */
     private long manifestVersion;
+
     /** Null until there is an archive. */
     private StoredRecord.ArchiveManifest manifest;
 
     private boolean areRecordsLoaded;
+    /** Whether the archiver was started in this term. */
     private boolean isArchiving;
+
     private long lastSearchMicros;
+    /** When the wait for a full batch began. */
     private long smallBatchSinceMicros;
 
     TermArchiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchiverActor archiver) {
@@ -40,23 +45,21 @@
         this.smallBatchSinceMicros = owner.now();
     }
 
-    /** All records that a leader needs are read. */
+    /** Marks all records that a leader needs as loaded. */
     void recordsLoaded() {
-
         areRecordsLoaded = true;
         startIfReady();
     }
 
-    /** The term is over. */
+    /** Stops archiving at the end of the term. */
     void endTerm() {
         archiver.tell(new ArchiverActor.EndTerm());
         isArchiving = false;
     }
 
-    /** The manifest was read, or has a new version. */
+    /** Applies the archive manifest that was read, for the first time or with a new version. */
     void manifestObserved(long version, StoredRecord.ArchiveManifest observed) {
         manifestVersion = version;
-
         manifest = observed;
         scheduler.archiveEnabled();
         startIfReady();
@@ -69,7 +72,7 @@
         }
     }
 
-    /** Called every so often. */
+    /** Requests a search for finished jobs when one is due, and sends the archiver its write budget; called on each tick of the leader. */
     void tick(long nowMicros) {
         if (!isArchiving) {
             return;
@@ -82,26 +85,25 @@
         archiver.tell(new ArchiverActor.WriteBudget(fencingToken, scheduler.spareWriteBudget(nowMicros)));
     }
 
-    /** The answer to a search for finished jobs. Those whose tasks may still run are left for a later one. */
+    /** Handles the result of a search for finished jobs. Jobs whose tasks may still run are left to a later search. */
     void finishedJobsFound(TermMessage.ArchivableJobsFound message) {
         if (!isArchiving) {
             return;
         }
-        List<Archiver.ArchivableJob> settled = message.jobs().stream()
+        List<Archiver.ArchivableJob> archivable = message.jobs().stream()
                 .filter(job -> job.outcome() == null || scheduler.mayBeArchived(job.id()))
                 .toList();
-        Archiver.BatchPolicy policy = chooseBatchPolicy(settled.size());
-
-        archiver.tell(
-                new ArchiverActor.CandidatesFound(message.fencingToken(), settled, message.manifestVersion(), policy));
+        Archiver.BatchPolicy policy = chooseBatchPolicy(archivable.size());
+        archiver.tell(new ArchiverActor.CandidatesFound(
+                message.fencingToken(), archivable, message.manifestVersion(), policy));
     }
 
-    private Archiver.BatchPolicy chooseBatchPolicy(int jobs) {
+    private Archiver.BatchPolicy chooseBatchPolicy(int jobCount) {
         long nowMicros = owner.now();
-        boolean hasWaited = nowMicros - smallBatchSinceMicros >= MAX_SMALL_BATCH_WAIT_MICROS;
-        if (hasWaited || jobs == 0 || jobs >= tuning.archiveBatchSize()) {
+        boolean hasWaitedLongEnough = nowMicros - smallBatchSinceMicros >= MAX_SMALL_BATCH_WAIT_MICROS;
+        if (hasWaitedLongEnough || jobCount == 0 || jobCount >= tuning.archiveBatchSize()) {
             smallBatchSinceMicros = nowMicros;
         }
-        return hasWaited ? Archiver.BatchPolicy.ANY_SIZE : Archiver.BatchPolicy.FULL_BATCHES;
+        return hasWaitedLongEnough ? Archiver.BatchPolicy.ANY_SIZE : Archiver.BatchPolicy.FULL_BATCHES;
     }
 }
