--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -31,7 +31,7 @@
     /** The archive has this manifest from now on. */
     record ManifestChanged(StoredRecord.ArchiveManifest manifest) implements Message {}
 
-    /** Asks for a job by the last manifest told; {@code then} is called on the event loop, once. */
+    /** Looks a job up by the last manifest received; {@code callback} is called once, on the event loop. */
     record FindJob(String id, Consumer<LookupResult> callback) implements Message {}
 
     /** The store answered the read of the segment at the given key. */
@@ -220,6 +220,7 @@
         }
     }
 
+    /** Drops the filter of the segment's run and logs the damage once per segment. */
     private void damagedSegments(String key, String reason) {
         filters.segmentUnreadable(key);
         if (damagedSegments.add(key)) {
@@ -234,17 +235,17 @@
         if (filterSegmentInFlight != null || isFilterReadScheduled) {
             return;
         }
-        String wanted = filters.nextSegmentToRead();
-        if (wanted == null) {
+        String segmentKey = filters.nextSegmentToRead();
+        if (segmentKey == null) {
             return;
         }
-        if (!store.idle() || lookupsBySegment.containsKey(wanted)) {
+        if (!store.idle() || lookupsBySegment.containsKey(segmentKey)) {
             scheduleFilterRead(FILTER_READ_DELAY_MICROS);
             return;
         }
-        filterSegmentInFlight = wanted;
-        lookupsBySegment.put(wanted, new ArrayList<>());
-        store.read(wanted, answer(r -> new SegmentRead(r, wanted)));
+        filterSegmentInFlight = segmentKey;
+        lookupsBySegment.put(segmentKey, new ArrayList<>());
+        store.read(segmentKey, answer(reply -> new SegmentRead(reply, segmentKey)));
     }
 
     private void scheduleFilterRead(long delayMicros) {
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -32,7 +32,7 @@
     record EndTerm() implements Message {}
 
     /**
-     * Jobs that may be archived, by the job cache.
+     * Jobs that may be archived, as found in the job cache.
      *
      * @param manifestVersion version of the archive manifest in the job cache that was searched
      */
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -47,7 +47,7 @@
     /**
      * Makes a call; the answer arrives as a message to the leader's actor.
      *
-     * @param nowMicros the time of the call; of a list of machines, the time that it is valid for
+     * @param nowMicros the time of the call; a list of machines is evaluated as of this time
      */
     void send(CloudCall call, long nowMicros) {
         long fencingToken = scheduler.fencingToken();
@@ -104,6 +104,7 @@
         scheduler.machineTypesChanged(types, nowMicros);
     }
 
+    /** Passes listed machine types to the scheduler and to users, and stores them if they changed. */
     private void updateMachineTypes(List<MachineType> types) {
         scheduler.machineTypesChanged(types, owner.now());
         users.tell(new UsersActor.MachineTypesChanged(types));
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -110,14 +110,14 @@
      * Handles a transaction that the store refused because of the versions of the given keys. If the leader record is among them, this term
      * is fenced. Otherwise the usual cause is a user who cancelled a job in the meantime, so the rest of the batch is sent again at once.
      */
-    private void writeConflicted(List<String> failed, long now) {
-        if (failed.contains(StoreKeys.LEADER)) {
+    private void writeConflicted(List<String> failedKeys, long now) {
+        if (failedKeys.contains(StoreKeys.LEADER)) {
             LOG.info("transaction refused: fenced, the leader record has changed");
             owner.writeFenced();
             return;
         }
-        LOG.debug("transaction refused, keys in conflict: {}", failed);
-        scheduler.writeConflicted(failed, now).forEach(this::readConflictedKey);
+        LOG.debug("transaction refused, keys in conflict: {}", failedKeys);
+        scheduler.writeConflicted(failedKeys, now).forEach(this::readConflictedKey);
         if (!owner.isShuttingDown()) {
             writeNextBatch(now);
         }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -40,7 +40,7 @@
     private static final long ACTIVE_PERIOD_MICROS = 10 * Micros.SECOND;
     /** Time between log lines about the same blockers. */
     private static final long LOG_INTERVAL_MICROS = 60 * Micros.SECOND;
-    /** Number of conditions that are set aside in each transition for those that are not on registrations. */
+    /** Largest number of conditions of a transition that are not on registrations. */
     private static final int NON_REGISTRATION_CONDITIONS = 3;
 
     /** Conditions that the store accepts in a transaction for each write that it accepts. */
@@ -70,12 +70,15 @@
     private boolean isWriteInFlight;
     /** Whether a step is left to do or blocked, by the last read of the registrations. */
     private boolean hasPendingSteps = true;
-    /** When the registrations were last read or, after a write failed, that was answered; {@link #NEVER_MICROS} if a read is due. */
+    /** When the last read was sent, or when a write failed if that was later; {@link #NEVER_MICROS} if a read is due at once. */
     private long lastReadMicros = NEVER_MICROS;
     /** When the last write of this driver was answered; the start of the term before. */
     private long lastWriteAnswerMicros;
 
+    /** When blockers were last logged. */
     private long blockersLoggedMicros;
+
+    /** What the roll-out waited for at the last check, empty if nothing. */
     private String lastLoggedBlockers = "";
 
     RolloutDriver(
@@ -185,6 +188,7 @@
         }
     }
 
+    /** Whether every controller supports a feature; logs those that do not. */
     private boolean isKnownToAll(Feature feature, ControllerRegistry registry) {
         List<String> missing = registry.blockers(feature);
         logBlockers(missing.isEmpty() ? "" : feature.key() + " waits: " + String.join(", ", missing));
@@ -241,10 +245,9 @@
     /** Creates the archive with an empty manifest, once every controller supports it. */
     private void startArchive(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
-        // The layout record is written again in the same transaction: writes of jobs with dependencies by a previous
-        // version have the
-        // layout record's version as a condition and may arrive minutes late; the new version makes the store refuse
-        // them.
+        // The layout record is written again in the same transaction, so that its version changes: a previous version
+        // of the program writes jobs with dependencies on condition of that version, and such a write may arrive
+        // minutes late; it is then refused.
         StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_HISTORY, layout.pageTasks());
         isWriteInFlight = true;
         store.transaction(
@@ -273,6 +276,7 @@
         }
     }
 
+    /** Writes the next transition of the feature stages, if there is one. */
     private void advanceFeatures(ControllerRegistry registry) {
         RolloutPlan plan = RolloutPlan.create(participant.featureFlags(), registry, tuning.rolloutEnabled());
         logBlockers(String.join("; ", plan.blockers()));
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -91,7 +91,7 @@
                 : List.of();
     }
 
-    /** Notes that the stages may have this version: a claim or registration was refused because of theirs, or a peer reported it. */
+    /** Notes a version that the stages may have reached: a claim or registration was refused because of them, or a peer reported it. */
     void newerVersionReported(long version) {
         newestReportedVersion = Math.max(newestReportedVersion, version);
     }
@@ -116,7 +116,7 @@
     }
 
     /**
-     * Reads the stages and renews the registration when either is due.
+     * Reads the stages and registers this controller when either is due, and logs regularly while features are unsupported.
      *
      * @param leaseId the lease of this controller, 0 if it has none
      * @param nowMicros the time, on the steady clock
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -14,7 +14,7 @@
 final class TermArchiving {
     /** Time between searches for finished jobs; a search is not urgent, and it iterates over all open jobs. */
     private static final long SEARCH_INTERVAL_MICROS = Micros.SECOND;
-    /** Time after which finished jobs are archived even if they are too few for a full batch, so that no record is kept for want of later jobs. */
+    /** Time after which a batch that is not full is archived too, so that the last jobs of a busy day do not keep their records. */
     private static final long MAX_SMALL_BATCH_WAIT_MICROS = 600 * Micros.SECOND;
 
     private final LeaderActor owner;
@@ -33,7 +33,7 @@
     private boolean isArchiving;
 
     private long lastSearchMicros;
-    /** When the wait for a full batch began. */
+    /** When the present wait for a full batch began. */
     private long smallBatchSinceMicros;
 
     TermArchiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchiverActor archiver) {
@@ -98,6 +98,7 @@
                 message.fencingToken(), archivable, message.manifestVersion(), policy));
     }
 
+    /** Chooses full batches, or a batch of any size once {@link #MAX_SMALL_BATCH_WAIT_MICROS} have passed without a full one. */
     private Archiver.BatchPolicy chooseBatchPolicy(int jobCount) {
         long nowMicros = owner.now();
         boolean hasWaitedLongEnough = nowMicros - smallBatchSinceMicros >= MAX_SMALL_BATCH_WAIT_MICROS;
