--- a/src/main/java/io/micatide/archive/JobRecordRemoval.java
+++ b/src/main/java/io/micatide/archive/JobRecordRemoval.java
@@ -97,7 +97,7 @@
             }
             conditions.add(new Transaction.Condition(StoreKeys.job(job.id()), job.version()));
             for (int piece = 1; piece <= job.dependencyRecords() && writes.size() < maxWrites; piece++) {
-                writes.add(new Transaction.Write(StoreKeys.dependencies(job.id(), piece), null, 0));
+                writes.add(new Transaction.Write(StoreKeys.furtherDependencies(job.id(), piece), null, 0));
             }
             if (writes.size() < maxWrites) {
                 writes.add(new Transaction.Write(StoreKeys.job(job.id()), null, 0));
--- a/src/main/java/io/micatide/cli/CheckCommand.java
+++ b/src/main/java/io/micatide/cli/CheckCommand.java
@@ -22,7 +22,7 @@
             return Main.EXIT_SETTINGS;
         }
         System.out.println(file + ": good, " + loaded.settings().label() + " with "
-                + loaded.settings().siblings().size() + " siblings and "
+                + loaded.settings().peers().size() + " siblings and "
                 + loaded.settings().teams().size()
                 + " teams");
         return 0;
--- a/src/main/java/io/micatide/cli/Main.java
+++ b/src/main/java/io/micatide/cli/Main.java
@@ -38,7 +38,7 @@
             try (var in = Main.class.getResourceAsStream("/micatide-version.txt")) {
                 return new String[] {
                     "micatide " + new String(in.readAllBytes(), java.nio.charset.StandardCharsets.UTF_8).trim()
-                            + ", layout " + Settings.LAYOUT
+                            + ", layout " + Settings.CURRENT_LAYOUT
                 };
             }
         }
--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -95,7 +95,7 @@
         if (loaded == null) {
             return Main.EXIT_SETTINGS;
         }
-        try (RateLimitedCalls calls = new RateLimitedCalls(loaded.settings().store(), CALLS_A_SECOND)) {
+        try (RateLimitedCalls calls = new RateLimitedCalls(loaded.settings().storeEndpoint(), CALLS_A_SECOND)) {
             work.run(calls, loaded.settings());
             return 0;
         } catch (RefusedException | MalformedException e) {
@@ -135,7 +135,7 @@
     static void status(StoreCalls calls, Settings settings, PrintStream out)
             throws RefusedException, MalformedException {
         List<String> labels = new ArrayList<>(List.of(settings.label()));
-        settings.siblings().forEach(sibling -> labels.add(sibling.label()));
+        settings.peers().forEach(sibling -> labels.add(sibling.label()));
         labels.sort(null);
         FeatureFlags switches = switches(calls);
         ControllerRegistry roster = new ControllerRegistry(labels);
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -51,12 +51,12 @@
     void send(CloudCall call, long nowMicros) {
         long fencingToken = scheduler.fencingToken();
         Consumer<Reply> answer = owner.answer(reply -> new TermMessage.CloudCallAnswered(reply, fencingToken, call));
-        if (call instanceof CloudCall.Rent rent) {
+        if (call instanceof CloudCall.RequestMachines rent) {
             String kind = rent.spot() ? "spot" : "on-demand";
             LOG.info("requests {} {} machines of type {} in {}", rent.count(), kind, rent.type(), rent.zone());
             cloud.rent(rent, answer);
 
-        } else if (call instanceof CloudCall.Delete delete) {
+        } else if (call instanceof CloudCall.DeleteMachines delete) {
             LOG.info("deletes machines {}", delete.machines());
             cloud.delete(delete.machines(), answer);
 
@@ -72,9 +72,9 @@
     void handleAnswer(TermMessage.CloudCallAnswered message) {
         Reply reply = message.reply();
         try {
-            if (message.call() instanceof CloudCall.Rent rent) {
+            if (message.call() instanceof CloudCall.RequestMachines rent) {
                 handleRentAnswer(rent, reply);
-            } else if (message.call() instanceof CloudCall.Delete delete && reply.ok()) {
+            } else if (message.call() instanceof CloudCall.DeleteMachines delete && reply.ok()) {
                 scheduler.machinesDeleted(delete.machines(), owner.now());
             } else if (message.call() instanceof CloudCall.ListTypes && reply.ok()) {
                 updateMachineTypes(CloudCodec.types(reply.body()));
@@ -84,7 +84,7 @@
         }
     }
 
-    private void handleRentAnswer(CloudCall.Rent rent, Reply reply) throws MalformedException {
+    private void handleRentAnswer(CloudCall.RequestMachines rent, Reply reply) throws MalformedException {
         long nowMicros = owner.now();
         if (reply.ok()) {
             scheduler.machinesRented(rent.requestName(), CloudCodec.rented(reply.body()), nowMicros);
--- a/src/main/java/io/micatide/controller/ControllerServer.java
+++ b/src/main/java/io/micatide/controller/ControllerServer.java
@@ -62,7 +62,7 @@
                     settings.zone(),
                     settings.bind(),
                     settings.peerBind(),
-                    Settings.LAYOUT);
+                    Settings.CURRENT_LAYOUT);
         });
         bound.await();
         if (bindFailure != null) {
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -67,7 +67,7 @@
         // All controllers together take about a third of the requests for this.
         this.refreshEveryMicros = Math.max(
                 50 * Micros.MILLISECOND,
-                (settings.siblings().size() + 1) * Micros.ofSeconds(3 / settings.storeRequestsPerSecond()));
+                (settings.peers().size() + 1) * Micros.ofSeconds(3 / settings.storeRequestsPerSecond()));
     }
 
     /** Whether the copy has been read whole. */
@@ -84,7 +84,7 @@
         subscribedLeader = newLeader;
         snapshotPending = true;
         subscribedMicros = owner.now();
-        List<String> cancelled = jobCache.openAndCancelled().stream()
+        List<String> cancelled = jobCache.openAndCancelledJobs().stream()
                 .filter(job -> job.state() == JobState.CANCELLED)
                 .map(JobCache.View::id)
                 .toList();
@@ -153,7 +153,7 @@
 
     private void apply(StoreCodec.Item item) {
         if (item.record() == null) {
-            if (!StoreKeys.isDependencies(item.key())) {
+            if (!StoreKeys.isFurtherDependencies(item.key())) {
                 String id = StoreKeys.jobIdOf(item.key());
                 jobCache.remove(id, item.version());
                 owner.forgetProgress(id);
@@ -166,7 +166,7 @@
             apply(StoreKeys.jobIdOf(item.key()), row, item.version());
         } else if (item.record() instanceof StoredRecord.FurtherDependencies dependencies) {
             changed(jobCache.applyDependencies(
-                    StoreKeys.jobIdOf(item.key()), StoreKeys.dependenciesPieceOf(item.key()), dependencies.names()));
+                    StoreKeys.jobIdOf(item.key()), StoreKeys.furtherDependenciesPieceOf(item.key()), dependencies.names()));
         } else if (item.record() instanceof StoredRecord.Layout layout) {
             layoutMarked(item.version(), layout);
         }
@@ -181,7 +181,7 @@
     }
 
     void layoutMarked(long version, StoredRecord.Layout layout) {
-        jobCache.layoutMarked(version, layout);
+        jobCache.layoutRead(version, layout);
         if (subscribedLeader != null) {
             subscribedLeader.tell(new LeaderMessage.LayoutObserved(version, layout));
         }
@@ -268,7 +268,7 @@
                         subscribedLeader.tell(new LeaderMessage.ArchiveManifestObserved(
                                 jobCache.archiveVersion(), jobCache.archiveManifest()));
                     }
-                    subscribedLeader.tell(new LeaderMessage.JobsObserved(jobCache.openAndCancelled()));
+                    subscribedLeader.tell(new LeaderMessage.JobsObserved(jobCache.openAndCancelledJobs()));
                 }
             }
             leaderActor.tell(new LeaderMessage.StoreRead(message.askedMicros(), jobCache.revision()));
@@ -290,7 +290,7 @@
 
     /** Rows of a former version may be of jobs that were archived long ago: nothing of them is told or started before that is known. */
     void verifyRecords() {
-        for (JobCache.Entry entry : jobCache.unverified()) {
+        for (JobCache.Entry entry : jobCache.unverifiedEntries()) {
             if (verificationsInFlight.add(entry.id())) {
                 archiveReader.tell(new ArchiveReader.FindJob(
                         entry.id(), found -> owner.tell(new UsersActor.RecordVerified(entry.id(), found))));
@@ -313,12 +313,12 @@
     void findArchivableJobs(long fencingToken) {
         if (subscribedLeader == null
                 || !isLoaded
-                || (jobCache.endedJobs().isEmpty() && jobCache.staleRecords().isEmpty())) {
+                || (jobCache.finishedJobs().isEmpty() && jobCache.staleRecordVersions().isEmpty())) {
             return;
         }
         Set<String> needed = jobCache.dependencies();
         List<Archiver.ArchivableJob> result = new ArrayList<>();
-        for (JobCache.Entry entry : jobCache.endedJobs()) {
+        for (JobCache.Entry entry : jobCache.finishedJobs()) {
             if (result.size() >= MAX_ARCHIVABLE_JOBS) {
                 break;
             }
@@ -330,7 +330,7 @@
                         jobCache.furtherDependencyRecords(entry.id())));
             }
         }
-        jobCache.staleRecords().forEach((id, version) -> result.add(new Archiver.ArchivableJob(id, version, null, 0)));
+        jobCache.staleRecordVersions().forEach((id, version) -> result.add(new Archiver.ArchivableJob(id, version, null, 0)));
         subscribedLeader.tell(new TermMessage.ArchivableJobsFound(fencingToken, result, jobCache.archiveVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/LeadershipTransfer.java
+++ b/src/main/java/io/micatide/controller/LeadershipTransfer.java
@@ -99,7 +99,7 @@
         LeaderTerm term = owner.term();
         int successor = term == null ? NOBODY : standby.firstWarmStandby(now);
         String label =
-                successor == NOBODY ? null : settings.siblings().get(successor).label();
+                successor == NOBODY ? null : settings.peers().get(successor).label();
         logShutdown(term, label);
         users.tell(new UsersActor.Closing());
         handover = new GracefulHandover(
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -151,7 +151,7 @@
             publishEndedJobs();
             return;
         }
-        String key = unresolvedKeys.next();
+        String key = unresolvedKeys.startNextRead();
         if (key != null) {
             long fencingToken = scheduler.fencingToken();
             store.read(key, owner.answer(r -> new TermMessage.UnresolvedKeyRead(r, fencingToken, key)));
@@ -160,10 +160,10 @@
 
     void unresolvedKeyRead(TermMessage.UnresolvedKeyRead message) {
         if (applyReadBack(message.key(), message.reply())) {
-            unresolvedKeys.keyRead();
+            unresolvedKeys.readCompleted();
             readNextUnresolvedKey();
         } else {
-            unresolvedKeys.keyFailed();
+            unresolvedKeys.readFailed();
             owner.tellLater(new TermMessage.ReadBackDue(message.fencingToken()), RETRY_MICROS);
         }
     }
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -13,7 +13,7 @@
 
 /**
  * The clients of the other controllers and what is sent by them: a leader's status, hints and request for a handover, a starting
- * controller's question for readiness, and confirmed cancellations. Peers are numbered by their places in {@link Settings#siblings()}.
+ * controller's question for readiness, and confirmed cancellations. Peers are numbered by their places in {@link Settings#peers()}.
  * Part of the leader's actor.
  */
 final class PeerClients {
@@ -58,7 +58,7 @@
     PeerClients(LeaderActor owner, Settings settings, Http.Connector connector) {
         this.owner = owner;
         this.settings = settings;
-        for (Settings.Sibling peer : settings.siblings()) {
+        for (Settings.Peer peer : settings.peers()) {
             peers.add(connector.to(peer.endpoint(), CONNECTIONS_PER_PEER));
         }
     }
@@ -138,7 +138,7 @@
     /** Sends confirmed cancellations to the leader, if it is a peer; it would learn of them with its next read or digest. */
     void sendCancellations(String leader, PeerCodec.CancellationNotice cancellations) {
         for (int peer = 0; peer < peers.size(); peer++) {
-            if (settings.siblings().get(peer).label().equals(leader)) {
+            if (settings.peers().get(peer).label().equals(leader)) {
                 peers.get(peer)
                         .post(
                                 "/withdrawn",
--- a/src/main/java/io/micatide/controller/PeerExchange.java
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -148,7 +148,7 @@
         return new PeerCodec.PeerStatus(
                 collaborators.election().highestFencingToken(),
                 collaborators.workers().workerLostLeaderAgoMicros(now),
-                Settings.LAYOUT,
+                Settings.CURRENT_LAYOUT,
                 store.reach().isConnected(now),
                 transfer.isShuttingDown() ? null : collaborators.standby().readiness(now));
     }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -85,7 +85,7 @@
         this.rollout = rollout;
         this.advancedMicros = owner.now();
         labels.add(settings.label());
-        settings.siblings().forEach(sibling -> labels.add(sibling.label()));
+        settings.peers().forEach(sibling -> labels.add(sibling.label()));
     }
 
     /** All records that a leader needs are read. */
@@ -204,7 +204,7 @@
     /** From the mark on, and only then, jobs with dependencies are accepted and names are compressed. */
     private void markLayout(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
-        StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_NEEDS, settings.pageTasks());
+        StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_WITH_DEPENDENCIES, settings.pageTasks());
 
         isWriteInFlight = true;
         store.transaction(
@@ -219,7 +219,7 @@
         writeAnswered(message.reply());
         try {
             if (message.reply().ok()) {
-                LOG.info("all {} controllers read layout {}: marked", labels.size(), Settings.LAYOUT_NEEDS);
+                LOG.info("all {} controllers read layout {}: marked", labels.size(), Settings.LAYOUT_WITH_DEPENDENCIES);
                 users.tell(new UsersActor.LayoutMarked(
                         StoreCodec.revision(message.reply().body()), message.layout()));
             }
@@ -233,7 +233,7 @@
         long fencingToken = scheduler.fencingToken();
         // The mark is written anew along with it: what a former version writes of jobs with dependencies has the mark's
         // version as a condition, and may arrive minutes late.
-        StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_HISTORY, layout.pageTasks());
+        StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_WITH_ARCHIVE, layout.pageTasks());
 
         isWriteInFlight = true;
         store.transaction(
@@ -255,7 +255,7 @@
     void archiveStarted(TermMessage.ArchiveManifestCreated message) {
         writeAnswered(message.reply());
         if (message.reply().ok()) {
-            LOG.info("all {} controllers read layout {}: the archive begins", labels.size(), Settings.LAYOUT_HISTORY);
+            LOG.info("all {} controllers read layout {}: the archive begins", labels.size(), Settings.LAYOUT_WITH_ARCHIVE);
         }
     }
 
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -47,7 +47,7 @@
         this.lease = lease;
         this.standby = standby;
         this.electionDelay =
-                new ElectionDelay(settings.label(), settings.siblings().size(), owner.now());
+                new ElectionDelay(settings.label(), settings.peers().size(), owner.now());
         this.selector = new StandbySelector(settings);
     }
 
@@ -172,7 +172,7 @@
     void termStarted(long fencingToken, long now) {
         electionDelay.termEnded();
         selector.termStarted(now);
-        hintSender = new HintSender(fencingToken, settings.siblings().size());
+        hintSender = new HintSender(fencingToken, settings.peers().size());
     }
 
     /** A peer answered this term's status. */
--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -96,7 +96,7 @@
             refuse(request, id, 503, Json.error(null, "the machine types are not known yet"));
             return;
         }
-        String refusal = JobAdmission.refusal(spec, settings.teams(), settings.zones(), owner.machineTypes());
+        String refusal = JobAdmission.refusalReason(spec, settings.teams(), settings.zones(), owner.machineTypes());
         if (refusal != null) {
             refuse(request, id, 422, Json.error(null, refusal));
             return;
--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -33,7 +33,7 @@
     /** Longer ago than any time that counts, and far enough from the range's end to be subtracted from. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    private final List<Settings.Sibling> peers;
+    private final List<Settings.Peer> peers;
     private final long maxAgeMicros;
     /** For each peer, up to when all that it confirmed is known. */
     private final long[] knownUpToMicros;
@@ -46,14 +46,14 @@
      * @param settings for the peers, the workers' lease and the limit for cancellations
      */
     public CancellationHorizon(Settings settings) {
-        peers = settings.siblings();
+        peers = settings.peers();
         maxAgeMicros = Math.max(MIN_AGE_LIMIT_MICROS, allowedAgeMicros(settings));
         knownUpToMicros = new long[peers.size()];
         Arrays.fill(knownUpToMicros, NEVER_MICROS);
     }
 
     private static long allowedAgeMicros(Settings settings) {
-        return settings.cancellationLimitMicros() - Micros.withDrift(settings.workerLeaseMicros()) - MARGIN_MICROS;
+        return settings.cancellationLimitMicros() - Micros.longestWithDrift(settings.workerLeaseMicros()) - MARGIN_MICROS;
     }
 
     /**
@@ -92,7 +92,7 @@
     /**
      * A peer sent its digest, and all jobs that it names are known as cancelled here.
      *
-     * @param peer the peer's place in {@link Settings#siblings()}
+     * @param peer the peer's place in {@link Settings#peers()}
      * @param digest what it sent
      * @param askedMicros when the request left: what the peer confirmed after that may be missing
      * @param receivedMicros when the answer came
@@ -101,7 +101,7 @@
     public boolean digestReceived(int peer, CancellationDigest digest, long askedMicros, long receivedMicros) {
         // Counted back from the answer and with the shortest uptime that the peer's clock allows, its process was
         // started no later than this.
-        long startedMicros = receivedMicros - Micros.withoutDrift(digest.uptimeMicros());
+        long startedMicros = receivedMicros - Micros.shortestWithDrift(digest.uptimeMicros());
         if (!digest.complete()
                 || !digest.controller().equals(peers.get(peer).label())
                 || startedMicros > knownUpToMicros[peer]) {
@@ -138,7 +138,7 @@
     public List<String> laggingPeers(long nowMicros) {
         return peers.stream()
                 .filter(each -> nowMicros - knownUpToMicros[peers.indexOf(each)] > maxAgeMicros)
-                .map(Settings.Sibling::label)
+                .map(Settings.Peer::label)
                 .toList();
     }
 }
--- a/src/main/java/io/micatide/jobs/DependencyAdmission.java
+++ b/src/main/java/io/micatide/jobs/DependencyAdmission.java
@@ -24,46 +24,46 @@
     /** A controller of a former version may be about, which would start it at once. */
     record Deferred() implements DependencyAdmission {}
 
-    static DependencyAdmission evaluate(JobSpec spec, JobCache directory) {
-        return evaluate(spec, directory, Map.of());
+    static DependencyAdmission evaluate(JobSpec spec, JobCache jobCache) {
+        return evaluate(spec, jobCache, Map.of());
     }
 
     /** @param archived what the archive says of the needed jobs that the copy does not hold */
-    static DependencyAdmission evaluate(JobSpec spec, JobCache directory, Map<String, JobOutcome> archived) {
-        List<String> left = new ArrayList<>();
-        boolean withdrawn = false;
-        for (String need : spec.dependencies()) {
-            JobCache.Entry entry = directory.get(need);
-            JobOutcome outcome = entry == null ? archived.get(need) : null;
+    static DependencyAdmission evaluate(JobSpec spec, JobCache jobCache, Map<String, JobOutcome> archived) {
+        List<String> openDependencies = new ArrayList<>();
+        boolean hasCancelledDependency = false;
+        for (String dependency : spec.dependencies()) {
+            JobCache.Entry entry = jobCache.get(dependency);
+            JobOutcome outcome = entry == null ? archived.get(dependency) : null;
             if (outcome != null) {
                 if (outcome.isService()) {
-                    return new Refused("awaits: " + need + " is a service and never done");
+                    return new Refused("awaits: " + dependency + " is a service and never done");
                 }
-                withdrawn |= outcome.state() == JobState.CANCELLED;
+                hasCancelledDependency |= outcome.state() == JobState.CANCELLED;
                 continue;
             }
             if (entry == null) {
-                return new Refused("awaits: " + need + " was never accepted");
+                return new Refused("awaits: " + dependency + " was never accepted");
             }
             if (entry.record().spec() != null && entry.record().spec().kind() == JobKind.SERVICE) {
-                return new Refused("awaits: " + need + " is a service and never done");
+                return new Refused("awaits: " + dependency + " is a service and never done");
             }
-            JobState state = directory.state(need);
-            withdrawn |= state == JobState.CANCELLED;
+            JobState state = jobCache.state(dependency);
+            hasCancelledDependency |= state == JobState.CANCELLED;
             if (state == JobState.OPEN) {
-                left.add(need);
+                openDependencies.add(dependency);
             }
         }
-        if (withdrawn) {
+        if (hasCancelledDependency) {
             // Accepted all the same, and over: it never starts, so nothing of it has to be kept.
             return new Accepted(JobState.CANCELLED, null, spec.taskCount());
         }
         // Done is final, so what is done already need not be kept.
-        if (left.isEmpty()) {
+        if (openDependencies.isEmpty()) {
             return new Accepted(JobState.OPEN, spec.withDependencies(List.of()), spec.taskCount());
         }
-        return directory.layoutVersion() == 0
+        return jobCache.layoutVersion() == 0
                 ? new Deferred()
-                : new Accepted(JobState.OPEN, spec.withDependencies(left), spec.taskCount());
+                : new Accepted(JobState.OPEN, spec.withDependencies(openDependencies), spec.taskCount());
     }
 }
--- a/src/main/java/io/micatide/jobs/DependencyGraph.java
+++ b/src/main/java/io/micatide/jobs/DependencyGraph.java
@@ -110,7 +110,7 @@
     }
 
     /** The job's own row ended it. */
-    void jobEnded(String id) {
+    void jobFinished(String id) {
         unfinishedDependencies.remove(id);
         isCancelledByDependency.remove(id);
         readyWall.remove(id);
--- a/src/main/java/io/micatide/jobs/JobAdmission.java
+++ b/src/main/java/io/micatide/jobs/JobAdmission.java
@@ -12,7 +12,7 @@
     private JobAdmission() {}
 
     /** The reason why it never can, or null. */
-    public static String refusal(
+    public static String refusalReason(
             JobSpec spec, Map<String, Team> teams, Collection<String> zones, Collection<MachineType> types) {
         Team team = teams.get(spec.team());
         if (team == null) {
--- a/src/main/java/io/micatide/jobs/JobCache.java
+++ b/src/main/java/io/micatide/jobs/JobCache.java
@@ -42,19 +42,19 @@
     private final Map<String, Entry> entries = new HashMap<>();
     private final Map<String, Entry> openJobs = new HashMap<>();
     /** Jobs that are over and still have their rows, in the order in which that was seen. */
-    private final Map<String, Entry> endedJobs = new LinkedHashMap<>();
+    private final Map<String, Entry> finishedJobs = new LinkedHashMap<>();
 
     private final DependencyGraph dependencies = new DependencyGraph();
     /** Rows that came before all their names, and names that came before their rows; empty between two reads. */
-    private final Map<String, Entry> incomplete = new HashMap<>();
+    private final Map<String, Entry> incompleteEntries = new HashMap<>();
 
     private final Map<String, Map<Integer, List<String>>> furtherDependencies = new HashMap<>();
     /** How many rows of names belong to a job; they go with its row. */
     private final Map<String, Integer> furtherDependencyRecords = new HashMap<>();
     /** Rows that may be of archived jobs: a late write of a former version brought them back. Nothing is told or started of them. */
-    private final Map<String, Entry> unverified = new LinkedHashMap<>();
+    private final Map<String, Entry> unverifiedEntries = new LinkedHashMap<>();
     /** What was found to be archived although it has a row, with the row's version. */
-    private final Map<String, Long> staleRecords = new HashMap<>();
+    private final Map<String, Long> staleRecordVersions = new HashMap<>();
 
     private final CancellationLog cancellationLog = new CancellationLog();
     /** What the full read under way has shown, null between two. */
@@ -129,8 +129,8 @@
     }
 
     /** Jobs that are over and still have their rows, the longest known first. */
-    public Collection<Entry> endedJobs() {
-        return endedJobs.values();
+    public Collection<Entry> finishedJobs() {
+        return finishedJobs.values();
     }
 
     /** How many rows of names belong to a job. */
@@ -142,7 +142,7 @@
     public Set<String> dependencies() {
         Set<String> names = new HashSet<>();
         openJobs.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
-        incomplete.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
+        incompleteEntries.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
         return names;
     }
 
@@ -156,7 +156,7 @@
         return layout;
     }
 
-    public void layoutMarked(long version, StoredRecord.Layout mark) {
+    public void layoutRead(long version, StoredRecord.Layout mark) {
         layoutVersion = version;
         layout = mark;
     }
@@ -196,7 +196,7 @@
     }
 
     /** Everything of which a task may be on a machine, and what waits. */
-    public List<View> openAndCancelled() {
+    public List<View> openAndCancelledJobs() {
         List<View> result = new ArrayList<>();
         for (Entry entry : entries.values()) {
             if (entry.record().state() != JobState.DONE) {
@@ -206,7 +206,7 @@
         return result;
     }
 
-    private StoredRecord.JobRecord end(String id) {
+    private StoredRecord.JobRecord finalRecord(String id) {
         Entry entry = entries.get(id);
         return entry == null || !entry.record().state().isFinal() ? null : entry.record();
     }
@@ -218,18 +218,18 @@
             return List.of();
         }
         furtherDependencies.computeIfAbsent(id, k -> new TreeMap<>()).put(piece, names);
-        Entry row = incomplete.get(id);
+        Entry row = incompleteEntries.get(id);
         return row == null ? List.of() : apply(id, row.record(), row.version());
     }
 
     /** The row with all names that belong to it, or null while some are missing. */
-    private StoredRecord.JobRecord complete(String id, StoredRecord.JobRecord row, long version) {
+    private StoredRecord.JobRecord withAllDependencies(String id, StoredRecord.JobRecord row, long version) {
         if (row.furtherDependencyRecords() == 0 || row.state().isFinal()) {
             return row;
         }
         Map<Integer, List<String>> further = furtherDependencies.getOrDefault(id, Map.of());
         if (further.size() < row.furtherDependencyRecords()) {
-            incomplete.put(id, new Entry(id, row, version));
+            incompleteEntries.put(id, new Entry(id, row, version));
             return null;
         }
         List<String> all = new ArrayList<>(row.spec().dependencies());
@@ -243,11 +243,11 @@
             keysSeenInFullRead.add(id);
         }
         Entry known = entries.get(id);
-        if ((known != null && known.version() >= version) || staleRecords.getOrDefault(id, 0L) >= version) {
+        if ((known != null && known.version() >= version) || staleRecordVersions.getOrDefault(id, 0L) >= version) {
             return List.of();
         }
         if (known == null && mayBeArchived(stored, version)) {
-            unverified.merge(id, new Entry(id, stored, version), (a, b) -> a.version() > b.version() ? a : b);
+            unverifiedEntries.merge(id, new Entry(id, stored, version), (a, b) -> a.version() > b.version() ? a : b);
             return List.of();
         }
         return applyVerified(id, stored, version);
@@ -262,14 +262,14 @@
 
     private List<String> applyVerified(String id, StoredRecord.JobRecord stored, long version) {
         Entry known = entries.get(id);
-        StoredRecord.JobRecord row = complete(id, stored, version);
+        StoredRecord.JobRecord row = withAllDependencies(id, stored, version);
         if (row == null) {
             return List.of();
         }
-        incomplete.remove(id);
+        incompleteEntries.remove(id);
         furtherDependencies.remove(id);
         // Whoever wrote a later row knew the job; the look-up of the earlier one may still be under way.
-        unverified.remove(id);
+        unverifiedEntries.remove(id);
         Entry entry = new Entry(id, row, version);
         entries.put(id, entry);
         List<String> changed = new ArrayList<>(List.of(id));
@@ -278,14 +278,14 @@
                 cancellationLog.record(id, version);
             }
             openJobs.remove(id);
-            endedJobs.put(id, entry);
-            dependencies.jobEnded(id);
+            finishedJobs.put(id, entry);
+            dependencies.jobFinished(id);
             changed.addAll(
                     row.state() == JobState.DONE ? dependencies.jobCompleted(id, row) : dependencies.jobCancelled(id));
         } else {
             openJobs.put(id, entry);
             if (known == null) {
-                changed.addAll(dependencies.jobOpened(id, row.spec().dependencies(), this::end));
+                changed.addAll(dependencies.jobOpened(id, row.spec().dependencies(), this::finalRecord));
             }
         }
         return changed;
@@ -297,43 +297,43 @@
         if (entry != null && entry.version() <= version) {
             entries.remove(id);
             openJobs.remove(id);
-            endedJobs.remove(id);
-            dependencies.jobEnded(id);
+            finishedJobs.remove(id);
+            dependencies.jobFinished(id);
             furtherDependencyRecords.remove(id);
             furtherDependencies.remove(id);
         }
-        incomplete.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
-        unverified.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
-        staleRecords.computeIfPresent(id, (name, row) -> row <= version ? null : row);
+        incompleteEntries.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
+        unverifiedEntries.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
+        staleRecordVersions.computeIfPresent(id, (name, row) -> row <= version ? null : row);
     }
 
     // ---- rows of former versions
 
     /** Rows that have to be looked up in the archive, by {@link #markVerified} or {@link #markStale}. */
-    public List<Entry> unverified() {
-        return List.copyOf(unverified.values());
+    public List<Entry> unverifiedEntries() {
+        return List.copyOf(unverifiedEntries.values());
     }
 
     public boolean isUnverified(String id) {
-        return unverified.containsKey(id);
+        return unverifiedEntries.containsKey(id);
     }
 
     /** Not archived: a job like any other; returns what {@link #apply} does. */
     public List<String> markVerified(String id) {
-        Entry entry = unverified.remove(id);
+        Entry entry = unverifiedEntries.remove(id);
         return entry == null ? List.of() : applyVerified(id, entry.record(), entry.version());
     }
 
     /** Archived long ago: the row is to go, and nothing of it is ever told or started. */
     public void markStale(String id) {
-        Entry entry = unverified.remove(id);
+        Entry entry = unverifiedEntries.remove(id);
         if (entry != null) {
-            staleRecords.put(id, entry.version());
+            staleRecordVersions.put(id, entry.version());
         }
     }
 
     /** Ghosts whose rows are still there, with the rows' versions. */
-    public Map<String, Long> staleRecords() {
-        return staleRecords;
+    public Map<String, Long> staleRecordVersions() {
+        return staleRecordVersions;
     }
 }
--- a/src/main/java/io/micatide/model/CloudCall.java
+++ b/src/main/java/io/micatide/model/CloudCall.java
@@ -13,14 +13,14 @@
      * @param spot whether they are spot instances, else on-demand
      * @param count how many are wanted, at most 50; the cloud may give fewer
      */
-    record Rent(String requestName, String type, String zone, boolean spot, int count) implements CloudCall {}
+    record RequestMachines(String requestName, String type, String zone, boolean spot, int count) implements CloudCall {}
 
     /**
      * Deletes machines; nothing happens for those that are gone already.
      *
      * @param machines names, at most 100
      */
-    record Delete(List<String> machines) implements CloudCall {}
+    record DeleteMachines(List<String> machines) implements CloudCall {}
 
     /** Asks for the list of all machines, which lags behind. */
     record ListMachines() implements CloudCall {}
--- a/src/main/java/io/micatide/model/HintBatch.java
+++ b/src/main/java/io/micatide/model/HintBatch.java
@@ -11,7 +11,7 @@
  * @param index of this request among those of the snapshot, from 0
  * @param parts number of requests of the snapshot
  * @param hints that are new or changed
- * @param gone names of hints that no longer hold; empty for a whole snapshot
+ * @param removedNames names of hints that no longer hold; empty for a whole snapshot
  */
 public record HintBatch(
-        long fencingToken, long number, long base, int index, int parts, List<Hint> hints, List<String> gone) {}
+        long fencingToken, long number, long base, int index, int parts, List<Hint> hints, List<String> removedNames) {}
--- a/src/main/java/io/micatide/model/Micros.java
+++ b/src/main/java/io/micatide/model/Micros.java
@@ -16,12 +16,12 @@
     }
 
     /** Longest time that another machine's clock may take to count {@code micros} (clocks drift by up to 0.05%). */
-    public static long withDrift(long micros) {
+    public static long longestWithDrift(long micros) {
         return micros + micros / 500;
     }
 
     /** Shortest time in which another machine's clock may count {@code micros}. */
-    public static long withoutDrift(long micros) {
+    public static long shortestWithDrift(long micros) {
         return micros - micros / 500;
     }
 }
--- a/src/main/java/io/micatide/model/Settings.java
+++ b/src/main/java/io/micatide/model/Settings.java
@@ -16,9 +16,9 @@
         String zone,
         String bind,
         String peerBind,
-        List<Sibling> siblings,
-        String cloud,
-        String store,
+        List<Peer> peers,
+        String cloudEndpoint,
+        String storeEndpoint,
         List<String> zones,
         long wallClockErrorMicros,
         Map<String, Team> teams,
@@ -39,24 +39,24 @@
         double memoryMb,
         int maxConnections) {
 
-    public record Sibling(String label, String zone, String endpoint) {}
+    public record Peer(String label, String zone, String endpoint) {}
 
     /** An aim on starting or finishing; {@code withinMicros} is -1 where the deadline is the job's own. */
     public record Objective(String kind, String jobClass, long withinMicros, double share) {}
 
     /** The layout that this version reads; the first that is marked is 2. */
-    public static final int LAYOUT = 3;
+    public static final int CURRENT_LAYOUT = 3;
     /** Jobs that need others, names of machines in short: marked by a row of its own. */
-    public static final int LAYOUT_NEEDS = 2;
+    public static final int LAYOUT_WITH_DEPENDENCIES = 2;
     /** Final states in the archive: marked by its manifest, a row as well. */
-    public static final int LAYOUT_HISTORY = 3;
+    public static final int LAYOUT_WITH_ARCHIVE = 3;
 
     /**
      * When a confirmed machine's tasks are certainly gone, counted from the receipt of the last report that was
      * answered: its lease runs from the sending of that report, on a clock that may be slower than ours.
      */
     public long workerLeaseExpiryMicros() {
-        return Micros.withDrift(workerLeaseMicros) + 300 * Micros.MILLISECOND;
+        return Micros.longestWithDrift(workerLeaseMicros) + 300 * Micros.MILLISECOND;
     }
 
     /**
--- a/src/main/java/io/micatide/model/Tuning.java
+++ b/src/main/java/io/micatide/model/Tuning.java
@@ -23,20 +23,20 @@
      * Bursts come half a minute apart and a machine takes as long to boot: on 24 days of six deployments 35 s were worth 0.015
      * more than 20 s for 2 to 4% more money, and 50 s no more than 35.
      */
-    private static final long IDLE_MICROS = 35 * Micros.SECOND;
+    private static final long DEFAULT_IDLE_MACHINE_MICROS = 35 * Micros.SECOND;
 
     /** Its two writes come to a hundredth of a change for each job, and so many rows are read in one page at a start. */
-    private static final int HISTORY_BATCH = 256;
+    private static final int DEFAULT_ARCHIVE_BATCH_SIZE = 256;
 
     /**
      * With a standby a take-over costs little once it begins. The smaller deployments have had
      * this lease from the first version on, under the same stalls and slow answers.
      */
-    private static final long STANDBY_LEASE_MICROS = 3 * Micros.SECOND;
+    private static final long MAX_DEFAULT_LEASE_WITH_STANDBY_MICROS = 3 * Micros.SECOND;
 
     /** Its own default where a standby follows: the time until a dead leader's lease ends is most of a take-over. */
-    public static long leaseWithStandby(Settings settings) {
-        return Math.min(STANDBY_LEASE_MICROS, defaults(settings).leaderLeaseMicros());
+    public static long defaultLeaseWithStandbyMicros(Settings settings) {
+        return Math.min(MAX_DEFAULT_LEASE_WITH_STANDBY_MICROS, defaults(settings).leaderLeaseMicros());
     }
 
     /**
@@ -45,6 +45,6 @@
      */
     public static Tuning defaults(Settings settings) {
         return new Tuning(
-                settings.workerLeaseMicros() * 3 / 10, IDLE_MICROS, false, HISTORY_BATCH, false, false, false);
+                settings.workerLeaseMicros() * 3 / 10, DEFAULT_IDLE_MACHINE_MICROS, false, DEFAULT_ARCHIVE_BATCH_SIZE, false, false, false);
     }
 }
--- a/src/main/java/io/micatide/net/CloudClient.java
+++ b/src/main/java/io/micatide/net/CloudClient.java
@@ -17,7 +17,7 @@
 
     public CloudClient(Settings settings, Http.Connector connector, LongSupplier clock) {
         super(settings.cloudRequestsPerSecond() * 0.8, Math.max(1, settings.cloudRequestsPerSecond()), clock);
-        this.http = connector.to(settings.cloud(), 6);
+        this.http = connector.to(settings.cloudEndpoint(), 6);
     }
 
     public void types(Consumer<Reply> then) {
@@ -26,7 +26,7 @@
         }
     }
 
-    public void rent(CloudCall.Rent rent, Consumer<Reply> then) {
+    public void rent(CloudCall.RequestMachines rent, Consumer<Reply> then) {
         if (!over(then)) {
             http.post("/machines", CloudCodec.rent(rent), PATIENCE_MICROS, then);
         }
--- a/src/main/java/io/micatide/net/StoreClient.java
+++ b/src/main/java/io/micatide/net/StoreClient.java
@@ -18,8 +18,8 @@
     public StoreClient(Settings settings, Http.Connector connector, LongSupplier clock) {
         // One controller alone may need most of the rate; 429 and a second try settle the rare sum above it.
         super(settings.storeRequestsPerSecond() * 0.6, settings.storeRequestsPerSecond() * 0.3, clock);
-        this.http = connector.to(settings.store(), 12);
-        this.watches = connector.to(settings.store(), 2);
+        this.http = connector.to(settings.storeEndpoint(), 12);
+        this.watches = connector.to(settings.storeEndpoint(), 2);
         this.clock = clock;
     }
 
--- a/src/main/java/io/micatide/protocol/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -61,7 +61,7 @@
         out.writeEndObject();
     }
 
-    public static byte[] rent(CloudCall.Rent rent) {
+    public static byte[] rent(CloudCall.RequestMachines rent) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeStringField("booking", rent.requestName());
--- a/src/main/java/io/micatide/protocol/CloudSideCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudSideCodec.java
@@ -24,14 +24,14 @@
         });
     }
 
-    public static CloudCall.Rent rent(byte[] body) throws MalformedException {
+    public static CloudCall.RequestMachines rent(byte[] body) throws MalformedException {
         JsonFields in = new JsonFields(Json.tree(body), "");
-        return new CloudCall.Rent(in.text("booking"), in.text("build"), in.text("ground"), in.flag("loaners"), (int)
+        return new CloudCall.RequestMachines(in.text("booking"), in.text("build"), in.text("ground"), in.flag("loaners"), (int)
                 in.count("howMany", 1, 50));
     }
 
-    public static CloudCall.Delete delete(byte[] body) throws MalformedException {
-        return new CloudCall.Delete(new JsonFields(Json.tree(body), "").texts("berths"));
+    public static CloudCall.DeleteMachines delete(byte[] body) throws MalformedException {
+        return new CloudCall.DeleteMachines(new JsonFields(Json.tree(body), "").texts("berths"));
     }
 
     /** The answer to a rental. */
--- a/src/main/java/io/micatide/protocol/SettingsReader.java
+++ b/src/main/java/io/micatide/protocol/SettingsReader.java
@@ -37,9 +37,9 @@
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
         JsonFields in = new JsonFields(tree, "");
-        List<Settings.Sibling> siblings = new ArrayList<>();
+        List<Settings.Peer> siblings = new ArrayList<>();
         for (JsonFields each : in.objects("siblings")) {
-            siblings.add(new Settings.Sibling(each.text("label"), each.text("site"), address(each, "endpoint")));
+            siblings.add(new Settings.Peer(each.text("label"), each.text("site"), address(each, "endpoint")));
         }
         JsonFields services = in.object("services");
         JsonFields deployment = in.object("deployment");
--- a/src/main/java/io/micatide/protocol/StoredRecordCodec.java
+++ b/src/main/java/io/micatide/protocol/StoredRecordCodec.java
@@ -155,7 +155,7 @@
         if (key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
             return ArchiveCodec.segment(in);
         }
-        if (StoreKeys.isDependencies(key)) {
+        if (StoreKeys.isFurtherDependencies(key)) {
             return new StoredRecord.FurtherDependencies(in.texts(DEPENDENCIES));
         }
         if (StoreKeys.isJob(key)) {
--- a/src/main/java/io/micatide/protocol/TuningReader.java
+++ b/src/main/java/io/micatide/protocol/TuningReader.java
@@ -45,7 +45,7 @@
         boolean standby = in.has("standby") && in.flag("standby");
         long lease = in.has("leader_lease_s")
                 ? in.seconds("leader_lease_s")
-                : standby ? Tuning.leaseWithStandby(settings) : defaults.leaderLeaseMicros();
+                : standby ? Tuning.defaultLeaseWithStandbyMicros(settings) : defaults.leaderLeaseMicros();
         if (lease < settings.workerLeaseMicros() / 20 || lease > settings.workerLeaseMicros() / 2) {
             throw new MalformedException("leader_lease_s", "must be from a twentieth to half of the workers' lease");
         }
--- a/src/main/java/io/micatide/scheduler/CloudCallPacer.java
+++ b/src/main/java/io/micatide/scheduler/CloudCallPacer.java
@@ -38,11 +38,11 @@
         List<CloudCall> calls = new ArrayList<>();
         for (ProvisioningRequests.Request request : requests.requestsToSubmit()) {
             request.sinceMicros = nowMicros;
-            calls.add(new CloudCall.Rent(request.name, request.type, request.zone, request.spot, request.count));
+            calls.add(new CloudCall.RequestMachines(request.name, request.type, request.zone, request.spot, request.count));
         }
         List<String> machinesToDelete = nextDeletions(nowMicros);
         if (!machinesToDelete.isEmpty()) {
-            calls.add(new CloudCall.Delete(machinesToDelete));
+            calls.add(new CloudCall.DeleteMachines(machinesToDelete));
         }
         if (!isListUnderWay && nowMicros - machinesListedMicros > settings.listLagMicros() / 2) {
             machinesListedMicros = nowMicros;
--- a/src/main/java/io/micatide/scheduler/PlacementTable.java
+++ b/src/main/java/io/micatide/scheduler/PlacementTable.java
@@ -110,7 +110,7 @@
     @Override
     public void stopWithCheckpoint(Placement placement, long nowMicros) {
         Job job = placement.job;
-        long graceMicros = Micros.withDrift(job.spec.saveMicros()) + Micros.SECOND;
+        long graceMicros = Micros.longestWithDrift(job.spec.saveMicros()) + Micros.SECOND;
         if (job.spec.kind() == JobKind.GANG) {
             removeOrStopAll(job, graceMicros + gangPeerTimeoutMicros, nowMicros);
             // Of two tasks that have to yield at once the first takes the whole gang away: with nothing left of it
--- a/src/main/java/io/micatide/simulation/FailoverBenchmark.java
+++ b/src/main/java/io/micatide/simulation/FailoverBenchmark.java
@@ -77,10 +77,10 @@
 
     @Override
     public Settings settings(int number) {
-        List<Settings.Sibling> siblings = new ArrayList<>();
+        List<Settings.Peer> siblings = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             if (i != number) {
-                siblings.add(new Settings.Sibling("c" + i, zone(i), "p" + i));
+                siblings.add(new Settings.Peer("c" + i, zone(i), "p" + i));
             }
         }
         return new Settings(
@@ -121,7 +121,7 @@
         Settings settings = settings(number);
         Tuning defaults = Tuning.defaults(settings);
         return new Tuning(
-                standby ? Tuning.leaseWithStandby(settings) : defaults.leaderLeaseMicros(),
+                standby ? Tuning.defaultLeaseWithStandbyMicros(settings) : defaults.leaderLeaseMicros(),
                 600 * Micros.SECOND,
                 true,
                 defaults.archiveBatchSize(),
--- a/src/main/java/io/micatide/simulation/LocalDeployment.java
+++ b/src/main/java/io/micatide/simulation/LocalDeployment.java
@@ -144,10 +144,10 @@
     }
 
     private static Settings settings(int number, int[] users, int[] peers, int state, int cloud) {
-        List<Settings.Sibling> siblings = new ArrayList<>();
+        List<Settings.Peer> siblings = new ArrayList<>();
         for (int i = 0; i < users.length; i++) {
             if (i != number) {
-                siblings.add(new Settings.Sibling("c" + i, "a", local(peers[i])));
+                siblings.add(new Settings.Peer("c" + i, "a", local(peers[i])));
             }
         }
         return new Settings(
--- a/src/main/java/io/micatide/simulation/SimulatedCloud.java
+++ b/src/main/java/io/micatide/simulation/SimulatedCloud.java
@@ -104,7 +104,7 @@
         }
     }
 
-    private void rent(Request request, CloudCall.Rent rent) {
+    private void rent(Request request, CloudCall.RequestMachines rent) {
         List<String> names = bookings.get(rent.requestName());
         if (names == null) {
             MachineType type = types.stream()
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -41,8 +41,8 @@
      */
     public StandbySelector(Settings settings) {
         this.settings = settings;
-        this.answeredMicros = new long[settings.siblings().size()];
-        this.readiness = new StandbyReadiness[settings.siblings().size()];
+        this.answeredMicros = new long[settings.peers().size()];
+        this.readiness = new StandbyReadiness[settings.peers().size()];
         termStarted(0);
     }
 
@@ -75,11 +75,11 @@
     private int ringDistance(int sibling) {
         Comparator<String> order = Comparator.comparingInt(String::length).thenComparing(Comparator.naturalOrder());
         List<String> ring = new ArrayList<>(
-                settings.siblings().stream().map(Settings.Sibling::label).toList());
+                settings.peers().stream().map(Settings.Peer::label).toList());
         ring.add(settings.label());
         ring.sort(order);
         return Math.floorMod(
-                ring.indexOf(settings.siblings().get(sibling).label()) - ring.indexOf(settings.label()), ring.size());
+                ring.indexOf(settings.peers().get(sibling).label()) - ring.indexOf(settings.label()), ring.size());
     }
 
     private boolean hasRecentAnswer(int sibling, long nowMicros) {
@@ -100,7 +100,7 @@
         List<Integer> previous = selected;
         List<Integer> eligible = eligiblePeers(nowMicros);
         eligible.sort(Comparator.comparing((Integer peer) -> !previous.contains(peer))
-                .thenComparing(peer -> settings.siblings().get(peer).zone().equals(settings.zone()))
+                .thenComparing(peer -> settings.peers().get(peer).zone().equals(settings.zone()))
                 .thenComparing(this::ringDistance));
         int wanted = settings.storeRequestsPerSecond() < MIN_REQUEST_RATE_FOR_TWO ? 1 : 2;
         List<Integer> chosen = new ArrayList<>(eligible.subList(0, Math.min(eligible.size(), wanted)));
@@ -109,7 +109,7 @@
                 .thenComparing(peer -> previous.contains(peer) ? previous.indexOf(peer) : previous.size()));
         selected = chosen;
         return selected.stream()
-                .map(peer -> settings.siblings().get(peer).label())
+                .map(peer -> settings.peers().get(peer).label())
                 .toList();
     }
 
--- a/src/main/java/io/micatide/store/MachineNameCodec.java
+++ b/src/main/java/io/micatide/store/MachineNameCodec.java
@@ -19,20 +19,20 @@
     /** So many digits fit an int. */
     private static final int MAX_DIGITS = 9;
     /** What a group takes in JSON besides its letters: quotes and comma. */
-    private static final int JSON_FRAME_BYTES = 3;
+    private static final int JSON_ELEMENT_OVERHEAD_BYTES = 3;
 
     private MachineNameCodec() {}
 
-    private record Group(String prefix, int digits) implements Comparable<Group> {
+    private record NameGroup(String prefix, int digits) implements Comparable<NameGroup> {
         @Override
-        public int compareTo(Group other) {
+        public int compareTo(NameGroup other) {
             int byPrefix = prefix.compareTo(other.prefix);
             return byPrefix != 0 ? byPrefix : Integer.compare(digits, other.digits);
         }
     }
 
     /** Closing numbers of names that are alike but for them. */
-    private static final class Numbers {
+    private static final class NumberList {
         private int[] values = new int[16];
         private int count;
 
@@ -58,19 +58,19 @@
      * @return the groups in a fixed order; a name without a number is a group without differences
      */
     public static List<String> compress(Collection<String> names) {
-        TreeMap<Group, Numbers> groups = new TreeMap<>();
-        Group group = null;
-        Numbers numbers = null;
+        TreeMap<NameGroup, NumberList> groups = new TreeMap<>();
+        NameGroup group = null;
+        NumberList numbers = null;
         for (String name : names) {
-            int digits = closingDigits(name);
+            int digits = trailingDigits(name);
             int prefixLength = name.length() - digits;
             // Most names are of the group of the one before: a leader compresses thousands of them for each write.
             if (group == null
                     || group.digits() != digits
                     || group.prefix().length() != prefixLength
                     || !name.startsWith(group.prefix())) {
-                group = new Group(name.substring(0, prefixLength), digits);
-                numbers = groups.computeIfAbsent(group, key -> new Numbers());
+                group = new NameGroup(name.substring(0, prefixLength), digits);
+                numbers = groups.computeIfAbsent(group, key -> new NumberList());
             }
             if (digits > 0) {
                 numbers.add(Integer.parseInt(name, prefixLength, name.length(), 10));
@@ -82,7 +82,7 @@
         return result;
     }
 
-    private static int closingDigits(String name) {
+    private static int trailingDigits(String name) {
         int digits = 0;
         while (digits < Math.min(MAX_DIGITS, name.length())
                 && name.charAt(name.length() - 1 - digits) >= '0'
@@ -95,29 +95,29 @@
     private static String differences(int[] sortedNumbers) {
         StringBuilder text = new StringBuilder();
         int last = 0;
-        int run = 0;
+        int runLength = 0;
         boolean isFirst = true;
         for (int number : sortedNumbers) {
             if (!isFirst && number == last) {
                 continue;
             }
             if (!isFirst && number == last + 1) {
-                run++;
+                runLength++;
             } else {
-                appendRun(text, run);
+                appendRun(text, runLength);
                 text.append(isFirst ? "" : ",").append(number - last);
-                run = 0;
+                runLength = 0;
             }
             isFirst = false;
             last = number;
         }
-        appendRun(text, run);
+        appendRun(text, runLength);
         return text.toString();
     }
 
-    private static void appendRun(StringBuilder text, int run) {
-        if (run > 0) {
-            text.append('+').append(run);
+    private static void appendRun(StringBuilder text, int runLength) {
+        if (runLength > 0) {
+            text.append('+').append(runLength);
         }
     }
 
@@ -137,23 +137,23 @@
     }
 
     private static void decompress(String group, List<String> names) {
-        int last = group.lastIndexOf('/');
-        int before = group.lastIndexOf('/', last - 1);
-        if (before < 0) {
+        int digitsEnd = group.lastIndexOf('/');
+        int prefixEnd = group.lastIndexOf('/', digitsEnd - 1);
+        if (prefixEnd < 0) {
             throw new IllegalArgumentException("not a group of names: " + group);
         }
-        String prefix = group.substring(0, before);
-        int digits = Integer.parseInt(group.substring(before + 1, last));
+        String prefix = group.substring(0, prefixEnd);
+        int digits = Integer.parseInt(group.substring(prefixEnd + 1, digitsEnd));
         if (digits == 0) {
             names.add(prefix);
             return;
         }
         int number = 0;
-        for (String difference : Splitter.on(',').split(group.substring(last + 1))) {
+        for (String difference : Splitter.on(',').split(group.substring(digitsEnd + 1))) {
             int plus = difference.indexOf('+');
             number += Integer.parseInt(plus < 0 ? difference : difference.substring(0, plus));
             names.add(name(prefix, digits, number));
-            for (int more = plus < 0 ? 0 : Integer.parseInt(difference.substring(plus + 1)); more > 0; more--) {
+            for (int remaining = plus < 0 ? 0 : Integer.parseInt(difference.substring(plus + 1)); remaining > 0; remaining--) {
                 names.add(name(prefix, digits, ++number));
             }
         }
@@ -173,7 +173,7 @@
     public static int compressedBytes(Collection<String> names) {
         int bytes = 0;
         for (String group : compress(names)) {
-            bytes += group.length() + JSON_FRAME_BYTES;
+            bytes += group.length() + JSON_ELEMENT_OVERHEAD_BYTES;
         }
         return bytes;
     }
--- a/src/main/java/io/micatide/store/PendingReads.java
+++ b/src/main/java/io/micatide/store/PendingReads.java
@@ -26,7 +26,7 @@
      *
      * @return null while a read is in flight or everything is read
      */
-    public String next() {
+    public String startNextRead() {
         if (readInFlight || unreadKeys.isEmpty()) {
             return null;
         }
@@ -35,7 +35,7 @@
     }
 
     /** The answer to the read in flight was applied. */
-    public void keyRead() {
+    public void readCompleted() {
         if (readInFlight) {
             readInFlight = false;
             unreadKeys.removeFirst();
@@ -43,7 +43,7 @@
     }
 
     /** The read in flight failed; the same key is next, after a pause that the caller makes. */
-    public void keyFailed() {
+    public void readFailed() {
         readInFlight = false;
     }
 
--- a/src/main/java/io/micatide/store/StoreKeys.java
+++ b/src/main/java/io/micatide/store/StoreKeys.java
@@ -39,7 +39,7 @@
     /** Prefix of provisioning requests under way; written by the leader alone. */
     public static final String PROVISIONING_REQUESTS = "booking/";
 
-    private static final String DEPENDENCIES = "/needs/";
+    private static final String FURTHER_DEPENDENCIES = "/needs/";
 
     private StoreKeys() {}
 
@@ -60,8 +60,8 @@
      * @param piece 1 and up
      * @return the key
      */
-    public static String dependencies(String id, int piece) {
-        return JOBS + id + DEPENDENCIES + piece;
+    public static String furtherDependencies(String id, int piece) {
+        return JOBS + id + FURTHER_DEPENDENCIES + piece;
     }
 
     /**
@@ -144,7 +144,7 @@
      * @return true for job records
      */
     public static boolean isJob(String key) {
-        return key.startsWith(JOBS) && !isDependencies(key);
+        return key.startsWith(JOBS) && !isFurtherDependencies(key);
     }
 
     /**
@@ -153,7 +153,7 @@
      * @param key any key
      * @return true for records of further dependencies
      */
-    public static boolean isDependencies(String key) {
+    public static boolean isFurtherDependencies(String key) {
         return key.startsWith(JOBS) && key.indexOf('/', JOBS.length()) > 0;
     }
 
@@ -199,7 +199,7 @@
      * @return 1 and up
      * @throws NumberFormatException if it ends in no number
      */
-    public static int dependenciesPieceOf(String key) {
+    public static int furtherDependenciesPieceOf(String key) {
         return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
     }
 }
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -132,10 +132,10 @@
     private Settings settings(int number) {
         Map<String, Team> teams = new LinkedHashMap<>();
         teams.put("blue", new Team("blue", 0, 0, 0, 0));
-        List<Settings.Sibling> siblings = new ArrayList<>();
+        List<Settings.Peer> siblings = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             if (i != number) {
-                siblings.add(new Settings.Sibling("c" + i, "a", "p" + i));
+                siblings.add(new Settings.Peer("c" + i, "a", "p" + i));
             }
         }
         return new Settings(
--- a/src/test/java/io/micatide/election/CancellationHorizonTest.java
+++ b/src/test/java/io/micatide/election/CancellationHorizonTest.java
@@ -22,7 +22,7 @@
             "a",
             "x:1",
             "x:2",
-            List.of(new Settings.Sibling("c1", "a", "x:3"), new Settings.Sibling("c2", "b", "x:4")),
+            List.of(new Settings.Peer("c1", "a", "x:3"), new Settings.Peer("c2", "b", "x:4")),
             "x:5",
             "x:6",
             List.of("a", "b"),
--- a/src/test/java/io/micatide/model/SettingsBuilder.java
+++ b/src/test/java/io/micatide/model/SettingsBuilder.java
@@ -9,24 +9,24 @@
     private String zone = "a";
     private String bind = "127.0.0.1:1";
     private String peerBind = "127.0.0.1:2";
-    private List<Settings.Sibling> siblings = List.of();
-    private String cloud = "127.0.0.1:3";
-    private String state = "127.0.0.1:4";
+    private List<Settings.Peer> peers = List.of();
+    private String cloudEndpoint = "127.0.0.1:3";
+    private String storeEndpoint = "127.0.0.1:4";
     private List<String> zones = List.of("a", "b");
-    private long clockOffMicros = 0;
+    private long wallClockErrorMicros = 0;
     private Map<String, Team> teams = Map.of("blue", new Team("blue", 0, 0, 0, 0));
     private List<Settings.Objective> objectives = List.of();
     private long heartbeatIntervalMicros = 800 * Micros.MILLISECOND;
     private long workerLeaseMicros = 10 * Micros.SECOND;
-    private long gangWaitMicros = 30 * Micros.SECOND;
-    private long gangPeerMicros = 5 * Micros.SECOND;
-    private long cancelMicros = 30 * Micros.SECOND;
-    private double stateRate = 80;
-    private double writeRate = 30;
-    private int valueBytes = 16 * 1024;
-    private int writableBytes = 16 * 1024;
-    private int transactionOps = 16;
-    private double cloudRate = 8;
+    private long gangStartTimeoutMicros = 30 * Micros.SECOND;
+    private long gangPeerTimeoutMicros = 5 * Micros.SECOND;
+    private long cancellationLimitMicros = 30 * Micros.SECOND;
+    private double storeRequestsPerSecond = 80;
+    private double storeWritesPerSecond = 30;
+    private int maxValueBytes = 16 * 1024;
+    private int maxWritableValueBytes = 16 * 1024;
+    private int maxTransactionWrites = 16;
+    private double cloudRequestsPerSecond = 8;
     private long listLagMicros = 5 * Micros.SECOND;
     private double cores = 0.4;
     private double memoryMb = 150;
@@ -52,18 +52,18 @@
         return this;
     }
 
-    public SettingsBuilder siblings(List<Settings.Sibling> value) {
-        siblings = value;
+    public SettingsBuilder peers(List<Settings.Peer> value) {
+        peers = value;
         return this;
     }
 
-    public SettingsBuilder cloud(String value) {
-        cloud = value;
+    public SettingsBuilder cloudEndpoint(String value) {
+        cloudEndpoint = value;
         return this;
     }
 
-    public SettingsBuilder state(String value) {
-        state = value;
+    public SettingsBuilder storeEndpoint(String value) {
+        storeEndpoint = value;
         return this;
     }
 
@@ -72,8 +72,8 @@
         return this;
     }
 
-    public SettingsBuilder clockOffMicros(long value) {
-        clockOffMicros = value;
+    public SettingsBuilder wallClockErrorMicros(long value) {
+        wallClockErrorMicros = value;
         return this;
     }
 
@@ -97,48 +97,48 @@
         return this;
     }
 
-    public SettingsBuilder gangWaitMicros(long value) {
-        gangWaitMicros = value;
+    public SettingsBuilder gangStartTimeoutMicros(long value) {
+        gangStartTimeoutMicros = value;
         return this;
     }
 
-    public SettingsBuilder gangPeerMicros(long value) {
-        gangPeerMicros = value;
+    public SettingsBuilder gangPeerTimeoutMicros(long value) {
+        gangPeerTimeoutMicros = value;
         return this;
     }
 
-    public SettingsBuilder cancelMicros(long value) {
-        cancelMicros = value;
+    public SettingsBuilder cancellationLimitMicros(long value) {
+        cancellationLimitMicros = value;
         return this;
     }
 
-    public SettingsBuilder stateRate(double value) {
-        stateRate = value;
+    public SettingsBuilder storeRequestsPerSecond(double value) {
+        storeRequestsPerSecond = value;
         return this;
     }
 
-    public SettingsBuilder writeRate(double value) {
-        writeRate = value;
+    public SettingsBuilder storeWritesPerSecond(double value) {
+        storeWritesPerSecond = value;
         return this;
     }
 
-    public SettingsBuilder valueBytes(int value) {
-        valueBytes = value;
+    public SettingsBuilder maxValueBytes(int value) {
+        maxValueBytes = value;
         return this;
     }
 
-    public SettingsBuilder writableBytes(int value) {
-        writableBytes = value;
+    public SettingsBuilder maxWritableValueBytes(int value) {
+        maxWritableValueBytes = value;
         return this;
     }
 
-    public SettingsBuilder transactionOps(int value) {
-        transactionOps = value;
+    public SettingsBuilder maxTransactionWrites(int value) {
+        maxTransactionWrites = value;
         return this;
     }
 
-    public SettingsBuilder cloudRate(double value) {
-        cloudRate = value;
+    public SettingsBuilder cloudRequestsPerSecond(double value) {
+        cloudRequestsPerSecond = value;
         return this;
     }
 
@@ -168,24 +168,24 @@
                 zone,
                 bind,
                 peerBind,
-                siblings,
-                cloud,
-                state,
+                peers,
+                cloudEndpoint,
+                storeEndpoint,
                 zones,
-                clockOffMicros,
+                wallClockErrorMicros,
                 teams,
                 objectives,
                 heartbeatIntervalMicros,
                 workerLeaseMicros,
-                gangWaitMicros,
-                gangPeerMicros,
-                cancelMicros,
-                stateRate,
-                writeRate,
-                valueBytes,
-                writableBytes,
-                transactionOps,
-                cloudRate,
+                gangStartTimeoutMicros,
+                gangPeerTimeoutMicros,
+                cancellationLimitMicros,
+                storeRequestsPerSecond,
+                storeWritesPerSecond,
+                maxValueBytes,
+                maxWritableValueBytes,
+                maxTransactionWrites,
+                cloudRequestsPerSecond,
                 listLagMicros,
                 cores,
                 memoryMb,
--- a/src/test/java/io/micatide/protocol/CodecTest.java
+++ b/src/test/java/io/micatide/protocol/CodecTest.java
@@ -104,7 +104,7 @@
     void admitsWhatCanRun(String part, String instead, String reason) throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB.replace(part, instead))));
         MachineType type = new MachineType("g8", Resources.of(8, 0, 64), 25, 0.3, 1, 0.3, 1, List.of("a", "b"));
-        String refusal = JobAdmission.refusal(
+        String refusal = JobAdmission.refusalReason(
                 spec, Map.of("red", new Team("red", 0, 0, 20_000, 0)), List.of("a", "b"), List.of(type));
         assertEquals(
                 reason,
--- a/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
@@ -145,7 +145,7 @@
                 new StoredRecord.JobRecord(
                         JobState.OPEN, SchedulerHarness.job("s", JobKind.SERVICE, "blue", Priority.NORMAL, 2, 0), 0, 2),
                 50);
-        directory.layoutMarked(marked ? 7 : 0, new StoredRecord.Layout(2, 2048));
+        directory.layoutRead(marked ? 7 : 0, new StoredRecord.Layout(2, 2048));
         DependencyAdmission said = DependencyAdmission.evaluate(spec("x", List.of(needs.split("&"))), directory);
         String text = said instanceof DependencyAdmission.Accepted accepted
                 ? accepted.state() + " "
--- a/src/test/java/io/micatide/scheduler/SchedulerHarness.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -439,11 +439,11 @@
         leader.hintsReceived(hints, false, now);
         takeOvers++;
         leader.machineTypesChanged(List.of(TYPE), now);
-        directory.openAndCancelled().forEach(view -> leader.jobChanged(view, now, now));
+        directory.openAndCancelledJobs().forEach(view -> leader.jobChanged(view, now, now));
         if (marked) {
             put(
                     StoreKeys.LAYOUT,
-                    new StoredRecord.Layout(Settings.LAYOUT, settings.pageTasks()),
+                    new StoredRecord.Layout(Settings.CURRENT_LAYOUT, settings.pageTasks()),
                     versions.getOrDefault(StoreKeys.LAYOUT, ++revision));
             leader.layoutMarked(versions.get(StoreKeys.LAYOUT), (StoredRecord.Layout) rows.get(StoreKeys.LAYOUT));
         }
@@ -554,11 +554,11 @@
     }
 
     private static String encoded(CloudCall call) {
-        if (call instanceof CloudCall.Rent rent) {
+        if (call instanceof CloudCall.RequestMachines rent) {
             return String.join(
                     " ", "rent", rent.requestName(), rent.type(), rent.zone(), "" + rent.spot(), "" + rent.count());
         }
-        return call instanceof CloudCall.Delete delete
+        return call instanceof CloudCall.DeleteMachines delete
                 ? "delete " + delete.machines()
                 : call instanceof CloudCall.ListMachines ? "list" : "types";
     }
@@ -675,7 +675,7 @@
     }
 
     private void cloud(CloudCall call) {
-        if (call instanceof CloudCall.Rent rent) {
+        if (call instanceof CloudCall.RequestMachines rent) {
             if (cloudOutage) {
                 leader.provisioningUnanswered(rent.requestName(), now);
                 return;
@@ -691,7 +691,7 @@
             } else {
                 leader.machinesRented(rent.requestName(), names, now);
             }
-        } else if (call instanceof CloudCall.Delete delete) {
+        } else if (call instanceof CloudCall.DeleteMachines delete) {
             if (cloudOutage) {
                 return;
             }
--- a/src/test/java/io/micatide/simulation/FailoverScenario.java
+++ b/src/test/java/io/micatide/simulation/FailoverScenario.java
@@ -259,10 +259,10 @@
 
     @Override
     public Settings settings(int number) {
-        List<Settings.Sibling> siblings = new ArrayList<>();
+        List<Settings.Peer> siblings = new ArrayList<>();
         for (int i = 0; i < controllers; i++) {
             if (i != number) {
-                siblings.add(new Settings.Sibling("c" + i, i % 2 == 0 ? "a" : "b", "p" + i));
+                siblings.add(new Settings.Peer("c" + i, i % 2 == 0 ? "a" : "b", "p" + i));
             }
         }
         return new Settings(
@@ -300,7 +300,7 @@
         Settings settings = settings(number);
         return new Tuning(
                 standby
-                        ? Tuning.leaseWithStandby(settings)
+                        ? Tuning.defaultLeaseWithStandbyMicros(settings)
                         : Tuning.defaults(settings).leaderLeaseMicros(),
                 60 * Micros.SECOND,
                 true,
--- a/src/test/java/io/micatide/simulation/ZonePartitionTest.java
+++ b/src/test/java/io/micatide/simulation/ZonePartitionTest.java
@@ -53,10 +53,10 @@
     private final GangRendezvous gangs = new GangRendezvous(world, settings(0));
 
     private Settings settings(int number) {
-        List<Settings.Sibling> siblings = new ArrayList<>();
+        List<Settings.Peer> siblings = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             if (i != number) {
-                siblings.add(new Settings.Sibling("c" + i, "a", "p" + i));
+                siblings.add(new Settings.Peer("c" + i, "a", "p" + i));
             }
         }
         return new Settings(
--- a/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
+++ b/src/test/java/io/micatide/simulation/scale/ScaleShapeTest.java
@@ -76,16 +76,16 @@
                 ports.add(new ScaleSettings.Ports(1, 1, 1, 1));
             }
             Settings read = new ScaleSettings(plan, ports).parsed(controller);
-            List<Settings.Sibling> siblings = new ArrayList<>();
+            List<Settings.Peer> siblings = new ArrayList<>();
             for (int i = 0; i < CONTROLLERS; i++) {
                 if (i != controller) {
-                    siblings.add(new Settings.Sibling("c" + i, "zone-00", "p" + i));
+                    siblings.add(new Settings.Peer("c" + i, "zone-00", "p" + i));
                 }
             }
             return named(read, controller, siblings);
         }
 
-        private static Settings named(Settings read, int controller, List<Settings.Sibling> siblings) {
+        private static Settings named(Settings read, int controller, List<Settings.Peer> siblings) {
             return new Settings(
                     "c" + controller,
                     read.zone(),
@@ -119,7 +119,7 @@
         public Tuning tuning(int controller) {
             Tuning defaults = Tuning.defaults(settings(controller));
             return new Tuning(
-                    Tuning.leaseWithStandby(settings(controller)),
+                    Tuning.defaultLeaseWithStandbyMicros(settings(controller)),
                     7_200 * Micros.SECOND,
                     true,
                     defaults.archiveBatchSize(),
--- a/src/test/java/io/micatide/standby/StandbySelectorTest.java
+++ b/src/test/java/io/micatide/standby/StandbySelectorTest.java
@@ -18,9 +18,9 @@
     private static final long SECOND = Micros.SECOND;
 
     private static Settings settings(double rate, String... siblings) {
-        List<Settings.Sibling> list = new ArrayList<>();
+        List<Settings.Peer> list = new ArrayList<>();
         for (String each : siblings) {
-            list.add(new Settings.Sibling(each.substring(2), each.substring(0, 1), "x"));
+            list.add(new Settings.Peer(each.substring(2), each.substring(0, 1), "x"));
         }
         return new Settings(
                 "n-2",
@@ -71,8 +71,8 @@
         assertNull(selector.selectStandbys(SECOND));
         for (String answer : answers.split(",")) {
             String[] part = answer.split("=");
-            int sibling = settings.siblings().stream()
-                    .map(Settings.Sibling::label)
+            int sibling = settings.peers().stream()
+                    .map(Settings.Peer::label)
                     .toList()
                     .indexOf(part[0]);
             boolean isStoreReachable = !part[1].equals("-");
--- a/src/test/java/io/micatide/store/MachineNameCodecTest.java
+++ b/src/test/java/io/micatide/store/MachineNameCodecTest.java
@@ -25,7 +25,7 @@
                 "a/b-7 a/b-07 a/b|a/b/0/ a/b-/1/7 a/b-/2/7",
                 "x12345678901|x12/9/345678901",
             })
-    void shortAndBack(String names, String groups) {
+    void decompressRestoresTheNames(String names, String groups) {
         List<String> list = List.of(names.split(" "));
         assertEquals(List.of(groups.split(" ")), MachineNameCodec.compress(list));
         assertEquals(new HashSet<>(list), new HashSet<>(MachineNameCodec.decompress(MachineNameCodec.compress(list))));
@@ -33,13 +33,13 @@
 
     @ParameterizedTest
     @CsvSource({"i-000231", "i/x/3", "i/6/3+", "i/6/", "/"})
-    void whatIsNoGroupIsSaid(String text) {
+    void malformedGroupIsRefused(String text) {
         assertThrows(IllegalArgumentException.class, () -> MachineNameCodec.decompress(List.of(text)));
     }
 
     /** Any set comes back; a fleet of 505 among 1,010 fits the smallest value that the operators named. */
     @Test
-    void fleets() {
+    void fleetsOfAnyNumbersAreRestored() {
         Random random = new Random(5);
         for (int round = 0; round < 300; round++) {
             Set<String> names = new HashSet<>();
--- a/src/test/java/io/micatide/store/PendingReadsTest.java
+++ b/src/test/java/io/micatide/store/PendingReadsTest.java
@@ -14,16 +14,16 @@
     @ParameterizedTest
     @CsvSource({"nrnrnr, 3, true", "nnn, 1, false", "nfnfnfnfnf, 5, false", "nfnnnrnrnr, 4, true", "nrnrnrnn, 3, true"})
     void oneRequestAtATime(String events, int requests, boolean finished) {
-        PendingReads readBack = new PendingReads(List.of("a", "b", "c"));
-        int asked = 0;
+        PendingReads pendingReads = new PendingReads(List.of("a", "b", "c"));
+        int sentRequests = 0;
         for (char event : events.toCharArray()) {
             switch (event) {
-                case 'n' -> asked += readBack.next() == null ? 0 : 1;
-                case 'r' -> readBack.keyRead();
-                default -> readBack.keyFailed();
+                case 'n' -> sentRequests += pendingReads.startNextRead() == null ? 0 : 1;
+                case 'r' -> pendingReads.readCompleted();
+                default -> pendingReads.readFailed();
             }
         }
-        assertEquals(requests, asked);
-        assertEquals(finished, readBack.isFinished());
+        assertEquals(requests, sentRequests);
+        assertEquals(finished, pendingReads.isFinished());
     }
 }
--- a/src/test/java/io/micatide/store/TaskRangesTest.java
+++ b/src/test/java/io/micatide/store/TaskRangesTest.java
@@ -11,7 +11,7 @@
 class TaskRangesTest {
     @ParameterizedTest
     @CsvSource({"'', 0, 10", "0-3, 0, 10", "'0,2,4-5', 0, 10", "'1,9', 20, 30", "0-9, 20, 30"})
-    void comesBackAsItWentIn(String text, int from, int to) {
+    void formatRestoresTheParsedText(String text, int from, int to) {
         BitSet bits = new BitSet();
         TaskRanges.parseInto(text, from, bits);
         bits.set(to);
@@ -21,7 +21,7 @@
     /** The worst fragmentation of a page fits the smallest value that a deployment allows us. */
     @ParameterizedTest
     @CsvSource({"16", "32", "64"})
-    void worstPageFitsAValue(int valueKb) {
+    void mostFragmentedPageFitsIntoAValue(int valueKb) {
         int page = Math.max(256, Integer.highestOneBit(valueKb * 1024 / 8));
         BitSet bits = new BitSet();
         for (int i = 0; i < 100_000; i += 2) {
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void emptyTextIsNoTask() {
+    void emptyTextHasNoTasks() {
         BitSet bits = new BitSet();
         TaskRanges.parseInto("", 0, bits);
         assertTrue(bits.isEmpty());
