--- a/src/main/java/io/micatide/cli/SnapshotCommand.java
+++ b/src/main/java/io/micatide/cli/SnapshotCommand.java
@@ -52,7 +52,8 @@
                     if (Files.exists(file)) {
                         throw new SnapshotException(file + ": is there already");
                     }
-                    try (RateLimitedCalls calls = new RateLimitedCalls(settings.storeEndpoint(), rate(rate, settings))) {
+                    try (RateLimitedCalls calls =
+                            new RateLimitedCalls(settings.storeEndpoint(), rate(rate, settings))) {
                         StoreImage image = new SnapshotTaker(calls, System.err::println).take();
                         SnapshotFile.write(
                                 file,
@@ -105,7 +106,8 @@
                                 "say either --machines-gone or --advance: workers that have seen the former service's tokens,"
                                         + " up to " + content.image().revision() + ", listen to no lower one");
                     }
-                    try (RateLimitedCalls calls = new RateLimitedCalls(settings.storeEndpoint(), rate(rate, settings))) {
+                    try (RateLimitedCalls calls =
+                            new RateLimitedCalls(settings.storeEndpoint(), rate(rate, settings))) {
                         new SnapshotRestorer(
                                         calls,
                                         settings.maxTransactionWrites(),
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -166,7 +166,9 @@
             apply(StoreKeys.jobIdOf(item.key()), row, item.version());
         } else if (item.record() instanceof StoredRecord.FurtherDependencies dependencies) {
             changed(jobCache.applyDependencies(
-                    StoreKeys.jobIdOf(item.key()), StoreKeys.furtherDependenciesPieceOf(item.key()), dependencies.names()));
+                    StoreKeys.jobIdOf(item.key()),
+                    StoreKeys.furtherDependenciesPieceOf(item.key()),
+                    dependencies.names()));
         } else if (item.record() instanceof StoredRecord.Layout layout) {
             layoutMarked(item.version(), layout);
         }
@@ -313,7 +315,8 @@
     void findArchivableJobs(long fencingToken) {
         if (subscribedLeader == null
                 || !isLoaded
-                || (jobCache.finishedJobs().isEmpty() && jobCache.staleRecordVersions().isEmpty())) {
+                || (jobCache.finishedJobs().isEmpty()
+                        && jobCache.staleRecordVersions().isEmpty())) {
             return;
         }
         Set<String> needed = jobCache.dependencies();
@@ -330,7 +333,8 @@
                         jobCache.furtherDependencyRecords(entry.id())));
             }
         }
-        jobCache.staleRecordVersions().forEach((id, version) -> result.add(new Archiver.ArchivableJob(id, version, null, 0)));
+        jobCache.staleRecordVersions()
+                .forEach((id, version) -> result.add(new Archiver.ArchivableJob(id, version, null, 0)));
         subscribedLeader.tell(new TermMessage.ArchivableJobsFound(fencingToken, result, jobCache.archiveVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -255,7 +255,10 @@
     void archiveStarted(TermMessage.ArchiveManifestCreated message) {
         writeAnswered(message.reply());
         if (message.reply().ok()) {
-            LOG.info("all {} controllers read layout {}: the archive begins", labels.size(), Settings.LAYOUT_WITH_ARCHIVE);
+            LOG.info(
+                    "all {} controllers read layout {}: the archive begins",
+                    labels.size(),
+                    Settings.LAYOUT_WITH_ARCHIVE);
         }
     }
 
--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -53,7 +53,9 @@
     }
 
     private static long allowedAgeMicros(Settings settings) {
-        return settings.cancellationLimitMicros() - Micros.longestWithDrift(settings.workerLeaseMicros()) - MARGIN_MICROS;
+        return settings.cancellationLimitMicros()
+                - Micros.longestWithDrift(settings.workerLeaseMicros())
+                - MARGIN_MICROS;
     }
 
     /**
--- a/src/main/java/io/micatide/jobs/CancellationLog.java
+++ b/src/main/java/io/micatide/jobs/CancellationLog.java
@@ -7,26 +7,32 @@
 import java.util.List;
 
 /**
- * The newest thousand jobs that a controller knows as cancelled, be it by its own confirmed write, by a read of the store or by a peer.
- * Invariant: a controller records a job here before it confirms the cancellation to a user. Kept beside the job cache, since a job that
- * is archived leaves the cache. Not thread-safe.
+ * The latest thousand jobs that a controller knows to be cancelled, from its own confirmed writes, from reads of the store or from peers.
+ * Invariant: a controller records a job here before it confirms the cancellation to a user. The log is separate from the job cache, since
+ * an archived job is removed from the cache. Not thread-safe.
  */
 public final class CancellationLog {
-    /** A leader that the store does not answer misses seconds' worth; so many names fill a third of a peer's answer. */
+    /**
+     * A leader that cannot reach the store misses the cancellations of seconds only. A digest of this size takes a third of the size limit
+     * of a peer's answer.
+     */
     static final int MAX_ENTRIES = 1_000;
 
     private final Deque<CancellationDigest.Cancelled> entries = new ArrayDeque<>();
-    /** Above this revision nothing is missing: what was dropped was older, and so was what a read of all jobs could no longer show. */
+    /**
+     * The log contains every known cancellation above this revision. Entries dropped because of the size limit are not newer than it, nor
+     * are cancelled jobs that were archived before a full read.
+     */
     private long completeAboveRevision;
 
-    /** A log without entries that is complete from the first revision on. */
+    /** Creates an empty log that is complete from the first revision on. */
     public CancellationLog() {}
 
     /**
      * Records that a job is cancelled.
      *
      * @param job its identifier
-     * @param version of the job's record that says so
+     * @param version revision of the job record with the cancellation
      */
     public void record(String job, long version) {
         entries.addLast(new CancellationDigest.Cancelled(job, version));
@@ -37,20 +43,21 @@
     }
 
     /**
-     * All jobs were read from the store: one that was cancelled and archived before may not have been among them.
+     * Marks the log as incomplete up to the revision of a full read of the jobs, which does not return jobs that were cancelled and archived
+     * before.
      *
-     * @param revision of the store that was read
+     * @param revision of the store at the read
      */
     public void allRecordsReadAt(long revision) {
         completeAboveRevision = Math.max(completeAboveRevision, revision);
     }
 
     /**
-     * What this controller knows of cancellations above a revision.
+     * Returns the cancellations above a revision that this controller knows of.
      *
      * @param revision of the store
      * @param label of this controller
-     * @param uptimeMicros how long this process has run
+     * @param uptimeMicros uptime of this process in microseconds
      * @return the digest as of now
      */
     public CancellationDigest digestSince(long revision, String label, long uptimeMicros) {
--- a/src/main/java/io/micatide/jobs/DependencyAdmission.java
+++ b/src/main/java/io/micatide/jobs/DependencyAdmission.java
@@ -9,26 +9,44 @@
 import java.util.List;
 import java.util.Map;
 
-/** Whether a job that needs others can be accepted, as far as one copy of the job rows tells. */
+/** The decision whether a job with dependencies can be accepted, according to one job cache. */
 public sealed interface DependencyAdmission {
-    /** It may be stored as {@code spec} with this state. */
+    /**
+     * The job may be stored.
+     *
+     * @param state state of the job's record
+     * @param spec description to store, null for a job that is cancelled at once
+     * @param taskCount number of tasks
+     */
     record Accepted(JobState state, JobSpec spec, int taskCount) implements DependencyAdmission {
         public StoredRecord.JobRecord toRecord(long submittedWall) {
             return new StoredRecord.JobRecord(state, spec, submittedWall, taskCount);
         }
     }
 
-    /** It can never run, if the copy is fresh. */
+    /**
+     * The job can never run. Holds only if the cache was up to date.
+     *
+     * @param reason message to the user
+     */
     record Refused(String reason) implements DependencyAdmission {}
 
-    /** A controller of a former version may be about, which would start it at once. */
+    /** The job has to wait: a controller of a previous version may be running, which would ignore its dependencies and start it at once. */
     record Deferred() implements DependencyAdmission {}
 
+    /** Evaluates a job whose dependencies are all in the cache; any other is refused as unknown. */
     static DependencyAdmission evaluate(JobSpec spec, JobCache jobCache) {
         return evaluate(spec, jobCache, Map.of());
     }
 
-    /** @param archived what the archive says of the needed jobs that the copy does not hold */
+    /**
+     * Evaluates a job.
+     *
+     * @param spec description of the job
+     * @param jobCache the known jobs
+     * @param archived archived outcomes of those dependencies that the cache does not hold, by job id
+     * @return the decision, never null
+     */
     static DependencyAdmission evaluate(JobSpec spec, JobCache jobCache, Map<String, JobOutcome> archived) {
         List<String> openDependencies = new ArrayList<>();
         boolean hasCancelledDependency = false;
@@ -55,10 +73,10 @@
             }
         }
         if (hasCancelledDependency) {
-            // Accepted all the same, and over: it never starts, so nothing of it has to be kept.
+            // The job is accepted as cancelled. It never starts, so its description is not stored.
             return new Accepted(JobState.CANCELLED, null, spec.taskCount());
         }
-        // Done is final, so what is done already need not be kept.
+        // Done is a final state, so dependencies that are done already are not stored.
         if (openDependencies.isEmpty()) {
             return new Accepted(JobState.OPEN, spec.withDependencies(List.of()), spec.taskCount());
         }
--- a/src/main/java/io/micatide/jobs/DependencyGraph.java
+++ b/src/main/java/io/micatide/jobs/DependencyGraph.java
@@ -12,24 +12,26 @@
 import java.util.Set;
 
 /**
- * Which open jobs wait for which others, and what the end of one means for those after it. It follows from the rows alone:
- * cancelling writes one row, however many jobs go with it, and every controller that has read that row tells all of them
- * alike. Each edge is looked at once when its job is seen and once when the job that it needs ends.
+ * The dependencies between open jobs. Tracks which jobs wait for others, and which are cancelled together with a dependency. The graph
+ * is derived from the job records only: a cancellation writes one record, regardless of the number of dependents, and every controller that
+ * has read that record derives the same cancelled dependents. Each edge is visited once when its job is first seen and once when
+ * the dependency finishes.
  */
 final class DependencyGraph {
-    /** What each waiting job still needs. */
+    /** Unfinished dependencies of each waiting job. */
     private final Map<String, Set<String>> unfinishedDependencies = new HashMap<>();
 
+    /** Waiting jobs by the dependency that they wait for. */
     private final Map<String, List<String>> dependents = new HashMap<>();
-    /** Open by their own row, but something that they need was cancelled. */
+    /** Jobs that are open according to their own record, but have a cancelled dependency, directly or through other jobs. */
     private final Set<String> isCancelledByDependency = new HashSet<>();
-    /** When the last job was done that an open job needed, by the time of day. */
+    /** Wall-clock time at which the latest finished dependency of an open job was done, in microseconds. */
     private final Map<String, Long> readyWall = new HashMap<>();
 
-    /** How the jobs that are needed stand. */
+    /** Looks up the final records of jobs. */
     @FunctionalInterface
     interface FinalRecords {
-        /** The row of a job that ended, or null while it has not. */
+        /** Returns the record of a finished job, or null if the job is not finished or not known. */
         StoredRecord.JobRecord of(String id);
     }
 
@@ -41,49 +43,56 @@
         return isCancelledByDependency.contains(id);
     }
 
+    /** Returns the later one of a job's submission and the end of its latest finished dependency, in wall-clock microseconds. */
     long readyWall(String id, long submittedWall) {
         return Math.max(submittedWall, readyWall.getOrDefault(id, submittedWall));
     }
 
-    /** An open job was seen for the first time; returns what is withdrawn with it: itself and whoever waited for it. */
-    List<String> jobOpened(String id, List<String> needs, FinalRecords ends) {
-        Set<String> left = new HashSet<>();
-        for (String need : needs) {
-            StoredRecord.JobRecord end = ends.of(need);
-            if (isCancelledByDependency.contains(need) || (end != null && end.state() == JobState.CANCELLED)) {
+    /**
+     * Adds an open job that was seen for the first time. If one of its dependencies is cancelled, the job is cancelled as well.
+     *
+     * @return the jobs that were waiting for the added job and are cancelled with it
+     */
+    List<String> jobOpened(String id, List<String> dependencies, FinalRecords finalRecords) {
+        Set<String> unfinished = new HashSet<>();
+        for (String dependency : dependencies) {
+            StoredRecord.JobRecord finalRecord = finalRecords.of(dependency);
+            if (isCancelledByDependency.contains(dependency)
+                    || (finalRecord != null && finalRecord.state() == JobState.CANCELLED)) {
                 isCancelledByDependency.add(id);
                 return jobCancelled(id);
             }
-            if (end == null) {
-                left.add(need);
+            if (finalRecord == null) {
+                unfinished.add(dependency);
             } else {
-                dependencyCompleted(id, end);
+                dependencyCompleted(id, finalRecord);
             }
         }
-        if (!left.isEmpty()) {
-            unfinishedDependencies.put(id, left);
-            left.forEach(need ->
-                    dependents.computeIfAbsent(need, k -> new ArrayList<>(2)).add(id));
+        if (!unfinished.isEmpty()) {
+            unfinishedDependencies.put(id, unfinished);
+            unfinished.forEach(dependency -> dependents
+                    .computeIfAbsent(dependency, k -> new ArrayList<>(2))
+                    .add(id));
         }
         return List.of();
     }
 
-    private void dependencyCompleted(String id, StoredRecord.JobRecord end) {
-        readyWall.merge(id, end.endedWall(), Math::max);
+    private void dependencyCompleted(String id, StoredRecord.JobRecord finalRecord) {
+        readyWall.merge(id, finalRecord.endedWall(), Math::max);
     }
 
-    /** Returns the jobs that wait for nothing any more. */
-    List<String> jobCompleted(String id, StoredRecord.JobRecord row) {
+    /** Removes a job that is done as a dependency, and returns the jobs that have no unfinished dependency left. */
+    List<String> jobCompleted(String id, StoredRecord.JobRecord finalRecord) {
         List<String> ready = new ArrayList<>();
-        List<String> after = dependents.remove(id);
-        if (after != null) {
-            for (String each : after) {
-                Set<String> left = unfinishedDependencies.get(each);
-                if (left != null && left.remove(id)) {
-                    dependencyCompleted(each, row);
-                    if (left.isEmpty()) {
-                        unfinishedDependencies.remove(each);
-                        ready.add(each);
+        List<String> waiting = dependents.remove(id);
+        if (waiting != null) {
+            for (String dependent : waiting) {
+                Set<String> unfinished = unfinishedDependencies.get(dependent);
+                if (unfinished != null && unfinished.remove(id)) {
+                    dependencyCompleted(dependent, finalRecord);
+                    if (unfinished.isEmpty()) {
+                        unfinishedDependencies.remove(dependent);
+                        ready.add(dependent);
                     }
                 }
             }
@@ -91,25 +100,25 @@
         return ready;
     }
 
-    /** Returns all jobs that need this one, directly or through others. */
+    /** Cancels all waiting jobs that depend on a cancelled job, directly or through others, and returns them. */
     List<String> jobCancelled(String id) {
-        List<String> result = new ArrayList<>();
-        Deque<String> todo = new ArrayDeque<>(List.of(id));
-        while (!todo.isEmpty()) {
-            List<String> after = dependents.remove(todo.poll());
-            if (after != null) {
-                for (String each : after) {
-                    if (unfinishedDependencies.remove(each) != null && isCancelledByDependency.add(each)) {
-                        result.add(each);
-                        todo.add(each);
+        List<String> cancelled = new ArrayList<>();
+        Deque<String> pending = new ArrayDeque<>(List.of(id));
+        while (!pending.isEmpty()) {
+            List<String> waiting = dependents.remove(pending.poll());
+            if (waiting != null) {
+                for (String dependent : waiting) {
+                    if (unfinishedDependencies.remove(dependent) != null && isCancelledByDependency.add(dependent)) {
+                        cancelled.add(dependent);
+                        pending.add(dependent);
                     }
                 }
             }
         }
-        return result;
+        return cancelled;
     }
 
-    /** The job's own row ended it. */
+    /** Removes the state of a job whose own record is final or deleted, but keeps its dependents. */
     void jobFinished(String id) {
         unfinishedDependencies.remove(id);
         isCancelledByDependency.remove(id);
--- a/src/main/java/io/micatide/jobs/JobAdmission.java
+++ b/src/main/java/io/micatide/jobs/JobAdmission.java
@@ -7,11 +7,19 @@
 import java.util.Collection;
 import java.util.Map;
 
-/** Whether a job can ever run. */
+/** Checks whether a job can ever run in the deployment. */
 public final class JobAdmission {
     private JobAdmission() {}
 
-    /** The reason why it never can, or null. */
+    /**
+     * Returns why a job can never run.
+     *
+     * @param spec description of the job
+     * @param teams teams of the deployment by name
+     * @param zones zones of the deployment
+     * @param types machine types that the cloud offers
+     * @return a message to the user, or null if the job can run
+     */
     public static String refusalReason(
             JobSpec spec, Map<String, Team> teams, Collection<String> zones, Collection<MachineType> types) {
         Team team = teams.get(spec.team());
@@ -30,8 +38,8 @@
         if (!fits) {
             return "a task fits no allowed machine type";
         }
-        int together = spec.kind() == JobKind.ARRAY ? 1 : spec.taskCount();
-        if (!team.isWithinLimit(spec.taskResources().times(together))) {
+        int minTasksAtOnce = spec.kind() == JobKind.ARRAY ? 1 : spec.taskCount();
+        if (!team.isWithinLimit(spec.taskResources().times(minTasksAtOnce))) {
             return "needs more than the limit of team " + spec.team();
         }
         if (spec.kind() != JobKind.ARRAY
--- a/src/main/java/io/micatide/jobs/JobCache.java
+++ b/src/main/java/io/micatide/jobs/JobCache.java
@@ -13,23 +13,32 @@
 import java.util.TreeMap;
 
 /**
- * A controller's copy of the job rows, brought up to date by the changes since its revision. What a user is told must
- * come from a copy that was refreshed after the question; only final states may be told from the copy as it is.
+ * A controller's cache of the job records, updated with the changes in the store since its revision. An answer to a user must
+ * come from a cache that was refreshed after the request arrived; only final states may be answered without a refresh.
  *
- * <p>A job that is over loses its row once it is archived, and with it its place here: the copy holds open and recent jobs. Since the
- * manifest of the archive is read with the rows, a job that a fresh copy does not hold is either in a run of the copy's manifest or was
- * never accepted.
+ * <p>The record of a finished job is deleted once the job is archived, and the job leaves the cache, which thus holds open and recently
+ * finished jobs. Since the archive manifest is read together with the records, a job that is missing from a refreshed cache is either in a
+ * run of the cache's manifest or was never accepted.
  */
 public final class JobCache {
-    /** A job's row and its version. */
+    /**
+     * A job's record and its version.
+     *
+     * @param id of the job
+     * @param record of the job
+     * @param version revision of the record
+     */
     public record Entry(String id, StoredRecord.JobRecord record, long version) {}
 
     /**
-     * A job as it stands by its own row and by the rows of the jobs that it needs.
+     * The state of a job according to its own record and the records of its dependencies.
      *
-     * @param state withdrawn with a job that it needs, it is cancelled although its row is open
-     * @param hasUnfinishedDependencies some job that it needs is not done
-     * @param readyWall from when its times count: its submission, or the end of the last job that it needs
+     * @param id of the job
+     * @param record of the job
+     * @param version revision of the record
+     * @param state of the job; cancelled also if the record is open but a dependency is cancelled
+     * @param hasUnfinishedDependencies whether a dependency is not done
+     * @param readyWall wall-clock time from which the job's times count, in microseconds: its submission, or the end of its latest dependency
      */
     public record View(
             String id,
@@ -41,23 +50,26 @@
 
     private final Map<String, Entry> entries = new HashMap<>();
     private final Map<String, Entry> openJobs = new HashMap<>();
-    /** Jobs that are over and still have their rows, in the order in which that was seen. */
+    /** Finished jobs whose records still exist, in the order in which this controller learned of their end. */
     private final Map<String, Entry> finishedJobs = new LinkedHashMap<>();
 
     private final DependencyGraph dependencies = new DependencyGraph();
-    /** Rows that came before all their names, and names that came before their rows; empty between two reads. */
+    /** Job records that were read before all their records of further dependencies; empty between two reads. */
     private final Map<String, Entry> incompleteEntries = new HashMap<>();
-
+    /** Further dependencies by job and number of their record, kept until the job's record and all of them are read. */
     private final Map<String, Map<Integer, List<String>>> furtherDependencies = new HashMap<>();
-    /** How many rows of names belong to a job; they go with its row. */
+    /** Number of records of further dependencies by job; they are deleted with the job's record. */
     private final Map<String, Integer> furtherDependencyRecords = new HashMap<>();
-    /** Rows that may be of archived jobs: a late write of a former version brought them back. Nothing is told or started of them. */
+    /**
+     * Records that may belong to archived jobs, since a late write of a previous version can bring a deleted record back. These jobs are
+     * neither shown to users nor started.
+     */
     private final Map<String, Entry> unverifiedEntries = new LinkedHashMap<>();
-    /** What was found to be archived although it has a row, with the row's version. */
+    /** Versions of records that exist although their job was found to be archived, by job. */
     private final Map<String, Long> staleRecordVersions = new HashMap<>();
 
     private final CancellationLog cancellationLog = new CancellationLog();
-    /** What the full read under way has shown, null between two. */
+    /** Ids of the jobs returned by the full read in progress; null while there is none. */
     private Set<String> keysSeenInFullRead;
 
     private long revision;
@@ -70,38 +82,45 @@
         return revision;
     }
 
-    /** All changes up to this revision have been applied. */
+    /** Records that all changes up to the given revision have been applied. */
     public void advanceTo(long newRevision) {
         revision = Math.max(revision, newRevision);
     }
 
-    /** Starts over from the revision of the first page of a full read; what is known stays known until {@link #finishFullRead}. */
+    /**
+     * Begins a full read, which replaces the content of the cache. Known jobs are kept until {@link #finishFullRead}.
+     *
+     * @param newRevision revision of the first page of the full read
+     */
     public void beginFullRead(long newRevision) {
         revision = newRevision;
         keysSeenInFullRead = new HashSet<>();
     }
 
-    /** The full read is over: what it did not show and is not younger has been archived meanwhile. */
+    /** Finishes a full read. Jobs that it did not return have been archived meanwhile and are removed, unless their record is newer. */
     public void finishFullRead() {
-        List<String> gone = new ArrayList<>();
+        List<String> removed = new ArrayList<>();
         for (Entry entry : entries.values()) {
             if (!keysSeenInFullRead.contains(entry.id()) && entry.version() <= revision) {
-                gone.add(entry.id());
+                removed.add(entry.id());
             }
         }
         keysSeenInFullRead = null;
-        gone.forEach(id -> remove(id, revision));
+        removed.forEach(id -> remove(id, revision));
         cancellationLog.allRecordsReadAt(revision);
     }
 
-    /** What this copy has come to know as cancelled, also of jobs that it does not hold any more. */
+    /** Returns the log of cancelled jobs, including jobs that are no longer in the cache. */
     public CancellationLog cancellationLog() {
         return cancellationLog;
     }
 
     /**
-     * A sibling's word that a job is cancelled by its row of this version; the row itself is still to be read. Returns what {@link #apply}
-     * does.
+     * Marks a job as cancelled that a peer reported as cancelled. The record itself is read later.
+     *
+     * @param id of the job
+     * @param version of the job record with the cancellation
+     * @return the result of {@link #apply}
      */
     public List<String> markCancelled(String id, long version) {
         Entry known = entries.get(id);
@@ -128,45 +147,47 @@
         return openJobs.values();
     }
 
-    /** Jobs that are over and still have their rows, the longest known first. */
+    /** Returns the finished jobs whose records still exist, in the order in which this controller learned of their end. */
     public Collection<Entry> finishedJobs() {
         return finishedJobs.values();
     }
 
-    /** How many rows of names belong to a job. */
+    /** Returns the number of records of further dependencies that belong to a job. */
     public int furtherDependencyRecords(String id) {
         return furtherDependencyRecords.getOrDefault(id, 0);
     }
 
-    /** The jobs that rows of open jobs name: none of them may lose its own. */
+    /** Returns the dependencies that records of open jobs name. The records of these jobs must not be deleted. */
     public Set<String> dependencies() {
-        Set<String> names = new HashSet<>();
-        openJobs.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
-        incompleteEntries.values().forEach(entry -> names.addAll(entry.record().spec().dependencies()));
-        return names;
+        Set<String> ids = new HashSet<>();
+        openJobs.values().forEach(entry -> ids.addAll(entry.record().spec().dependencies()));
+        incompleteEntries
+                .values()
+                .forEach(entry -> ids.addAll(entry.record().spec().dependencies()));
+        return ids;
     }
 
-    /** The version of the mark that all controllers read layout 2, or 0 while there is none. */
+    /** Returns the version of the layout record, which marks that all controllers can read at least layout 2, or 0 while there is none. */
     public long layoutVersion() {
         return layoutVersion;
     }
 
-    /** The mark, or null while there is none. */
+    /** Returns the layout record, or null while there is none. */
     public StoredRecord.Layout layout() {
         return layout;
     }
 
-    public void layoutRead(long version, StoredRecord.Layout mark) {
+    public void layoutRead(long version, StoredRecord.Layout newLayout) {
         layoutVersion = version;
-        layout = mark;
+        layout = newLayout;
     }
 
-    /** The version of the archive's manifest, or 0 while there is no archive: a condition of everything that adds a job. */
+    /** Returns the version of the archive manifest, or 0 while there is no archive. It is a condition of every write that adds a job. */
     public long archiveVersion() {
         return archiveVersion;
     }
 
-    /** The archive's manifest, or null while there is none. */
+    /** Returns the archive manifest, or null while there is none. */
     public StoredRecord.ArchiveManifest archiveManifest() {
         return archiveManifest;
     }
@@ -178,7 +199,7 @@
         }
     }
 
-    /** How a known job stands, also by what it needs. */
+    /** Returns the state of a job in the cache; cancelled also if a dependency is cancelled. */
     public JobState state(String id) {
         JobState own = entries.get(id).record().state();
         return own == JobState.OPEN && dependencies.isCancelledByDependency(id) ? JobState.CANCELLED : own;
@@ -195,7 +216,7 @@
                 dependencies.readyWall(id, entry.record().submittedWall()));
     }
 
-    /** Everything of which a task may be on a machine, and what waits. */
+    /** Returns all jobs that are not done: those that wait, and all those of which tasks may still be on a machine. */
     public List<View> openAndCancelledJobs() {
         List<View> result = new ArrayList<>();
         for (Entry entry : entries.values()) {
@@ -206,38 +227,53 @@
         return result;
     }
 
+    /** Returns the record of a finished job, or null if the job is open or not in the cache. */
     private StoredRecord.JobRecord finalRecord(String id) {
         Entry entry = entries.get(id);
         return entry == null || !entry.record().state().isFinal() ? null : entry.record();
     }
 
-    /** Applies further names of a job; returns what {@link #apply} does once its row and all of them are there. */
+    /**
+     * Applies a record of further dependencies of a job. Once the job's record and all its further dependencies are read, the job is applied.
+     *
+     * @param id of the job
+     * @param piece number of the record of further dependencies, from 1
+     * @param names ids of the dependencies
+     * @return the result of {@link #apply}, or an empty list while records are missing
+     */
     public List<String> applyDependencies(String id, int piece, List<String> names) {
         furtherDependencyRecords.merge(id, piece, Math::max);
         if (entries.containsKey(id)) {
             return List.of();
         }
         furtherDependencies.computeIfAbsent(id, k -> new TreeMap<>()).put(piece, names);
-        Entry row = incompleteEntries.get(id);
-        return row == null ? List.of() : apply(id, row.record(), row.version());
+        Entry entry = incompleteEntries.get(id);
+        return entry == null ? List.of() : apply(id, entry.record(), entry.version());
     }
 
-    /** The row with all names that belong to it, or null while some are missing. */
-    private StoredRecord.JobRecord withAllDependencies(String id, StoredRecord.JobRecord row, long version) {
-        if (row.furtherDependencyRecords() == 0 || row.state().isFinal()) {
-            return row;
+    /** Returns a job's record with all its dependencies, or null while records of further dependencies are missing. */
+    private StoredRecord.JobRecord withAllDependencies(String id, StoredRecord.JobRecord stored, long version) {
+        if (stored.furtherDependencyRecords() == 0 || stored.state().isFinal()) {
+            return stored;
         }
         Map<Integer, List<String>> further = furtherDependencies.getOrDefault(id, Map.of());
-        if (further.size() < row.furtherDependencyRecords()) {
-            incompleteEntries.put(id, new Entry(id, row, version));
+        if (further.size() < stored.furtherDependencyRecords()) {
+            incompleteEntries.put(id, new Entry(id, stored, version));
             return null;
         }
-        List<String> all = new ArrayList<>(row.spec().dependencies());
+        List<String> all = new ArrayList<>(stored.spec().dependencies());
         further.values().forEach(all::addAll);
-        return row.withDependencies(all, 0);
+        return stored.withDependencies(all, 0);
     }
 
-    /** Applies a row unless a newer one is known; returns the jobs that stand otherwise than before, itself first. */
+    /**
+     * Applies a job record unless a newer one is known. A record that may belong to an archived job is kept aside until it is verified.
+     *
+     * @param id of the job
+     * @param stored the record as stored
+     * @param version revision of the record
+     * @return the jobs whose state changed, the given job first; empty if nothing changed
+     */
     public List<String> apply(String id, StoredRecord.JobRecord stored, long version) {
         if (keysSeenInFullRead != null) {
             keysSeenInFullRead.add(id);
@@ -253,7 +289,10 @@
         return applyVerified(id, stored, version);
     }
 
-    /** Of a former version, which does not ask the archive; whoever writes a row now says that it did. */
+    /**
+     * Returns whether a record may belong to an archived job: it is newer than the archive and was written by a previous version, which does
+     * not check the archive. The current version marks the records that it writes as checked.
+     */
     private boolean mayBeArchived(StoredRecord.JobRecord stored, long version) {
         return archiveManifest != null
                 && !stored.checkedAgainstArchive()
@@ -262,36 +301,43 @@
 
     private List<String> applyVerified(String id, StoredRecord.JobRecord stored, long version) {
         Entry known = entries.get(id);
-        StoredRecord.JobRecord row = withAllDependencies(id, stored, version);
-        if (row == null) {
+        StoredRecord.JobRecord completeRecord = withAllDependencies(id, stored, version);
+        if (completeRecord == null) {
             return List.of();
         }
         incompleteEntries.remove(id);
         furtherDependencies.remove(id);
-        // Whoever wrote a later row knew the job; the look-up of the earlier one may still be under way.
+        // The writer of a later record knew the job. The archive lookup for the earlier record may still be in flight.
         unverifiedEntries.remove(id);
-        Entry entry = new Entry(id, row, version);
+        Entry entry = new Entry(id, completeRecord, version);
         entries.put(id, entry);
         List<String> changed = new ArrayList<>(List.of(id));
-        if (row.state().isFinal()) {
-            if (row.state() == JobState.CANCELLED) {
+        if (completeRecord.state().isFinal()) {
+            if (completeRecord.state() == JobState.CANCELLED) {
                 cancellationLog.record(id, version);
             }
             openJobs.remove(id);
             finishedJobs.put(id, entry);
             dependencies.jobFinished(id);
             changed.addAll(
-                    row.state() == JobState.DONE ? dependencies.jobCompleted(id, row) : dependencies.jobCancelled(id));
+                    completeRecord.state() == JobState.DONE
+                            ? dependencies.jobCompleted(id, completeRecord)
+                            : dependencies.jobCancelled(id));
         } else {
             openJobs.put(id, entry);
             if (known == null) {
-                changed.addAll(dependencies.jobOpened(id, row.spec().dependencies(), this::finalRecord));
+                changed.addAll(dependencies.jobOpened(id, completeRecord.spec().dependencies(), this::finalRecord));
             }
         }
         return changed;
     }
 
-    /** A row went, by the change of this revision: its job is archived. */
+    /**
+     * Removes a job whose record was deleted, since the job is archived.
+     *
+     * @param id of the job
+     * @param version revision of the deletion; newer records of the job stay
+     */
     public void remove(String id, long version) {
         Entry entry = entries.get(id);
         if (entry != null && entry.version() <= version) {
@@ -302,14 +348,14 @@
             furtherDependencyRecords.remove(id);
             furtherDependencies.remove(id);
         }
-        incompleteEntries.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
-        unverifiedEntries.computeIfPresent(id, (name, row) -> row.version() <= version ? null : row);
-        staleRecordVersions.computeIfPresent(id, (name, row) -> row <= version ? null : row);
+        incompleteEntries.computeIfPresent(id, (name, known) -> known.version() <= version ? null : known);
+        unverifiedEntries.computeIfPresent(id, (name, known) -> known.version() <= version ? null : known);
+        staleRecordVersions.computeIfPresent(id, (name, known) -> known <= version ? null : known);
     }
 
-    // ---- rows of former versions
+    // ---- records written by previous versions
 
-    /** Rows that have to be looked up in the archive, by {@link #markVerified} or {@link #markStale}. */
+    /** Returns the records to look up in the archive; each lookup ends with {@link #markVerified} or {@link #markStale}. */
     public List<Entry> unverifiedEntries() {
         return List.copyOf(unverifiedEntries.values());
     }
@@ -318,13 +364,13 @@
         return unverifiedEntries.containsKey(id);
     }
 
-    /** Not archived: a job like any other; returns what {@link #apply} does. */
+    /** Applies an unverified record whose job is not archived, and returns the result of {@link #apply}. */
     public List<String> markVerified(String id) {
         Entry entry = unverifiedEntries.remove(id);
         return entry == null ? List.of() : applyVerified(id, entry.record(), entry.version());
     }
 
-    /** Archived long ago: the row is to go, and nothing of it is ever told or started. */
+    /** Marks an unverified record as stale, since its job is archived. It is to be deleted; the job is neither shown to users nor started. */
     public void markStale(String id) {
         Entry entry = unverifiedEntries.remove(id);
         if (entry != null) {
@@ -332,7 +378,7 @@
         }
     }
 
-    /** Ghosts whose rows are still there, with the rows' versions. */
+    /** Returns the versions of the stale records that still exist, by job. */
     public Map<String, Long> staleRecordVersions() {
         return staleRecordVersions;
     }
--- a/src/main/java/io/micatide/model/CancellationDigest.java
+++ b/src/main/java/io/micatide/model/CancellationDigest.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * The cancellations that a controller may have confirmed to users, as of the moment at which it sends this.
+ * The cancellations that a controller may have confirmed to users, as of the time at which it sends the digest.
  *
- * @param controller the label of the sender
- * @param uptimeMicros how long its process has run; what an earlier process confirmed may be missing
- * @param complete whether {@code cancelled} has every job that it knows as cancelled above the revision asked for; otherwise the jobs
- *     named are cancelled, but there may be more
- * @param cancelled those jobs
+ * @param controller label of the sender
+ * @param uptimeMicros uptime of the sender's process; cancellations that an earlier process confirmed may be missing
+ * @param complete whether {@code cancelled} lists every job that the sender knows to be cancelled above the requested revision; otherwise
+ *     the listed jobs are cancelled, but there may be more
+ * @param cancelled the cancelled jobs
  */
 public record CancellationDigest(String controller, long uptimeMicros, boolean complete, List<Cancelled> cancelled) {
     /**
      * A cancelled job.
      *
-     * @param job its identifier
-     * @param version of the job's record that says so, a revision of the store
+     * @param job identifier of the job
+     * @param version revision of the job record with the cancellation
      */
     public record Cancelled(String job, long version) {}
 }
--- a/src/main/java/io/micatide/model/Command.java
+++ b/src/main/java/io/micatide/model/Command.java
@@ -3,51 +3,51 @@
 /** A leader's command to a worker about one attempt of a task. */
 public sealed interface Command {
     /**
-     * The job of the task.
+     * Returns the job of the task.
      *
-     * @return its identifier
+     * @return identifier of the job
      */
     String job();
 
     /**
-     * The place of the task in its job.
+     * Returns the index of the task in its job.
      *
-     * @return from 0
+     * @return index, from 0
      */
     int taskIndex();
 
     /**
-     * The attempt at the task that is meant; commands for another one have no effect.
+     * Returns the attempt of the task to which the command applies; it has no effect on other attempts.
      *
-     * @return the number of the attempt
+     * @return number of the attempt
      */
     long attempt();
 
     /**
-     * Starts an attempt. Repeated it has no effect, unless the worker was told to forget the attempt since.
+     * Starts an attempt. The command has no effect on a known attempt, but starts it again after a {@link Reap}.
      *
-     * @param job the identifier of the job
-     * @param taskIndex the place of the task in its job
-     * @param attempt the number of the attempt
+     * @param job identifier of the job
+     * @param taskIndex index of the task in its job
+     * @param attempt number of the attempt
      */
     record Start(String job, int taskIndex, long attempt) implements Command {}
 
     /**
-     * Stops an attempt. A running task with checkpoints saves if it is given enough time for that; every other task exits at once.
+     * Stops an attempt. A running task with checkpoints saves one if the grace period is long enough; any other task exits at once.
      *
-     * @param job the identifier of the job
-     * @param taskIndex the place of the task in its job
-     * @param attempt the number of the attempt
-     * @param graceMicros how long the task may take to save, in microseconds; 0 also ends a task that is saving
+     * @param job identifier of the job
+     * @param taskIndex index of the task in its job
+     * @param attempt number of the attempt
+     * @param graceMicros grace period for saving, in microseconds; 0 also stops a task that is saving
      */
     record Stop(String job, int taskIndex, long attempt, long graceMicros) implements Command {}
 
     /**
-     * Lets the worker forget an attempt that has ended, so that its heartbeats no longer name it.
+     * Makes the worker discard an exited attempt, so that its heartbeats no longer list it.
      *
-     * @param job the identifier of the job
-     * @param taskIndex the place of the task in its job
-     * @param attempt the number of the attempt
+     * @param job identifier of the job
+     * @param taskIndex index of the task in its job
+     * @param attempt number of the attempt
      */
     record Reap(String job, int taskIndex, long attempt) implements Command {}
 }
--- a/src/main/java/io/micatide/model/Heartbeat.java
+++ b/src/main/java/io/micatide/model/Heartbeat.java
@@ -5,16 +5,16 @@
 /**
  * A worker's heartbeat with the status of its machine and tasks.
  *
- * @param machine the name of the machine, unique in the deployment
- * @param address host and port at which the worker takes commands
- * @param type the name of the machine type
- * @param zone in which the machine is
- * @param spot whether it is a spot instance, which the cloud provider may take back
- * @param incarnation of the worker, from 1; it increases each time the worker's lease expires, which kills all its tasks
- * @param sequence of this heartbeat; it increases with every heartbeat of the incarnation
- * @param fencingToken the highest that the worker has seen, 0 for none
- * @param spotNoticeMicros how long until the provider takes the machine back, -1 without such a notice
- * @param tasks the status of all tasks on the machine
+ * @param machine name of the machine, unique in the deployment
+ * @param address host and port at which the worker accepts commands, null if not sent
+ * @param type name of the machine type
+ * @param zone zone of the machine
+ * @param spot whether it is a spot instance, which the cloud provider may reclaim
+ * @param incarnation of the worker, from 1; incremented each time the worker's lease expires, which kills all its tasks
+ * @param sequence number of this heartbeat; it increases with every heartbeat of the incarnation
+ * @param fencingToken highest fencing token that the worker has received, 0 for none
+ * @param spotNoticeMicros time until the provider reclaims the machine, in microseconds, or -1 without a notice
+ * @param tasks status of all tasks on the machine
  */
 public record Heartbeat(
         String machine,
@@ -29,11 +29,11 @@
         List<TaskStatus> tasks) {
 
     /**
-     * Whether the worker sent this heartbeat after another one; heartbeats may be delivered twice and out of order.
+     * Returns whether the worker sent this heartbeat after the given one; heartbeats may be delivered twice and out of order.
      *
-     * @param otherIncarnation the incarnation of the other heartbeat
-     * @param otherSequence its sequence
-     * @return false also for a copy of the other one
+     * @param otherIncarnation incarnation of the other heartbeat
+     * @param otherSequence sequence number of the other heartbeat
+     * @return false also for a duplicate of the other heartbeat
      */
     public boolean isNewerThan(long otherIncarnation, long otherSequence) {
         return incarnation > otherIncarnation || (incarnation == otherIncarnation && sequence > otherSequence);
--- a/src/main/java/io/micatide/model/Hint.java
+++ b/src/main/java/io/micatide/model/Hint.java
@@ -3,21 +3,25 @@
 import java.util.List;
 
 /**
- * Something that a leader has learned and no row holds. A successor that knows it places better at once; it may be old or wrong, so it
- * speeds up and never allows: no start, no record and no settling of an earlier start rests on one.
+ * Advisory state that a leader has learned and that no stored record contains. It lets a successor place tasks well from the beginning.
+ * A hint may be outdated or wrong, so correctness never depends on it: no start of a task, no stored record and no resolution of an earlier
+ * start is based on a hint.
  */
 public sealed interface Hint {
-    /** What it is about; a later hint of the same name replaces it. */
+    /** Returns the name of the machine, job or job class that the hint describes; a later hint of the same kind and name replaces it. */
     String name();
 
     /**
-     * @param address where its worker takes commands, empty if that is not known
-     * @param incarnation of its worker, by its last report
-     * @param images names of images that the machine most likely has, the one used longest ago first
-     * @param imageSizesGb their sizes, in the same order
-     * @param slow its tasks took much longer than others of their jobs, not long ago
-     * @param quarantined jobs failed on it that succeed elsewhere: it was to be returned
-     * @param deleted its deletion was answered; ledgers may name it still
+     * A hint about a machine.
+     *
+     * @param name of the machine
+     * @param address host and port at which its worker accepts commands, empty if unknown
+     * @param incarnation of its worker according to the last heartbeat
+     * @param images names of the images that the machine most likely has cached, the least recently used first
+     * @param imageSizesGb sizes of the images in GB, in the same order
+     * @param slow whether its tasks recently took much longer than others of their jobs
+     * @param quarantined whether jobs failed on the machine that succeed elsewhere, so that it was to be deleted
+     * @param deleted whether the cloud confirmed its deletion; ledgers may still list the machine
      */
     record MachineHint(
             String name,
@@ -29,20 +33,30 @@
             boolean quarantined,
             boolean deleted)
             implements Hint {
+        /** Returns a hint that the given machine is deleted. */
         public static MachineHint deleted(String name) {
             return new MachineHint(name, "", 0, List.of(), List.of(), false, false, true);
         }
     }
 
     /**
-     * @param meanRuntimeMicros how long its tasks took on average, 0 if none is over
-     * @param completedTasks how many that tells of, roughly
-     * @param quarantined it failed on several machines and never succeeded
-     * @param failedProbes how often it was tried since
+     * A hint about a job.
+     *
+     * @param name id of the job
+     * @param meanRuntimeMicros mean run time of its completed tasks, 0 if there are none
+     * @param completedTasks approximate number of completed tasks from which the mean is computed
+     * @param quarantined whether its tasks failed on several machines and never succeeded
+     * @param failedProbes number of its failed probes, which determines the pause until the next one
      */
     record JobHint(String name, long meanRuntimeMicros, int completedTasks, boolean quarantined, int failedProbes)
             implements Hint {}
 
-    /** How long tasks of a class take by their owners' estimate, and how far a single one is usually from it. */
+    /**
+     * A hint about a job class.
+     *
+     * @param name of the class
+     * @param factor mean ratio of the run time of a task to its owner's estimate
+     * @param spread mean deviation of a task's ratio from that mean, as a fraction of the mean
+     */
     record JobClassHint(String name, double factor, double spread) implements Hint {}
 }
--- a/src/main/java/io/micatide/model/JobProgress.java
+++ b/src/main/java/io/micatide/model/JobProgress.java
@@ -4,7 +4,7 @@
  * Counts of a job's tasks for display.
  *
  * @param id of the job
- * @param finishedTasks how many have finished, recorded or not
- * @param runningTasks how many were reported with their image fetched
+ * @param finishedTasks number of finished tasks, including those not yet recorded in the store
+ * @param runningTasks number of live tasks whose image is fetched, according to heartbeats
  */
 public record JobProgress(String id, int finishedTasks, int runningTasks) {}
--- a/src/main/java/io/micatide/model/JobSpec.java
+++ b/src/main/java/io/micatide/model/JobSpec.java
@@ -3,14 +3,27 @@
 import java.util.List;
 
 /**
- * A job as its user described it.
+ * The description of a job by its user.
  *
+ * @param id of the job
+ * @param jobClass class of the job, for objectives and run time estimates
+ * @param team that owns the job
+ * @param kind how the tasks relate to each other
+ * @param priority of the job
+ * @param taskCount number of tasks
+ * @param taskResources resources of each task
+ * @param image name of the image that the tasks run
+ * @param imageGb size of the image in GB
  * @param machineTypes allowed machine types, empty for any
  * @param zone the only allowed zone, or null
- * @param estimatedRuntimeMicros the owner's estimate of a task's run time; often wrong by half
- * @param checkpointIntervalMicros 0: the task never saves
- * @param deadlineMicros from submission, or -1
- * @param dependencies jobs that have to be done before any task of this one starts
+ * @param singleZone whether all tasks have to run in the same zone
+ * @param spreadOverZones whether the tasks have to be spread over zones, see {@link #maxTasksPerZone}
+ * @param spotAllowed whether tasks may run on spot instances
+ * @param estimatedRuntimeMicros the owner's estimate of the run time of a task; often off by half
+ * @param checkpointIntervalMicros interval between checkpoints of a task; 0 if the task has no checkpoints
+ * @param saveMicros time that a task takes to save a checkpoint
+ * @param deadlineMicros deadline relative to the submission, or -1 for none
+ * @param dependencies ids of the jobs that have to be done before any task of this job starts
  */
 public record JobSpec(
         String id,
@@ -33,24 +46,24 @@
         long deadlineMicros,
         List<String> dependencies) {
 
-    /** A job that needs no other. */
+    /** Creates the description of a job without dependencies. */
     public JobSpec(
             String id,
             String jobClass,
             String team,
             JobKind kind,
             Priority priority,
-            int tasks,
-            Resources each,
+            int taskCount,
+            Resources taskResources,
             String image,
             double imageGb,
-            List<String> types,
+            List<String> machineTypes,
             String zone,
-            boolean oneZone,
-            boolean spread,
-            boolean spot,
-            long estimateMicros,
-            long checkpointMicros,
+            boolean singleZone,
+            boolean spreadOverZones,
+            boolean spotAllowed,
+            long estimatedRuntimeMicros,
+            long checkpointIntervalMicros,
             long saveMicros,
             long deadlineMicros) {
         this(
@@ -59,23 +72,24 @@
                 team,
                 kind,
                 priority,
-                tasks,
-                each,
+                taskCount,
+                taskResources,
                 image,
                 imageGb,
-                types,
+                machineTypes,
                 zone,
-                oneZone,
-                spread,
-                spot,
-                estimateMicros,
-                checkpointMicros,
+                singleZone,
+                spreadOverZones,
+                spotAllowed,
+                estimatedRuntimeMicros,
+                checkpointIntervalMicros,
                 saveMicros,
                 deadlineMicros,
                 List.of());
     }
 
-    public JobSpec withDependencies(List<String> others) {
+    /** Returns a copy with the given dependencies. */
+    public JobSpec withDependencies(List<String> newDependencies) {
         return new JobSpec(
                 id,
                 jobClass,
@@ -95,10 +109,10 @@
                 checkpointIntervalMicros,
                 saveMicros,
                 deadlineMicros,
-                others);
+                newDependencies);
     }
 
-    /** What a leader has to know of a cancelled job: whose its tasks are and what they take. */
+    /** Returns a copy with only what a leader needs to know of a cancelled job: the team and resources of its remaining tasks. */
     public JobSpec withPlacementFieldsOnly() {
         return new JobSpec(
                 id,
@@ -122,11 +136,12 @@
                 List.of());
     }
 
-    /** Most tasks that may be in one zone when the job asks to be spread. */
+    /** Returns the maximum number of tasks in a zone: half of them, rounded up, if the job is to be spread over zones. */
     public int maxTasksPerZone() {
         return spreadOverZones ? (taskCount + 1) / 2 : Integer.MAX_VALUE;
     }
 
+    /** Returns whether tasks may run on machines of the given type in the given zone, as spot instances or on demand. */
     public boolean allowsMachine(String type, String inZone, boolean onSpot) {
         return (machineTypes.isEmpty() || machineTypes.contains(type))
                 && (zone == null || zone.equals(inZone))
--- a/src/main/java/io/micatide/model/JobState.java
+++ b/src/main/java/io/micatide/model/JobState.java
@@ -1,6 +1,6 @@
 package io.micatide.model;
 
-/** What is stored of a job; whether an open one is queued or running is only known to the leader. */
+/** Stored state of a job. Only the leader knows whether an open job is queued or running. */
 public enum JobState {
     OPEN,
     DONE,
--- a/src/main/java/io/micatide/model/ListedMachine.java
+++ b/src/main/java/io/micatide/model/ListedMachine.java
@@ -1,23 +1,23 @@
 package io.micatide.model;
 
 /**
- * A machine as it stands in the cloud's list, which lags behind.
+ * A machine in the cloud's list of machines, which lags behind.
  *
  * @param name of the machine
  * @param type name of its machine type
- * @param zone where it is
+ * @param zone zone of the machine
  * @param spot whether it is a spot instance, else on-demand
- * @param state what the cloud says of it
- * @param ageMicros time since it was requested, in microseconds, when the list was made
+ * @param state state of the machine
+ * @param ageMicros time from the request for the machine to the creation of the list, in microseconds
  */
 public record ListedMachine(String name, String type, String zone, boolean spot, State state, long ageMicros) {
-    /** What the cloud says of a machine. */
+    /** State of a machine according to the cloud. */
     public enum State {
-        /** It was created and does not run yet. */
+        /** The machine was created and does not run yet. */
         BOOTING,
-        /** It runs. */
+        /** The machine runs. */
         RUNNING,
-        /** It has stopped on its own. */
+        /** The machine stopped without a request. */
         FAILED
     }
 }
--- a/src/main/java/io/micatide/model/Resources.java
+++ b/src/main/java/io/micatide/model/Resources.java
@@ -1,11 +1,18 @@
 package io.micatide.model;
 
-/** What a task takes or a machine has, in thousandths, so that sums against a team's limit are exact. */
+/**
+ * Resources that a task requires or a machine has, in thousandths, so that sums are exact when they are compared with a team's limit.
+ *
+ * @param cpus CPUs in thousandths
+ * @param gpus GPUs in thousandths
+ * @param memory memory in thousandths of a GB
+ */
 public record Resources(long cpus, long gpus, long memory) {
     public static final Resources NONE = new Resources(0, 0, 0);
 
-    public static Resources of(double cpus, double cards, double memoryGb) {
-        return new Resources(thousandths(cpus), thousandths(cards), thousandths(memoryGb));
+    /** Returns resources from CPUs, GPUs and GB of memory, rounded up to thousandths. */
+    public static Resources of(double cpus, double gpus, double memoryGb) {
+        return new Resources(thousandths(cpus), thousandths(gpus), thousandths(memoryGb));
     }
 
     private static long thousandths(double amount) {
@@ -24,26 +31,27 @@
         return new Resources(cpus * count, gpus * count, memory * count);
     }
 
-    /** The lesser of each. */
+    /** Returns the smaller amount of each resource. */
     public Resources min(Resources other) {
         return new Resources(Math.min(cpus, other.cpus), Math.min(gpus, other.gpus), Math.min(memory, other.memory));
     }
 
-    public boolean fitsIn(Resources room) {
-        return cpus <= room.cpus && gpus <= room.gpus && memory <= room.memory;
+    /** Returns whether none of the resources exceeds the given capacity. */
+    public boolean fitsIn(Resources capacity) {
+        return cpus <= capacity.cpus && gpus <= capacity.gpus && memory <= capacity.memory;
     }
 
-    /** How many of these fit into {@code room} at the same time. */
-    public long timesFittingIn(Resources room) {
+    /** Returns how many times these resources fit into the given capacity; {@link Long#MAX_VALUE} if they are all zero. */
+    public long timesFittingIn(Resources capacity) {
         long count = Long.MAX_VALUE;
         if (cpus > 0) {
-            count = Math.min(count, room.cpus / cpus);
+            count = Math.min(count, capacity.cpus / cpus);
         }
         if (gpus > 0) {
-            count = Math.min(count, room.gpus / gpus);
+            count = Math.min(count, capacity.gpus / gpus);
         }
         if (memory > 0) {
-            count = Math.min(count, room.memory / memory);
+            count = Math.min(count, capacity.memory / memory);
         }
         return Math.max(0, count);
     }
--- a/src/main/java/io/micatide/model/StandbyReadiness.java
+++ b/src/main/java/io/micatide/model/StandbyReadiness.java
@@ -1,11 +1,11 @@
 package io.micatide.model;
 
-/** How well a controller could lead from this moment on, from worst to best. */
+/** How well a controller could take over as leader now, from worst to best. */
 public enum StandbyReadiness {
-    /** Its process has just begun. */
+    /** Its process has just started. */
     COLD,
-    /** It has seen the deployment at work, but follows nothing beyond the job rows. */
+    /** It has seen the deployment in operation, but reads only the job records. */
     SEASONED,
-    /** It follows all that a leader reads. */
+    /** It is a designated standby with a complete replica of all keys that a leader reads. */
     WARM
 }
--- a/src/main/java/io/micatide/model/Tuning.java
+++ b/src/main/java/io/micatide/model/Tuning.java
@@ -1,15 +1,16 @@
 package io.micatide.model;
 
 /**
- * What an operator may set beyond the platform's file; every default is derived from the platform's settings.
+ * Settings of the operator in addition to the platform's settings file.
  *
- * @param leaderLeaseMicros how long a silent leader keeps the lead
- * @param idleMachineMicros how long a machine may be idle before it is returned
- * @param archiveBatchSize how many finished jobs are worth a write of the archive
- * @param archiveEnabled whether this controller, when it leads, moves final states into the archive; all read it in any case
- * @param standbyEnabled whether this controller follows a leader that asks it to, names others when it leads, and takes its turn
- * @param rolloutEnabled whether this controller, when it leads, moves changes of the stored state forward; every controller registers in any case
- * @param apiDescriptionServed whether the description of the users' interface is served
+ * @param leaderLeaseMicros time after which an unresponsive leader loses the leadership
+ * @param idleMachineMicros time after which an idle machine is deleted
+ * @param archiveEnabled whether this controller moves final states into the archive while it leads; every controller reads the archive
+ * @param archiveBatchSize number of finished jobs from which on a write of the archive is worthwhile
+ * @param standbyEnabled whether this controller follows a leader as designated standby when asked to, designates standbys while it leads, and
+ *     orders its claims for the lease with those of its peers
+ * @param apiDescriptionServed whether the description of the users' API is served
+ * @param rolloutEnabled whether this controller advances the rollout of stored-format changes while it leads; every controller registers
  */
 public record Tuning(
         long leaderLeaseMicros,
@@ -20,31 +21,39 @@
         boolean apiDescriptionServed,
         boolean rolloutEnabled) {
     /**
-     * Bursts come half a minute apart and a machine takes as long to boot: on 24 days of six deployments 35 s were worth 0.015
-     * more than 20 s for 2 to 4% more money, and 50 s no more than 35.
+     * Bursts of jobs come about 30 s apart, and a machine takes about as long to boot. 20 s would cost 2 to 4% less, but lower the score by
+     * 0.015; 50 s would not raise it.
      */
     private static final long DEFAULT_IDLE_MACHINE_MICROS = 35 * Micros.SECOND;
 
-    /** Its two writes come to a hundredth of a change for each job, and so many rows are read in one page at a start. */
+    /** The two writes of a batch amount to less than 0.01 writes per job, and a controller reads this many records in a page at its start. */
     private static final int DEFAULT_ARCHIVE_BATCH_SIZE = 256;
 
     /**
-     * With a standby a take-over costs little once it begins. The smaller deployments have had
-     * this lease from the first version on, under the same stalls and slow answers.
+     * With a standby, a failover is cheap once it begins. Smaller deployments have used this lease since the first version, with the same
+     * process pauses and slow answers.
      */
     private static final long MAX_DEFAULT_LEASE_WITH_STANDBY_MICROS = 3 * Micros.SECOND;
 
-    /** Its own default where a standby follows: the time until a dead leader's lease ends is most of a take-over. */
+    /** Returns the default lease with a standby, which is shorter, since then most of a failover is the time until a failed leader's lease expires. */
     public static long defaultLeaseWithStandbyMicros(Settings settings) {
-        return Math.min(MAX_DEFAULT_LEASE_WITH_STANDBY_MICROS, defaults(settings).leaderLeaseMicros());
+        return Math.min(
+                MAX_DEFAULT_LEASE_WITH_STANDBY_MICROS, defaults(settings).leaderLeaseMicros());
     }
 
     /**
-     * The leader's lease must be over, and a new leader known to all workers, before a worker's own lease ends; three
-     * tenths of that leave the rest for the claim and for workers that look for the leader.
+     * Returns the defaults for a deployment. Before a worker's lease ends, the lease of a failed leader must have expired and all workers must
+     * have reached the new leader. So the leader's lease is 30% of a worker's lease, which leaves 70% for claiming the leadership
+     * and for workers that search for the leader.
      */
     public static Tuning defaults(Settings settings) {
         return new Tuning(
-                settings.workerLeaseMicros() * 3 / 10, DEFAULT_IDLE_MACHINE_MICROS, false, DEFAULT_ARCHIVE_BATCH_SIZE, false, false, false);
+                settings.workerLeaseMicros() * 3 / 10,
+                DEFAULT_IDLE_MACHINE_MICROS,
+                false,
+                DEFAULT_ARCHIVE_BATCH_SIZE,
+                false,
+                false,
+                false);
     }
 }
--- a/src/main/java/io/micatide/model/package-info.java
+++ b/src/main/java/io/micatide/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Immutable values of the domain: job specifications, resources, quotas, machine types, heartbeats and task states, commands, settings
- * and time. Depends on nothing else of micatide.
+ * Immutable values of the domain: job descriptions, resources, teams, machine types, heartbeats, task states, commands, settings
+ * and time. Depends on no other package of micatide.
  */
 package io.micatide.model;
--- a/src/main/java/io/micatide/protocol/CloudSideCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudSideCodec.java
@@ -26,8 +26,9 @@
 
     public static CloudCall.RequestMachines rent(byte[] body) throws MalformedException {
         JsonFields in = new JsonFields(Json.tree(body), "");
-        return new CloudCall.RequestMachines(in.text("booking"), in.text("build"), in.text("ground"), in.flag("loaners"), (int)
-                in.count("howMany", 1, 50));
+        return new CloudCall.RequestMachines(
+                in.text("booking"), in.text("build"), in.text("ground"), in.flag("loaners"), (int)
+                        in.count("howMany", 1, 50));
     }
 
     public static CloudCall.DeleteMachines delete(byte[] body) throws MalformedException {
--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -35,7 +35,7 @@
             out.writeNumberField("index", batch.index());
             out.writeNumberField("parts", batch.parts());
             out.writeArrayFieldStart("gone");
-            for (String name : batch.removedNames()) {
+            for (String name : batch.removedKeys()) {
                 out.writeString(name);
             }
             out.writeEndArray();
--- a/src/main/java/io/micatide/protocol/JobRecordSplitter.java
+++ b/src/main/java/io/micatide/protocol/JobRecordSplitter.java
@@ -63,7 +63,9 @@
                 StoreKeys.job(jobId), record.withDependencies(pieces.get(0), pieces.size() - 1), 0));
         for (int piece = 1; piece < pieces.size(); piece++) {
             writes.add(new Transaction.Write(
-                    StoreKeys.furtherDependencies(jobId, piece), new StoredRecord.FurtherDependencies(pieces.get(piece)), 0));
+                    StoreKeys.furtherDependencies(jobId, piece),
+                    new StoredRecord.FurtherDependencies(pieces.get(piece)),
+                    0));
         }
         return writes;
     }
--- a/src/main/java/io/micatide/scheduler/CloudCallPacer.java
+++ b/src/main/java/io/micatide/scheduler/CloudCallPacer.java
@@ -38,7 +38,8 @@
         List<CloudCall> calls = new ArrayList<>();
         for (ProvisioningRequests.Request request : requests.requestsToSubmit()) {
             request.sinceMicros = nowMicros;
-            calls.add(new CloudCall.RequestMachines(request.name, request.type, request.zone, request.spot, request.count));
+            calls.add(new CloudCall.RequestMachines(
+                    request.name, request.type, request.zone, request.spot, request.count));
         }
         List<String> machinesToDelete = nextDeletions(nowMicros);
         if (!machinesToDelete.isEmpty()) {
--- a/src/main/java/io/micatide/standby/ReceivedHints.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -41,7 +41,7 @@
         if (batch.number() > partialNumber) {
             startSnapshot(batch);
         }
-        batch.removedNames().forEach(hints::remove);
+        batch.removedKeys().forEach(hints::remove);
         batch.hints().forEach(hint -> hints.put(HintSender.key(hint), hint));
         receivedParts.set(batch.index());
         if (receivedParts.cardinality() == batch.parts()) {
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -108,9 +108,7 @@
         chosen.sort(Comparator.comparing((Integer peer) -> readiness[peer] != StandbyReadiness.WARM)
                 .thenComparing(peer -> previous.contains(peer) ? previous.indexOf(peer) : previous.size()));
         selected = chosen;
-        return selected.stream()
-                .map(peer -> settings.peers().get(peer).label())
-                .toList();
+        return selected.stream().map(peer -> settings.peers().get(peer).label()).toList();
     }
 
     private List<Integer> eligiblePeers(long nowMicros) {
--- a/src/main/java/io/micatide/store/MachineNameCodec.java
+++ b/src/main/java/io/micatide/store/MachineNameCodec.java
@@ -8,17 +8,18 @@
 import java.util.TreeMap;
 
 /**
- * A compressed text form of many machine names. The cloud numbers machines as it makes them, so most of a fleet are
- * neighbours: names that differ in their closing number only are written as the differences between the numbers. 505
- * names, none next to another, take about a kilobyte instead of five and a half.
+ * Compresses many machine names into a short text form. The cloud numbers machines in the order of their creation, so most names of a
+ * fleet differ only in their trailing number, often by one: such names form a group that holds the differences between the numbers. 505
+ * names without two consecutive numbers take about one kilobyte instead of 5.5.
  *
- * <p>One group is {@code prefix/digits/differences}; a difference is counted from the number before, and {@code +n}
- * says that n more follow without a gap: {@code i-/6/231+29,2} is i-000231 to i-000260 and i-000262.
+ * <p>A group has the form {@code prefix/digits/differences}. Each difference is relative to the preceding number (the first
+ * one to 0), and {@code +n} means
+ * that n consecutive numbers follow: {@code i-/6/231+29,2} stands for i-000231 to i-000260 and i-000262.
  */
 public final class MachineNameCodec {
-    /** So many digits fit an int. */
+    /** Any number of this many digits fits into an int. */
     private static final int MAX_DIGITS = 9;
-    /** What a group takes in JSON besides its letters: quotes and comma. */
+    /** Bytes that an element of a JSON array takes besides its characters: two quotes and a comma. */
     private static final int JSON_ELEMENT_OVERHEAD_BYTES = 3;
 
     private MachineNameCodec() {}
@@ -31,7 +32,7 @@
         }
     }
 
-    /** Closing numbers of names that are alike but for them. */
+    /** Trailing numbers of the names of one group. */
     private static final class NumberList {
         private int[] values = new int[16];
         private int count;
@@ -43,7 +44,7 @@
             values[count++] = number;
         }
 
-        /** In rising order; a number may be among them more than once. */
+        /** Returns the numbers in ascending order, with duplicates. */
         int[] sorted() {
             int[] result = Arrays.copyOf(values, count);
             Arrays.sort(result);
@@ -54,8 +55,8 @@
     /**
      * Compresses names.
      *
-     * @param names in any order; a name that stands twice is kept once
-     * @return the groups in a fixed order; a name without a number is a group without differences
+     * @param names in any order; duplicates are kept once
+     * @return the groups in ascending order of prefix and digits; a name without a trailing number is a group without differences
      */
     public static List<String> compress(Collection<String> names) {
         TreeMap<NameGroup, NumberList> groups = new TreeMap<>();
@@ -64,7 +65,8 @@
         for (String name : names) {
             int digits = trailingDigits(name);
             int prefixLength = name.length() - digits;
-            // Most names are of the group of the one before: a leader compresses thousands of them for each write.
+            // Fast path: a leader compresses thousands of names for each write, and most belong to the group of the
+            // preceding name.
             if (group == null
                     || group.digits() != digits
                     || group.prefix().length() != prefixLength
@@ -77,8 +79,8 @@
             }
         }
         List<String> result = new ArrayList<>();
-        groups.forEach(
-                (each, all) -> result.add(each.prefix() + "/" + each.digits() + "/" + differences(all.sorted())));
+        groups.forEach((nameGroup, list) ->
+                result.add(nameGroup.prefix() + "/" + nameGroup.digits() + "/" + differences(list.sorted())));
         return result;
     }
 
@@ -122,11 +124,11 @@
     }
 
     /**
-     * The names that {@link #compress} was given, in rising order within each group.
+     * Restores the names from their groups, in ascending order within each group.
      *
-     * @param groups as {@link #compress} made them
+     * @param groups a result of {@link #compress}
      * @return the names
-     * @throws IllegalArgumentException if a text is not of that form
+     * @throws IllegalArgumentException if an element is not a group
      */
     public static List<String> decompress(Collection<String> groups) {
         List<String> names = new ArrayList<>();
@@ -140,7 +142,7 @@
         int digitsEnd = group.lastIndexOf('/');
         int prefixEnd = group.lastIndexOf('/', digitsEnd - 1);
         if (prefixEnd < 0) {
-            throw new IllegalArgumentException("not a group of names: " + group);
+            throw new IllegalArgumentException("expected a name group prefix/digits/differences, got " + group);
         }
         String prefix = group.substring(0, prefixEnd);
         int digits = Integer.parseInt(group.substring(prefixEnd + 1, digitsEnd));
@@ -153,7 +155,9 @@
             int plus = difference.indexOf('+');
             number += Integer.parseInt(plus < 0 ? difference : difference.substring(0, plus));
             names.add(name(prefix, digits, number));
-            for (int remaining = plus < 0 ? 0 : Integer.parseInt(difference.substring(plus + 1)); remaining > 0; remaining--) {
+            for (int remaining = plus < 0 ? 0 : Integer.parseInt(difference.substring(plus + 1));
+                    remaining > 0;
+                    remaining--) {
                 names.add(name(prefix, digits, ++number));
             }
         }
@@ -165,10 +169,10 @@
     }
 
     /**
-     * What compressed names take as JSON, with quotes and commas.
+     * Returns the size of names as a JSON array of groups, including quotes and commas.
      *
-     * @param names the names, not compressed
-     * @return bytes of the array's elements
+     * @param names the uncompressed names
+     * @return size of the array's elements in bytes
      */
     public static int compressedBytes(Collection<String> names) {
         int bytes = 0;
--- a/src/main/java/io/micatide/store/PendingReads.java
+++ b/src/main/java/io/micatide/store/PendingReads.java
@@ -5,15 +5,15 @@
 import java.util.Deque;
 
 /**
- * A queue of keys that are read one after another, with one request in flight whatever the answers are. A controller
- * that was cut off from the store once ran out of memory here: each failed read asked for two more.
+ * A queue of keys that are read one after another, with at most one request in flight, also after failures. Without this limit a
+ * controller that could not reach the store ran out of memory, since each failed read started two more.
  */
 public final class PendingReads {
     private final Deque<String> unreadKeys;
     private boolean readInFlight;
 
     /**
-     * Makes a queue of keys.
+     * Creates a queue of the given keys.
      *
      * @param keys in the order in which they are read
      */
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Takes the key to read now.
+     * Returns the key to read now and marks its read as in flight.
      *
-     * @return null while a read is in flight or everything is read
+     * @return null while a read is in flight or when no key is left
      */
     public String startNextRead() {
         if (readInFlight || unreadKeys.isEmpty()) {
@@ -34,7 +34,7 @@
         return unreadKeys.peekFirst();
     }
 
-    /** The answer to the read in flight was applied. */
+    /** Removes the key of the read in flight, whose answer was applied. */
     public void readCompleted() {
         if (readInFlight) {
             readInFlight = false;
@@ -42,13 +42,13 @@
         }
     }
 
-    /** The read in flight failed; the same key is next, after a pause that the caller makes. */
+    /** Marks the read in flight as failed. The same key is read next; the caller waits before it retries. */
     public void readFailed() {
         readInFlight = false;
     }
 
     /**
-     * Whether every key was read.
+     * Returns whether every key was read.
      *
      * @return true once no key is left
      */
--- a/src/main/java/io/micatide/store/StoreKeys.java
+++ b/src/main/java/io/micatide/store/StoreKeys.java
@@ -1,42 +1,42 @@
 package io.micatide.store;
 
 /**
- * The keys of the store: one prefix per owner of the writes. Keys are made and taken apart here only.
+ * Builds and parses the keys of the store. Each prefix has one kind of writer.
  *
- * <p>All records that every controller has to read in one order stand under {@link #JOBS}. A controller of a former
- * version, to which such a record is no job, cannot read past it: started after a change of the stored form, it never
- * finishes reading, serves nobody and places nothing.
+ * <p>All records that every controller has to read in the same order are stored below {@link #JOBS}. This also stops controllers of a
+ * previous version that are started after a change of the stored format: such a record is not a job to them, so they cannot read past it,
+ * never finish loading, and neither serve requests nor place tasks.
  */
 public final class StoreKeys {
-    /** The leader; the revision of its record is the fencing token. */
+    /** Key of the record that names the leader; the revision of the record is the fencing token. */
     public static final String LEADER = "leader";
-    /** Machine types as last seen, so that a restart during a cloud outage can validate jobs. */
+    /** Key of the machine types as last received from the cloud, so that a controller restarted during a cloud outage can validate jobs. */
     public static final String MACHINE_TYPES = "types";
-    /** Prefix of job records: put by any controller on submission, cancellation and completion. */
+    /** Prefix of job records, which any controller writes on submission, cancellation and completion. */
     public static final String JOBS = "job/";
-    /** Says that every controller of the deployment was seen to run the present layout; read in order with the jobs. */
+    /** Key of the layout that every controller of the deployment was found to support; read in the same order as the jobs. */
     public static final String LAYOUT = JOBS + "layout";
-    /** The manifest of the archive of final states; read in order with the jobs. */
+    /** Key of the manifest of the archive of final states; read in the same order as the jobs. */
     public static final String ARCHIVE_MANIFEST = JOBS + "history";
-    /** How far each change of the stored state has come; written by the leader alone, read in order with the jobs. */
+    /** Key of the rollout stage of each change of the stored format; written by the leader only, read in the same order as the jobs. */
     public static final String FEATURE_STAGES = JOBS + "features";
-    /** Prefix of registrations and requests of operators: skipped by versions that do not know it. */
+    /** Prefix of controller registrations and operator requests; versions that do not know it skip its keys. */
     public static final String ROLLOUT = "rollout/";
-    /** Prefix of controllers' registrations, each attached to its lease; written by that controller alone. */
+    /** Prefix of controller registrations, each attached to the lease of its controller and written by that controller only. */
     public static final String CONTROLLERS = ROLLOUT + "here/";
-    /** Prefix of what operators ask of features; written by the command line. */
+    /** Prefix of the requests of operators for features; written by the command line. */
     public static final String FEATURE_REQUESTS = ROLLOUT + "asked/";
-    /** The fence of the provisioning requests; written by the leader alone. */
+    /** Key of the fence of the provisioning requests; written by the leader only. */
     public static final String PROVISIONING_FENCE = "fence";
-    /** Prefix of machines to delete, named before the cloud is asked; written by the leader alone. */
+    /** Prefix of machines to delete, recorded before the request to the cloud; written by the leader only. */
     public static final String MACHINE_DELETIONS = "return/";
-    /** Prefix of what leaders have learned; written by the leader alone. */
+    /** Prefix of the learned state of leaders; written by the leader only. */
     public static final String LEARNED_STATE = "learned/";
-    /** Prefix of the archive's segments, by run and number; written by the leader alone and never changed. */
+    /** Prefix of the archive's segments, by run and number; written by the leader only and never changed. */
     public static final String ARCHIVE_SEGMENTS = "history/";
-    /** Prefix of the ledgers, which hold the progress of open jobs; written by the leader alone. */
+    /** Prefix of the ledgers, which hold the progress of open jobs; written by the leader only. */
     public static final String LEDGERS = "ledger/";
-    /** Prefix of provisioning requests under way; written by the leader alone. */
+    /** Prefix of provisioning requests in flight; written by the leader only. */
     public static final String PROVISIONING_REQUESTS = "booking/";
 
     private static final String FURTHER_DEPENDENCIES = "/needs/";
@@ -44,7 +44,7 @@
     private StoreKeys() {}
 
     /**
-     * Key of a job's record.
+     * Returns the key of a job's record.
      *
      * @param id of the job
      * @return the key
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Key of the names of dependencies that a job's own record has no room for.
+     * Returns the key of a record of dependencies that do not fit into the job's own record.
      *
      * @param id of the job
-     * @param piece 1 and up
+     * @param piece number of the record among those of the job, from 1
      * @return the key
      */
     public static String furtherDependencies(String id, int piece) {
@@ -65,10 +65,10 @@
     }
 
     /**
-     * Key of a segment. Numbers have as many digits as any run needs, so that a run's segments are listed in order.
+     * Returns the key of an archive segment. Numbers are padded to the digits that the largest run needs, so that keys sort by number.
      *
      * @param run name of the run
-     * @param number of the segment, 0 and up
+     * @param number of the segment, from 0
      * @return the key
      */
     public static String segment(String run, int number) {
@@ -76,10 +76,10 @@
     }
 
     /**
-     * Key of a page of a job's ledger.
+     * Returns the key of a page of a job's ledger.
      *
      * @param id of the job
-     * @param page 0 for the ledger itself; further pages hold only finished ranges
+     * @param page number of the page, 0 for the first one; the others hold finished ranges only
      * @return the key
      */
     public static String ledger(String id, int page) {
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Key of a controller's registration.
+     * Returns the key of a controller's registration.
      *
      * @param label of the controller
      * @return the key
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Key of what an operator asks of a feature.
+     * Returns the key of an operator's request for a feature.
      *
      * @param feature key of the feature
      * @return the key
@@ -107,9 +107,9 @@
     }
 
     /**
-     * Key of a record of machines to delete.
+     * Returns the key of a record of machines to delete.
      *
-     * @param fencingToken of the leader that writes it
+     * @param fencingToken of the leader that writes the record
      * @param number of the record within the term
      * @return the key
      */
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Key of a provisioning request.
+     * Returns the key of a provisioning request.
      *
      * @param name of the request
      * @return the key
@@ -128,7 +128,7 @@
     }
 
     /**
-     * Whether a key is of a page of a ledger.
+     * Returns whether a key belongs to a page of a ledger.
      *
      * @param key any key
      * @return true for pages of ledgers
@@ -138,17 +138,17 @@
     }
 
     /**
-     * Whether a key is of a job's record; the records that are only read in order with the jobs count as such.
+     * Returns whether a key belongs to a job's record or to another record that is read in the same order as the jobs.
      *
      * @param key any key
-     * @return true for job records
+     * @return true for all keys below {@link #JOBS} but those of further dependencies
      */
     public static boolean isJob(String key) {
         return key.startsWith(JOBS) && !isFurtherDependencies(key);
     }
 
     /**
-     * Whether a key is of further names of a job's dependencies.
+     * Returns whether a key belongs to a record of further dependencies of a job.
      *
      * @param key any key
      * @return true for records of further dependencies
@@ -158,11 +158,11 @@
     }
 
     /**
-     * The job that a key belongs to.
+     * Returns the id of the job that a key belongs to.
      *
      * @param key of a job's record, of its further dependencies or of a page of its ledger
      * @return the id of the job
-     * @throws IllegalArgumentException if it is another key
+     * @throws IllegalArgumentException if the key is of another kind
      */
     public static String jobIdOf(String key) {
         int start = idStart(key);
@@ -177,15 +177,15 @@
         if (key.startsWith(JOBS)) {
             return JOBS.length();
         }
-        throw new IllegalArgumentException("belongs to no job: " + key);
+        throw new IllegalArgumentException("expected a key of a job or a ledger, got " + key);
     }
 
     /**
-     * The number of a ledger page.
+     * Returns the number of a ledger page.
      *
      * @param key of a page of a ledger
      * @return 0 for the first page
-     * @throws NumberFormatException if it ends in no number of a page
+     * @throws NumberFormatException if the key has a suffix that is not a number
      */
     public static int ledgerPageOf(String key) {
         int slash = key.indexOf('/', LEDGERS.length());
@@ -193,11 +193,11 @@
     }
 
     /**
-     * The number of a piece of further dependencies.
+     * Returns the number of a record of further dependencies among those of its job.
      *
-     * @param key of further dependencies
-     * @return 1 and up
-     * @throws NumberFormatException if it ends in no number
+     * @param key of a record of further dependencies
+     * @return the number, from 1
+     * @throws NumberFormatException if the key does not end in a number
      */
     public static int furtherDependenciesPieceOf(String key) {
         return Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
--- a/src/main/java/io/micatide/store/StoredRecord.java
+++ b/src/main/java/io/micatide/store/StoredRecord.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** A value that micatide keeps in the store. Its JSON form stands in {@code io.micatide.protocol}. */
+/** A value that micatide keeps in the store. The package {@code io.micatide.protocol} defines its JSON form. */
 public sealed interface StoredRecord {
     /**
-     * The leader of the deployment. The revision of this record is its fencing token.
+     * The leader of the deployment. The revision of this record is the leader's fencing token.
      *
-     * @param owner label of the controller that leads
+     * @param owner label of the leading controller
      */
     record Leader(String owner) implements StoredRecord {}
 
@@ -20,14 +20,14 @@
      * A job's description and state.
      *
      * @param state open or final
-     * @param spec null once the job is done, and of a job that was cancelled before it could start
-     * @param submittedWall time of day of the submission
-     * @param taskCount how many tasks it has
-     * @param endedWall time of day at which the job was done, or -1: the times of its dependents count from there
-     * @param furtherDependencyRecords how many records of {@link FurtherDependencies} belong to this one
-     * @param checkedAgainstArchive written on condition of the archive as its writer knew it, so that the job certainly
-     *     was not archived; a record without this that is younger than the archive is of a former version and has to be
-     *     looked up first
+     * @param spec description of the job; null once it is done, or if it was cancelled before it could start
+     * @param submittedWall wall-clock time of the submission, in microseconds
+     * @param taskCount number of tasks
+     * @param endedWall wall-clock time at which the job was done, in microseconds, or -1; the times of its dependents count from there
+     * @param furtherDependencyRecords number of records of {@link FurtherDependencies} that belong to this record
+     * @param checkedAgainstArchive whether the archive manifest known to the writer was a condition of the write, which guarantees that
+     *     the job was not archived then. A record without this mark that is newer than the archive was written by a previous version,
+     *     and its job has to be looked up in the archive before the record is used
      */
     record JobRecord(
             JobState state,
@@ -39,26 +39,26 @@
             boolean checkedAgainstArchive)
             implements StoredRecord {
         /**
-         * Makes a record of a job that is not done, without further records and not checked against the archive.
+         * Creates a record of a job that is not done, without further records and not checked against the archive.
          *
          * @param state open or cancelled
-         * @param spec the description, null of a job cancelled before its start
-         * @param submittedWall time of day of the submission
-         * @param taskCount how many tasks it has
+         * @param spec description of the job, null if it was cancelled before it could start
+         * @param submittedWall wall-clock time of the submission, in microseconds
+         * @param taskCount number of tasks
          */
         public JobRecord(JobState state, JobSpec spec, long submittedWall, int taskCount) {
             this(state, spec, submittedWall, taskCount, -1, 0, false);
         }
 
         /**
-         * Makes a record that is not checked against the archive.
+         * Creates a record that is not checked against the archive.
          *
          * @param state open or final
-         * @param spec the description, or null
-         * @param submittedWall time of day of the submission
-         * @param taskCount how many tasks it has
-         * @param endedWall time of day at which the job was done, or -1
-         * @param furtherDependencyRecords how many records with further dependencies belong to it
+         * @param spec description of the job, or null
+         * @param submittedWall wall-clock time of the submission, in microseconds
+         * @param taskCount number of tasks
+         * @param endedWall wall-clock time at which the job was done, in microseconds, or -1
+         * @param furtherDependencyRecords number of records with further dependencies that belong to this record
          */
         public JobRecord(
                 JobState state,
@@ -71,10 +71,10 @@
         }
 
         /**
-         * The same record, checked against the archive or not.
+         * Returns this record with the given mark of the check against the archive.
          *
-         * @param isChecked whether it was checked
-         * @return this record if it says so already
+         * @param isChecked whether the job was checked against the archive
+         * @return this record if it has that mark already, else a copy
          */
         public JobRecord withCheckedAgainstArchive(boolean isChecked) {
             return isChecked == checkedAgainstArchive
@@ -84,10 +84,10 @@
         }
 
         /**
-         * The same record with other dependencies in its description.
+         * Returns a copy of this record with the given dependencies.
          *
-         * @param names the dependencies that this record names
-         * @param furtherRecords how many records with further ones belong to it
+         * @param names ids of the dependencies in the record's own description
+         * @param furtherRecords number of records with further dependencies that belong to the copy
          * @return the new record
          */
         public JobRecord withDependencies(List<String> names, int furtherRecords) {
@@ -103,37 +103,37 @@
     }
 
     /**
-     * Dependencies that a job's own record has no room for; written in the same transaction.
+     * Dependencies that do not fit into a job's own record; written in the same transaction as that record.
      *
-     * @param names ids of the jobs on which it depends
+     * @param names ids of the jobs on which the job depends
      */
     record FurtherDependencies(List<String> names) implements StoredRecord {}
 
     /**
-     * Says that all controllers read a layout; what an older one cannot read is written only after it.
+     * The layout that all controllers can read. Records that need a layout are written only once that layout is marked here.
      *
      * @param number of the layout
-     * @param pageTasks how many tasks a ledger page holds from then on, whatever the settings say later
+     * @param pageTasks number of tasks in a ledger page from then on, independent of later settings
      */
     record Layout(int number, int pageTasks) implements StoredRecord {}
 
     /**
      * A page of the progress of an open job.
      *
-     * @param machines every machine on which an attempt of the job may be; written before the first start there. Empty
+     * @param machines all machines on which an attempt of the job may be; a machine is written here before the first start on it. Empty
      *     on all pages but the first
-     * @param gangAttempt attempt of the gang, shared by all its tasks; 0 for other jobs
-     * @param finishedTasks finished tasks of this page, as {@link TaskRanges} writes them
-     * @param compressedNames whether the names are stored as {@link MachineNameCodec} writes them; only once every
-     *     controller reads that
+     * @param gangAttempt number of the gang's attempt, shared by all its tasks; 0 for other jobs
+     * @param finishedTasks finished tasks of this page, in the format of {@link TaskRanges}
+     * @param compressedNames whether the machine names are stored in the format of {@link MachineNameCodec}, which requires that every
+     *     controller can read it
      */
     record Ledger(List<String> machines, long gangAttempt, String finishedTasks, boolean compressedNames)
             implements StoredRecord {
         /**
-         * Makes a page whose names are stored as they are.
+         * Creates a page whose machine names are stored uncompressed.
          *
-         * @param machines every machine on which an attempt of the job may be
-         * @param gangAttempt attempt of the gang, or 0
+         * @param machines all machines on which an attempt of the job may be
+         * @param gangAttempt number of the gang's attempt, or 0
          * @param finishedTasks finished tasks of this page
          */
         public Ledger(List<String> machines, long gangAttempt, String finishedTasks) {
@@ -142,54 +142,55 @@
     }
 
     /**
-     * A request to the cloud for machines; its name is in its key.
+     * A request to the cloud for machines. The key of the record holds the name of the request.
      *
-     * @param state a word for operators; what is stored is under way
-     * @param type of the machines
+     * @param state informs operators only: every stored request counts as in flight
+     * @param type name of the machine type
      * @param zone of the machines
-     * @param spot whether they are spot instances
-     * @param count how many
+     * @param spot whether the machines are spot instances
+     * @param count number of machines
      */
     record Provisioning(String state, String type, String zone, boolean spot, int count) implements StoredRecord {}
 
     /**
-     * Machine types as the cloud last described them.
+     * Machine types as last received from the cloud.
      *
-     * @param types all of them
+     * @param types all machine types
      */
     record MachineTypes(List<MachineType> types) implements StoredRecord {}
 
     /**
-     * The manifest of the archive of final states: what is archived is what its runs hold. Its existence marks layout 3,
-     * and it stands among the job records so that one read of their changes shows both, in one order.
+     * The manifest of the archive of final states: a job is archived if and only if one of the listed runs holds it. The existence of
+     * the manifest marks layout 3. It is stored among the job records, so that one read of their changes returns both in one order.
      *
-     * @param sinceVersion revision at which the archive began, 0 while this is its first manifest
-     * @param saltA by which ids are spread over the segments of a run, not negative; with {@code saltB}
-     * @param saltB the second such number
+     * @param sinceVersion revision at which the archive began, 0 in the first manifest
+     * @param saltA first half of the salt of the hash that distributes ids over the segments of a run, not negative
+     * @param saltB second half of that salt, not negative
      * @param runs all runs of the archive
      */
     record ArchiveManifest(long sinceVersion, long saltA, long saltB, List<ArchiveRun> runs) implements StoredRecord {}
 
     /**
-     * One immutable run of the archive, in values that share the hash of the ids evenly.
+     * An immutable run of the archive. Its jobs are distributed evenly over its segments by the hash of their ids.
      *
      * @param name of the run, part of the keys of its segments
-     * @param segments how many values it has
-     * @param jobs how many jobs it holds
-     * @param bytes what its packed segments take together, without the frame of a value
+     * @param segments number of segments, each stored in one value
+     * @param jobs number of jobs in the run
+     * @param bytes total size of the packed segments, without the overhead of each value
      */
     record ArchiveRun(String name, int segments, long jobs, long bytes) {}
 
     /**
-     * How far each change of the stored state has come; among the job records, so that all read it in one order with them.
+     * The rollout stage of each feature, which is a change of the stored format. Stored among the job records, so that all controllers
+     * read it in the same order as the jobs.
      *
-     * @param stages stage by the name of the feature
+     * @param stages names of the stages by the names of the features
      */
     record FeatureStages(Map<String, String> stages) implements StoredRecord {
         /**
-         * Copies the stages.
+         * Creates a record with a copy of the given stages.
          *
-         * @param stages stage by the name of the feature
+         * @param stages names of the stages by the names of the features
          */
         public FeatureStages {
             stages = Map.copyOf(stages);
@@ -197,60 +198,60 @@
     }
 
     /**
-     * A running controller, attached to its lease.
+     * The registration of a running controller, attached to its lease.
      *
-     * @param build its version, for operators
-     * @param knownFeatures names of the features that it can read and write
-     * @param actingOnVersion version of {@link FeatureStages} by which it acts, 0 for none
-     * @param startedWall time of day at which its process began
+     * @param build version of the program, for operators
+     * @param knownFeatures names of the features that the controller can read and write
+     * @param actingOnVersion version of {@link FeatureStages} that the controller applies, 0 for none
+     * @param startedWall wall-clock time of the start of its process, in microseconds
      */
     record RegisteredController(String build, List<String> knownFeatures, long actingOnVersion, long startedWall)
             implements StoredRecord {}
 
-    /** What an operator asks of a feature. */
+    /** An action that an operator requests for a feature. */
     enum RequestedAction {
-        /** Nothing: the feature goes on by itself. */
+        /** No request: the feature advances automatically. */
         NONE,
-        /** Stay at the present stage. */
+        /** Keeps the feature at its current stage. */
         HOLD,
-        /** Return stage by stage, until no controller needs to know it. */
+        /** Moves the feature back stage by stage, until controllers no longer need to know it. */
         BACK
     }
 
     /**
-     * A request of an operator; the feature is in its key.
+     * A request of an operator. The key of the record holds the name of the feature.
      *
-     * @param action what is asked
+     * @param action requested action
      */
     record FeatureRequest(RequestedAction action) implements StoredRecord {}
 
     /**
-     * A fence that changes with each transaction that deletes a provisioning request, and is a condition of each that
-     * writes one.
+     * A fence against late writes of provisioning requests: each transaction that deletes a request changes it, and each transaction that
+     * writes a request has its version as a condition.
      *
-     * @param number counts up
+     * @param number incremented with each change
      */
     record ProvisioningFence(long number) implements StoredRecord {}
 
     /**
-     * Machines whose deletion the cloud was asked for, or answered not long ago.
+     * Machines whose deletion was requested from the cloud, or was answered recently.
      *
-     * @param machines their names
+     * @param machines names of the machines
      */
     record MachinesToDelete(List<String> machines) implements StoredRecord {}
 
     /**
-     * A part of what a leader has learned, for a successor that no standby informed.
+     * A part of the learned state of a leader, for a successor that did not follow it as standby.
      *
-     * @param hints what it has learned
+     * @param hints learned state
      */
     record LearnedState(List<Hint> hints) implements StoredRecord {}
 
     /**
-     * A segment of a run.
+     * A segment of an archive run.
      *
-     * @param digest covers its key too, so that no value is taken for another
-     * @param packed the outcomes, packed
+     * @param digest digest of the segment and its key, so that a segment stored under a wrong key is detected
+     * @param packed packed outcomes of the jobs
      */
     record ArchiveSegment(String digest, byte[] packed) implements StoredRecord {}
 }
--- a/src/main/java/io/micatide/store/TaskRanges.java
+++ b/src/main/java/io/micatide/store/TaskRanges.java
@@ -3,17 +3,17 @@
 import com.google.common.base.Splitter;
 import java.util.BitSet;
 
-/** Sets of task indexes as text such as {@code 0-5,7,9-12}: short while tasks finish roughly in order. */
+/** Converts sets of task indexes to and from text such as {@code 0-5,7,9-12}, which is short while tasks finish roughly in order. */
 public final class TaskRanges {
     private TaskRanges() {}
 
     /**
-     * Formats the set bits of a section.
+     * Formats the set bits of a section, which is the range of indexes from {@code from} to {@code to}.
      *
      * @param bits the set
-     * @param from first index of the section; the text counts from there
+     * @param from first index of the section; the indexes in the text are relative to it
      * @param to the index after the section's last one
-     * @return the ranges in rising order, empty for none
+     * @return the ranges in ascending order, empty if no bit of the section is set
      */
     public static String format(BitSet bits, int from, int to) {
         StringBuilder text = new StringBuilder();
@@ -33,15 +33,15 @@
     }
 
     /**
-     * Chooses as many bits of a section as {@link #format} writes in a number of characters. Whole runs are taken in
-     * order; of a run that does not fit, the required bits remain.
+     * Reduces a section to bits whose text has a limited length. Whole runs of set bits are kept in ascending order as long as
+     * the text stays within the limit; of a run that does not fit, only the required bits are kept.
      *
      * @param bits the set
-     * @param required a subset that must remain
+     * @param required a subset of {@code bits} that must be kept
      * @param from first index of the section
      * @param to the index after the section's last one
-     * @param maxChars longest text
-     * @return the chosen bits, or null if not even the required ones fit
+     * @param maxChars maximum length of the text that {@link #format} returns for the kept bits
+     * @return the kept bits, or null if the text of the required bits alone is too long
      */
     public static BitSet truncateToLength(BitSet bits, BitSet required, int from, int to, int maxChars) {
         BitSet all = section(bits, from, to);
@@ -63,31 +63,31 @@
         return length > maxChars ? null : chosen;
     }
 
-    /** The bits of a section, at their own indexes. */
+    /** Returns the bits of a section at their original indexes. */
     private static BitSet section(BitSet bits, int from, int to) {
         BitSet section = bits.get(0, to);
         section.clear(0, Math.min(from, to));
         return section;
     }
 
-    /** Characters of a set, with a comma to keep it from others. */
+    /** Returns the length of the text of a set, with one separating comma. */
     private static int lengthWithComma(BitSet bits, int from, int to) {
         return bits.isEmpty() ? 0 : format(bits, from, to).length() + 1;
     }
 
-    /** Characters of one run, with a comma to keep it from others. */
+    /** Returns the length of the text of one run, with one separating comma. */
     private static int runLengthWithComma(int first, int last) {
         int length = Integer.toString(first).length() + 1;
         return last > first ? length + 1 + Integer.toString(last).length() : length;
     }
 
     /**
-     * Sets the bits that a text names.
+     * Sets the bits that are listed in a text.
      *
-     * @param text as {@link #format} made it
-     * @param from index from which the text counts
-     * @param bits the set to which they are added
-     * @throws NumberFormatException if the text is not of that form
+     * @param text a result of {@link #format}
+     * @param from index to which the indexes in the text are relative
+     * @param bits the set to which the bits are added
+     * @throws NumberFormatException if an element of the text is neither an index nor a range
      */
     public static void parseInto(String text, int from, BitSet bits) {
         for (String range : Splitter.on(',').omitEmptyStrings().split(text)) {
--- a/src/main/java/io/micatide/store/Transaction.java
+++ b/src/main/java/io/micatide/store/Transaction.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * A compare-and-swap on several keys: writes that are all made if every condition holds, and none otherwise.
+ * A compare-and-swap on several keys: the store applies all writes if every condition holds, and none otherwise.
  *
  * @param conditions versions that the keys must have
- * @param writes what is put or deleted
+ * @param writes puts and deletions
  */
 public record Transaction(List<Condition> conditions, List<Write> writes) {
     /**
-     * A key has this version.
+     * Requires that a key has a version.
      *
      * @param key the key
-     * @param version revision of its last change, or 0 if it must not exist
+     * @param version revision of the last change of the key, or 0 if the key must not exist
      */
     public record Condition(String key, long version) {}
 
     /**
-     * A put or a delete.
+     * Puts or deletes a key.
      *
      * @param key the key
      * @param record the new value, or null to delete the key
--- a/src/main/java/io/micatide/store/package-info.java
+++ b/src/main/java/io/micatide/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is kept in the state service: the records, their keys, transactions with their conditions, and compact text forms of task sets
- * and machine names. Depends on {@code model} alone; the JSON of the records is the business of {@code protocol}.
+ * Content of the store: records, their keys, transactions with their conditions, and compact text forms of task sets and machine names.
+ * Depends on {@code model} only; {@code protocol} encodes the records as JSON.
  */
 package io.micatide.store;
--- a/src/test/java/io/micatide/model/SettingsBuilder.java
+++ b/src/test/java/io/micatide/model/SettingsBuilder.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds settings for tests: those of a small deployment, but for what a test names. */
+/** Builds settings for tests, with those of a small deployment as defaults. */
 public final class SettingsBuilder {
     private String label = "c0";
     private String zone = "a";
--- a/src/test/java/io/micatide/standby/StandbySelectorTest.java
+++ b/src/test/java/io/micatide/standby/StandbySelectorTest.java
@@ -71,10 +71,8 @@
         assertNull(selector.selectStandbys(SECOND));
         for (String answer : answers.split(",")) {
             String[] part = answer.split("=");
-            int sibling = settings.peers().stream()
-                    .map(Settings.Peer::label)
-                    .toList()
-                    .indexOf(part[0]);
+            int sibling =
+                    settings.peers().stream().map(Settings.Peer::label).toList().indexOf(part[0]);
             boolean isStoreReachable = !part[1].equals("-");
             selector.peerAnswered(
                     sibling,
--- a/src/test/java/io/micatide/store/MachineNameCodecTest.java
+++ b/src/test/java/io/micatide/store/MachineNameCodecTest.java
@@ -26,9 +26,11 @@
                 "x12345678901|x12/9/345678901",
             })
     void decompressRestoresTheNames(String names, String groups) {
-        List<String> list = List.of(names.split(" "));
-        assertEquals(List.of(groups.split(" ")), MachineNameCodec.compress(list));
-        assertEquals(new HashSet<>(list), new HashSet<>(MachineNameCodec.decompress(MachineNameCodec.compress(list))));
+        List<String> nameList = List.of(names.split(" "));
+        assertEquals(List.of(groups.split(" ")), MachineNameCodec.compress(nameList));
+        assertEquals(
+                new HashSet<>(nameList),
+                new HashSet<>(MachineNameCodec.decompress(MachineNameCodec.compress(nameList))));
     }
 
     @ParameterizedTest
@@ -37,14 +39,17 @@
         assertThrows(IllegalArgumentException.class, () -> MachineNameCodec.decompress(List.of(text)));
     }
 
-    /** Any set comes back; a fleet of 505 among 1,010 fits the smallest value that the operators named. */
+    /**
+     * Random sets of names are restored, and the names of every second one of 1,010 machines fit into the smallest value size
+     * that the operators named.
+     */
     @Test
     void fleetsOfAnyNumbersAreRestored() {
         Random random = new Random(5);
-        for (int round = 0; round < 300; round++) {
+        for (int trial = 0; trial < 300; trial++) {
             Set<String> names = new HashSet<>();
             for (int i = 0; i < 505; i++) {
-                names.add(String.format("i-%06d", random.nextInt(round < 100 ? 1_010 : 50_000)));
+                names.add(String.format("i-%06d", random.nextInt(trial < 100 ? 1_010 : 50_000)));
             }
             assertEquals(names, new HashSet<>(MachineNameCodec.decompress(MachineNameCodec.compress(names))));
         }
@@ -53,6 +58,7 @@
             worst.add(String.format("i-%06d", 2 * i));
         }
         assertTrue(
-                MachineNameCodec.compressedBytes(worst) < 1_240, "bytes: " + MachineNameCodec.compressedBytes(worst));
+                MachineNameCodec.compressedBytes(worst) < 1_240,
+                "compressed size in bytes: " + MachineNameCodec.compressedBytes(worst));
     }
 }
--- a/src/test/java/io/micatide/store/PendingReadsTest.java
+++ b/src/test/java/io/micatide/store/PendingReadsTest.java
@@ -8,8 +8,12 @@
 
 class PendingReadsTest {
     /**
-     * r: an answer, f: a failure, n: asked to go on. However often it fails and is asked to go on, there is one request
-     * at a time, and every key is read once.
+     * At most one request is in flight and every key is read once, regardless of the number of failures and of calls for the next key. Each
+     * failed read once started two more, which exhausted the memory of a controller without a connection to the store.
+     *
+     * @param events n: a call for the next key, r: a completed read, f: a failed read
+     * @param requests expected number of requests
+     * @param finished whether all keys are read at the end
      */
     @ParameterizedTest
     @CsvSource({"nrnrnr, 3, true", "nnn, 1, false", "nfnfnfnfnf, 5, false", "nfnnnrnrnr, 4, true", "nrnrnrnn, 3, true"})
--- a/src/test/java/io/micatide/store/TaskRangesTest.java
+++ b/src/test/java/io/micatide/store/TaskRangesTest.java
@@ -18,18 +18,18 @@
         assertEquals(text, TaskRanges.format(bits, from, to));
     }
 
-    /** The worst fragmentation of a page fits the smallest value that a deployment allows us. */
+    /** The most fragmented page fits into a value, also with the smallest size limit of a deployment. */
     @ParameterizedTest
     @CsvSource({"16", "32", "64"})
     void mostFragmentedPageFitsIntoAValue(int valueKb) {
-        int page = Math.max(256, Integer.highestOneBit(valueKb * 1024 / 8));
+        int pageTasks = Math.max(256, Integer.highestOneBit(valueKb * 1024 / 8));
         BitSet bits = new BitSet();
         for (int i = 0; i < 100_000; i += 2) {
             bits.set(i);
         }
-        for (int from = 0; from < 100_000; from += page) {
-            int length = TaskRanges.format(bits, from, from + page).length();
-            assertTrue(length < valueKb * 1024 * 5 / 8, "page at " + from + " takes " + length);
+        for (int from = 0; from < 100_000; from += pageTasks) {
+            int length = TaskRanges.format(bits, from, from + pageTasks).length();
+            assertTrue(length < valueKb * 1024 * 5 / 8, "page at task " + from + " takes characters: " + length);
         }
     }
 
