--- a/src/main/java/io/micatide/model/Tuning.java
+++ b/src/main/java/io/micatide/model/Tuning.java
@@ -22,11 +22,11 @@
         boolean rolloutEnabled) {
     /**
      * Bursts of jobs come about 30 s apart, and a machine takes about as long to boot. 20 s would cost 2 to 4% less, but lower the score by
-     * 0.015; 50 s would not raise it.
+     * 0.015; 50 s is no better than 35 s.
      */
     private static final long DEFAULT_IDLE_MACHINE_MICROS = 35 * Micros.SECOND;
 
-    /** The two writes of a batch amount to less than 0.01 writes per job, and a controller reads this many records in a page at its start. */
+    /** The two writes of a batch amount to less than 0.01 writes per job, and a controller reads pages of this many records at startup. */
     private static final int DEFAULT_ARCHIVE_BATCH_SIZE = 256;
 
     /**
@@ -35,7 +35,7 @@
      */
     private static final long MAX_DEFAULT_LEASE_WITH_STANDBY_MICROS = 3 * Micros.SECOND;
 
-    /** Returns the default lease with a standby, which is shorter, since then most of a failover is the time until a failed leader's lease expires. */
+    /** Returns the default lease with a standby. It is shorter, since then most of a failover is the wait for the failed leader's lease to expire. */
     public static long defaultLeaseWithStandbyMicros(Settings settings) {
         return Math.min(
                 MAX_DEFAULT_LEASE_WITH_STANDBY_MICROS, defaults(settings).leaderLeaseMicros());
--- a/src/test/java/io/micatide/store/MachineNameCodecTest.java
+++ b/src/test/java/io/micatide/store/MachineNameCodecTest.java
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Random sets of names are restored, and the names of every second one of 1,010 machines fit into the smallest value size
+     * Random sets of names are restored, and the names of 505 machines, every second one of 1,010, fit into the smallest value size
      * that the operators named.
      */
     @Test
