--- a/src/main/java/io/micatide/controller/LeadershipTransfer.java
+++ b/src/main/java/io/micatide/controller/LeadershipTransfer.java
@@ -100,7 +100,7 @@
         int successor = term == null ? NO_SUCCESSOR : standbyCoordinator.firstWarmStandby(now);
         String successorLabel = successor == NO_SUCCESSOR
                 ? null
-                : settings.siblings().get(successor).label();
+                : settings.peers().get(successor).label();
         logShutdown(term, successorLabel);
         users.tell(new UsersActor.Closing());
         handover = new GracefulHandover(
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -169,7 +169,7 @@
             publishFinishedJobs();
             return;
         }
-        String key = unresolvedKeys.next();
+        String key = unresolvedKeys.startNextRead();
         if (key != null) {
             long fencingToken = scheduler.fencingToken();
             store.read(key, owner.onReply(reply -> new TermMessage.UnresolvedKeyRead(reply, fencingToken, key)));
@@ -179,10 +179,10 @@
     /** Handles the answer to a read of a key of a transaction of unknown outcome; a read that failed is retried after a delay. */
     void unresolvedKeyRead(TermMessage.UnresolvedKeyRead message) {
         if (applyReadBack(message.key(), message.reply())) {
-            unresolvedKeys.keyRead();
+            unresolvedKeys.readCompleted();
             readNextUnresolvedKey();
         } else {
-            unresolvedKeys.keyFailed();
+            unresolvedKeys.readFailed();
             owner.tellLater(new TermMessage.ReadBackDue(message.fencingToken()), RETRY_DELAY_MICROS);
         }
     }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -98,7 +98,7 @@
         this.participant = participant;
         this.lastWriteAnswerMicros = owner.now();
         controllerLabels.add(settings.label());
-        settings.siblings().forEach(sibling -> controllerLabels.add(sibling.label()));
+        settings.peers().forEach(sibling -> controllerLabels.add(sibling.label()));
     }
 
     /** Marks all records that a leader needs as loaded. */
@@ -219,7 +219,7 @@
     /** Writes the layout record. Jobs with dependencies are accepted and machine names are compressed only once it exists. */
     private void markLayout(ControllerRegistry registry) {
         long fencingToken = scheduler.fencingToken();
-        StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_NEEDS, settings.pageTasks());
+        StoredRecord.Layout first = new StoredRecord.Layout(Settings.LAYOUT_WITH_DEPENDENCIES, settings.pageTasks());
         isWriteInFlight = true;
         store.transaction(
                 new Transaction(
@@ -233,7 +233,10 @@
         writeAnswered(message.reply());
         try {
             if (message.reply().ok()) {
-                LOG.info("all {} controllers read layout {}: marked", controllerLabels.size(), Settings.LAYOUT_NEEDS);
+                LOG.info(
+                        "all {} controllers read layout {}: marked",
+                        controllerLabels.size(),
+                        Settings.LAYOUT_WITH_DEPENDENCIES);
                 users.tell(new UsersActor.LayoutMarked(
                         StoreCodec.revision(message.reply().body()), message.layout()));
             }
@@ -248,7 +251,7 @@
         // The layout record is written again in the same transaction, so that its version changes: a previous version
         // of the program writes jobs with dependencies on condition of that version, and such a write may arrive
         // minutes late; it is then refused.
-        StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_HISTORY, layout.pageTasks());
+        StoredRecord.Layout renewed = new StoredRecord.Layout(Settings.LAYOUT_WITH_ARCHIVE, layout.pageTasks());
         isWriteInFlight = true;
         store.transaction(
                 new Transaction(
@@ -272,7 +275,7 @@
             LOG.info(
                     "all {} controllers read layout {}: the archive begins",
                     controllerLabels.size(),
-                    Settings.LAYOUT_HISTORY);
+                    Settings.LAYOUT_WITH_ARCHIVE);
         }
     }
 
--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -37,7 +37,7 @@
     /** Earlier than any relevant time, yet differences to it do not overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    private final List<Settings.Sibling> peers;
+    private final List<Settings.Peer> peers;
     private final long maxAgeMicros;
     /** For each peer, the time up to which all cancellations that it confirmed are known. */
     private final long[] knownUpToMicros;
@@ -50,14 +50,16 @@
      * @param settings the peers, the workers' lease and the limit for cancellations are used
      */
     public CancellationHorizon(Settings settings) {
-        peers = settings.siblings();
+        peers = settings.peers();
         maxAgeMicros = Math.max(MIN_AGE_LIMIT_MICROS, allowedAgeMicros(settings));
         knownUpToMicros = new long[peers.size()];
         Arrays.fill(knownUpToMicros, NEVER_MICROS);
     }
 
     private static long allowedAgeMicros(Settings settings) {
-        return settings.cancellationLimitMicros() - Micros.withDrift(settings.workerLeaseMicros()) - MARGIN_MICROS;
+        return settings.cancellationLimitMicros()
+                - Micros.longestWithDrift(settings.workerLeaseMicros())
+                - MARGIN_MICROS;
     }
 
     /**
@@ -97,7 +99,7 @@
     /**
      * Records that a peer sent its digest and that all jobs in it are known here as cancelled.
      *
-     * @param peerIndex the peer's index in {@link Settings#siblings()}
+     * @param peerIndex the peer's index in {@link Settings#peers()}
      * @param digest the digest of the peer
      * @param requestSentMicros time at which the digest was requested; cancellations that the peer confirmed later may be missing
      * @param receivedMicros time at which the digest was received
@@ -106,7 +108,7 @@
     public boolean digestReceived(
             int peerIndex, CancellationDigest digest, long requestSentMicros, long receivedMicros) {
         // Latest possible start of the peer's process: the shortest uptime that clock drift allows, before the answer.
-        long latestStartMicros = receivedMicros - Micros.withoutDrift(digest.uptimeMicros());
+        long latestStartMicros = receivedMicros - Micros.shortestWithDrift(digest.uptimeMicros());
         if (!digest.complete()
                 || !digest.controller().equals(peers.get(peerIndex).label())
                 || latestStartMicros > knownUpToMicros[peerIndex]) {
@@ -143,7 +145,7 @@
     public List<String> laggingPeers(long nowMicros) {
         return peers.stream()
                 .filter(peer -> nowMicros - knownUpToMicros[peers.indexOf(peer)] > maxAgeMicros)
-                .map(Settings.Sibling::label)
+                .map(Settings.Peer::label)
                 .toList();
     }
 }
--- a/src/main/java/io/micatide/scheduler/PlacementTable.java
+++ b/src/main/java/io/micatide/scheduler/PlacementTable.java
@@ -115,7 +115,7 @@
     @Override
     public void stopWithCheckpoint(Placement placement, long nowMicros) {
         Job job = placement.job;
-        long graceMicros = Micros.withDrift(job.spec.saveMicros()) + Micros.SECOND;
+        long graceMicros = Micros.longestWithDrift(job.spec.saveMicros()) + Micros.SECOND;
         if (job.spec.kind() == JobKind.GANG) {
             removeOrStopAll(job, graceMicros + gangPeerTimeoutMicros, nowMicros);
             // If two tasks are preempted at once, the first call removes the whole gang. Without live
--- a/src/main/java/io/micatide/standby/ReceivedHints.java
+++ b/src/main/java/io/micatide/standby/ReceivedHints.java
@@ -43,7 +43,7 @@
         if (batch.number() > newestSnapshot) {
             startSnapshot(batch);
         }
-        batch.gone().forEach(hints::remove);
+        batch.removedKeys().forEach(hints::remove);
         batch.hints().forEach(hint -> hints.put(HintSender.key(hint), hint));
         receivedBatches.set(batch.index());
         if (receivedBatches.cardinality() == batch.parts()) {
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -50,8 +50,8 @@
      */
     public StandbySelector(Settings settings) {
         this.settings = settings;
-        this.lastAnswerMicros = new long[settings.siblings().size()];
-        this.reportedReadiness = new StandbyReadiness[settings.siblings().size()];
+        this.lastAnswerMicros = new long[settings.peers().size()];
+        this.reportedReadiness = new StandbyReadiness[settings.peers().size()];
         termStarted(0);
     }
 
@@ -70,7 +70,7 @@
     /**
      * Records a peer's answer to the leader's status.
      *
-     * @param peerIndex the peer's index in {@link Settings#siblings()}
+     * @param peerIndex the peer's index in {@link Settings#peers()}
      * @param newReadiness the readiness that the peer reports; null if it cannot follow a leader, because it is of a previous version or
      *     its settings disable this
      * @param isStoreReachable whether the store answers the peer
@@ -85,11 +85,11 @@
     private int ringDistance(int peerIndex) {
         Comparator<String> order = Comparator.comparingInt(String::length).thenComparing(Comparator.naturalOrder());
         List<String> ring = new ArrayList<>(
-                settings.siblings().stream().map(Settings.Sibling::label).toList());
+                settings.peers().stream().map(Settings.Peer::label).toList());
         ring.add(settings.label());
         ring.sort(order);
         return Math.floorMod(
-                ring.indexOf(settings.siblings().get(peerIndex).label()) - ring.indexOf(settings.label()), ring.size());
+                ring.indexOf(settings.peers().get(peerIndex).label()) - ring.indexOf(settings.label()), ring.size());
     }
 
     private boolean hasRecentAnswer(int peerIndex, long nowMicros) {
@@ -110,7 +110,7 @@
         List<Integer> previous = selected;
         List<Integer> eligible = eligiblePeers(nowMicros);
         eligible.sort(Comparator.comparing((Integer peer) -> !previous.contains(peer))
-                .thenComparing(peer -> settings.siblings().get(peer).zone().equals(settings.zone()))
+                .thenComparing(peer -> settings.peers().get(peer).zone().equals(settings.zone()))
                 .thenComparing(this::ringDistance));
         int standbyLimit = settings.storeRequestsPerSecond() < MIN_REQUEST_RATE_FOR_TWO ? 1 : 2;
         List<Integer> chosen = new ArrayList<>(eligible.subList(0, Math.min(eligible.size(), standbyLimit)));
@@ -118,9 +118,7 @@
         chosen.sort(Comparator.comparing((Integer peer) -> reportedReadiness[peer] != StandbyReadiness.WARM)
                 .thenComparing(peer -> previous.contains(peer) ? previous.indexOf(peer) : previous.size()));
         selected = chosen;
-        return selected.stream()
-                .map(peer -> settings.siblings().get(peer).label())
-                .toList();
+        return selected.stream().map(peer -> settings.peers().get(peer).label()).toList();
     }
 
     private List<Integer> eligiblePeers(long nowMicros) {
@@ -136,7 +134,7 @@
     /**
      * Returns the designated standbys.
      *
-     * @return their indices in {@link Settings#siblings()}, best rank first
+     * @return their indices in {@link Settings#peers()}, best rank first
      */
     public List<Integer> selectedPeers() {
         return selected;
@@ -146,7 +144,7 @@
      * Returns the first designated standby that is warm and has recently answered.
      *
      * @param nowMicros the present time
-     * @return its index in {@link Settings#siblings()}, -1 if there is none
+     * @return its index in {@link Settings#peers()}, -1 if there is none
      */
     public int firstWarmStandby(long nowMicros) {
         for (int peer : selected) {
--- a/src/main/java/io/micatide/store/MachineNameCodec.java
+++ b/src/main/java/io/micatide/store/MachineNameCodec.java
@@ -8,31 +8,32 @@
 import java.util.TreeMap;
 
 /**
- * A compressed text form of many machine names. The cloud numbers machines as it makes them, so most of a fleet are
- * neighbours: names that differ in their closing number only are written as the differences between the numbers. 505
- * names, none next to another, take about a kilobyte instead of five and a half.
+ * Compresses many machine names into a short text form. The cloud numbers machines in the order of their creation, so most names of a
+ * fleet differ only in their trailing number, often by one: such names form a group that holds the differences between the numbers. 505
+ * names without two consecutive numbers take about one kilobyte instead of 5.5.
  *
- * <p>One group is {@code prefix/digits/differences}; a difference is counted from the number before, and {@code +n}
- * says that n more follow without a gap: {@code i-/6/231+29,2} is i-000231 to i-000260 and i-000262.
+ * <p>A group has the form {@code prefix/digits/differences}. Each difference is relative to the preceding number (the first
+ * one to 0), and {@code +n} means
+ * that n consecutive numbers follow: {@code i-/6/231+29,2} stands for i-000231 to i-000260 and i-000262.
  */
 public final class MachineNameCodec {
-    /** So many digits fit an int. */
+    /** Any number of this many digits fits into an int. */
     private static final int MAX_DIGITS = 9;
-    /** What a group takes in JSON besides its letters: quotes and comma. */
-    private static final int JSON_FRAME_BYTES = 3;
+    /** Bytes that an element of a JSON array takes besides its characters: two quotes and a comma. */
+    private static final int JSON_ELEMENT_OVERHEAD_BYTES = 3;
 
     private MachineNameCodec() {}
 
-    private record Group(String prefix, int digits) implements Comparable<Group> {
+    private record NameGroup(String prefix, int digits) implements Comparable<NameGroup> {
         @Override
-        public int compareTo(Group other) {
+        public int compareTo(NameGroup other) {
             int byPrefix = prefix.compareTo(other.prefix);
             return byPrefix != 0 ? byPrefix : Integer.compare(digits, other.digits);
         }
     }
 
-    /** Closing numbers of names that are alike but for them. */
-    private static final class Numbers {
+    /** Trailing numbers of the names of one group. */
+    private static final class NumberList {
         private int[] values = new int[16];
         private int count;
 
@@ -43,7 +44,7 @@
             values[count++] = number;
         }
 
-        /** In rising order; a number may be among them more than once. */
+        /** Returns the numbers in ascending order, with duplicates. */
         int[] sorted() {
             int[] result = Arrays.copyOf(values, count);
             Arrays.sort(result);
@@ -54,35 +55,36 @@
     /**
      * Compresses names.
      *
-     * @param names in any order; a name that stands twice is kept once
-     * @return the groups in a fixed order; a name without a number is a group without differences
+     * @param names in any order; duplicates are kept once
+     * @return the groups in ascending order of prefix and digits; a name without a trailing number is a group without differences
      */
     public static List<String> compress(Collection<String> names) {
-        TreeMap<Group, Numbers> groups = new TreeMap<>();
-        Group group = null;
-        Numbers numbers = null;
+        TreeMap<NameGroup, NumberList> groups = new TreeMap<>();
+        NameGroup group = null;
+        NumberList numbers = null;
         for (String name : names) {
-            int digits = closingDigits(name);
+            int digits = trailingDigits(name);
             int prefixLength = name.length() - digits;
-            // Most names are of the group of the one before: a leader compresses thousands of them for each write.
+            // Fast path: a leader compresses thousands of names for each write, and most belong to the group of the
+            // preceding name.
             if (group == null
                     || group.digits() != digits
                     || group.prefix().length() != prefixLength
                     || !name.startsWith(group.prefix())) {
-                group = new Group(name.substring(0, prefixLength), digits);
-                numbers = groups.computeIfAbsent(group, key -> new Numbers());
+                group = new NameGroup(name.substring(0, prefixLength), digits);
+                numbers = groups.computeIfAbsent(group, key -> new NumberList());
             }
             if (digits > 0) {
                 numbers.add(Integer.parseInt(name, prefixLength, name.length(), 10));
             }
         }
         List<String> result = new ArrayList<>();
-        groups.forEach(
-                (each, all) -> result.add(each.prefix() + "/" + each.digits() + "/" + differences(all.sorted())));
+        groups.forEach((nameGroup, list) ->
+                result.add(nameGroup.prefix() + "/" + nameGroup.digits() + "/" + differences(list.sorted())));
         return result;
     }
 
-    private static int closingDigits(String name) {
+    private static int trailingDigits(String name) {
         int digits = 0;
         while (digits < Math.min(MAX_DIGITS, name.length())
                 && name.charAt(name.length() - 1 - digits) >= '0'
@@ -95,38 +97,38 @@
     private static String differences(int[] sortedNumbers) {
         StringBuilder text = new StringBuilder();
         int last = 0;
-        int run = 0;
+        int runLength = 0;
         boolean isFirst = true;
         for (int number : sortedNumbers) {
             if (!isFirst && number == last) {
                 continue;
             }
             if (!isFirst && number == last + 1) {
-                run++;
+                runLength++;
             } else {
-                appendRun(text, run);
+                appendRun(text, runLength);
                 text.append(isFirst ? "" : ",").append(number - last);
-                run = 0;
+                runLength = 0;
             }
             isFirst = false;
             last = number;
         }
-        appendRun(text, run);
+        appendRun(text, runLength);
         return text.toString();
     }
 
-    private static void appendRun(StringBuilder text, int run) {
-        if (run > 0) {
-            text.append('+').append(run);
+    private static void appendRun(StringBuilder text, int runLength) {
+        if (runLength > 0) {
+            text.append('+').append(runLength);
         }
     }
 
     /**
-     * The names that {@link #compress} was given, in rising order within each group.
+     * Restores the names from their groups, in ascending order within each group.
      *
-     * @param groups as {@link #compress} made them
+     * @param groups a result of {@link #compress}
      * @return the names
-     * @throws IllegalArgumentException if a text is not of that form
+     * @throws IllegalArgumentException if an element is not a group
      */
     public static List<String> decompress(Collection<String> groups) {
         List<String> names = new ArrayList<>();
@@ -137,23 +139,25 @@
     }
 
     private static void decompress(String group, List<String> names) {
-        int last = group.lastIndexOf('/');
-        int before = group.lastIndexOf('/', last - 1);
-        if (before < 0) {
-            throw new IllegalArgumentException("not a group of names: " + group);
+        int digitsEnd = group.lastIndexOf('/');
+        int prefixEnd = group.lastIndexOf('/', digitsEnd - 1);
+        if (prefixEnd < 0) {
+            throw new IllegalArgumentException("expected a name group prefix/digits/differences, got " + group);
         }
-        String prefix = group.substring(0, before);
-        int digits = Integer.parseInt(group.substring(before + 1, last));
+        String prefix = group.substring(0, prefixEnd);
+        int digits = Integer.parseInt(group.substring(prefixEnd + 1, digitsEnd));
         if (digits == 0) {
             names.add(prefix);
             return;
         }
         int number = 0;
-        for (String difference : Splitter.on(',').split(group.substring(last + 1))) {
+        for (String difference : Splitter.on(',').split(group.substring(digitsEnd + 1))) {
             int plus = difference.indexOf('+');
             number += Integer.parseInt(plus < 0 ? difference : difference.substring(0, plus));
             names.add(name(prefix, digits, number));
-            for (int more = plus < 0 ? 0 : Integer.parseInt(difference.substring(plus + 1)); more > 0; more--) {
+            for (int remaining = plus < 0 ? 0 : Integer.parseInt(difference.substring(plus + 1));
+                    remaining > 0;
+                    remaining--) {
                 names.add(name(prefix, digits, ++number));
             }
         }
@@ -165,15 +169,15 @@
     }
 
     /**
-     * What compressed names take as JSON, with quotes and commas.
+     * Returns the size of names as a JSON array of groups, including quotes and commas.
      *
-     * @param names the names, not compressed
-     * @return bytes of the array's elements
+     * @param names the uncompressed names
+     * @return size of the array's elements in bytes
      */
     public static int compressedBytes(Collection<String> names) {
         int bytes = 0;
         for (String group : compress(names)) {
-            bytes += group.length() + JSON_FRAME_BYTES;
+            bytes += group.length() + JSON_ELEMENT_OVERHEAD_BYTES;
         }
         return bytes;
     }
--- a/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyGraphTest.java
@@ -148,7 +148,7 @@
                 new StoredRecord.JobRecord(
                         JobState.OPEN, SchedulerHarness.job("s", JobKind.SERVICE, "blue", Priority.NORMAL, 2, 0), 0, 2),
                 50);
-        jobCache.layoutMarked(isLayoutMarked ? 7 : 0, new StoredRecord.Layout(2, 2048));
+        jobCache.layoutRead(isLayoutMarked ? 7 : 0, new StoredRecord.Layout(2, 2048));
         DependencyAdmission admission =
                 DependencyAdmission.evaluate(spec("x", List.of(dependencies.split("&"))), jobCache);
         String text = admission instanceof DependencyAdmission.Accepted accepted
--- a/src/test/java/io/micatide/standby/StandbySelectorTest.java
+++ b/src/test/java/io/micatide/standby/StandbySelectorTest.java
@@ -18,9 +18,9 @@
     private static final long SECOND = Micros.SECOND;
 
     private static Settings settings(double rate, String... siblings) {
-        List<Settings.Sibling> peers = new ArrayList<>();
+        List<Settings.Peer> peers = new ArrayList<>();
         for (String sibling : siblings) {
-            peers.add(new Settings.Sibling(sibling.substring(2), sibling.substring(0, 1), "x"));
+            peers.add(new Settings.Peer(sibling.substring(2), sibling.substring(0, 1), "x"));
         }
         return new Settings(
                 "n-2",
@@ -74,10 +74,8 @@
         assertNull(selector.selectStandbys(SECOND));
         for (String answer : answers.split(",")) {
             String[] part = answer.split("=");
-            int sibling = settings.siblings().stream()
-                    .map(Settings.Sibling::label)
-                    .toList()
-                    .indexOf(part[0]);
+            int sibling =
+                    settings.peers().stream().map(Settings.Peer::label).toList().indexOf(part[0]);
             boolean isStoreReachable = !part[1].equals("-");
             selector.peerAnswered(
                     sibling,
--- a/src/test/java/io/micatide/store/PendingReadsTest.java
+++ b/src/test/java/io/micatide/store/PendingReadsTest.java
@@ -8,22 +8,26 @@
 
 class PendingReadsTest {
     /**
-     * r: an answer, f: a failure, n: asked to go on. However often it fails and is asked to go on, there is one request
-     * at a time, and every key is read once.
+     * At most one request is in flight and every key is read once, regardless of the number of failures and of calls for the next key. Each
+     * failed read once started two more, which exhausted the memory of a controller without a connection to the store.
+     *
+     * @param events n: a call for the next key, r: a completed read, f: a failed read
+     * @param requests expected number of requests
+     * @param finished whether all keys are read at the end
      */
     @ParameterizedTest
     @CsvSource({"nrnrnr, 3, true", "nnn, 1, false", "nfnfnfnfnf, 5, false", "nfnnnrnrnr, 4, true", "nrnrnrnn, 3, true"})
     void oneRequestAtATime(String events, int requests, boolean finished) {
-        PendingReads readBack = new PendingReads(List.of("a", "b", "c"));
-        int asked = 0;
+        PendingReads pendingReads = new PendingReads(List.of("a", "b", "c"));
+        int sentRequests = 0;
         for (char event : events.toCharArray()) {
             switch (event) {
-                case 'n' -> asked += readBack.next() == null ? 0 : 1;
-                case 'r' -> readBack.keyRead();
-                default -> readBack.keyFailed();
+                case 'n' -> sentRequests += pendingReads.startNextRead() == null ? 0 : 1;
+                case 'r' -> pendingReads.readCompleted();
+                default -> pendingReads.readFailed();
             }
         }
-        assertEquals(requests, asked);
-        assertEquals(finished, readBack.isFinished());
+        assertEquals(requests, sentRequests);
+        assertEquals(finished, pendingReads.isFinished());
     }
 }
