--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -50,10 +50,10 @@
      *
      * @param digest null from a version that gives none
      */
-    void digestReceived(int peer, CancellationDigest digest, long askedMicros, long now) {
+    void digestReceived(int peer, CancellationDigest digest, long requestSentMicros, long now) {
         if (digest != null) {
             users.tell(new UsersActor.CancellationsReceived(
-                    digest.cancelled(), new LeaderMessage.DigestRecorded(peer, digest, askedMicros, now)));
+                    digest.cancelled(), new LeaderMessage.DigestRecorded(peer, digest, requestSentMicros, now)));
         }
     }
 
--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -28,32 +28,33 @@
     private final JobCacheRefresher refresher;
     private LeaderActor leaderActor;
 
-    Cancellations(UsersActor owner, Settings settings, StoreClient state, JobCache directory, JobCacheRefresher rows) {
+    Cancellations(
+            UsersActor owner, Settings settings, StoreClient store, JobCache jobCache, JobCacheRefresher refresher) {
         this.owner = owner;
         this.settings = settings;
-        this.store = state;
-        this.jobCache = directory;
-        this.refresher = rows;
+        this.store = store;
+        this.jobCache = jobCache;
+        this.refresher = refresher;
     }
 
     /** Who tells the leader what is confirmed here. */
-    void attachLeaderActor(LeaderActor told) {
-        leaderActor = told;
+    void attachLeaderActor(LeaderActor leader) {
+        leaderActor = leader;
     }
 
-    void cancel(Request request, String id, int tries) {
+    void cancel(Request request, String id, int conflicts) {
         if (!JobCodec.isId(id)) {
             request.answer(404, UsersActor.NO_SUCH_JOB);
             return;
         }
         JobCache.Entry entry = jobCache.get(id);
-        if (entry == null || (tries > 0 && !jobCache.state(id).isFinal())) {
+        if (entry == null || (conflicts > 0 && !jobCache.state(id).isFinal())) {
             refresher.afterRefresh(
                     request,
                     () -> owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
                         @Override
                         public void foundInCache() {
-                            writeCancellation(request, id, tries);
+                            writeCancellation(request, id, conflicts);
                         }
 
                         @Override
@@ -62,21 +63,22 @@
                         }
                     }));
         } else {
-            writeCancellation(request, id, tries);
+            writeCancellation(request, id, conflicts);
         }
     }
 
-    private void writeCancellation(Request request, String id, int tries) {
+    private void writeCancellation(Request request, String id, int conflicts) {
         JobCache.Entry entry = jobCache.get(id);
         if (jobCache.state(id).isFinal()) {
             request.answer(200, JobCodec.accepted(id, owner.standing(entry)));
             return;
         }
-        StoredRecord.JobRecord row = cancelledRecord(entry);
-        Transaction put = new Transaction(
+        StoredRecord.JobRecord record = cancelledRecord(entry);
+        Transaction transaction = new Transaction(
                 List.of(new Transaction.Condition(StoreKeys.job(id), entry.version())),
-                List.of(new Transaction.Write(StoreKeys.job(id), row, 0)));
-        store.transaction(put, owner.answer(r -> new UsersActor.CancellationWritten(r, request, row, id, tries)));
+                List.of(new Transaction.Write(StoreKeys.job(id), record, 0)));
+        store.transaction(
+                transaction, owner.answer(r -> new UsersActor.CancellationWritten(r, request, record, id, conflicts)));
     }
 
     /**
@@ -84,22 +86,22 @@
      * accepted under a larger limit of the state service keeps only that.
      */
     private StoredRecord.JobRecord cancelledRecord(JobCache.Entry entry) {
-        StoredRecord.JobRecord open = entry.record();
-        boolean checked = jobCache.archiveManifest() != null;
-        StoredRecord.JobRecord whole = new StoredRecord.JobRecord(
+        StoredRecord.JobRecord openRecord = entry.record();
+        boolean isCheckedAgainstArchive = jobCache.archiveManifest() != null;
+        StoredRecord.JobRecord fullRecord = new StoredRecord.JobRecord(
                         JobState.CANCELLED,
-                        open.spec().withDependencies(List.of()),
-                        open.submittedWall(),
-                        open.taskCount())
-                .withCheckedAgainstArchive(checked);
-        return StoreCodec.encodedBytes(whole) <= settings.maxWritableValueBytes()
-                ? whole
+                        openRecord.spec().withDependencies(List.of()),
+                        openRecord.submittedWall(),
+                        openRecord.taskCount())
+                .withCheckedAgainstArchive(isCheckedAgainstArchive);
+        return StoreCodec.encodedBytes(fullRecord) <= settings.maxWritableValueBytes()
+                ? fullRecord
                 : new StoredRecord.JobRecord(
                                 JobState.CANCELLED,
-                                open.spec().withPlacementFieldsOnly(),
-                                open.submittedWall(),
-                                open.taskCount())
-                        .withCheckedAgainstArchive(checked);
+                                openRecord.spec().withPlacementFieldsOnly(),
+                                openRecord.submittedWall(),
+                                openRecord.taskCount())
+                        .withCheckedAgainstArchive(isCheckedAgainstArchive);
     }
 
     void cancellationWritten(UsersActor.CancellationWritten message) {
@@ -108,7 +110,7 @@
         if (reply.ok()) {
             try {
                 long version = StoreCodec.revision(reply.body());
-                refresher.apply(id, message.row(), version);
+                refresher.apply(id, message.record(), version);
                 leaderActor.tell(
                         new LeaderMessage.CancellationConfirmed(new CancellationDigest.Cancelled(id, version)));
                 message.request().answer(200, JobCodec.accepted(id, JobCodec.Standing.CANCELLED));
@@ -117,8 +119,8 @@
                 LOG.error("transaction answer: {}", e.getMessage());
             }
         }
-        if (reply.status() == 409 && message.tries() < 3) {
-            cancel(message.request(), id, message.tries() + 1);
+        if (reply.status() == 409 && message.conflicts() < 3) {
+            cancel(message.request(), id, message.conflicts() + 1);
         } else {
             owner.answerWriteFailure(message.request(), reply);
         }
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -42,30 +42,30 @@
     private final StoreClient store;
     private final ArchiveReader archiveReader;
     private final JobCache jobCache;
-    private final long refreshEveryMicros;
-    private final List<WaitingRequest> nextQuestions = new ArrayList<>();
-    private List<WaitingRequest> inFlightQuestions = List.of();
+    private final long refreshIntervalMicros;
+    private final List<WaitingRequest> requestsAwaitingNextRead = new ArrayList<>();
+    private List<WaitingRequest> requestsAwaitingReadInFlight = List.of();
     private final Set<String> verificationsInFlight = new HashSet<>();
     /** Is told of the switches, of each read and of cancellations, whether it leads or not. */
     private LeaderActor leaderActor;
 
     private LeaderActor subscribedLeader;
-    private boolean snapshotPending;
+    private boolean isSnapshotPending;
     private long subscribedMicros;
     private boolean isLoaded;
-    private boolean refreshInFlight;
-    private boolean refreshScheduled;
+    private boolean isRefreshInFlight;
+    private boolean isRefreshScheduled;
     private boolean refreshRequested;
-    private long refreshedMicros;
+    private long lastRefreshMicros;
 
     JobCacheRefresher(
-            UsersActor owner, Settings settings, StoreClient state, ArchiveReader history, JobCache directory) {
+            UsersActor owner, Settings settings, StoreClient store, ArchiveReader archiveReader, JobCache jobCache) {
         this.owner = owner;
-        this.store = state;
-        this.archiveReader = history;
-        this.jobCache = directory;
+        this.store = store;
+        this.archiveReader = archiveReader;
+        this.jobCache = jobCache;
         // All controllers together take about a third of the requests for this.
-        this.refreshEveryMicros = Math.max(
+        this.refreshIntervalMicros = Math.max(
                 50 * Micros.MILLISECOND,
                 (settings.siblings().size() + 1) * Micros.ofSeconds(3 / settings.storeRequestsPerSecond()));
     }
@@ -75,14 +75,14 @@
         return isLoaded;
     }
 
-    void attachLeaderActor(LeaderActor told) {
-        leaderActor = told;
+    void attachLeaderActor(LeaderActor leader) {
+        leaderActor = leader;
     }
 
     /** The leader on this controller wants every change from now on. What the copy knows as cancelled may be stopped at once. */
     void subscribeLeader(LeaderActor newLeader) {
         subscribedLeader = newLeader;
-        snapshotPending = true;
+        isSnapshotPending = true;
         subscribedMicros = owner.now();
         List<String> cancelled = jobCache.openAndCancelled().stream()
                 .filter(job -> job.state() == JobState.CANCELLED)
@@ -93,10 +93,10 @@
     }
 
     /** Jobs that a sibling knows as cancelled; {@code then} is told to the leader's actor after what follows from them. */
-    void cancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderMessage then) {
-        jobs.forEach(job -> changed(jobCache.markCancelled(job.job(), job.version())));
-        if (then != null) {
-            leaderActor.tell(then);
+    void cancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderMessage completionMessage) {
+        jobs.forEach(job -> jobsChanged(jobCache.markCancelled(job.job(), job.version())));
+        if (completionMessage != null) {
+            leaderActor.tell(completionMessage);
         }
     }
 
@@ -111,33 +111,33 @@
     }
 
     void refreshDue() {
-        refreshScheduled = false;
+        isRefreshScheduled = false;
         refresh();
     }
 
-    void readPage(String after) {
-        store.list(StoreKeys.JOBS, after, owner.answer(r -> new UsersActor.JobPageRead(r, after)));
+    void readPage(String afterKey) {
+        store.list(StoreKeys.JOBS, afterKey, owner.answer(r -> new UsersActor.JobPageRead(r, afterKey)));
     }
 
     void pageRead(UsersActor.JobPageRead message) {
         Reply reply = message.reply();
         if (!reply.ok()) {
             // The same page: with as many rows as use up the rate, a read that began anew would never end.
-            owner.tellLater(new UsersActor.JobPageDue(message.after()), 300 * Micros.MILLISECOND);
+            owner.tellLater(new UsersActor.JobPageDue(message.afterKey()), 300 * Micros.MILLISECOND);
             return;
         }
         try {
             StoreCodec.Items page = StoreCodec.page(reply.body());
-            if (message.after() == null) {
+            if (message.afterKey() == null) {
                 jobCache.beginFullRead(page.revision());
             }
-            String last = null;
+            String lastKey = null;
             for (StoreCodec.Item item : page.items()) {
                 apply(item);
-                last = item.key();
+                lastKey = item.key();
             }
             if (page.more()) {
-                readPage(last);
+                readPage(lastKey);
             } else {
                 isLoaded = true;
                 jobCache.finishFullRead();
@@ -162,10 +162,10 @@
             archiveManifestRead(item.version(), manifest);
         } else if (item.record() instanceof StoredRecord.FeatureStages features) {
             leaderActor.tell(new LeaderMessage.FeatureStagesObserved(item.version(), features));
-        } else if (item.record() instanceof StoredRecord.JobRecord row) {
-            apply(StoreKeys.jobIdOf(item.key()), row, item.version());
+        } else if (item.record() instanceof StoredRecord.JobRecord record) {
+            apply(StoreKeys.jobIdOf(item.key()), record, item.version());
         } else if (item.record() instanceof StoredRecord.FurtherDependencies dependencies) {
-            changed(jobCache.applyDependencies(
+            jobsChanged(jobCache.applyDependencies(
                     StoreKeys.jobIdOf(item.key()), StoreKeys.dependenciesPieceOf(item.key()), dependencies.names()));
         } else if (item.record() instanceof StoredRecord.Layout layout) {
             layoutMarked(item.version(), layout);
@@ -187,55 +187,55 @@
         }
     }
 
-    void apply(String id, StoredRecord.JobRecord row, long version) {
-        changed(jobCache.apply(id, row, version));
+    void apply(String id, StoredRecord.JobRecord record, long version) {
+        jobsChanged(jobCache.apply(id, record, version));
     }
 
-    private void changed(List<String> ids) {
-        for (String changed : ids) {
-            if (jobCache.state(changed).isFinal()) {
-                owner.forgetProgress(changed);
+    private void jobsChanged(List<String> ids) {
+        for (String id : ids) {
+            if (jobCache.state(id).isFinal()) {
+                owner.forgetProgress(id);
             }
-            if (subscribedLeader != null && !snapshotPending) {
-                subscribedLeader.tell(new LeaderMessage.JobObserved(jobCache.view(changed)));
-            } else if (subscribedLeader != null && jobCache.state(changed) == JobState.CANCELLED) {
-                subscribedLeader.tell(new LeaderMessage.CancellationsObserved(List.of(changed)));
+            if (subscribedLeader != null && !isSnapshotPending) {
+                subscribedLeader.tell(new LeaderMessage.JobObserved(jobCache.view(id)));
+            } else if (subscribedLeader != null && jobCache.state(id) == JobState.CANCELLED) {
+                subscribedLeader.tell(new LeaderMessage.CancellationsObserved(List.of(id)));
             }
         }
     }
 
     void refresh() {
         if (!isLoaded
-                || refreshInFlight
-                || (nextQuestions.isEmpty() && subscribedLeader == null && !refreshRequested)) {
+                || isRefreshInFlight
+                || (requestsAwaitingNextRead.isEmpty() && subscribedLeader == null && !refreshRequested)) {
             return;
         }
         long now = owner.now();
-        long wait = refreshedMicros + refreshEveryMicros - now;
+        long delayMicros = lastRefreshMicros + refreshIntervalMicros - now;
         // A new leader's first read does not wait. Its next ones do: in an outage that began with its claim it asked
         // again as fast as it was
         // answered, and above the rate, where the answer is its own, without end.
-        if (wait > 0 && !(snapshotPending && refreshedMicros < subscribedMicros)) {
-            if (!refreshScheduled) {
-                refreshScheduled = true;
-                owner.tellLater(new UsersActor.RefreshDue(), wait);
+        if (delayMicros > 0 && !(isSnapshotPending && lastRefreshMicros < subscribedMicros)) {
+            if (!isRefreshScheduled) {
+                isRefreshScheduled = true;
+                owner.tellLater(new UsersActor.RefreshDue(), delayMicros);
             }
             return;
         }
-        refreshedMicros = now;
-        refreshInFlight = true;
+        lastRefreshMicros = now;
+        isRefreshInFlight = true;
         refreshRequested = false;
-        inFlightQuestions = new ArrayList<>(nextQuestions);
-        nextQuestions.clear();
+        requestsAwaitingReadInFlight = new ArrayList<>(requestsAwaitingNextRead);
+        requestsAwaitingNextRead.clear();
         store.changes(StoreKeys.JOBS, jobCache.revision(), owner.answer(r -> new UsersActor.ChangesRead(r, now)));
     }
 
     void changesRead(UsersActor.ChangesRead message) {
-        refreshInFlight = false;
-        List<WaitingRequest> asked = inFlightQuestions;
-        inFlightQuestions = List.of();
+        isRefreshInFlight = false;
+        List<WaitingRequest> answeredRequests = requestsAwaitingReadInFlight;
+        requestsAwaitingReadInFlight = List.of();
         Reply reply = message.reply();
-        boolean fresh = false;
+        boolean isFresh = false;
         if (reply.ok()) {
             try {
                 StoreCodec.Items changes = StoreCodec.changes(reply.body());
@@ -245,7 +245,7 @@
                         .forEach(this::apply);
                 jobCache.advanceTo(changes.revision());
                 verifyRecords();
-                fresh = true;
+                isFresh = true;
             } catch (MalformedException e) {
                 LOG.error("changes of jobs: {}", e.getMessage());
             }
@@ -253,13 +253,13 @@
             isLoaded = false;
             owner.tell(new UsersActor.LoadJobs());
         }
-        if (fresh) {
+        if (isFresh) {
             if (subscribedLeader != null) {
                 // A read that was under way at the claim may lack a job whose ledger the leader before wrote after it:
                 // with the job
                 // unknown its ledger was taken for a left-over, and its tasks were started once more.
-                if (snapshotPending && message.askedMicros() >= subscribedMicros) {
-                    snapshotPending = false;
+                if (isSnapshotPending && message.requestSentMicros() >= subscribedMicros) {
+                    isSnapshotPending = false;
                     if (jobCache.layoutVersion() > 0) {
                         subscribedLeader.tell(
                                 new LeaderMessage.LayoutObserved(jobCache.layoutVersion(), jobCache.layout()));
@@ -271,20 +271,20 @@
                     subscribedLeader.tell(new LeaderMessage.JobsObserved(jobCache.openAndCancelled()));
                 }
             }
-            leaderActor.tell(new LeaderMessage.StoreRead(message.askedMicros(), jobCache.revision()));
-            asked.forEach(question -> question.continuation().run());
+            leaderActor.tell(new LeaderMessage.StoreRead(message.requestSentMicros(), jobCache.revision()));
+            answeredRequests.forEach(waiting -> waiting.continuation().run());
         } else {
-            asked.forEach(question -> owner.answerUnavailable(question.request()));
+            answeredRequests.forEach(waiting -> owner.answerUnavailable(waiting.request()));
         }
         refresh();
     }
 
-    void afterRefresh(Request request, Runnable then) {
-        if (nextQuestions.size() >= MAX_WAITING_REQUESTS) {
-            request.answer(429, UsersActor.BUSY, 2);
+    void afterRefresh(Request request, Runnable continuation) {
+        if (requestsAwaitingNextRead.size() >= MAX_WAITING_REQUESTS) {
+            request.answer(429, UsersActor.TOO_MANY_REQUESTS, 2);
             return;
         }
-        nextQuestions.add(new WaitingRequest(request, then));
+        requestsAwaitingNextRead.add(new WaitingRequest(request, continuation));
         refresh();
     }
 
@@ -293,18 +293,18 @@
         for (JobCache.Entry entry : jobCache.unverified()) {
             if (verificationsInFlight.add(entry.id())) {
                 archiveReader.tell(new ArchiveReader.FindJob(
-                        entry.id(), found -> owner.tell(new UsersActor.RecordVerified(entry.id(), found))));
+                        entry.id(), result -> owner.tell(new UsersActor.RecordVerified(entry.id(), result))));
             }
         }
     }
 
     void recordVerified(UsersActor.RecordVerified message) {
         verificationsInFlight.remove(message.id());
-        if (message.found() instanceof ArchiveReader.Archived) {
+        if (message.result() instanceof ArchiveReader.Archived) {
             LOG.warn("{} has a row again although it is archived: a former version wrote it; it will go", message.id());
             jobCache.markStale(message.id());
-        } else if (message.found() instanceof ArchiveReader.NotArchived) {
-            changed(jobCache.markVerified(message.id()));
+        } else if (message.result() instanceof ArchiveReader.NotArchived) {
+            jobsChanged(jobCache.markVerified(message.id()));
         } else {
             owner.tellLater(new UsersActor.VerificationDue(), VERIFICATION_RETRY_MICROS);
         }
@@ -316,21 +316,23 @@
                 || (jobCache.endedJobs().isEmpty() && jobCache.staleRecords().isEmpty())) {
             return;
         }
-        Set<String> needed = jobCache.dependencies();
-        List<Archiver.ArchivableJob> result = new ArrayList<>();
+        Set<String> dependencies = jobCache.dependencies();
+        List<Archiver.ArchivableJob> archivableJobs = new ArrayList<>();
         for (JobCache.Entry entry : jobCache.endedJobs()) {
-            if (result.size() >= MAX_ARCHIVABLE_JOBS) {
+            if (archivableJobs.size() >= MAX_ARCHIVABLE_JOBS) {
                 break;
             }
-            if (!needed.contains(entry.id())) {
-                result.add(new Archiver.ArchivableJob(
+            if (!dependencies.contains(entry.id())) {
+                archivableJobs.add(new Archiver.ArchivableJob(
                         entry.id(),
                         entry.version(),
                         JobOutcome.of(entry.record()),
                         jobCache.furtherDependencyRecords(entry.id())));
             }
         }
-        jobCache.staleRecords().forEach((id, version) -> result.add(new Archiver.ArchivableJob(id, version, null, 0)));
-        subscribedLeader.tell(new TermMessage.ArchivableJobsFound(fencingToken, result, jobCache.archiveVersion()));
+        jobCache.staleRecords()
+                .forEach((id, version) -> archivableJobs.add(new Archiver.ArchivableJob(id, version, null, 0)));
+        subscribedLeader.tell(
+                new TermMessage.ArchivableJobsFound(fencingToken, archivableJobs, jobCache.archiveVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/JobLookup.java
+++ b/src/main/java/io/micatide/controller/JobLookupHandler.java
@@ -3,7 +3,7 @@
 import io.micatide.store.JobOutcome;
 
 /** Where a job is. */
-interface JobLookup {
+interface JobLookupHandler {
     /** The copy holds it. */
     void foundInCache();
 
--- a/src/main/java/io/micatide/controller/KnownJobReply.java
+++ b/src/main/java/io/micatide/controller/KnownJobReply.java
@@ -5,7 +5,7 @@
 import io.micatide.store.JobOutcome;
 
 /** A submission of a job that was accepted before gets 200 and how it stands. */
-abstract class KnownJobReply implements JobLookup {
+abstract class KnownJobReply implements JobLookupHandler {
     private final UsersActor owner;
     private final Request request;
     private final String id;
--- a/src/main/java/io/micatide/controller/LeadershipTransfer.java
+++ b/src/main/java/io/micatide/controller/LeadershipTransfer.java
@@ -101,7 +101,7 @@
         String label =
                 successor == NOBODY ? null : settings.siblings().get(successor).label();
         logShutdown(term, label);
-        users.tell(new UsersActor.Closing());
+        users.tell(new UsersActor.ShutdownStarted());
         handover = new GracefulHandover(
                 term,
                 label,
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -142,7 +142,7 @@
     private void publishEndedJobs() {
         scheduler
                 .takeEndedJobs()
-                .forEach(each -> users.tell(new UsersActor.JobEnded(each.id(), each.record(), each.version())));
+                .forEach(each -> users.tell(new UsersActor.JobFinished(each.id(), each.record(), each.version())));
     }
 
     void readNextUnresolvedKey() {
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -151,7 +151,7 @@
 
     /** @param isFirst whether this part replaces the progress that was sent before, instead of adding to it */
     private void postStatus(int peer, LeaderStatus status, boolean isFirst, List<JobProgress> jobs) {
-        long askedMicros = owner.now();
+        long requestSentMicros = owner.now();
         peers.get(peer)
                 .post(
                         "/news",
@@ -166,7 +166,7 @@
                                 status.featureStagesVersion(),
                                 status.readRevision())),
                         Http.PATIENCE_MICROS,
-                        owner.answer(r ->
-                                new LeaderMessage.PeerStatusAnswered(r, status.fencingToken(), peer, askedMicros)));
+                        owner.answer(r -> new LeaderMessage.PeerStatusAnswered(
+                                r, status.fencingToken(), peer, requestSentMicros)));
     }
 }
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -37,7 +37,8 @@
     record ReloadDue(long generation, KeyspaceReplica replica) implements Message {}
 
     /** The changes since a replica's revision. */
-    record ChangesRead(Reply reply, long generation, KeyspaceReplica replica, long askedMicros) implements Message {}
+    record ChangesRead(Reply reply, long generation, KeyspaceReplica replica, long requestSentMicros)
+            implements Message {}
 
     /** This controller has claimed the lease: the replicas, brought up to the claim, are wanted now. */
     record ProvideReplicas(long fencingToken, FailoverLoader loader) implements Message {}
@@ -101,19 +102,19 @@
     /** Counts designations and their ends; answers to what an earlier one asked are dropped. */
     private long generation;
 
-    private long loggedMicros;
+    private long lastLogMicros;
     private long upToDateMicros;
     /** Sees what is provided to a loader; tests compare it with the store. */
     private BiConsumer<String, List<StoreCodec.Item>> replicaObserver = (prefix, records) -> {};
 
     StandbyActor(
-            ActorExecutor loop,
+            ActorExecutor executor,
             Settings settings,
             StoreClient store,
             UsersActor users,
             LeaderActor leader,
             KeyspaceReplica.Factory factory) {
-        super(loop);
+        super(executor);
         this.store = store;
         this.users = users;
         this.leader = leader;
@@ -176,7 +177,7 @@
                     "following leader as designated standby, polling every {} ms",
                     pollIntervalMicros / Micros.MILLISECOND);
             upToDateMicros = now();
-            loggedMicros = now();
+            lastLogMicros = now();
             replicas.forEach(replica -> readPage(replica, null));
             tellLater(new PollDue(generation), pollIntervalMicros);
         } else {
@@ -194,9 +195,12 @@
 
     // ---- following
 
-    private void readPage(KeyspaceReplica replica, String after) {
-        long asked = generation;
-        store.list(replica.prefix(), after, answer(reply -> new PageRead(reply, asked, replica, after == null)));
+    private void readPage(KeyspaceReplica replica, String afterKey) {
+        long requestGeneration = generation;
+        store.list(
+                replica.prefix(),
+                afterKey,
+                answer(reply -> new PageRead(reply, requestGeneration, replica, afterKey == null)));
     }
 
     private void reloadDue(ReloadDue message) {
@@ -216,19 +220,19 @@
             }
         }
         users.tell(new UsersActor.RefreshRequested());
-        if (now - loggedMicros >= LOG_INTERVAL_MICROS) {
-            loggedMicros = now;
+        if (now - lastLogMicros >= LOG_INTERVAL_MICROS) {
+            lastLogMicros = now;
             logState(now);
         }
         tellLater(new PollDue(generation), pollIntervalMicros);
     }
 
-    private void readChanges(KeyspaceReplica replica, long askedMicros) {
-        long asked = generation;
+    private void readChanges(KeyspaceReplica replica, long requestSentMicros) {
+        long requestGeneration = generation;
         store.changes(
                 replica.prefix(),
                 replica.revision(),
-                answer(reply -> new ChangesRead(reply, asked, replica, askedMicros)));
+                answer(reply -> new ChangesRead(reply, requestGeneration, replica, requestSentMicros)));
     }
 
     private void logState(long nowMicros) {
@@ -312,7 +316,7 @@
         if (replica.invalidReason() != null) {
             discardInvalid(replica);
         } else {
-            upToDateMicros = message.askedMicros();
+            upToDateMicros = message.requestSentMicros();
         }
     }
 
@@ -333,8 +337,8 @@
     /** Hints of the leader with the latest token are kept; a standby that has not heard of its designation yet holds none. */
     private void hintsReceived(Request request) {
         try {
-            long held = isFollowing ? hints.receive(HintCodec.batch(request.body())) : 0;
-            request.answer(OK, HintCodec.acknowledgement(held));
+            long heldNumber = isFollowing ? hints.receive(HintCodec.batch(request.body())) : 0;
+            request.answer(OK, HintCodec.acknowledgement(heldNumber));
 
         } catch (MalformedException e) {
             request.answer(BAD_REQUEST, Json.error(e.field(), e.getMessage()));
@@ -411,11 +415,11 @@
         }
         users.tell(new UsersActor.RefreshRequested());
         KeyspaceReplica ledgers = replicas.get(0);
-        long asked = generation;
+        long requestGeneration = generation;
         store.changes(
                 ledgers.prefix(),
                 ledgers.revision(),
-                answer(reply -> new HandoverChangesRead(reply, asked, ledgers, request, revision)));
+                answer(reply -> new HandoverChangesRead(reply, requestGeneration, ledgers, request, revision)));
     }
 
     private void handoverChangesRead(HandoverChangesRead message) {
--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -55,16 +55,16 @@
     Submissions(
             UsersActor owner,
             Settings settings,
-            StoreClient state,
-            ArchiveReader history,
-            JobCache directory,
-            JobCacheRefresher rows) {
+            StoreClient store,
+            ArchiveReader archiveReader,
+            JobCache jobCache,
+            JobCacheRefresher refresher) {
         this.owner = owner;
         this.settings = settings;
-        this.store = state;
-        this.archiveReader = history;
-        this.jobCache = directory;
-        this.refresher = rows;
+        this.store = store;
+        this.archiveReader = archiveReader;
+        this.jobCache = jobCache;
+        this.refresher = refresher;
     }
 
     void submit(Request request) {
@@ -80,7 +80,7 @@
         submit(request, body, id, 0);
     }
 
-    private void submit(Request request, JsonNode body, String id, int tries) {
+    private void submit(Request request, JsonNode body, String id, int conflicts) {
         if (jobCache.get(id) != null) {
             answerExistingJob(request, id);
             return;
@@ -103,11 +103,11 @@
         }
         // The copy may be old, and may get newer while the archive is asked: what is written holds only by the manifest
         // that was asked.
-        long version = jobCache.archiveVersion();
+        long archiveVersion = jobCache.archiveVersion();
         owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
             @Override
             public void notFound() {
-                Submission submission = new Submission(request, spec, version, tries);
+                Submission submission = new Submission(request, spec, archiveVersion, conflicts);
                 if (spec.dependencies().isEmpty()) {
                     writeJob(
                             submission,
@@ -136,29 +136,29 @@
                 request.answer(200, JobCodec.accepted(spec.id(), owner.standing(jobCache.get(spec.id()))));
                 return;
             }
-            List<String> left = new ArrayList<>();
-            for (String need : spec.dependencies()) {
-                if (jobCache.archiveManifest() != null && jobCache.get(need) == null) {
-                    left.add(need);
+            List<String> remaining = new ArrayList<>();
+            for (String dependency : spec.dependencies()) {
+                if (jobCache.archiveManifest() != null && jobCache.get(dependency) == null) {
+                    remaining.add(dependency);
                 }
             }
-            lookUpNextDependency(new DependencyLookup(submission, left, new HashMap<>()));
+            lookUpNextDependency(new DependencyLookup(submission, remaining, new HashMap<>()));
         });
     }
 
-    private void lookUpNextDependency(DependencyLookup needs) {
-        if (!needs.remaining().isEmpty()) {
-            String next = needs.remaining().remove(needs.remaining().size() - 1);
+    private void lookUpNextDependency(DependencyLookup lookup) {
+        if (!lookup.remaining().isEmpty()) {
+            String dependency = lookup.remaining().remove(lookup.remaining().size() - 1);
             archiveReader.tell(new ArchiveReader.FindJob(
-                    next, found -> owner.tell(new UsersActor.DependencyLocated(needs, next, found))));
+                    dependency, result -> owner.tell(new UsersActor.DependencyLocated(lookup, dependency, result))));
             return;
         }
-        Request request = needs.submission().request();
-        DependencyAdmission now =
-                DependencyAdmission.evaluate(needs.submission().spec(), jobCache, needs.archived());
-        if (now instanceof DependencyAdmission.Accepted accepted) {
-            writeJob(needs.submission(), accepted.toRecord(owner.wall()));
-        } else if (now instanceof DependencyAdmission.Refused refused) {
+        Request request = lookup.submission().request();
+        DependencyAdmission admission =
+                DependencyAdmission.evaluate(lookup.submission().spec(), jobCache, lookup.archived());
+        if (admission instanceof DependencyAdmission.Accepted accepted) {
+            writeJob(lookup.submission(), accepted.toRecord(owner.wall()));
+        } else if (admission instanceof DependencyAdmission.Refused refused) {
             request.answer(422, Json.error("awaits", refused.reason()));
         } else {
             request.answer(503, UPGRADING, UPGRADING_RETRY_S);
@@ -166,33 +166,34 @@
     }
 
     void dependencyLocated(UsersActor.DependencyLocated message) {
-        DependencyLookup needs = message.needs();
-        if (message.found() instanceof ArchiveReader.Archived archived) {
-            needs.archived().put(message.id(), archived.outcome());
-            lookUpNextDependency(needs);
-        } else if (message.found() instanceof ArchiveReader.NotArchived) {
-            lookUpNextDependency(needs);
-        } else if (message.found() instanceof ArchiveReader.ManifestOutdated) {
-            retry(needs.submission());
+        DependencyLookup lookup = message.lookup();
+        if (message.result() instanceof ArchiveReader.Archived archived) {
+            lookup.archived().put(message.id(), archived.outcome());
+            lookUpNextDependency(lookup);
+        } else if (message.result() instanceof ArchiveReader.NotArchived) {
+            lookUpNextDependency(lookup);
+        } else if (message.result() instanceof ArchiveReader.ManifestOutdated) {
+            retry(lookup.submission());
         } else {
-            needs.submission().request().answer(503, UsersActor.UNAVAILABLE, 1);
+            lookup.submission().request().answer(503, UsersActor.UNAVAILABLE, 1);
         }
     }
 
-    private void writeJob(Submission submission, StoredRecord.JobRecord unchecked) {
+    private void writeJob(Submission submission, StoredRecord.JobRecord newRecord) {
         Request request = submission.request();
         String id = submission.spec().id();
-        StoredRecord.JobRecord row = unchecked.withCheckedAgainstArchive(submission.archiveVersion() > 0);
+        StoredRecord.JobRecord record = newRecord.withCheckedAgainstArchive(submission.archiveVersion() > 0);
         // Should the archive change meanwhile, or should this arrive minutes late, it is refused.
         List<Transaction.Condition> conditions = new ArrayList<>(List.of(
                 new Transaction.Condition(StoreKeys.job(id), 0),
                 new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, submission.archiveVersion())));
-        if (row.spec() != null && !row.spec().dependencies().isEmpty()) {
+        if (record.spec() != null && !record.spec().dependencies().isEmpty()) {
             // A leader of the former version would start it at once.
             conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, jobCache.layoutVersion()));
         }
         // What the store would refuse each time is refused here, or the user would try again for nothing.
-        Optional<List<Transaction.Write>> writes = JobRecordSplitter.split(id, row, settings.maxWritableValueBytes());
+        Optional<List<Transaction.Write>> writes =
+                JobRecordSplitter.split(id, record, settings.maxWritableValueBytes());
         if (writes.isEmpty()) {
             refuse(request, id, 400, Json.error("body", "body: is too long to be kept"));
         } else if (writes.get().size() > settings.maxTransactionWrites()) {
@@ -200,7 +201,7 @@
         } else {
             store.transaction(
                     new Transaction(conditions, writes.get()),
-                    owner.answer(r -> new UsersActor.SubmissionWritten(r, submission, row)));
+                    owner.answer(r -> new UsersActor.SubmissionWritten(r, submission, record)));
         }
     }
 
@@ -222,7 +223,7 @@
         Reply reply = message.reply();
         if (reply.ok()) {
             try {
-                refresher.apply(id, message.row(), StoreCodec.revision(reply.body()));
+                refresher.apply(id, message.record(), StoreCodec.revision(reply.body()));
                 request.answer(201, JobCodec.accepted(id, owner.standing(jobCache.get(id))));
                 return;
             } catch (MalformedException e) {
@@ -253,7 +254,7 @@
 
     private void retry(Submission submission) {
         Request request = submission.request();
-        if (submission.conflicts() >= UsersActor.MAX_ATTEMPTS) {
+        if (submission.conflicts() >= UsersActor.MAX_RETRIES) {
             request.answer(503, UsersActor.UNAVAILABLE, 1);
             return;
         }
@@ -267,9 +268,9 @@
     }
 
     private void answerExistingJob(Request request, String id) {
-        JobCache.Entry known = jobCache.get(id);
-        if (known != null && jobCache.state(id).isFinal()) {
-            request.answer(200, JobCodec.accepted(id, owner.standing(known)));
+        JobCache.Entry entry = jobCache.get(id);
+        if (entry != null && jobCache.state(id).isFinal()) {
+            request.answer(200, JobCodec.accepted(id, owner.standing(entry)));
             return;
         }
         refresher.afterRefresh(
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -41,28 +41,29 @@
     record RefreshDue() implements Message {}
 
     /** A page of the full read; {@code after} null for the first. */
-    record JobPageRead(Reply reply, String after) implements Message {}
+    record JobPageRead(Reply reply, String afterKey) implements Message {}
 
-    record JobPageDue(String after) implements Message {}
+    record JobPageDue(String afterKey) implements Message {}
 
-    record ChangesRead(Reply reply, long askedMicros) implements Message {}
+    record ChangesRead(Reply reply, long requestSentMicros) implements Message {}
 
-    record SubmissionWritten(Reply reply, Submissions.Submission submission, StoredRecord.JobRecord row)
+    record SubmissionWritten(Reply reply, Submissions.Submission submission, StoredRecord.JobRecord record)
             implements Message {}
 
-    record CancellationWritten(Reply reply, Request request, StoredRecord.JobRecord row, String id, int tries)
+    record CancellationWritten(Reply reply, Request request, StoredRecord.JobRecord record, String id, int conflicts)
             implements Message {}
 
     /** What the archive says of a job that the copy does not hold. */
-    record JobLocated(Request request, String id, int tries, ArchiveReader.LookupResult found, JobLookup then)
+    record JobLocated(
+            Request request, String id, int retries, ArchiveReader.LookupResult result, JobLookupHandler handler)
             implements Message {}
 
     /** What the archive says of one of the jobs that a submission needs. */
-    record DependencyLocated(Submissions.DependencyLookup needs, String id, ArchiveReader.LookupResult found)
+    record DependencyLocated(Submissions.DependencyLookup lookup, String id, ArchiveReader.LookupResult result)
             implements Message {}
 
     /** What the archive says of a job whose row a former version wrote. */
-    record RecordVerified(String id, ArchiveReader.LookupResult found) implements Message {}
+    record RecordVerified(String id, ArchiveReader.LookupResult result) implements Message {}
 
     record VerificationDue() implements Message {}
 
@@ -74,7 +75,7 @@
 
     record UnsubscribeLeader() implements Message {}
 
-    record ProgressReported(boolean first, List<JobProgress> jobs) implements Message {}
+    record ProgressReported(boolean replacesProgress, List<JobProgress> jobs) implements Message {}
 
     record MachineTypesChanged(List<MachineType> types) implements Message {}
 
@@ -86,33 +87,34 @@
     record RefreshRequested() implements Message {}
 
     /** Whether what is stored is of a form that this version does not know. */
-    record IncompatibleStoreChanged(boolean now) implements Message {}
+    record IncompatibleStoreChanged(boolean isIncompatible) implements Message {}
 
     /** Who is told of the switches, of each read and of cancellations, whether it leads or not. */
     record AttachLeaderActor(LeaderActor leader) implements Message {}
 
     /** What do users of this controller know of cancellations by rows above this revision? */
-    record ReadCancellationDigest(long revision, Consumer<CancellationDigest> then) implements Message {}
+    record ReadCancellationDigest(long revision, Consumer<CancellationDigest> callback) implements Message {}
 
     /** A sibling knows these jobs as cancelled; {@code then}, if any, is told to the leader's actor once they are taken in. */
-    record CancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderMessage then) implements Message {}
+    record CancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderMessage completionMessage)
+            implements Message {}
 
     /** This process ends: users are sent to the others. */
-    record Closing() implements Message {}
+    record ShutdownStarted() implements Message {}
 
     /** A final row that the leader on this controller knows to be stored. */
-    record JobEnded(String id, StoredRecord.JobRecord row, long version) implements Message {}
+    record JobFinished(String id, StoredRecord.JobRecord record, long version) implements Message {}
 
     record LayoutMarked(long version, StoredRecord.Layout layout) implements Message {}
 
     /** How often a question that met a change of the archive is tried again before its user is asked to come back. */
-    static final int MAX_ATTEMPTS = 4;
+    static final int MAX_RETRIES = 4;
 
     static final byte[] UNAVAILABLE = Json.error(null, "the state service does not answer");
-    private static final byte[] BLOCKED =
+    private static final byte[] INCOMPATIBLE_STORE =
             Json.error(null, "this version does not know what is stored; another controller answers");
-    private static final byte[] ENDING = Json.error(null, "this controller ends; another one answers");
-    static final byte[] BUSY = Json.error(null, "too many requests");
+    private static final byte[] SHUTTING_DOWN = Json.error(null, "this controller ends; another one answers");
+    static final byte[] TOO_MANY_REQUESTS = Json.error(null, "too many requests");
     private static final byte[] STARTING = Json.error(null, "starting");
     static final byte[] NO_SUCH_JOB = Json.error(null, "no such job");
     private static final byte[] NO_SUCH_PATH = Json.error(null, "no such path");
@@ -130,23 +132,27 @@
     private final JobCacheRefresher refresher;
     private final Submissions submissions;
     private final Cancellations cancellations;
-    private boolean typesAsked;
-    private boolean closing;
-    private boolean blocked;
+    private boolean wereMachineTypesRequested;
+    private boolean isShuttingDown;
+    private boolean isStoreIncompatible;
 
     /** @param description what is served of the interface itself, null for nothing */
     UsersActor(
-            ActorExecutor loop, Settings settings, StoreClient state, CloudClient cloud, ApiDescription description) {
-        super(loop);
+            ActorExecutor executor,
+            Settings settings,
+            StoreClient store,
+            CloudClient cloud,
+            ApiDescription description) {
+        super(executor);
         this.label = settings.label();
         this.startedMicros = now();
-        this.store = state;
+        this.store = store;
         this.cloud = cloud;
         this.description = description;
-        this.archiveReader = new ArchiveReader(loop, state);
-        this.refresher = new JobCacheRefresher(this, settings, state, archiveReader, jobCache);
-        this.submissions = new Submissions(this, settings, state, archiveReader, jobCache, refresher);
-        this.cancellations = new Cancellations(this, settings, state, jobCache, refresher);
+        this.archiveReader = new ArchiveReader(executor, store);
+        this.refresher = new JobCacheRefresher(this, settings, store, archiveReader, jobCache);
+        this.submissions = new Submissions(this, settings, store, archiveReader, jobCache, refresher);
+        this.cancellations = new Cancellations(this, settings, store, jobCache, refresher);
     }
 
     @Override
@@ -173,17 +179,17 @@
             refresher.verifyRecords();
         } else if (message instanceof LoadJobs) {
             refresher.readPage(null);
-            if (!typesAsked) {
+            if (!wereMachineTypesRequested) {
                 // Once: it repeats by itself until the types are known.
-                typesAsked = true;
+                wereMachineTypesRequested = true;
                 store.read(StoreKeys.MACHINE_TYPES, answer(StoredMachineTypesRead::new));
             }
         } else if (message instanceof JobPageRead m) {
             refresher.pageRead(m);
         } else if (message instanceof JobPageDue m) {
-            refresher.readPage(m.after());
+            refresher.readPage(m.afterKey());
         } else if (message instanceof ProgressReported m) {
-            if (m.first()) {
+            if (m.replacesProgress()) {
                 progress = new HashMap<>();
             }
             m.jobs().forEach(job -> progress.put(job.id(), job));
@@ -194,32 +200,32 @@
         } else if (message instanceof RefreshRequested) {
             refresher.refreshRequested();
         } else if (message instanceof IncompatibleStoreChanged m) {
-            blocked = m.now();
+            isStoreIncompatible = m.isIncompatible();
         } else if (message instanceof AttachLeaderActor m) {
             refresher.attachLeaderActor(m.leader());
             cancellations.attachLeaderActor(m.leader());
         } else if (message instanceof ReadCancellationDigest m) {
-            m.then().accept(jobCache.cancellationLog().digestSince(m.revision(), label, now() - startedMicros));
+            m.callback().accept(jobCache.cancellationLog().digestSince(m.revision(), label, now() - startedMicros));
         } else if (message instanceof CancellationsReceived m) {
-            refresher.cancellationsReceived(m.jobs(), m.then());
-        } else if (message instanceof Closing) {
-            closing = true;
-        } else if (message instanceof JobEnded m) {
-            refresher.apply(m.id(), m.row(), m.version());
+            refresher.cancellationsReceived(m.jobs(), m.completionMessage());
+        } else if (message instanceof ShutdownStarted) {
+            isShuttingDown = true;
+        } else if (message instanceof JobFinished m) {
+            refresher.apply(m.id(), m.record(), m.version());
         } else if (message instanceof LayoutMarked m) {
             refresher.layoutMarked(m.version(), m.layout());
         } else if (message instanceof MachineTypesChanged m) {
             machineTypes = m.types();
         } else if (message instanceof StoredMachineTypesRead m) {
-            typesRead(m.reply());
+            storedMachineTypesRead(m.reply());
         } else if (message instanceof CloudMachineTypesRead m) {
-            typesAnswered(m.reply());
+            cloudMachineTypesRead(m.reply());
         }
     }
 
     // ---- machine types
 
-    private void typesRead(Reply reply) {
+    private void storedMachineTypesRead(Reply reply) {
         if (!machineTypes.isEmpty()) {
             return;
         }
@@ -236,7 +242,7 @@
         cloud.types(answer(CloudMachineTypesRead::new));
     }
 
-    private void typesAnswered(Reply reply) {
+    private void cloudMachineTypesRead(Reply reply) {
         if (!machineTypes.isEmpty()) {
             return;
         }
@@ -278,7 +284,7 @@
 
     void answerWriteFailure(Request request, Reply reply) {
         if (reply.status() == 429) {
-            request.answer(429, BUSY, 1);
+            request.answer(429, TOO_MANY_REQUESTS, 1);
         } else {
             answerUnavailable(request);
         }
@@ -287,12 +293,12 @@
     // ---- users
 
     private void handleRequest(Request request) {
-        if (closing) {
-            request.answerAndClose(503, ENDING, 1);
+        if (isShuttingDown) {
+            request.answerAndClose(503, SHUTTING_DOWN, 1);
             return;
         }
-        if (blocked) {
-            request.answerAndClose(503, BLOCKED, 5);
+        if (isStoreIncompatible) {
+            request.answerAndClose(503, INCOMPATIBLE_STORE, 5);
             return;
         }
         String path = request.path();
@@ -335,29 +341,29 @@
         }
     }
 
-    private void route(Request request, String method, Runnable then) {
+    private void route(Request request, String method, Runnable handler) {
         if (!request.method().equals(method)) {
             request.answer(405, WRONG_METHOD);
         } else if (!refresher.isLoaded()) {
             request.answer(503, STARTING, 1);
         } else {
-            then.run();
+            handler.run();
         }
     }
 
     private void handleStatus(Request request, String id) {
         JobCache.Entry entry = jobCache.get(id);
         if (entry != null && jobCache.state(id).isFinal()) {
-            tellStatus(request, entry);
+            answerStatus(request, entry);
         } else if (!JobCodec.isId(id)) {
             request.answer(404, NO_SUCH_JOB);
         } else {
             refresher.afterRefresh(
                     request,
-                    () -> locate(request, id, 0, new JobLookup() {
+                    () -> locate(request, id, 0, new JobLookupHandler() {
                         @Override
                         public void foundInCache() {
-                            tellStatus(request, jobCache.get(id));
+                            answerStatus(request, jobCache.get(id));
                         }
 
                         @Override
@@ -385,27 +391,28 @@
      * Looks for a job in the copy as it is and in the archive by the copy's manifest. Said to be nowhere by a copy that was read
      * after the question, it was not accepted before it.
      */
-    void locate(Request request, String id, int tries, JobLookup then) {
+    void locate(Request request, String id, int retries, JobLookupHandler handler) {
         if (jobCache.get(id) != null) {
-            then.foundInCache();
+            handler.foundInCache();
         } else if (jobCache.isUnverified(id)) {
             request.answer(503, UNAVAILABLE, 1);
         } else if (jobCache.archiveManifest() == null) {
-            then.notFound();
+            handler.notFound();
         } else {
             archiveReader.tell(
-                    new ArchiveReader.FindJob(id, found -> tell(new JobLocated(request, id, tries, found, then))));
+                    new ArchiveReader.FindJob(id, found -> tell(new JobLocated(request, id, retries, found, handler))));
         }
     }
 
     private void jobLocated(JobLocated message) {
         Request request = message.request();
-        if (message.found() instanceof ArchiveReader.Archived archived) {
-            message.then().foundInArchive(archived.outcome());
-        } else if (message.found() instanceof ArchiveReader.NotArchived) {
-            message.then().notFound();
-        } else if (message.found() instanceof ArchiveReader.ManifestOutdated && message.tries() < MAX_ATTEMPTS) {
-            refresher.afterRefresh(request, () -> locate(request, message.id(), message.tries() + 1, message.then()));
+        if (message.result() instanceof ArchiveReader.Archived archived) {
+            message.handler().foundInArchive(archived.outcome());
+        } else if (message.result() instanceof ArchiveReader.NotArchived) {
+            message.handler().notFound();
+        } else if (message.result() instanceof ArchiveReader.ManifestOutdated && message.retries() < MAX_RETRIES) {
+            refresher.afterRefresh(
+                    request, () -> locate(request, message.id(), message.retries() + 1, message.handler()));
         } else {
             request.answer(503, UNAVAILABLE, 1);
         }
@@ -415,25 +422,25 @@
         return outcome.state() == JobState.DONE ? Standing.DONE : Standing.CANCELLED;
     }
 
-    private void tellStatus(Request request, JobCache.Entry entry) {
-        JobProgress counts = progress.get(entry.id());
+    private void answerStatus(Request request, JobCache.Entry entry) {
+        JobProgress jobProgress = progress.get(entry.id());
         JobState state = jobCache.state(entry.id());
-        boolean done = state == JobState.DONE;
+        boolean isDone = state == JobState.DONE;
         request.answer(
                 200,
                 JobCodec.status(
                         entry.id(),
                         standing(entry),
-                        done ? entry.record().taskCount() : counts == null ? 0 : counts.finishedTasks(),
-                        done || counts == null || state == JobState.CANCELLED ? 0 : counts.runningTasks()));
+                        isDone ? entry.record().taskCount() : jobProgress == null ? 0 : jobProgress.finishedTasks(),
+                        isDone || jobProgress == null || state == JobState.CANCELLED ? 0 : jobProgress.runningTasks()));
     }
 
     Standing standing(JobCache.Entry entry) {
-        JobProgress counts = progress.get(entry.id());
+        JobProgress jobProgress = progress.get(entry.id());
         return switch (jobCache.state(entry.id())) {
             case DONE -> Standing.DONE;
             case CANCELLED -> Standing.CANCELLED;
-            case OPEN -> counts != null && counts.runningTasks() > 0 ? Standing.RUNNING : Standing.QUEUED;
+            case OPEN -> jobProgress != null && jobProgress.runningTasks() > 0 ? Standing.RUNNING : Standing.QUEUED;
         };
     }
 }
