--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What controllers tell each other of cancellations, and the {@link CancellationHorizon} that rests on it. A leader's status asks for a
- * digest. Invariant: the jobs of a digest are recorded in the job cache before the horizon counts it, so that a worker is answered only by
- * a term that stops them. Part of the leader's actor.
+ * Exchanges cancellations with peers and feeds the {@link CancellationHorizon} with the digests that they send; a leader's status requests
+ * a digest. Invariant: the jobs of a digest are recorded in the job cache before the horizon counts the digest, so that only a term that
+ * stops these jobs answers workers. Part of the leader's actor.
  */
 final class CancellationExchange {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
@@ -23,7 +23,7 @@
     private final UsersActor users;
     private final CancellationHorizon horizon;
     private long readRevision;
-    /** Whether workers went unanswered when it was last asked, so that each change is logged once. */
+    /** Whether the last call of {@link #mayAnswerWorkers} returned false; used to log each change once. */
     private boolean isHorizonTooOld;
 
     CancellationExchange(Settings settings, UsersActor users) {
@@ -32,12 +32,12 @@
         this.horizon = new CancellationHorizon(settings);
     }
 
-    /** The revision up to which the store has been read: a digest names cancellations above it. */
+    /** Returns the revision up to which the store has been read; a digest names the cancellations above it. */
     long readRevision() {
         return readRevision;
     }
 
-    /** The job cache holds all that the store had when the read was sent. */
+    /** Records that the job cache holds everything that the store held when the read was sent. */
     void storeRead(LeaderMessage.StoreRead message) {
         readRevision = Math.max(readRevision, message.revision());
         horizon.storeRead(message.askedMicros());
@@ -46,9 +46,10 @@
     // ---- the leader's side
 
     /**
-     * A peer answered the status that was sent at {@code askedMicros}; what its digest names is recorded first.
+     * Sends the jobs of a peer's digest to the job cache. The horizon counts the digest in {@link #digestRecorded}, after they are recorded.
      *
-     * @param digest null from a version that gives none
+     * @param digest null from a version that sends none
+     * @param requestSentMicros when the status was sent that the peer answered
      */
     void digestReceived(int peer, CancellationDigest digest, long requestSentMicros, long now) {
         if (digest != null) {
@@ -57,19 +58,19 @@
         }
     }
 
-    /** The jobs of a digest are in the job cache, and the term has been told of them. */
+    /** Counts a digest whose jobs are recorded in the job cache and have been reported to the term. */
     void digestRecorded(LeaderMessage.DigestRecorded message) {
         if (!horizon.digestReceived(
                 message.peer(), message.digest(), message.askedMicros(), message.receivedMicros())) {
             LOG.debug(
-                    "cancellation digest of {} leaves a gap: uptime {} us, complete: {}",
+                    "cancellation digest of {} has a gap: uptime {} us, complete: {}",
                     message.digest().controller(),
                     message.digest().uptimeMicros(),
                     message.digest().complete());
         }
     }
 
-    /** Whether workers may be answered; logs each change. */
+    /** Returns whether workers may be answered, and logs each change. */
     boolean mayAnswerWorkers(long now) {
         boolean mayAnswer = horizon.mayAnswerWorkers(now);
         if (mayAnswer == isHorizonTooOld) {
@@ -87,7 +88,7 @@
 
     // ---- a follower's side
 
-    /** Answers a leader's status, with a digest of what this controller knows beyond the leader's last read if it asks for one. */
+    /** Answers a leader's status, with a digest of the cancellations above the leader's last read revision if the leader requests one. */
     void answerPeerStatus(Request request, PeerCodec.PeerStatus answer, PeerCodec.LeaderStatus status) {
         if (status.revision() < 0) {
             request.answer(200, PeerCodec.peerStatus(answer));
@@ -98,7 +99,7 @@
         }
     }
 
-    /** A peer confirmed cancellations. The horizon does not count this; it only arrives sooner than the next digest. */
+    /** Records cancellations that a peer confirmed. They only arrive sooner than the peer's next digest; the horizon does not count them. */
     void peerCancellationsReceived(Request request) {
         try {
             users.tell(new UsersActor.CancellationsReceived(
@@ -112,7 +113,11 @@
         }
     }
 
-    /** Tells the leader, if it is a peer, of a cancellation that was confirmed here; {@code leader} is its label or null. */
+    /**
+     * Sends a cancellation that this controller confirmed to the leader, if the leader is a peer.
+     *
+     * @param leader label of the leader, null if unknown
+     */
     void cancellationConfirmed(CancellationDigest.Cancelled job, String leader, PeerClients peers) {
         if (leader != null && !leader.equals(settings.label())) {
             peers.sendCancellations(leader, new PeerCodec.CancellationNotice(List.of(job)));
--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Cancels jobs: one conditional put on the job's own row. Part of the users' actor. */
+/** Cancels jobs, each by one conditional write of the job's own record. Part of the users' actor. */
 final class Cancellations {
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
 
@@ -37,11 +37,16 @@
         this.refresher = refresher;
     }
 
-    /** Who tells the leader what is confirmed here. */
+    /** Sets the actor that reports cancellations confirmed by this controller to the leader. */
     void attachLeaderActor(LeaderActor leader) {
         leaderActor = leader;
     }
 
+    /**
+     * Handles a request to cancel a job.
+     *
+     * @param conflicts number of earlier transactions for this request that the store rejected because the job record had changed
+     */
     void cancel(Request request, String id, int conflicts) {
         if (!JobCodec.isId(id)) {
             request.answer(404, UsersActor.NO_SUCH_JOB);
@@ -73,17 +78,19 @@
             request.answer(200, JobCodec.accepted(id, owner.standing(entry)));
             return;
         }
-        StoredRecord.JobRecord record = cancelledRecord(entry);
+        StoredRecord.JobRecord jobRecord = cancelledRecord(entry);
         Transaction transaction = new Transaction(
                 List.of(new Transaction.Condition(StoreKeys.job(id), entry.version())),
-                List.of(new Transaction.Write(StoreKeys.job(id), record, 0)));
+                List.of(new Transaction.Write(StoreKeys.job(id), jobRecord, 0)));
         store.transaction(
-                transaction, owner.answer(r -> new UsersActor.CancellationWritten(r, request, record, id, conflicts)));
+                transaction,
+                owner.answer(r -> new UsersActor.CancellationWritten(r, request, jobRecord, id, conflicts)));
     }
 
     /**
-     * The description stays: a leader that finds tasks of the job has to know what they take of their team's limit. What was
-     * accepted under a larger limit of the state service keeps only that.
+     * Returns the record of the cancelled job. It keeps the job's specification, because a leader that finds tasks of the job has to count their
+     * resources against the limit of their team. A specification that was accepted under a larger value limit of the store, and exceeds the
+     * present one, is reduced to the fields that placement needs.
      */
     private StoredRecord.JobRecord cancelledRecord(JobCache.Entry entry) {
         StoredRecord.JobRecord openRecord = entry.record();
@@ -104,19 +111,20 @@
                         .withCheckedAgainstArchive(isCheckedAgainstArchive);
     }
 
+    /** Handles the store's answer to the transaction that cancels a job; retries up to three times after a conflict. */
     void cancellationWritten(UsersActor.CancellationWritten message) {
         Reply reply = message.reply();
         String id = message.id();
         if (reply.ok()) {
             try {
                 long version = StoreCodec.revision(reply.body());
-                refresher.apply(id, message.record(), version);
+                refresher.apply(id, message.jobRecord(), version);
                 leaderActor.tell(
                         new LeaderMessage.CancellationConfirmed(new CancellationDigest.Cancelled(id, version)));
                 message.request().answer(200, JobCodec.accepted(id, JobCodec.Standing.CANCELLED));
                 return;
             } catch (MalformedException e) {
-                LOG.error("transaction answer: {}", e.getMessage());
+                LOG.error("malformed answer to the transaction of a cancellation: {}", e.getMessage());
             }
         }
         if (reply.status() == 409 && message.conflicts() < 3) {
--- a/src/main/java/io/micatide/controller/Controller.java
+++ b/src/main/java/io/micatide/controller/Controller.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** The actors of one controller on one executor, whatever carries their requests. All methods must be called on the executor. */
+/**
+ * The actors of one controller on one executor, independent of the transport of their requests. All methods must be called on the
+ * executor.
+ */
 public final class Controller {
     private static final byte[] NO_SUCH_PATH = Json.error(null, "no such path");
     private static final byte[] WRONG_METHOD = Json.error(null, "method not allowed");
@@ -22,7 +25,7 @@
     private final LeaderActor leader;
 
     /**
-     * A controller with the standard components.
+     * Creates a controller with the standard components.
      *
      * @param settings of this controller
      * @param tuning of this controller
@@ -34,7 +37,7 @@
     }
 
     /**
-     * A controller with components of the caller's choice.
+     * Creates a controller with the given components.
      *
      * @param settings of this controller
      * @param tuning of this controller
@@ -57,26 +60,26 @@
     }
 
     /**
-     * When this controller's term reached the stages of its failover; for simulations.
+     * Returns the times at which this controller's term reached the stages of its failover; for simulations.
      *
-     * @return null if this controller does not lead
+     * @return the times, null if this controller does not lead
      */
     public FailoverTimings failoverTimings() {
         return leader.failoverTimings();
     }
 
     /**
-     * Whether the leader has designated this controller to take over; for simulations.
+     * Returns whether the leader has designated this controller as a standby; for simulations.
      *
-     * @return whether it was designated by the last status of a leader
+     * @return whether the last status of a leader designated this controller
      */
     public boolean isDesignatedStandby() {
         return leader.isDesignatedStandby();
     }
 
     /**
-     * Shows an observer what the standby's replicas bring to each failover to this controller; for simulations. Standbys have to be switched
-     * on.
+     * Sets an observer of the records that the standby's replicas provide to a failover to this controller; for simulations. Standbys must be
+     * switched on.
      *
      * @param observer called with the prefix and the records of each replica that is used
      */
@@ -84,7 +87,7 @@
         leader.observeReplicaRecords(observer);
     }
 
-    /** Begins to read the store and to take part in the election. */
+    /** Starts reading the store and taking part in the election. */
     public void start() {
         users.tell(new UsersActor.AttachLeaderActor(leader));
         users.tell(new UsersActor.LoadJobs());
@@ -95,7 +98,7 @@
     /**
      * Handles a request of a user, of the load balancer or of a worker.
      *
-     * @param request to be answered, now or later
+     * @param request the request, answered during this call or later
      */
     public void handleRequest(Request request) {
         if (request.path().equals("/v1/report")) {
@@ -110,9 +113,9 @@
     }
 
     /**
-     * Shuts down gracefully: hands leadership over if it has it.
+     * Shuts down gracefully and hands leadership over if this controller leads.
      *
-     * @param onCompleted run on the executor once others can go on without this controller
+     * @param onCompleted run on the executor once peers can continue without this controller
      */
     public void shutDown(Runnable onCompleted) {
         leader.tell(new LeaderMessage.ShutdownRequested(onCompleted));
@@ -121,7 +124,7 @@
     /**
      * Handles a request of a peer.
      *
-     * @param request to be answered, now or later
+     * @param request the request, answered during this call or later
      */
     public void handlePeerRequest(Request request) {
         if (request.path().equals("/news") && request.method().equals("POST")) {
--- a/src/main/java/io/micatide/controller/ControllerServer.java
+++ b/src/main/java/io/micatide/controller/ControllerServer.java
@@ -26,7 +26,7 @@
     private volatile String bindFailure;
 
     /**
-     * A controller that has yet to be started.
+     * Creates a controller that has yet to be started.
      *
      * @param settings with the addresses to bind
      * @param tuning of the controller
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Binds both addresses and starts the controller. All of it happens on the event loop, so that the calling thread
-     * has nothing to load or to read while the loop works: on the bench a controller has ended inside the C library's
-     * read when both did (docs/questions.md).
+     * Binds both addresses and starts the controller. All of this runs on the event loop, so that the calling thread loads no classes and
+     * reads nothing meanwhile: when both threads did, a controller's process crashed inside the C library's {@code read}
+     * (docs/questions.md).
      *
      * @throws InterruptedException if the calling thread is interrupted while it waits
      * @throws IllegalStateException if an address cannot be bound, which the message names
@@ -57,7 +57,7 @@
             bind(new HttpServer(controller::handleRequest, maxConnections), settings.bind(), bound);
             bind(new HttpServer(controller::handlePeerRequest, maxConnections), settings.peerBind(), bound);
             LOG.info(
-                    "{} in {} serves on {}, peers on {}, reads layout {}",
+                    "{} in zone {} serves users and workers on {} and peers on {}, reads layout {}",
                     settings.label(),
                     settings.zone(),
                     settings.bind(),
@@ -80,17 +80,18 @@
     }
 
     /**
-     * Shuts down gracefully, as an operator's stop asks for: leadership is handed over and nothing new is answered. Returns once others
-     * can go on, or after the timeout.
+     * Shuts down gracefully, as when an operator stops the process: hands leadership over and serves no new requests. Returns once peers can
+     * continue without this controller, or after the timeout.
      *
-     * @param timeoutMicros how long to wait at most
+     * @param timeoutMicros maximum time to wait
      * @throws InterruptedException if the calling thread is interrupted while it waits
      */
     public void shutDown(long timeoutMicros) throws InterruptedException {
         CountDownLatch completed = new CountDownLatch(1);
         eventLoop.execute(() -> controller.shutDown(completed::countDown));
         if (!completed.await(timeoutMicros, TimeUnit.MICROSECONDS)) {
-            LOG.warn("shut down without an answer of the store: the lease expires by itself");
+            LOG.warn(
+                    "shutdown timed out before the store confirmed the release of the lease: the lease will expire by itself");
         }
     }
 
--- a/src/main/java/io/micatide/controller/ControllerServices.java
+++ b/src/main/java/io/micatide/controller/ControllerServices.java
@@ -7,8 +7,10 @@
 import io.micatide.net.StoreClient;
 
 /**
- * What the actors of one controller share: its settings, the executor that runs them and its ways to the outside.
+ * The services that the actors of one controller share: settings, the executor that runs the actors, and clients of other processes.
  *
+ * @param settings the settings of the controller
+ * @param tuning the tuning of the controller
  * @param executor runs all actors of the controller, one message at a time
  * @param store the client of the consensus-backed key-value store
  * @param cloud the client of the cloud provider
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -23,19 +23,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the copy of the job rows: reads it whole, brings it up to date by the changes, and tells a leader on this controller what it
- * shows. Questions that came in before a read of the changes began are answered after it, all of them by the same read. Part of the
- * users' actor.
+ * Keeps the job cache up to date: loads it with a full read of the job records, applies the changes since then, and reports them to a leader
+ * on this controller. All requests that arrived before a read of the changes began are answered after that read. Part of the users' actor.
  */
 final class JobCacheRefresher {
-    /** What to do with a question once the copy is fresh. */
+    /**
+     * A user request that awaits a read of the changes.
+     *
+     * @param continuation run after the read; it answers the request
+     */
     private record WaitingRequest(Request request, Runnable continuation) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
     private static final long VERIFICATION_RETRY_MICROS = Micros.SECOND;
-    /** What one look at what may be archived gives at most. */
+    /** Maximum number of finished jobs that one search for archivable jobs returns. */
     private static final int MAX_ARCHIVABLE_JOBS = 5_000;
 
+    /** Further requests are answered 429. */
     private static final int MAX_WAITING_REQUESTS = 400;
 
     private final UsersActor owner;
@@ -46,16 +50,23 @@
     private final List<WaitingRequest> requestsAwaitingNextRead = new ArrayList<>();
     private List<WaitingRequest> requestsAwaitingReadInFlight = List.of();
     private final Set<String> verificationsInFlight = new HashSet<>();
-    /** Is told of the switches, of each read and of cancellations, whether it leads or not. */
+    /** Receives feature stages, completed reads and cancellations, whether it leads or not. */
     private LeaderActor leaderActor;
 
+    /** Receives every change of a job, null if this controller does not lead. */
     private LeaderActor subscribedLeader;
+
+    /** Whether the subscribed leader has yet to receive the open and the cancelled jobs. */
     private boolean isSnapshotPending;
+
     private long subscribedMicros;
     private boolean isLoaded;
     private boolean isRefreshInFlight;
     private boolean isRefreshScheduled;
+    /** Whether a standby on this controller awaits a read of the changes. */
     private boolean refreshRequested;
+
+    /** Time at which the last read of the changes was sent. */
     private long lastRefreshMicros;
 
     JobCacheRefresher(
@@ -64,22 +75,26 @@
         this.store = store;
         this.archiveReader = archiveReader;
         this.jobCache = jobCache;
-        // All controllers together take about a third of the requests for this.
+        // All controllers together use about a third of the store's request rate for these reads.
         this.refreshIntervalMicros = Math.max(
                 50 * Micros.MILLISECOND,
                 (settings.siblings().size() + 1) * Micros.ofSeconds(3 / settings.storeRequestsPerSecond()));
     }
 
-    /** Whether the copy has been read whole. */
+    /** Whether the full read of the job records is complete. */
     boolean isLoaded() {
         return isLoaded;
     }
 
+    /** Sets the actor that receives feature stages, completed reads and cancellations, whether it leads or not. */
     void attachLeaderActor(LeaderActor leader) {
         leaderActor = leader;
     }
 
-    /** The leader on this controller wants every change from now on. What the copy knows as cancelled may be stopped at once. */
+    /**
+     * Subscribes the leader on this controller to all changes. Sends it the jobs that the cache holds as cancelled at once, since these may be
+     * stopped before the snapshot is complete.
+     */
     void subscribeLeader(LeaderActor newLeader) {
         subscribedLeader = newLeader;
         isSnapshotPending = true;
@@ -92,7 +107,11 @@
         refresh();
     }
 
-    /** Jobs that a sibling knows as cancelled; {@code then} is told to the leader's actor after what follows from them. */
+    /**
+     * Records jobs that a peer reported as cancelled.
+     *
+     * @param completionMessage sent to the leader's actor after the changes that the jobs cause, null for none
+     */
     void cancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderMessage completionMessage) {
         jobs.forEach(job -> jobsChanged(jobCache.markCancelled(job.job(), job.version())));
         if (completionMessage != null) {
@@ -100,29 +119,38 @@
         }
     }
 
+    /** Ends the subscription of the leader on this controller. */
     void unsubscribeLeader() {
         subscribedLeader = null;
     }
 
-    /** A standby on this controller wants the copy fresh though nobody asks. */
+    /** Reads the changes for a standby on this controller, also if no user request waits for them. */
     void refreshRequested() {
         refreshRequested = true;
         refresh();
     }
 
+    /** Runs a scheduled read of the changes. */
     void refreshDue() {
         isRefreshScheduled = false;
         refresh();
     }
 
+    /**
+     * Reads one page of all job records.
+     *
+     * @param afterKey the key after which the page begins, null for the first page
+     */
     void readPage(String afterKey) {
         store.list(StoreKeys.JOBS, afterKey, owner.answer(r -> new UsersActor.JobPageRead(r, afterKey)));
     }
 
+    /** Applies a page of the full read and requests the next one; retries a failed page. */
     void pageRead(UsersActor.JobPageRead message) {
         Reply reply = message.reply();
         if (!reply.ok()) {
-            // The same page: with as many rows as use up the rate, a read that began anew would never end.
+            // Retries the same page: with enough records to use up the rate limit, a read that restarted with the first
+            // page would never complete.
             owner.tellLater(new UsersActor.JobPageDue(message.afterKey()), 300 * Micros.MILLISECOND);
             return;
         }
@@ -142,11 +170,11 @@
                 isLoaded = true;
                 jobCache.finishFullRead();
                 verifyRecords();
-                LOG.info("job rows loaded, {} open", jobCache.openJobs().size());
+                LOG.info("job records loaded, {} jobs open", jobCache.openJobs().size());
                 refresh();
             }
         } catch (MalformedException e) {
-            LOG.error("job rows: {}", e.getMessage());
+            LOG.error("malformed page of job records: {}", e.getMessage());
             owner.tellLater(new UsersActor.LoadJobs(), Micros.SECOND);
         }
     }
@@ -162,8 +190,8 @@
             archiveManifestRead(item.version(), manifest);
         } else if (item.record() instanceof StoredRecord.FeatureStages features) {
             leaderActor.tell(new LeaderMessage.FeatureStagesObserved(item.version(), features));
-        } else if (item.record() instanceof StoredRecord.JobRecord record) {
-            apply(StoreKeys.jobIdOf(item.key()), record, item.version());
+        } else if (item.record() instanceof StoredRecord.JobRecord jobRecord) {
+            apply(StoreKeys.jobIdOf(item.key()), jobRecord, item.version());
         } else if (item.record() instanceof StoredRecord.FurtherDependencies dependencies) {
             jobsChanged(jobCache.applyDependencies(
                     StoreKeys.jobIdOf(item.key()), StoreKeys.dependenciesPieceOf(item.key()), dependencies.names()));
@@ -180,6 +208,7 @@
         }
     }
 
+    /** Records the layout that every controller reads, and reports it to the subscribed leader. */
     void layoutMarked(long version, StoredRecord.Layout layout) {
         jobCache.layoutMarked(version, layout);
         if (subscribedLeader != null) {
@@ -187,8 +216,9 @@
         }
     }
 
-    void apply(String id, StoredRecord.JobRecord record, long version) {
-        jobsChanged(jobCache.apply(id, record, version));
+    /** Applies a job record of the given version, and reports the changes that it causes. */
+    void apply(String id, StoredRecord.JobRecord jobRecord, long version) {
+        jobsChanged(jobCache.apply(id, jobRecord, version));
     }
 
     private void jobsChanged(List<String> ids) {
@@ -204,6 +234,10 @@
         }
     }
 
+    /**
+     * Reads the changes since the cache's revision if a request, the subscribed leader or a standby awaits them and no read is in flight.
+     * Schedules the read instead if the last one was sent less than the refresh interval ago.
+     */
     void refresh() {
         if (!isLoaded
                 || isRefreshInFlight
@@ -212,9 +246,9 @@
         }
         long now = owner.now();
         long delayMicros = lastRefreshMicros + refreshIntervalMicros - now;
-        // A new leader's first read does not wait. Its next ones do: in an outage that began with its claim it asked
-        // again as fast as it was
-        // answered, and above the rate, where the answer is its own, without end.
+        // A new leader's first read is sent without delay, its next ones are not: in an outage that began with the
+        // claim, they were retried as fast as they were answered, and without end above the rate limit, where the
+        // client itself answers.
         if (delayMicros > 0 && !(isSnapshotPending && lastRefreshMicros < subscribedMicros)) {
             if (!isRefreshScheduled) {
                 isRefreshScheduled = true;
@@ -230,6 +264,7 @@
         store.changes(StoreKeys.JOBS, jobCache.revision(), owner.answer(r -> new UsersActor.ChangesRead(r, now)));
     }
 
+    /** Applies the changes that were read, reports them, and runs the requests that awaited the read. */
     void changesRead(UsersActor.ChangesRead message) {
         isRefreshInFlight = false;
         List<WaitingRequest> answeredRequests = requestsAwaitingReadInFlight;
@@ -239,7 +274,7 @@
         if (reply.ok()) {
             try {
                 StoreCodec.Items changes = StoreCodec.changes(reply.body());
-                // In the order in which they were made: a row may come and go between two reads.
+                // Applied in the order in which they were made: a record may be created and deleted between two reads.
                 changes.items().stream()
                         .sorted(Comparator.comparingLong(StoreCodec.Item::version))
                         .forEach(this::apply);
@@ -247,7 +282,7 @@
                 verifyRecords();
                 isFresh = true;
             } catch (MalformedException e) {
-                LOG.error("changes of jobs: {}", e.getMessage());
+                LOG.error("malformed changes of job records: {}", e.getMessage());
             }
         } else if (reply.status() == 410) {
             isLoaded = false;
@@ -255,9 +290,9 @@
         }
         if (isFresh) {
             if (subscribedLeader != null) {
-                // A read that was under way at the claim may lack a job whose ledger the leader before wrote after it:
-                // with the job
-                // unknown its ledger was taken for a left-over, and its tasks were started once more.
+                // A read that was in flight at the claim may lack a job whose ledger the previous leader wrote after
+                // that read. With the job unknown, its ledger was treated as obsolete and its tasks were started a
+                // second time.
                 if (isSnapshotPending && message.requestSentMicros() >= subscribedMicros) {
                     isSnapshotPending = false;
                     if (jobCache.layoutVersion() > 0) {
@@ -279,6 +314,7 @@
         refresh();
     }
 
+    /** Runs the continuation of a request after a read of the changes that begins from now on; answers 429 if too many requests wait. */
     void afterRefresh(Request request, Runnable continuation) {
         if (requestsAwaitingNextRead.size() >= MAX_WAITING_REQUESTS) {
             request.answer(429, UsersActor.TOO_MANY_REQUESTS, 2);
@@ -288,7 +324,10 @@
         refresh();
     }
 
-    /** Rows of a former version may be of jobs that were archived long ago: nothing of them is told or started before that is known. */
+    /**
+     * Searches the archive for jobs whose records were written by a previous version. These jobs may have been archived long ago, so they are
+     * neither reported nor started before the result is known.
+     */
     void verifyRecords() {
         for (JobCache.Entry entry : jobCache.unverified()) {
             if (verificationsInFlight.add(entry.id())) {
@@ -298,6 +337,7 @@
         }
     }
 
+    /** Handles the result of a search by {@link #verifyRecords}, or schedules another one. */
     void recordVerified(UsersActor.RecordVerified message) {
         verificationsInFlight.remove(message.id());
         if (message.result() instanceof ArchiveReader.Archived) {
@@ -310,6 +350,7 @@
         }
     }
 
+    /** Sends the term with the given token the finished jobs that no open job depends on, and the stale records of archived jobs. */
     void findArchivableJobs(long fencingToken) {
         if (subscribedLeader == null
                 || !isLoaded
--- a/src/main/java/io/micatide/controller/JobLookupHandler.java
+++ b/src/main/java/io/micatide/controller/JobLookupHandler.java
@@ -2,13 +2,14 @@
 
 import io.micatide.store.JobOutcome;
 
-/** Where a job is. */
+/** Receives where a job was found. */
 interface JobLookupHandler {
-    /** The copy holds it. */
+    /** The job cache holds the job. */
     void foundInCache();
 
+    /** The archive holds the job. */
     void foundInArchive(JobOutcome outcome);
 
-    /** It was never accepted, as far as the copy is fresh. */
+    /** The job was never accepted, if the job cache is up to date. */
     void notFound();
 }
--- a/src/main/java/io/micatide/controller/KnownJobReply.java
+++ b/src/main/java/io/micatide/controller/KnownJobReply.java
@@ -4,7 +4,7 @@
 import io.micatide.protocol.JobCodec;
 import io.micatide.store.JobOutcome;
 
-/** A submission of a job that was accepted before gets 200 and how it stands. */
+/** Answers the submission of a job that was accepted before with 200 and the job's state. */
 abstract class KnownJobReply implements JobLookupHandler {
     private final UsersActor owner;
     private final Request request;
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -12,30 +12,30 @@
 import java.util.List;
 
 /**
- * The clients of the other controllers and what is sent by them: a leader's status, hints and request for a handover, a starting
- * controller's question for readiness, and confirmed cancellations. Peers are numbered by their places in {@link Settings#siblings()}.
- * Part of the leader's actor.
+ * Sends requests to the peers: a leader's status, hints and request for a handover, a starting controller's request for readiness, and
+ * confirmed cancellations. A peer is identified by its index in {@link Settings#siblings()}. Part of the leader's actor.
  */
 final class PeerClients {
     private static final long STATUS_INTERVAL_MICROS = Micros.SECOND;
     private static final long URGENT_STATUS_INTERVAL_MICROS = 250 * Micros.MILLISECOND;
     private static final long READINESS_INTERVAL_MICROS = 500 * Micros.MILLISECOND;
-    /** A standby catches up with one read; one that has not answered by then is not waited for. */
+    /** Timeout of a request for a handover. A standby catches up with one read, so one without an answer by then is not waited for. */
     private static final long HANDOVER_TIMEOUT_MICROS = 300 * Micros.MILLISECOND;
-    /** What fits the body of a request to a peer. */
+    /** Number of jobs whose progress fits the body of one request to a peer. */
     private static final int MAX_JOBS_PER_STATUS = 1_000;
 
     private static final int CONNECTIONS_PER_PEER = 2;
 
     /**
-     * A leader's status but for the progress of jobs.
+     * A leader's status without the progress of jobs.
      *
-     * @param fencingToken of its term
-     * @param isStoreConnected whether the store answers it
-     * @param workersSilentMicros how long it has received no heartbeat
-     * @param standbys labels of the controllers that are to take over, the first one first; null if none are selected yet or ever
-     * @param featureStagesVersion the version of the stages of features that it knows
-     * @param readRevision up to which it has read the store: peers name cancellations above it
+     * @param fencingToken of the leader's term
+     * @param isStoreConnected whether the store answers the leader
+     * @param workersSilentMicros how long the leader has received no heartbeat
+     * @param standbys labels of the designated standbys, the first one to take over first; null if none are selected yet or standbys are
+     *     switched off
+     * @param featureStagesVersion version of the feature stages that the leader knows
+     * @param readRevision revision up to which the leader has read the store; peers name cancellations above it
      */
     record LeaderStatus(
             long fencingToken,
@@ -48,11 +48,11 @@
     private final LeaderActor owner;
     private final Settings settings;
     private final List<Http> peers = new ArrayList<>();
-    /** 0 if a new term has yet to send its first status. */
+    /** Time at which the last regular status was sent, 0 if a new term has yet to send its first one. */
     private long lastStatusMicros;
 
     private long lastUrgentStatusMicros;
-    /** 0 if nothing was asked for yet. */
+    /** Time at which readiness was last requested, 0 if it never was. */
     private long lastReadinessRequestMicros;
 
     PeerClients(LeaderActor owner, Settings settings, Http.Connector connector) {
@@ -63,17 +63,17 @@
         }
     }
 
-    /** A new term begins: its first status is due at once. */
+    /** Prepares for a new term, whose first status is due at once. */
     void termStarted() {
         lastStatusMicros = 0;
     }
 
-    /** Whether the regular status is due. */
+    /** Returns whether the regular status is due. */
     boolean isStatusDue(long now) {
         return lastStatusMicros == 0 || now - lastStatusMicros >= STATUS_INTERVAL_MICROS;
     }
 
-    /** Sends the regular status to all peers, in as many parts as the progress of all jobs takes. */
+    /** Sends the regular status to all peers, split into parts of at most {@link #MAX_JOBS_PER_STATUS} jobs. */
     void sendStatus(LeaderStatus status, List<JobProgress> jobs, long now) {
         lastStatusMicros = now;
         lastUrgentStatusMicros = now;
@@ -85,7 +85,10 @@
         }
     }
 
-    /** Sends the status between two regular ones, without progress; the answers say whether workers have turned to a peer. */
+    /**
+     * Sends an additional status between two regular ones, without progress, at most every {@link #URGENT_STATUS_INTERVAL_MICROS}. The answers
+     * report whether workers have turned to a peer.
+     */
     void sendUrgentStatus(LeaderStatus status, long now) {
         if (now - lastUrgentStatusMicros >= URGENT_STATUS_INTERVAL_MICROS) {
             lastUrgentStatusMicros = now;
@@ -95,7 +98,7 @@
         }
     }
 
-    /** Asks all peers how ready they are to lead, while the leader record is left to them. */
+    /** Requests the readiness of all peers while this controller leaves the leader record to them. */
     void requestReadiness(long now) {
         if (lastReadinessRequestMicros != 0 && now - lastReadinessRequestMicros < READINESS_INTERVAL_MICROS) {
             return;
@@ -111,7 +114,7 @@
         }
     }
 
-    /** Sends hints to the standbys that do not hold the newest ones. */
+    /** Sends hints to the standbys that do not hold the newest snapshot. */
     void sendHints(List<Integer> standbys, HintSender hints, long fencingToken) {
         for (int standby : standbys) {
             for (HintBatch batch : hints.batchesFor(standby)) {
@@ -125,7 +128,7 @@
         }
     }
 
-    /** Asks a standby to catch up to the last revision of this term and to take over. */
+    /** Requests that a standby catches up with the last revision of this term and takes over. */
     void requestHandover(int peer, long fencingToken, long revision) {
         peers.get(peer)
                 .post(
@@ -135,7 +138,10 @@
                         owner.answer(LeaderMessage.HandoverAnswered::new));
     }
 
-    /** Sends confirmed cancellations to the leader, if it is a peer; it would learn of them with its next read or digest. */
+    /**
+     * Sends confirmed cancellations to the leader, if it is a peer. Errors are ignored, since the leader also learns of cancellations with its
+     * next read or digest.
+     */
     void sendCancellations(String leader, PeerCodec.CancellationNotice cancellations) {
         for (int peer = 0; peer < peers.size(); peer++) {
             if (settings.siblings().get(peer).label().equals(leader)) {
@@ -149,7 +155,7 @@
         }
     }
 
-    /** @param isFirst whether this part replaces the progress that was sent before, instead of adding to it */
+    /** @param isFirst whether this part replaces the progress that was sent earlier instead of adding to it */
     private void postStatus(int peer, LeaderStatus status, boolean isFirst, List<JobProgress> jobs) {
         long requestSentMicros = owner.now();
         peers.get(peer)
--- a/src/main/java/io/micatide/controller/PeerExchange.java
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The status that a leader sends to its peers and what they answer. Every status and every answer carries a fencing token, and a higher
- * one than ours ends our term before anything else of the message is used. Part of the leader's actor.
+ * Exchanges the status of a leader and the answers of its peers. Every status and every answer carries a fencing token; one that is higher
+ * than that of this controller's term ends the term before anything else in the message is used. Part of the leader's actor.
  */
 final class PeerExchange {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
@@ -38,7 +38,7 @@
         this.transfer = transfer;
     }
 
-    /** Handles one message of or about a peer. */
+    /** Handles one message from or about a peer. */
     void receive(LeaderMessage.PeerMessage message) {
         CancellationExchange cancellations = collaborators.cancellations();
         if (message instanceof LeaderMessage.PeerStatusReceived m) {
@@ -59,14 +59,14 @@
 
     // ---- the leader's side
 
-    /** Sends the status between two regular ones while no heartbeat comes: a peer may know where the workers are. */
+    /** Sends an additional status while no heartbeats arrive, since workers may have turned to a peer. */
     void sendUrgentStatusIfWorkersAreSilent(LeaderTerm term, long now) {
         if (collaborators.workers().shouldAskPeers(now)) {
             collaborators.peers().sendUrgentStatus(currentStatus(term, now), now);
         }
     }
 
-    /** Sends the regular status, with the progress of jobs and, to standbys, hints. */
+    /** Sends the regular status with the progress of jobs to all peers, and hints to the designated standbys. */
     void sendStatusIfDue(LeaderTerm term, long now) {
         if (!collaborators.peers().isStatusDue(now)) {
             return;
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -17,52 +17,65 @@
 import java.util.function.BiConsumer;
 
 /**
- * Keeps replicas of ledgers and provisioning requests while this controller is a designated standby, and provides them to a
- * {@link FailoverLoader} on this controller. Costs nothing while it is not designated: no reads, no records.
+ * Keeps replicas of the ledgers and the provisioning requests while this controller is a designated standby, and provides them to a
+ * {@link FailoverLoader} on this controller. While the controller is not designated, this actor reads nothing and holds no records.
  */
 final class StandbyActor extends Actor<StandbyActor.Message> {
-    /** What this actor is told. */
+    /** A message to this actor. */
     sealed interface Message {}
 
-    /** The leader's status says whether this controller is a designated standby. */
+    /** The leader reported whether this controller is a designated standby. */
     record DesignationChanged(boolean isDesignated) implements Message {}
 
-    /** It is time to read the changes of all replicas. */
+    /**
+     * The next read of the changes of all replicas is due.
+     *
+     * @param generation the {@link #generation} in which the poll was scheduled
+     */
     record PollDue(long generation) implements Message {}
 
-    /** A page of a full read. */
+    /** The store answered a read of one page of a full read. */
     record PageRead(Reply reply, long generation, KeyspaceReplica replica, boolean isFirst) implements Message {}
 
-    /** It is time to read a replica anew. */
+    /** A new full read of a replica is due. */
     record ReloadDue(long generation, KeyspaceReplica replica) implements Message {}
 
-    /** The changes since a replica's revision. */
+    /** The store answered a read of the changes since a replica's revision, sent at {@code requestSentMicros}. */
     record ChangesRead(Reply reply, long generation, KeyspaceReplica replica, long requestSentMicros)
             implements Message {}
 
-    /** This controller has claimed the lease: the replicas, brought up to the claim, are wanted now. */
+    /**
+     * This controller claimed the lease: the loader awaits the replicas, brought up to date with the claim.
+     *
+     * @param fencingToken of the new term; it is the revision of the claim
+     */
     record ProvideReplicas(long fencingToken, FailoverLoader loader) implements Message {}
 
-    /** The changes up to the claim. */
+    /** The store answered a read of the changes up to the claim. */
     record CatchUpRead(Reply reply, CatchUp catchUp) implements Message {}
 
-    /** It is time to ask again for the changes up to the claim. */
+    /** A retry of the read of the changes up to the claim is due. */
     record CatchUpRetry(CatchUp catchUp) implements Message {}
 
-    /** A leader that ends tells the last revision of its writes, and waits for the answer. */
+    /**
+     * A leader that shuts down requests an answer once the replica of the ledgers holds all its writes.
+     *
+     * @param revision of the leader's last write
+     */
     record HandoverRequested(Request request, long revision) implements Message {}
 
-    /** The changes up to a handover. */
+    /** The store answered the read of the changes for a handover. */
     record HandoverChangesRead(Reply reply, long generation, KeyspaceReplica replica, Request request, long revision)
             implements Message {}
 
-    /** A batch of the leader's hints. */
+    /** The leader sent a batch of hints. */
     record HintsReceived(Request request) implements Message {}
 
     /**
-     * A replica on its way to the revision of a claim.
+     * A replica that is being brought up to date with the revision of a claim.
      *
-     * @param attempt from 1
+     * @param fencingToken of the new term; it is the revision of the claim
+     * @param attempt number of this read, from 1 to {@link #MAX_CATCH_UP_ATTEMPTS}
      */
     record CatchUp(KeyspaceReplica replica, long fencingToken, FailoverLoader loader, int attempt) {
         CatchUp nextAttempt() {
@@ -70,17 +83,20 @@
         }
     }
 
-    /** Two standbys, each with two of these reads and one of the job records, take a twentieth of the requests at most. */
+    /**
+     * Divided by the store's requests per second, gives the poll interval in seconds. Two standbys, each with two reads of replicas and one of
+     * the job records per poll, use at most a twentieth of the requests.
+     */
     private static final double POLL_READS_BUDGET = 6 * 20;
 
     private static final long MIN_POLL_MICROS = 500 * Micros.MILLISECOND;
-    /** What is too large, or could not be decoded, is tried again after so long. */
+    /** Delay before a replica that was too large or could not be decoded is read anew. */
     private static final long TOO_LARGE_RETRY_MICROS = 60 * Micros.SECOND;
 
     private static final long LOG_INTERVAL_MICROS = 30 * Micros.SECOND;
     private static final long CATCH_UP_RETRY_MICROS = 60 * Micros.MILLISECOND;
     private static final int MAX_CATCH_UP_ATTEMPTS = 4;
-    /** What a controller may spend of its memory on following, of which the replicas' estimate is about half. */
+    /** Share of the controller's memory that following the leader may take; the estimated size of the replicas is about half of it. */
     private static final double MEMORY_SHARE = 0.06;
 
     private static final double MAX_REPLICA_MB = 10;
@@ -94,17 +110,18 @@
     private final UsersActor users;
     private final LeaderActor leader;
     private final long pollIntervalMicros;
-    /** Ledgers first. */
+    /** The replica of the ledgers, then that of the provisioning requests. */
     private final List<KeyspaceReplica> replicas;
 
     private final ReceivedHints hints = new ReceivedHints();
     private boolean isFollowing;
-    /** Counts designations and their ends; answers to what an earlier one asked are dropped. */
+    /** Incremented whenever a designation begins or ends; answers to reads of an earlier generation are dropped. */
     private long generation;
 
     private long lastLogMicros;
+    /** Time at which the read was sent whose changes were applied last, or at which the designation began. */
     private long upToDateMicros;
-    /** Sees what is provided to a loader; tests compare it with the store. */
+    /** Receives the prefix and the records of each replica that is provided to a loader; tests compare them with the store. */
     private BiConsumer<String, List<StoreCodec.Item>> replicaObserver = (prefix, records) -> {};
 
     StandbyActor(
@@ -126,6 +143,7 @@
                 factory.create(StoreKeys.PROVISIONING_REQUESTS, maxBytes / 10));
     }
 
+    /** Sets the observer of the replicas that are provided to a loader. */
     void setReplicaObserver(BiConsumer<String, List<StoreCodec.Item>> observer) {
         replicaObserver = observer;
     }
@@ -136,21 +154,15 @@
             designationChanged(m.isDesignated());
         } else if (message instanceof PollDue m) {
             pollDue(m);
-
         } else if (message instanceof PageRead m) {
-
             pageRead(m);
         } else if (message instanceof ReloadDue m) {
-
             reloadDue(m);
-
         } else if (message instanceof ChangesRead m) {
-
             changesRead(m);
         } else if (message instanceof ProvideReplicas m) {
             provideReplicas(m);
         } else if (message instanceof CatchUpRetry m) {
-
             readCatchUp(m.catchUp());
         } else if (message instanceof CatchUpRead m) {
             catchUpRead(m);
@@ -193,7 +205,7 @@
         leader.tell(new StandbyMessage.ReplicaStateChanged(isComplete()));
     }
 
-    // ---- following
+    // ---- following the leader
 
     private void readPage(KeyspaceReplica replica, String afterKey) {
         long requestGeneration = generation;
@@ -252,8 +264,8 @@
         }
         KeyspaceReplica replica = message.replica();
         if (!message.reply().ok()) {
-            // From the beginning: a page that follows on another is worth nothing once the first is old, and this is
-            // rare.
+            // Restarts with the first page, since a later page is of no use once the first one is outdated. Failures
+            // are rare.
             reloadLater(replica, pollIntervalMicros);
             return;
         }
@@ -269,7 +281,7 @@
                 reportCompleteness();
             }
         } catch (MalformedException e) {
-            log.error("page of {}: {}", replica.prefix(), e.getMessage());
+            log.error("malformed page of {}: {}", replica.prefix(), e.getMessage());
             reloadLater(replica, TOO_LARGE_RETRY_MICROS);
         }
     }
@@ -286,9 +298,9 @@
     }
 
     /**
-     * Takes in the answer to a read of the changes.
+     * Applies the store's answer to a read of the changes.
      *
-     * @return whether there was an answer; the replica may be invalid by it
+     * @return whether the store answered, which may have made the replica invalid
      */
     private boolean applyChanges(KeyspaceReplica replica, Reply reply) {
         if (reply.status() == GONE) {
@@ -302,7 +314,7 @@
             StoreCodec.Items changes = StoreCodec.changes(reply.body());
             replica.applyChanges(entriesOf(changes), changes.revision());
         } catch (MalformedException e) {
-            log.error("changes of {}: {}", replica.prefix(), e.getMessage());
+            log.error("malformed changes of {}: {}", replica.prefix(), e.getMessage());
             replica.changesCompacted();
         }
         return true;
@@ -334,12 +346,14 @@
         reportCompleteness();
     }
 
-    /** Hints of the leader with the latest token are kept; a standby that has not heard of its designation yet holds none. */
+    /**
+     * Stores a batch of hints, unless it is of a leader with a lower fencing token than an earlier batch, and answers with the number of the
+     * last complete set that is held. A standby that does not know of its designation yet stores none and answers 0.
+     */
     private void hintsReceived(Request request) {
         try {
             long heldNumber = isFollowing ? hints.receive(HintCodec.batch(request.body())) : 0;
             request.answer(OK, HintCodec.acknowledgement(heldNumber));
-
         } catch (MalformedException e) {
             request.answer(BAD_REQUEST, Json.error(e.field(), e.getMessage()));
         }
@@ -353,7 +367,6 @@
         generation++;
         for (KeyspaceReplica replica : replicas) {
             if (wasFollowing && replica.isComplete()) {
-
                 readCatchUp(new CatchUp(replica, message.fencingToken(), message.loader(), 1));
             } else {
                 message.loader().tell(new FailoverLoader.ReplicaLoaded(replica.prefix(), null));
@@ -367,13 +380,13 @@
 
     private void readCatchUp(CatchUp catchUp) {
         KeyspaceReplica replica = catchUp.replica();
-
         store.changes(replica.prefix(), replica.revision(), answer(reply -> new CatchUpRead(reply, catchUp)));
     }
 
     /**
-     * Records that only leaders write stand still from the claim on: no write of an earlier leader is applied after it. A replica that
-     * reaches the claim's revision is what a full read would give, and any other is not used.
+     * Provides the replica to the loader if it has reached the revision of the claim. Only leaders write these records, and the store applies
+     * no write of a previous leader after the claim, so such a replica equals a full read. Any other replica is not used: the loader reads
+     * all records instead.
      */
     private void catchUpRead(CatchUpRead message) {
         CatchUp catchUp = message.catchUp();
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -16,14 +16,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Designated standbys: which peers a leader selects and what it tells them, and on a follower whether it is designated, how ready it is to
- * lead and how long it leaves a claimable leader record to others. Without a standby (see {@link #standby()}) this controller selects
- * nobody, does not say how ready it is and waits as every version did. Part of the leader's actor.
+ * Coordinates designated standbys. On a leader it selects the standbys and sends them hints; on a follower it keeps whether the follower is
+ * designated, how ready it is to lead and how long it leaves a claimable leader record to peers. Where standbys are switched off (see
+ * {@link #standby()}), this controller selects none, does not report its readiness, and delays its claim as versions without standbys do.
+ * Part of the leader's actor.
  */
 final class StandbyCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final byte[] NOT_A_STANDBY = Json.error(null, "follows nothing");
-    /** What {@link HintSender#holds} takes for no answer. */
+    /** Passed to {@link HintSender#snapshotAcknowledged} if the standby did not answer or its answer was malformed. */
     private static final long NONE_HELD = -1;
 
     private final LeaderActor owner;
@@ -35,7 +36,7 @@
 
     private final ElectionDelay electionDelay;
     private final StandbySelector selector;
-    /** Of the present term. */
+    /** Sends the hints of the current term; null before this controller's first term. */
     private HintSender hintSender;
 
     /** @param standby null where the operator has switched standbys off */
@@ -59,6 +60,7 @@
     /**
      * Handles one message.
      *
+     * @param message the message
      * @param fencingToken of this controller's term, 0 if it does not lead
      */
     void receive(StandbyMessage message, long fencingToken) {
@@ -76,10 +78,11 @@
         }
     }
 
-    // ---- a follower
+    // ---- a follower's side
 
     /**
-     * For how long a claimable leader record is left to peers, in microseconds; asks them how ready they are if they may be better leaders.
+     * Returns for how long this controller leaves a claimable leader record to peers, in microseconds. If peers may be better leaders, requests
+     * their readiness; a cold controller ends the lease of its own earlier process once a warmer peer has answered.
      *
      * @param hasWorkers whether workers reach this controller
      */
@@ -98,7 +101,7 @@
         return electionDelay.delayMicros(Math.max(0, claimableForMicros), hasWorkers, now);
     }
 
-    /** The controller with the highest fencing token sent its status. */
+    /** Applies the designation in a status of the controller with the highest fencing token. */
     void leaderStatusReceived(PeerCodec.LeaderStatus status, long now) {
         electionDelay.standbysDesignated(status.designatedStandbys(), now);
         if (standby != null) {
@@ -106,28 +109,31 @@
         }
     }
 
-    /** Whether the leader has designated this controller as a standby. */
+    /** Returns whether the leader has designated this controller as a standby. */
     boolean isDesignated() {
         return electionDelay.isDesignated();
     }
 
-    /** Whether the former leader has just handed over to this controller. */
+    /** Returns whether the previous leader has just handed over to this controller. */
     boolean wasHandedOver(long now) {
         return electionDelay.hasRecentHandover(now);
     }
 
-    /** How ready this controller is to lead, null where the operator has switched standbys off. */
+    /** Returns how ready this controller is to lead, null where the operator has switched standbys off. */
     StandbyReadiness readiness(long now) {
         return standby == null ? null : electionDelay.readiness(now);
     }
 
-    /** A peer that answers at all, of whatever version, has been running for longer than this process. */
+    /**
+     * Records the readiness of a peer. A peer that answers 404 is of a previous version, which does not report readiness. It counts as
+     * {@code SEASONED}, since it has been running for longer than this process.
+     */
     private void readinessAnswered(Reply reply, int peer, long now) {
         if (reply.status() == 404) {
             electionDelay.peerReadinessReported(peer, StandbyReadiness.SEASONED, false, now);
         } else if (reply.status() == 0 && !reply.sent()) {
-            // Refused: most likely its process has ended. It may only be out of sockets, but the delay is no part of
-            // safety.
+            // The connection was refused, most likely because the peer's process has ended. The peer may merely be out
+            // of sockets, but safety does not depend on the delay.
             electionDelay.peerReadinessReported(peer, StandbyReadiness.COLD, false, now);
         } else if (reply.ok()) {
             try {
@@ -151,7 +157,7 @@
         }
     }
 
-    /** A leader that shuts down asks this controller to catch up; the standby answers once it has. */
+    /** Passes a leader's request for a handover to the standby, which answers it once it has caught up. */
     private void handoverRequested(Request request, boolean isLeader, long now) {
         try {
             long revision = PeerCodec.handoverRevision(request.body());
@@ -166,31 +172,34 @@
         }
     }
 
-    // ---- the leader
+    // ---- the leader's side
 
-    /** A term of this controller begins. */
+    /** Prepares for a new term of this controller. */
     void termStarted(long fencingToken, long now) {
         electionDelay.termEnded();
         selector.termStarted(now);
         hintSender = new HintSender(fencingToken, settings.siblings().size());
     }
 
-    /** A peer answered this term's status. */
+    /** Records a peer's answer to this term's status. */
     void peerStatusAnswered(int peer, PeerCodec.PeerStatus answer, long now) {
         selector.peerAnswered(peer, answer.readiness(), answer.storeReachable(), now);
     }
 
-    /** The labels of the standbys that this term's status designates, the first to take over first; null for none yet or ever. */
+    /**
+     * Returns the labels of the standbys that this term's status designates, the first one to take over first; null if none are selected yet or
+     * standbys are switched off.
+     */
     List<String> selectStandbys(long now) {
         return standby == null ? null : selector.selectStandbys(now);
     }
 
-    /** The first designated standby that could lead at once, by its place among the peers, or -1. */
+    /** Returns the index among the peers of the first designated standby that could lead at once, or -1. */
     int firstWarmStandby(long now) {
         return selector.firstWarmStandby(now);
     }
 
-    /** Sends what no record holds to the designated standbys. */
+    /** Sends the designated standbys the leader's hints: state that no record of the store holds. */
     void sendHints(LeaderTerm term, long now) {
         if (!selector.selectedPeers().isEmpty()) {
             hintSender.updateSnapshot(term.hints(now));
@@ -198,7 +207,7 @@
         }
     }
 
-    /** A standby answered a batch of this term's hints with the number of the last complete set that it holds. */
+    /** Records the answer of a standby to a batch of this term's hints: the number of the last complete set that it holds. */
     private void hintsAcknowledged(int peer, Reply reply) {
         long heldNumber = NONE_HELD;
         try {
--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -27,17 +27,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes jobs in: checks what is asked, looks for the job and what it needs, and writes its rows. Part of the users' actor. */
+/**
+ * Accepts submitted jobs: validates the request, looks up the job and its dependencies in the job cache and the archive, and writes the job's
+ * records. Part of the users' actor.
+ */
 final class Submissions {
     /**
-     * A submission of a job that was neither in the copy nor in the archive.
+     * A submission of a job that was found neither in the job cache nor in the archive.
      *
-     * @param archiveVersion the manifest by which it was not archived, 0 for none
-     * @param conflicts how often it was refused for a change of the archive or of the mark
+     * @param archiveVersion version of the archive manifest by which the job was not archived, 0 if there was no manifest
+     * @param conflicts how often the submission was retried because the archive manifest or the layout record had changed
      */
     record Submission(Request request, JobSpec spec, long archiveVersion, int conflicts) {}
 
-    /** A submission whose needs are looked up in the archive, one after the other. */
+    /**
+     * A submission whose dependencies are looked up in the archive, one after the other.
+     *
+     * @param remaining names of the dependencies still to be looked up
+     * @param archived outcomes of the dependencies that were found in the archive, by name
+     */
     record DependencyLookup(Submission submission, List<String> remaining, Map<String, JobOutcome> archived) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
@@ -67,6 +75,7 @@
         this.refresher = refresher;
     }
 
+    /** Handles a request to submit a job. */
     void submit(Request request) {
         JsonNode body;
         String id;
@@ -101,8 +110,8 @@
             refuse(request, id, 422, Json.error(null, refusal));
             return;
         }
-        // The copy may be old, and may get newer while the archive is asked: what is written holds only by the manifest
-        // that was asked.
+        // The job cache may be outdated, and may be refreshed during the search of the archive. The write is therefore
+        // conditional on the version of the manifest by which the archive is searched.
         long archiveVersion = jobCache.archiveVersion();
         owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
             @Override
@@ -120,8 +129,8 @@
     }
 
     /**
-     * A job that needs others. A name that this copy does not have may have been accepted elsewhere just now, so nothing is
-     * said of it before a read that began after the submission.
+     * Submits a job that depends on others. A dependency that the job cache lacks may just have been accepted by another controller, so the
+     * submission is not refused for it before a read that began after the request arrived.
      */
     private void submitDependent(Submission submission) {
         Request request = submission.request();
@@ -165,6 +174,7 @@
         }
     }
 
+    /** Handles the result of the search of the archive for one dependency. */
     void dependencyLocated(UsersActor.DependencyLocated message) {
         DependencyLookup lookup = message.lookup();
         if (message.result() instanceof ArchiveReader.Archived archived) {
@@ -182,18 +192,20 @@
     private void writeJob(Submission submission, StoredRecord.JobRecord newRecord) {
         Request request = submission.request();
         String id = submission.spec().id();
-        StoredRecord.JobRecord record = newRecord.withCheckedAgainstArchive(submission.archiveVersion() > 0);
-        // Should the archive change meanwhile, or should this arrive minutes late, it is refused.
+        StoredRecord.JobRecord jobRecord = newRecord.withCheckedAgainstArchive(submission.archiveVersion() > 0);
+        // The store rejects the transaction if the archive manifest has changed since the search, also if the
+        // transaction arrives minutes late.
         List<Transaction.Condition> conditions = new ArrayList<>(List.of(
                 new Transaction.Condition(StoreKeys.job(id), 0),
                 new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, submission.archiveVersion())));
-        if (record.spec() != null && !record.spec().dependencies().isEmpty()) {
-            // A leader of the former version would start it at once.
+        if (jobRecord.spec() != null && !jobRecord.spec().dependencies().isEmpty()) {
+            // A leader of the previous version would start the job without waiting for its dependencies. The layout
+            // record, by which every controller reads dependencies, must therefore be unchanged.
             conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, jobCache.layoutVersion()));
         }
-        // What the store would refuse each time is refused here, or the user would try again for nothing.
+        // A write that the store would always reject is refused here, since the user would retry it in vain.
         Optional<List<Transaction.Write>> writes =
-                JobRecordSplitter.split(id, record, settings.maxWritableValueBytes());
+                JobRecordSplitter.split(id, jobRecord, settings.maxWritableValueBytes());
         if (writes.isEmpty()) {
             refuse(request, id, 400, Json.error("body", "body: is too long to be kept"));
         } else if (writes.get().size() > settings.maxTransactionWrites()) {
@@ -201,11 +213,11 @@
         } else {
             store.transaction(
                     new Transaction(conditions, writes.get()),
-                    owner.answer(r -> new UsersActor.SubmissionWritten(r, submission, record)));
+                    owner.answer(r -> new UsersActor.SubmissionWritten(r, submission, jobRecord)));
         }
     }
 
-    /** A job that was accepted before gets 200 whatever this copy of it says. */
+    /** Answers with the given error, or with 200 if a refreshed lookup shows that the job was accepted before. */
     private void refuse(Request request, String id, int status, byte[] json) {
         refresher.afterRefresh(
                 request,
@@ -217,17 +229,18 @@
                 }));
     }
 
+    /** Handles the store's answer to the transaction that writes a job. */
     void submissionWritten(UsersActor.SubmissionWritten message) {
         String id = message.submission().spec().id();
         Request request = message.submission().request();
         Reply reply = message.reply();
         if (reply.ok()) {
             try {
-                refresher.apply(id, message.record(), StoreCodec.revision(reply.body()));
+                refresher.apply(id, message.jobRecord(), StoreCodec.revision(reply.body()));
                 request.answer(201, JobCodec.accepted(id, owner.standing(jobCache.get(id))));
                 return;
             } catch (MalformedException e) {
-                LOG.error("transaction answer: {}", e.getMessage());
+                LOG.error("malformed answer to the transaction of a submission: {}", e.getMessage());
             }
         }
         if (reply.status() == 409) {
@@ -237,7 +250,7 @@
         }
     }
 
-    /** It is known by now, or the archive or the mark changed since the copy was read: then it is looked at again. */
+    /** Answers for the existing job if the job's record exists by now; retries if the archive manifest or the layout record has changed. */
     private void writeConflicted(UsersActor.SubmissionWritten message) {
         Submission submission = message.submission();
         String id = submission.spec().id();
@@ -247,7 +260,7 @@
                 return;
             }
         } catch (MalformedException e) {
-            LOG.error("transaction answer: {}", e.getMessage());
+            LOG.error("malformed answer to the transaction of a submission: {}", e.getMessage());
         }
         answerExistingJob(submission.request(), id);
     }
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -27,87 +27,123 @@
 import java.util.function.Consumer;
 
 /**
- * Answers users, whether this controller leads or not. Its parts keep the copy of the job rows, take jobs in and cancel them. An answer about an open or
- * unknown job waits for a read of the state service that began after the question, so that no user hears something
- * older than what another node has said; the questions that came in meanwhile share the next read.
+ * Serves the user API, whether this controller leads or not. {@link JobCacheRefresher} keeps the job cache up to date, {@link Submissions}
+ * accepts jobs and {@link Cancellations} cancels them. A request about an open or unknown job is answered after a read of the store that
+ * began after the request arrived, so that no answer is older than one that another controller has given; all requests that wait at that
+ * time share the read.
  */
 final class UsersActor extends Actor<UsersActor.Message> {
+    /** A message to this actor. */
     sealed interface Message {}
 
+    /** Requests a full read of the job records. */
     record LoadJobs() implements Message {}
 
+    /** A user sent a request. */
     record RequestReceived(Request request) implements Message {}
 
+    /** A scheduled read of the changes is due. */
     record RefreshDue() implements Message {}
 
-    /** A page of the full read; {@code after} null for the first. */
+    /**
+     * The store answered a read of one page of the job records.
+     *
+     * @param afterKey the key after which the page begins, null for the first page
+     */
     record JobPageRead(Reply reply, String afterKey) implements Message {}
 
+    /** A failed read of a page is due to be retried. */
     record JobPageDue(String afterKey) implements Message {}
 
+    /** The store answered a read of the changes that was sent at {@code requestSentMicros}. */
     record ChangesRead(Reply reply, long requestSentMicros) implements Message {}
 
-    record SubmissionWritten(Reply reply, Submissions.Submission submission, StoredRecord.JobRecord record)
+    /** The store answered the transaction that writes a submitted job. */
+    record SubmissionWritten(Reply reply, Submissions.Submission submission, StoredRecord.JobRecord jobRecord)
             implements Message {}
 
-    record CancellationWritten(Reply reply, Request request, StoredRecord.JobRecord record, String id, int conflicts)
+    /**
+     * The store answered the transaction that cancels a job.
+     *
+     * @param conflicts number of earlier transactions for this request that the store rejected because the job record had changed
+     */
+    record CancellationWritten(Reply reply, Request request, StoredRecord.JobRecord jobRecord, String id, int conflicts)
             implements Message {}
 
-    /** What the archive says of a job that the copy does not hold. */
+    /**
+     * The archive was searched for a job that the job cache does not hold.
+     *
+     * @param retries number of earlier searches for this request that met an outdated manifest
+     */
     record JobLocated(
             Request request, String id, int retries, ArchiveReader.LookupResult result, JobLookupHandler handler)
             implements Message {}
 
-    /** What the archive says of one of the jobs that a submission needs. */
+    /** The archive was searched for one of the dependencies of a submitted job. */
     record DependencyLocated(Submissions.DependencyLookup lookup, String id, ArchiveReader.LookupResult result)
             implements Message {}
 
-    /** What the archive says of a job whose row a former version wrote. */
+    /** The archive was searched for a job whose record was written by a previous version. */
     record RecordVerified(String id, ArchiveReader.LookupResult result) implements Message {}
 
+    /** Searches of the archive that failed are due to be retried. */
     record VerificationDue() implements Message {}
 
-    /** The leader on this controller wants to know what may be archived. */
+    /** The leader on this controller requests the jobs that may be archived. */
     record FindArchivableJobs(long fencingToken) implements Message {}
 
-    /** The leader on this controller wants every change from now on, beginning with all open jobs. */
+    /** The leader on this controller subscribes to all changes, beginning with a snapshot of the open and the cancelled jobs. */
     record SubscribeLeader(LeaderActor leader) implements Message {}
 
+    /** Ends the subscription of the leader on this controller. */
     record UnsubscribeLeader() implements Message {}
 
+    /**
+     * The leader reported the progress of jobs.
+     *
+     * @param replacesProgress whether the report replaces all earlier progress instead of adding to it
+     */
     record ProgressReported(boolean replacesProgress, List<JobProgress> jobs) implements Message {}
 
+    /** The leader on this controller learned the machine types that the cloud provider offers. */
     record MachineTypesChanged(List<MachineType> types) implements Message {}
 
+    /** The store answered a read of the machine types. */
     record StoredMachineTypesRead(Reply reply) implements Message {}
 
+    /** The cloud provider answered a request for the machine types. */
     record CloudMachineTypesRead(Reply reply) implements Message {}
 
-    /** This controller follows the leader: the copy is kept fresh though nobody asks. */
+    /** The standby on this controller requests a read of the changes, although no user request waits for one. */
     record RefreshRequested() implements Message {}
 
-    /** Whether what is stored is of a form that this version does not know. */
+    /** Reports whether the deployment uses a feature that this version does not know; user requests are refused while it does. */
     record IncompatibleStoreChanged(boolean isIncompatible) implements Message {}
 
-    /** Who is told of the switches, of each read and of cancellations, whether it leads or not. */
+    /** Attaches the actor that receives feature stages, completed reads and cancellations, whether it leads or not. */
     record AttachLeaderActor(LeaderActor leader) implements Message {}
 
-    /** What do users of this controller know of cancellations by rows above this revision? */
+    /** Requests a digest of the cancellations that this controller knows from records above the given revision. */
     record ReadCancellationDigest(long revision, Consumer<CancellationDigest> callback) implements Message {}
 
-    /** A sibling knows these jobs as cancelled; {@code then}, if any, is told to the leader's actor once they are taken in. */
+    /**
+     * A peer reported cancelled jobs.
+     *
+     * @param completionMessage sent to the leader's actor once the jobs are recorded in the job cache, null for none
+     */
     record CancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderMessage completionMessage)
             implements Message {}
 
-    /** This process ends: users are sent to the others. */
+    /** This process shuts down; further user requests are answered 503, and their connections are closed. */
     record ShutdownStarted() implements Message {}
 
-    /** A final row that the leader on this controller knows to be stored. */
-    record JobFinished(String id, StoredRecord.JobRecord record, long version) implements Message {}
+    /** The leader on this controller has stored the final record of a job. */
+    record JobFinished(String id, StoredRecord.JobRecord jobRecord, long version) implements Message {}
 
+    /** The leader on this controller has stored the layout that every controller reads. */
     record LayoutMarked(long version, StoredRecord.Layout layout) implements Message {}
 
-    /** How often a question that met a change of the archive is tried again before its user is asked to come back. */
+    /** Number of retries of a request that met a change of the archive, before it is answered 503. */
     static final int MAX_RETRIES = 4;
 
     static final byte[] UNAVAILABLE = Json.error(null, "the state service does not answer");
@@ -136,7 +172,7 @@
     private boolean isShuttingDown;
     private boolean isStoreIncompatible;
 
-    /** @param description what is served of the interface itself, null for nothing */
+    /** @param description description of the user API that is served with it, null to serve none */
     UsersActor(
             ActorExecutor executor,
             Settings settings,
@@ -180,7 +216,7 @@
         } else if (message instanceof LoadJobs) {
             refresher.readPage(null);
             if (!wereMachineTypesRequested) {
-                // Once: it repeats by itself until the types are known.
+                // Only once: the request repeats itself until the types are known.
                 wereMachineTypesRequested = true;
                 store.read(StoreKeys.MACHINE_TYPES, answer(StoredMachineTypesRead::new));
             }
@@ -211,7 +247,7 @@
         } else if (message instanceof ShutdownStarted) {
             isShuttingDown = true;
         } else if (message instanceof JobFinished m) {
-            refresher.apply(m.id(), m.record(), m.version());
+            refresher.apply(m.id(), m.jobRecord(), m.version());
         } else if (message instanceof LayoutMarked m) {
             refresher.layoutMarked(m.version(), m.layout());
         } else if (message instanceof MachineTypesChanged m) {
@@ -236,7 +272,7 @@
                         .types();
                 return;
             } catch (MalformedException e) {
-                log.error("stored machine types: {}", e.getMessage());
+                log.error("malformed machine types in the store: {}", e.getMessage());
             }
         }
         cloud.types(answer(CloudMachineTypesRead::new));
@@ -251,14 +287,14 @@
                 machineTypes = CloudCodec.types(reply.body());
                 return;
             } catch (MalformedException e) {
-                log.error("machine types: {}", e.getMessage());
+                log.error("malformed machine types from the cloud provider: {}", e.getMessage());
             }
         }
-        // Another controller may have stored them meanwhile.
+        // A reply of status 0 makes the handler request the types from the cloud provider again.
         tellLater(new StoredMachineTypesRead(new Reply(0, new byte[0], false)), 2 * Micros.SECOND);
     }
 
-    // ---- what its parts ask of it
+    // ---- shared with the parts of this actor
 
     JobCache jobCache() {
         return jobCache;
@@ -268,12 +304,15 @@
         return machineTypes;
     }
 
-    /** A job is over or archived: its counts are not shown any more. */
+    /** Removes the progress of a job that is finished or archived. */
     void forgetProgress(String id) {
         progress.remove(id);
     }
 
-    /** No answer of the state service; the user is sent away only if another controller can do better. */
+    /**
+     * Answers 503 because the store did not answer. Closes the connection only if a peer reaches the store, so that the user turns to another
+     * controller.
+     */
     void answerUnavailable(Request request) {
         if (store.reach().isPartitionedAlone(now())) {
             request.answerAndClose(503, UNAVAILABLE, 1);
@@ -282,6 +321,7 @@
         }
     }
 
+    /** Answers 429 if the write was above the rate limit, else 503. */
     void answerWriteFailure(Request request, Reply reply) {
         if (reply.status() == 429) {
             request.answer(429, TOO_MANY_REQUESTS, 1);
@@ -290,7 +330,7 @@
         }
     }
 
-    // ---- users
+    // ---- routing of requests
 
     private void handleRequest(Request request) {
         if (isShuttingDown) {
@@ -388,8 +428,8 @@
     // ---- the archive
 
     /**
-     * Looks for a job in the copy as it is and in the archive by the copy's manifest. Said to be nowhere by a copy that was read
-     * after the question, it was not accepted before it.
+     * Looks for a job in the job cache as it is and then in the archive, by the cache's manifest. A job that is not found although the cache
+     * was refreshed after the request arrived was not accepted before the request.
      */
     void locate(Request request, String id, int retries, JobLookupHandler handler) {
         if (jobCache.get(id) != null) {
