--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Cancels jobs: one conditional put on the job's own row. Part of the users' actor. */
+/** Cancels jobs, each by one conditional write of the job's own record. Part of the users' actor. */
 final class Cancellations {
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
 
@@ -28,32 +28,38 @@
     private final JobCacheRefresher refresher;
     private LeaderActor leaderActor;
 
-    Cancellations(UsersActor owner, Settings settings, StoreClient state, JobCache directory, JobCacheRefresher rows) {
+    Cancellations(
+            UsersActor owner, Settings settings, StoreClient store, JobCache jobCache, JobCacheRefresher refresher) {
         this.owner = owner;
         this.settings = settings;
-        this.store = state;
-        this.jobCache = directory;
-        this.refresher = rows;
+        this.store = store;
+        this.jobCache = jobCache;
+        this.refresher = refresher;
     }
 
-    /** Who tells the leader what is confirmed here. */
-    void attachLeaderActor(LeaderActor told) {
-        leaderActor = told;
+    /** Sets the actor that reports cancellations confirmed by this controller to the leader. */
+    void attachLeaderActor(LeaderActor leader) {
+        leaderActor = leader;
     }
 
-    void cancel(Request request, String id, int tries) {
+    /**
+     * Handles a request to cancel a job.
+     *
+     * @param conflicts number of earlier transactions for this request that the store rejected because the job record had changed
+     */
+    void cancel(Request request, String id, int conflicts) {
         if (!JobCodec.isId(id)) {
             request.answer(404, UsersActor.NO_SUCH_JOB);
             return;
         }
         JobCache.Entry entry = jobCache.get(id);
-        if (entry == null || (tries > 0 && !jobCache.state(id).isFinal())) {
+        if (entry == null || (conflicts > 0 && !jobCache.state(id).isFinal())) {
             refresher.afterRefresh(
                     request,
                     () -> owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
                         @Override
                         public void foundInCache() {
-                            writeCancellation(request, id, tries);
+                            writeCancellation(request, id, conflicts);
                         }
 
                         @Override
@@ -62,63 +68,67 @@
                         }
                     }));
         } else {
-            writeCancellation(request, id, tries);
+            writeCancellation(request, id, conflicts);
         }
     }
 
-    private void writeCancellation(Request request, String id, int tries) {
+    private void writeCancellation(Request request, String id, int conflicts) {
         JobCache.Entry entry = jobCache.get(id);
         if (jobCache.state(id).isFinal()) {
             request.answer(200, JobCodec.accepted(id, owner.standing(entry)));
             return;
         }
-        StoredRecord.JobRecord row = cancelledRecord(entry);
-        Transaction put = new Transaction(
+        StoredRecord.JobRecord jobRecord = cancelledRecord(entry);
+        Transaction transaction = new Transaction(
                 List.of(new Transaction.Condition(StoreKeys.job(id), entry.version())),
-                List.of(new Transaction.Write(StoreKeys.job(id), row, 0)));
-        store.transaction(put, owner.onReply(r -> new UsersActor.CancellationWritten(r, request, row, id, tries)));
+                List.of(new Transaction.Write(StoreKeys.job(id), jobRecord, 0)));
+        store.transaction(
+                transaction,
+                owner.onReply(r -> new UsersActor.CancellationWritten(r, request, jobRecord, id, conflicts)));
     }
 
     /**
-     * The description stays: a leader that finds tasks of the job has to know what they take of their team's limit. What was
-     * accepted under a larger limit of the state service keeps only that.
+     * Returns the record of the cancelled job. It keeps the job's specification, because a leader that finds tasks of the job has to count their
+     * resources against the limit of their team. A specification that was accepted under a larger value limit of the store, and exceeds the
+     * present one, is reduced to the fields that placement needs.
      */
     private StoredRecord.JobRecord cancelledRecord(JobCache.Entry entry) {
-        StoredRecord.JobRecord open = entry.record();
-        boolean checked = jobCache.archiveManifest() != null;
-        StoredRecord.JobRecord whole = new StoredRecord.JobRecord(
+        StoredRecord.JobRecord openRecord = entry.record();
+        boolean isCheckedAgainstArchive = jobCache.archiveManifest() != null;
+        StoredRecord.JobRecord fullRecord = new StoredRecord.JobRecord(
                         JobState.CANCELLED,
-                        open.spec().withDependencies(List.of()),
-                        open.submittedWall(),
-                        open.taskCount())
-                .withCheckedAgainstArchive(checked);
-        return StoreCodec.encodedBytes(whole) <= settings.maxWritableValueBytes()
-                ? whole
+                        openRecord.spec().withDependencies(List.of()),
+                        openRecord.submittedWall(),
+                        openRecord.taskCount())
+                .withCheckedAgainstArchive(isCheckedAgainstArchive);
+        return StoreCodec.encodedBytes(fullRecord) <= settings.maxWritableValueBytes()
+                ? fullRecord
                 : new StoredRecord.JobRecord(
                                 JobState.CANCELLED,
-                                open.spec().withPlacementFieldsOnly(),
-                                open.submittedWall(),
-                                open.taskCount())
-                        .withCheckedAgainstArchive(checked);
+                                openRecord.spec().withPlacementFieldsOnly(),
+                                openRecord.submittedWall(),
+                                openRecord.taskCount())
+                        .withCheckedAgainstArchive(isCheckedAgainstArchive);
     }
 
+    /** Handles the store's answer to the transaction that cancels a job; retries up to three times after a conflict. */
     void cancellationWritten(UsersActor.CancellationWritten message) {
         Reply reply = message.reply();
         String id = message.id();
         if (reply.ok()) {
             try {
                 long version = StoreCodec.revision(reply.body());
-                refresher.apply(id, message.row(), version);
+                refresher.apply(id, message.jobRecord(), version);
                 leaderActor.tell(
                         new LeaderMessage.CancellationConfirmed(new CancellationDigest.Cancelled(id, version)));
                 message.request().answer(200, JobCodec.accepted(id, JobCodec.Standing.CANCELLED));
                 return;
             } catch (MalformedException e) {
-                LOG.error("transaction answer: {}", e.getMessage());
+                LOG.error("malformed answer to the transaction of a cancellation: {}", e.getMessage());
             }
         }
-        if (reply.status() == 409 && message.tries() < 3) {
-            cancel(message.request(), id, message.tries() + 1);
+        if (reply.status() == 409 && message.conflicts() < 3) {
+            cancel(message.request(), id, message.conflicts() + 1);
         } else {
             owner.answerWriteFailure(message.request(), reply);
         }
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -23,66 +23,81 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the copy of the job rows: reads it whole, brings it up to date by the changes, and tells a leader on this controller what it
- * shows. Questions that came in before a read of the changes began are answered after it, all of them by the same read. Part of the
- * users' actor.
+ * Keeps the job cache up to date: loads it with a full read of the job records, applies the changes since then, and reports them to a leader
+ * on this controller. All requests that arrived before a read of the changes began are answered after that read. Part of the users' actor.
  */
 final class JobCacheRefresher {
-    /** What to do with a question once the copy is fresh. */
+    /**
+     * A user request that awaits a read of the changes.
+     *
+     * @param continuation run after the read; it answers the request
+     */
     private record WaitingRequest(Request request, Runnable continuation) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
     private static final long VERIFICATION_RETRY_MICROS = Micros.SECOND;
-    /** What one look at what may be archived gives at most. */
+    /** Maximum number of finished jobs that one search for archivable jobs returns. */
     private static final int MAX_ARCHIVABLE_JOBS = 5_000;
 
+    /** Further requests are answered 429. */
     private static final int MAX_WAITING_REQUESTS = 400;
 
     private final UsersActor owner;
     private final StoreClient store;
     private final ArchiveReader archiveReader;
     private final JobCache jobCache;
-    private final long refreshEveryMicros;
-    private final List<WaitingRequest> nextQuestions = new ArrayList<>();
-    private List<WaitingRequest> inFlightQuestions = List.of();
+    private final long refreshIntervalMicros;
+    private final List<WaitingRequest> requestsAwaitingNextRead = new ArrayList<>();
+    private List<WaitingRequest> requestsAwaitingReadInFlight = List.of();
     private final Set<String> verificationsInFlight = new HashSet<>();
-    /** Is told of the switches, of each read and of cancellations, whether it leads or not. */
+    /** Receives feature stages, completed reads and cancellations, whether it leads or not. */
     private LeaderActor leaderActor;
 
+    /** Receives every change of a job, null if this controller does not lead. */
     private LeaderActor subscribedLeader;
-    private boolean snapshotPending;
+
+    /** Whether the subscribed leader has yet to receive the open and the cancelled jobs. */
+    private boolean isSnapshotPending;
+
     private long subscribedMicros;
     private boolean isLoaded;
-    private boolean refreshInFlight;
-    private boolean refreshScheduled;
+    private boolean isRefreshInFlight;
+    private boolean isRefreshScheduled;
+    /** Whether a standby on this controller awaits a read of the changes. */
     private boolean refreshRequested;
-    private long refreshedMicros;
+
+    /** Time at which the last read of the changes was sent. */
+    private long lastRefreshMicros;
 
     JobCacheRefresher(
-            UsersActor owner, Settings settings, StoreClient state, ArchiveReader history, JobCache directory) {
+            UsersActor owner, Settings settings, StoreClient store, ArchiveReader archiveReader, JobCache jobCache) {
         this.owner = owner;
-        this.store = state;
-        this.archiveReader = history;
-        this.jobCache = directory;
-        // All controllers together take about a third of the requests for this.
-        this.refreshEveryMicros = Math.max(
+        this.store = store;
+        this.archiveReader = archiveReader;
+        this.jobCache = jobCache;
+        // All controllers together use about a third of the store's request rate for these reads.
+        this.refreshIntervalMicros = Math.max(
                 50 * Micros.MILLISECOND,
                 (settings.peers().size() + 1) * Micros.ofSeconds(3 / settings.storeRequestsPerSecond()));
     }
 
-    /** Whether the copy has been read whole. */
+    /** Whether the full read of the job records is complete. */
     boolean isLoaded() {
         return isLoaded;
     }
 
-    void attachLeaderActor(LeaderActor told) {
-        leaderActor = told;
+    /** Sets the actor that receives feature stages, completed reads and cancellations, whether it leads or not. */
+    void attachLeaderActor(LeaderActor leader) {
+        leaderActor = leader;
     }
 
-    /** The leader on this controller wants every change from now on. What the copy knows as cancelled may be stopped at once. */
+    /**
+     * Subscribes the leader on this controller to all changes. Sends it the jobs that the cache holds as cancelled at once, since these may be
+     * stopped before the snapshot is complete.
+     */
     void subscribeLeader(LeaderActor newLeader) {
         subscribedLeader = newLeader;
-        snapshotPending = true;
+        isSnapshotPending = true;
         subscribedMicros = owner.now();
         List<String> cancelled = jobCache.openAndCancelledJobs().stream()
                 .filter(job -> job.state() == JobState.CANCELLED)
@@ -92,61 +107,74 @@
         refresh();
     }
 
-    /** Jobs that a sibling knows as cancelled; {@code then} is told to the leader's actor after what follows from them. */
-    void cancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderMessage then) {
-        jobs.forEach(job -> changed(jobCache.markCancelled(job.job(), job.version())));
-        if (then != null) {
-            leaderActor.tell(then);
+    /**
+     * Records jobs that a peer reported as cancelled.
+     *
+     * @param completionMessage sent to the leader's actor after the changes that the jobs cause, null for none
+     */
+    void cancellationsReceived(List<CancellationDigest.Cancelled> jobs, LeaderMessage completionMessage) {
+        jobs.forEach(job -> jobsChanged(jobCache.markCancelled(job.job(), job.version())));
+        if (completionMessage != null) {
+            leaderActor.tell(completionMessage);
         }
     }
 
+    /** Ends the subscription of the leader on this controller. */
     void unsubscribeLeader() {
         subscribedLeader = null;
     }
 
-    /** A standby on this controller wants the copy fresh though nobody asks. */
+    /** Reads the changes for a standby on this controller, also if no user request waits for them. */
     void refreshRequested() {
         refreshRequested = true;
         refresh();
     }
 
+    /** Runs a scheduled read of the changes. */
     void refreshDue() {
-        refreshScheduled = false;
+        isRefreshScheduled = false;
         refresh();
     }
 
-    void readPage(String after) {
-        store.list(StoreKeys.JOBS, after, owner.onReply(r -> new UsersActor.JobPageRead(r, after)));
+    /**
+     * Reads one page of all job records.
+     *
+     * @param afterKey the key after which the page begins, null for the first page
+     */
+    void readPage(String afterKey) {
+        store.list(StoreKeys.JOBS, afterKey, owner.onReply(r -> new UsersActor.JobPageRead(r, afterKey)));
     }
 
+    /** Applies a page of the full read and requests the next one; retries a failed page. */
     void pageRead(UsersActor.JobPageRead message) {
         Reply reply = message.reply();
         if (!reply.ok()) {
-            // The same page: with as many rows as use up the rate, a read that began anew would never end.
-            owner.tellLater(new UsersActor.JobPageDue(message.after()), 300 * Micros.MILLISECOND);
+            // Retries the same page: with enough records to use up the rate limit, a read that restarted with the first
+            // page would never complete.
+            owner.tellLater(new UsersActor.JobPageDue(message.afterKey()), 300 * Micros.MILLISECOND);
             return;
         }
         try {
             StoreCodec.Items page = StoreCodec.page(reply.body());
-            if (message.after() == null) {
+            if (message.afterKey() == null) {
                 jobCache.beginFullRead(page.revision());
             }
-            String last = null;
+            String lastKey = null;
             for (StoreCodec.Item item : page.items()) {
                 apply(item);
-                last = item.key();
+                lastKey = item.key();
             }
             if (page.more()) {
-                readPage(last);
+                readPage(lastKey);
             } else {
                 isLoaded = true;
                 jobCache.finishFullRead();
                 verifyRecords();
-                LOG.info("job rows loaded, {} open", jobCache.openJobs().size());
+                LOG.info("job records loaded, {} jobs open", jobCache.openJobs().size());
                 refresh();
             }
         } catch (MalformedException e) {
-            LOG.error("job rows: {}", e.getMessage());
+            LOG.error("malformed page of job records: {}", e.getMessage());
             owner.tellLater(new UsersActor.LoadJobs(), Micros.SECOND);
         }
     }
@@ -162,10 +190,10 @@
             archiveManifestRead(item.version(), manifest);
         } else if (item.record() instanceof StoredRecord.FeatureStages features) {
             leaderActor.tell(new LeaderMessage.FeatureStagesObserved(item.version(), features));
-        } else if (item.record() instanceof StoredRecord.JobRecord row) {
-            apply(StoreKeys.jobIdOf(item.key()), row, item.version());
+        } else if (item.record() instanceof StoredRecord.JobRecord jobRecord) {
+            apply(StoreKeys.jobIdOf(item.key()), jobRecord, item.version());
         } else if (item.record() instanceof StoredRecord.FurtherDependencies dependencies) {
-            changed(jobCache.applyDependencies(
+            jobsChanged(jobCache.applyDependencies(
                     StoreKeys.jobIdOf(item.key()),
                     StoreKeys.furtherDependenciesPieceOf(item.key()),
                     dependencies.names()));
@@ -182,6 +210,7 @@
         }
     }
 
+    /** Records the layout that every controller reads, and reports it to the subscribed leader. */
     void layoutMarked(long version, StoredRecord.Layout layout) {
         jobCache.layoutRead(version, layout);
         if (subscribedLeader != null) {
@@ -189,79 +218,85 @@
         }
     }
 
-    void apply(String id, StoredRecord.JobRecord row, long version) {
-        changed(jobCache.apply(id, row, version));
+    /** Applies a job record of the given version, and reports the changes that it causes. */
+    void apply(String id, StoredRecord.JobRecord jobRecord, long version) {
+        jobsChanged(jobCache.apply(id, jobRecord, version));
     }
 
-    private void changed(List<String> ids) {
-        for (String changed : ids) {
-            if (jobCache.state(changed).isFinal()) {
-                owner.forgetProgress(changed);
+    private void jobsChanged(List<String> ids) {
+        for (String id : ids) {
+            if (jobCache.state(id).isFinal()) {
+                owner.forgetProgress(id);
             }
-            if (subscribedLeader != null && !snapshotPending) {
-                subscribedLeader.tell(new LeaderMessage.JobObserved(jobCache.view(changed)));
-            } else if (subscribedLeader != null && jobCache.state(changed) == JobState.CANCELLED) {
-                subscribedLeader.tell(new LeaderMessage.CancellationsObserved(List.of(changed)));
+            if (subscribedLeader != null && !isSnapshotPending) {
+                subscribedLeader.tell(new LeaderMessage.JobObserved(jobCache.view(id)));
+            } else if (subscribedLeader != null && jobCache.state(id) == JobState.CANCELLED) {
+                subscribedLeader.tell(new LeaderMessage.CancellationsObserved(List.of(id)));
             }
         }
     }
 
+    /**
+     * Reads the changes since the cache's revision if a request, the subscribed leader or a standby awaits them and no read is in flight.
+     * Schedules the read instead if the last one was sent less than the refresh interval ago.
+     */
     void refresh() {
         if (!isLoaded
-                || refreshInFlight
-                || (nextQuestions.isEmpty() && subscribedLeader == null && !refreshRequested)) {
+                || isRefreshInFlight
+                || (requestsAwaitingNextRead.isEmpty() && subscribedLeader == null && !refreshRequested)) {
             return;
         }
         long now = owner.now();
-        long wait = refreshedMicros + refreshEveryMicros - now;
-        // A new leader's first read does not wait. Its next ones do: in an outage that began with its claim it asked
-        // again as fast as it was
-        // answered, and above the rate, where the answer is its own, without end.
-        if (wait > 0 && !(snapshotPending && refreshedMicros < subscribedMicros)) {
-            if (!refreshScheduled) {
-                refreshScheduled = true;
-                owner.tellLater(new UsersActor.RefreshDue(), wait);
+        long delayMicros = lastRefreshMicros + refreshIntervalMicros - now;
+        // A new leader's first read is sent without delay, its next ones are not: in an outage that began with the
+        // claim, they were retried as fast as they were answered, and without end above the rate limit, where the
+        // client itself answers.
+        if (delayMicros > 0 && !(isSnapshotPending && lastRefreshMicros < subscribedMicros)) {
+            if (!isRefreshScheduled) {
+                isRefreshScheduled = true;
+                owner.tellLater(new UsersActor.RefreshDue(), delayMicros);
             }
             return;
         }
-        refreshedMicros = now;
-        refreshInFlight = true;
+        lastRefreshMicros = now;
+        isRefreshInFlight = true;
         refreshRequested = false;
-        inFlightQuestions = new ArrayList<>(nextQuestions);
-        nextQuestions.clear();
+        requestsAwaitingReadInFlight = new ArrayList<>(requestsAwaitingNextRead);
+        requestsAwaitingNextRead.clear();
         store.changes(StoreKeys.JOBS, jobCache.revision(), owner.onReply(r -> new UsersActor.ChangesRead(r, now)));
     }
 
+    /** Applies the changes that were read, reports them, and runs the requests that awaited the read. */
     void changesRead(UsersActor.ChangesRead message) {
-        refreshInFlight = false;
-        List<WaitingRequest> asked = inFlightQuestions;
-        inFlightQuestions = List.of();
+        isRefreshInFlight = false;
+        List<WaitingRequest> answeredRequests = requestsAwaitingReadInFlight;
+        requestsAwaitingReadInFlight = List.of();
         Reply reply = message.reply();
-        boolean fresh = false;
+        boolean isFresh = false;
         if (reply.ok()) {
             try {
                 StoreCodec.Items changes = StoreCodec.changes(reply.body());
-                // In the order in which they were made: a row may come and go between two reads.
+                // Applied in the order in which they were made: a record may be created and deleted between two reads.
                 changes.items().stream()
                         .sorted(Comparator.comparingLong(StoreCodec.Item::version))
                         .forEach(this::apply);
                 jobCache.advanceTo(changes.revision());
                 verifyRecords();
-                fresh = true;
+                isFresh = true;
             } catch (MalformedException e) {
-                LOG.error("changes of jobs: {}", e.getMessage());
+                LOG.error("malformed changes of job records: {}", e.getMessage());
             }
         } else if (reply.status() == 410) {
             isLoaded = false;
             owner.tell(new UsersActor.LoadJobs());
         }
-        if (fresh) {
+        if (isFresh) {
             if (subscribedLeader != null) {
-                // A read that was under way at the claim may lack a job whose ledger the leader before wrote after it:
-                // with the job
-                // unknown its ledger was taken for a left-over, and its tasks were started once more.
-                if (snapshotPending && message.askedMicros() >= subscribedMicros) {
-                    snapshotPending = false;
+                // A read that was in flight at the claim may lack a job whose ledger the previous leader wrote after
+                // that read. With the job unknown, its ledger was treated as obsolete and its tasks were started a
+                // second time.
+                if (isSnapshotPending && message.requestSentMicros() >= subscribedMicros) {
+                    isSnapshotPending = false;
                     if (jobCache.layoutVersion() > 0) {
                         subscribedLeader.tell(
                                 new LeaderMessage.LayoutObserved(jobCache.layoutVersion(), jobCache.layout()));
@@ -273,45 +308,51 @@
                     subscribedLeader.tell(new LeaderMessage.JobsObserved(jobCache.openAndCancelledJobs()));
                 }
             }
-            leaderActor.tell(new LeaderMessage.StoreRead(message.askedMicros(), jobCache.revision()));
-            asked.forEach(question -> question.continuation().run());
+            leaderActor.tell(new LeaderMessage.StoreRead(message.requestSentMicros(), jobCache.revision()));
+            answeredRequests.forEach(waiting -> waiting.continuation().run());
         } else {
-            asked.forEach(question -> owner.answerUnavailable(question.request()));
+            answeredRequests.forEach(waiting -> owner.answerUnavailable(waiting.request()));
         }
         refresh();
     }
 
-    void afterRefresh(Request request, Runnable then) {
-        if (nextQuestions.size() >= MAX_WAITING_REQUESTS) {
-            request.answer(429, UsersActor.BUSY, 2);
+    /** Runs the continuation of a request after a read of the changes that begins from now on; answers 429 if too many requests wait. */
+    void afterRefresh(Request request, Runnable continuation) {
+        if (requestsAwaitingNextRead.size() >= MAX_WAITING_REQUESTS) {
+            request.answer(429, UsersActor.TOO_MANY_REQUESTS, 2);
             return;
         }
-        nextQuestions.add(new WaitingRequest(request, then));
+        requestsAwaitingNextRead.add(new WaitingRequest(request, continuation));
         refresh();
     }
 
-    /** Rows of a former version may be of jobs that were archived long ago: nothing of them is told or started before that is known. */
+    /**
+     * Searches the archive for jobs whose records were written by a previous version. These jobs may have been archived long ago, so they are
+     * neither reported nor started before the result is known.
+     */
     void verifyRecords() {
         for (JobCache.Entry entry : jobCache.unverifiedEntries()) {
             if (verificationsInFlight.add(entry.id())) {
                 archiveReader.tell(new ArchiveReader.FindJob(
-                        entry.id(), found -> owner.tell(new UsersActor.RecordVerified(entry.id(), found))));
+                        entry.id(), result -> owner.tell(new UsersActor.RecordVerified(entry.id(), result))));
             }
         }
     }
 
+    /** Handles the result of a search by {@link #verifyRecords}, or schedules another one. */
     void recordVerified(UsersActor.RecordVerified message) {
         verificationsInFlight.remove(message.id());
-        if (message.found() instanceof ArchiveReader.Archived) {
+        if (message.result() instanceof ArchiveReader.Archived) {
             LOG.warn("{} has a row again although it is archived: a former version wrote it; it will go", message.id());
             jobCache.markStale(message.id());
-        } else if (message.found() instanceof ArchiveReader.NotArchived) {
-            changed(jobCache.markVerified(message.id()));
+        } else if (message.result() instanceof ArchiveReader.NotArchived) {
+            jobsChanged(jobCache.markVerified(message.id()));
         } else {
             owner.tellLater(new UsersActor.VerificationDue(), VERIFICATION_RETRY_MICROS);
         }
     }
 
+    /** Sends the term with the given token the finished jobs that no open job depends on, and the stale records of archived jobs. */
     void findArchivableJobs(long fencingToken) {
         if (subscribedLeader == null
                 || !isLoaded
@@ -319,14 +360,14 @@
                         && jobCache.staleRecordVersions().isEmpty())) {
             return;
         }
-        Set<String> needed = jobCache.dependencies();
-        List<Archiver.ArchivableJob> result = new ArrayList<>();
+        Set<String> dependencies = jobCache.dependencies();
+        List<Archiver.ArchivableJob> archivableJobs = new ArrayList<>();
         for (JobCache.Entry entry : jobCache.finishedJobs()) {
-            if (result.size() >= MAX_ARCHIVABLE_JOBS) {
+            if (archivableJobs.size() >= MAX_ARCHIVABLE_JOBS) {
                 break;
             }
-            if (!needed.contains(entry.id())) {
-                result.add(new Archiver.ArchivableJob(
+            if (!dependencies.contains(entry.id())) {
+                archivableJobs.add(new Archiver.ArchivableJob(
                         entry.id(),
                         entry.version(),
                         JobOutcome.of(entry.record()),
@@ -334,7 +375,8 @@
             }
         }
         jobCache.staleRecordVersions()
-                .forEach((id, version) -> result.add(new Archiver.ArchivableJob(id, version, null, 0)));
-        subscribedLeader.tell(new TermMessage.ArchivableJobsFound(fencingToken, result, jobCache.archiveVersion()));
+                .forEach((id, version) -> archivableJobs.add(new Archiver.ArchivableJob(id, version, null, 0)));
+        subscribedLeader.tell(
+                new TermMessage.ArchivableJobsFound(fencingToken, archivableJobs, jobCache.archiveVersion()));
     }
 }
--- a/src/main/java/io/micatide/controller/LeadershipTransfer.java
+++ b/src/main/java/io/micatide/controller/LeadershipTransfer.java
@@ -102,7 +102,7 @@
                 ? null
                 : settings.peers().get(successor).label();
         logShutdown(term, successorLabel);
-        users.tell(new UsersActor.Closing());
+        users.tell(new UsersActor.ShutdownStarted());
         handover = new GracefulHandover(
                 term,
                 successorLabel,
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -159,7 +159,7 @@
     private void publishFinishedJobs() {
         scheduler
                 .takeFinishedJobs()
-                .forEach(job -> users.tell(new UsersActor.JobEnded(job.id(), job.record(), job.version())));
+                .forEach(job -> users.tell(new UsersActor.JobFinished(job.id(), job.record(), job.version())));
     }
 
     /** Reads the next key of a transaction of unknown outcome, or reports it as resolved once all are read. */
--- a/src/main/java/io/micatide/controller/Submissions.java
+++ b/src/main/java/io/micatide/controller/Submissions.java
@@ -27,17 +27,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes jobs in: checks what is asked, looks for the job and what it needs, and writes its rows. Part of the users' actor. */
+/**
+ * Accepts submitted jobs: validates the request, looks up the job and its dependencies in the job cache and the archive, and writes the job's
+ * records. Part of the users' actor.
+ */
 final class Submissions {
     /**
-     * A submission of a job that was neither in the copy nor in the archive.
+     * A submission of a job that was found neither in the job cache nor in the archive.
      *
-     * @param archiveVersion the manifest by which it was not archived, 0 for none
-     * @param conflicts how often it was refused for a change of the archive or of the mark
+     * @param archiveVersion version of the archive manifest by which the job was not archived, 0 if there was no manifest
+     * @param conflicts how often the submission was retried because the archive manifest or the layout record had changed
      */
     record Submission(Request request, JobSpec spec, long archiveVersion, int conflicts) {}
 
-    /** A submission whose needs are looked up in the archive, one after the other. */
+    /**
+     * A submission whose dependencies are looked up in the archive, one after the other.
+     *
+     * @param remaining names of the dependencies still to be looked up
+     * @param archived outcomes of the dependencies that were found in the archive, by name
+     */
     record DependencyLookup(Submission submission, List<String> remaining, Map<String, JobOutcome> archived) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(UsersActor.class);
@@ -55,18 +63,19 @@
     Submissions(
             UsersActor owner,
             Settings settings,
-            StoreClient state,
-            ArchiveReader history,
-            JobCache directory,
-            JobCacheRefresher rows) {
+            StoreClient store,
+            ArchiveReader archiveReader,
+            JobCache jobCache,
+            JobCacheRefresher refresher) {
         this.owner = owner;
         this.settings = settings;
-        this.store = state;
-        this.archiveReader = history;
-        this.jobCache = directory;
-        this.refresher = rows;
+        this.store = store;
+        this.archiveReader = archiveReader;
+        this.jobCache = jobCache;
+        this.refresher = refresher;
     }
 
+    /** Handles a request to submit a job. */
     void submit(Request request) {
         JsonNode body;
         String id;
@@ -80,7 +89,7 @@
         submit(request, body, id, 0);
     }
 
-    private void submit(Request request, JsonNode body, String id, int tries) {
+    private void submit(Request request, JsonNode body, String id, int conflicts) {
         if (jobCache.get(id) != null) {
             answerExistingJob(request, id);
             return;
@@ -101,13 +110,13 @@
             refuse(request, id, 422, Json.error(null, refusal));
             return;
         }
-        // The copy may be old, and may get newer while the archive is asked: what is written holds only by the manifest
-        // that was asked.
-        long version = jobCache.archiveVersion();
+        // The job cache may be outdated, and may be refreshed during the search of the archive. The write is therefore
+        // conditional on the version of the manifest by which the archive is searched.
+        long archiveVersion = jobCache.archiveVersion();
         owner.locate(request, id, 0, new KnownJobReply(owner, request, id) {
             @Override
             public void notFound() {
-                Submission submission = new Submission(request, spec, version, tries);
+                Submission submission = new Submission(request, spec, archiveVersion, conflicts);
                 if (spec.dependencies().isEmpty()) {
                     writeJob(
                             submission,
@@ -120,8 +129,8 @@
     }
 
     /**
-     * A job that needs others. A name that this copy does not have may have been accepted elsewhere just now, so nothing is
-     * said of it before a read that began after the submission.
+     * Submits a job that depends on others. A dependency that the job cache lacks may just have been accepted by another controller, so the
+     * submission is not refused for it before a read that began after the request arrived.
      */
     private void submitDependent(Submission submission) {
         Request request = submission.request();
@@ -136,63 +145,67 @@
                 request.answer(200, JobCodec.accepted(spec.id(), owner.standing(jobCache.get(spec.id()))));
                 return;
             }
-            List<String> left = new ArrayList<>();
-            for (String need : spec.dependencies()) {
-                if (jobCache.archiveManifest() != null && jobCache.get(need) == null) {
-                    left.add(need);
+            List<String> remaining = new ArrayList<>();
+            for (String dependency : spec.dependencies()) {
+                if (jobCache.archiveManifest() != null && jobCache.get(dependency) == null) {
+                    remaining.add(dependency);
                 }
             }
-            lookUpNextDependency(new DependencyLookup(submission, left, new HashMap<>()));
+            lookUpNextDependency(new DependencyLookup(submission, remaining, new HashMap<>()));
         });
     }
 
-    private void lookUpNextDependency(DependencyLookup needs) {
-        if (!needs.remaining().isEmpty()) {
-            String next = needs.remaining().remove(needs.remaining().size() - 1);
+    private void lookUpNextDependency(DependencyLookup lookup) {
+        if (!lookup.remaining().isEmpty()) {
+            String dependency = lookup.remaining().remove(lookup.remaining().size() - 1);
             archiveReader.tell(new ArchiveReader.FindJob(
-                    next, found -> owner.tell(new UsersActor.DependencyLocated(needs, next, found))));
+                    dependency, result -> owner.tell(new UsersActor.DependencyLocated(lookup, dependency, result))));
             return;
         }
-        Request request = needs.submission().request();
-        DependencyAdmission now =
-                DependencyAdmission.evaluate(needs.submission().spec(), jobCache, needs.archived());
-        if (now instanceof DependencyAdmission.Accepted accepted) {
-            writeJob(needs.submission(), accepted.toRecord(owner.wallClockMicros()));
-        } else if (now instanceof DependencyAdmission.Refused refused) {
+        Request request = lookup.submission().request();
+        DependencyAdmission admission =
+                DependencyAdmission.evaluate(lookup.submission().spec(), jobCache, lookup.archived());
+        if (admission instanceof DependencyAdmission.Accepted accepted) {
+            writeJob(lookup.submission(), accepted.toRecord(owner.wallClockMicros()));
+        } else if (admission instanceof DependencyAdmission.Refused refused) {
             request.answer(422, Json.error("awaits", refused.reason()));
         } else {
             request.answer(503, UPGRADING, UPGRADING_RETRY_S);
         }
     }
 
+    /** Handles the result of the search of the archive for one dependency. */
     void dependencyLocated(UsersActor.DependencyLocated message) {
-        DependencyLookup needs = message.needs();
-        if (message.found() instanceof ArchiveReader.Archived archived) {
-            needs.archived().put(message.id(), archived.outcome());
-            lookUpNextDependency(needs);
-        } else if (message.found() instanceof ArchiveReader.NotArchived) {
-            lookUpNextDependency(needs);
-        } else if (message.found() instanceof ArchiveReader.ManifestOutdated) {
-            retry(needs.submission());
+        DependencyLookup lookup = message.lookup();
+        if (message.result() instanceof ArchiveReader.Archived archived) {
+            lookup.archived().put(message.id(), archived.outcome());
+            lookUpNextDependency(lookup);
+        } else if (message.result() instanceof ArchiveReader.NotArchived) {
+            lookUpNextDependency(lookup);
+        } else if (message.result() instanceof ArchiveReader.ManifestOutdated) {
+            retry(lookup.submission());
         } else {
-            needs.submission().request().answer(503, UsersActor.UNAVAILABLE, 1);
+            lookup.submission().request().answer(503, UsersActor.UNAVAILABLE, 1);
         }
     }
 
-    private void writeJob(Submission submission, StoredRecord.JobRecord unchecked) {
+    private void writeJob(Submission submission, StoredRecord.JobRecord newRecord) {
         Request request = submission.request();
         String id = submission.spec().id();
-        StoredRecord.JobRecord row = unchecked.withCheckedAgainstArchive(submission.archiveVersion() > 0);
-        // Should the archive change meanwhile, or should this arrive minutes late, it is refused.
+        StoredRecord.JobRecord jobRecord = newRecord.withCheckedAgainstArchive(submission.archiveVersion() > 0);
+        // The store rejects the transaction if the archive manifest has changed since the search, also if the
+        // transaction arrives minutes late.
         List<Transaction.Condition> conditions = new ArrayList<>(List.of(
                 new Transaction.Condition(StoreKeys.job(id), 0),
                 new Transaction.Condition(StoreKeys.ARCHIVE_MANIFEST, submission.archiveVersion())));
-        if (row.spec() != null && !row.spec().dependencies().isEmpty()) {
-            // A leader of the former version would start it at once.
+        if (jobRecord.spec() != null && !jobRecord.spec().dependencies().isEmpty()) {
+            // A leader of the previous version would start the job without waiting for its dependencies. The layout
+            // record, by which every controller reads dependencies, must therefore be unchanged.
             conditions.add(new Transaction.Condition(StoreKeys.LAYOUT, jobCache.layoutVersion()));
         }
-        // What the store would refuse each time is refused here, or the user would try again for nothing.
-        Optional<List<Transaction.Write>> writes = JobRecordSplitter.split(id, row, settings.maxWritableValueBytes());
+        // A write that the store would always reject is refused here, since the user would retry it in vain.
+        Optional<List<Transaction.Write>> writes =
+                JobRecordSplitter.split(id, jobRecord, settings.maxWritableValueBytes());
         if (writes.isEmpty()) {
             refuse(request, id, 400, Json.error("body", "body: is too long to be kept"));
         } else if (writes.get().size() > settings.maxTransactionWrites()) {
@@ -200,11 +213,11 @@
         } else {
             store.transaction(
                     new Transaction(conditions, writes.get()),
-                    owner.onReply(r -> new UsersActor.SubmissionWritten(r, submission, row)));
+                    owner.onReply(r -> new UsersActor.SubmissionWritten(r, submission, jobRecord)));
         }
     }
 
-    /** A job that was accepted before gets 200 whatever this copy of it says. */
+    /** Answers with the given error, or with 200 if a refreshed lookup shows that the job was accepted before. */
     private void refuse(Request request, String id, int status, byte[] json) {
         refresher.afterRefresh(
                 request,
@@ -216,17 +229,18 @@
                 }));
     }
 
+    /** Handles the store's answer to the transaction that writes a job. */
     void submissionWritten(UsersActor.SubmissionWritten message) {
         String id = message.submission().spec().id();
         Request request = message.submission().request();
         Reply reply = message.reply();
         if (reply.ok()) {
             try {
-                refresher.apply(id, message.row(), StoreCodec.revision(reply.body()));
+                refresher.apply(id, message.jobRecord(), StoreCodec.revision(reply.body()));
                 request.answer(201, JobCodec.accepted(id, owner.standing(jobCache.get(id))));
                 return;
             } catch (MalformedException e) {
-                LOG.error("transaction answer: {}", e.getMessage());
+                LOG.error("malformed answer to the transaction of a submission: {}", e.getMessage());
             }
         }
         if (reply.status() == 409) {
@@ -236,7 +250,7 @@
         }
     }
 
-    /** It is known by now, or the archive or the mark changed since the copy was read: then it is looked at again. */
+    /** Answers for the existing job if the job's record exists by now; retries if the archive manifest or the layout record has changed. */
     private void writeConflicted(UsersActor.SubmissionWritten message) {
         Submission submission = message.submission();
         String id = submission.spec().id();
@@ -246,14 +260,14 @@
                 return;
             }
         } catch (MalformedException e) {
-            LOG.error("transaction answer: {}", e.getMessage());
+            LOG.error("malformed answer to the transaction of a submission: {}", e.getMessage());
         }
         answerExistingJob(submission.request(), id);
     }
 
     private void retry(Submission submission) {
         Request request = submission.request();
-        if (submission.conflicts() >= UsersActor.MAX_ATTEMPTS) {
+        if (submission.conflicts() >= UsersActor.MAX_RETRIES) {
             request.answer(503, UsersActor.UNAVAILABLE, 1);
             return;
         }
@@ -267,9 +281,9 @@
     }
 
     private void answerExistingJob(Request request, String id) {
-        JobCache.Entry known = jobCache.get(id);
-        if (known != null && jobCache.state(id).isFinal()) {
-            request.answer(200, JobCodec.accepted(id, owner.standing(known)));
+        JobCache.Entry entry = jobCache.get(id);
+        if (entry != null && jobCache.state(id).isFinal()) {
+            request.answer(200, JobCodec.accepted(id, owner.standing(entry)));
             return;
         }
         refresher.afterRefresh(
