--- a/src/main/java/io/micatide/scheduler/Autoscaler.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -117,12 +117,12 @@
      * Applies the end of the call for the list of machines.
      *
      * @param machines the whole list, or null after a failed call
-     * @param requestedMicros when the list was requested
+     * @param requestSentMicros when the list was requested
      */
-    void machinesListed(List<ListedMachine> machines, long requestedMicros, long nowMicros) {
+    void machinesListed(List<ListedMachine> machines, long requestSentMicros, long nowMicros) {
         cloudCalls.listEnded();
         if (machines != null) {
-            reconciliation.machinesListed(machines, requestedMicros, nowMicros);
+            reconciliation.machinesListed(machines, requestSentMicros, nowMicros);
         }
     }
 }
--- a/src/main/java/io/micatide/scheduler/CloudCallSource.java
+++ b/src/main/java/io/micatide/scheduler/CloudCallSource.java
@@ -72,8 +72,8 @@
      * Applies the end of the call for the list of machines.
      *
      * @param machines all machines that the cloud lists, or null after a failed call
-     * @param requestedMicros when the list was requested
+     * @param requestSentMicros when the list was requested
      * @param nowMicros the current time
      */
-    void machinesListed(List<ListedMachine> machines, long requestedMicros, long nowMicros);
+    void machinesListed(List<ListedMachine> machines, long requestSentMicros, long nowMicros);
 }
--- a/src/main/java/io/micatide/scheduler/CloudReconciliation.java
+++ b/src/main/java/io/micatide/scheduler/CloudReconciliation.java
@@ -50,9 +50,9 @@
     /**
      * Applies a complete list of machines. Unexpected machines are used, or deleted when they become idle.
      *
-     * @param requestedMicros time at which the list was requested
+     * @param requestSentMicros time at which the list was requested
      */
-    void machinesListed(List<ListedMachine> machines, long requestedMicros, long nowMicros) {
+    void machinesListed(List<ListedMachine> machines, long requestSentMicros, long nowMicros) {
         Set<String> names = new HashSet<>();
         for (ListedMachine listed : machines) {
             names.add(listed.name());
@@ -61,11 +61,11 @@
             }
         }
         for (Machine machine : fleet.machines()) {
-            if (!names.contains(machine.name) && isCertainlyDeleted(machine, requestedMicros, nowMicros)) {
+            if (!names.contains(machine.name) && isCertainlyDeleted(machine, requestSentMicros, nowMicros)) {
                 machine.deletionRequested = true;
             }
         }
-        requests.resolveUnknownRequests(requestedMicros);
+        requests.resolveUnknownRequests(requestSentMicros);
     }
 
     private void machineListed(ListedMachine listed, long nowMicros) {
@@ -84,16 +84,16 @@
     }
 
     /** Returns whether a machine that is missing in the list is certainly deleted. */
-    private boolean isCertainlyDeleted(Machine machine, long requestedMicros, long nowMicros) {
+    private boolean isCertainlyDeleted(Machine machine, long requestSentMicros, long nowMicros) {
         boolean isSilent = machine.lastHeartbeatMicros >= 0
                 && nowMicros - machine.lastHeartbeatMicros > settings.workerLeaseExpiryMicros();
-        return (machine.wasListedByCloud && isSilent) || wasNeverSeen(machine, requestedMicros);
+        return (machine.wasListedByCloud && isSilent) || wasNeverSeen(machine, requestSentMicros);
     }
 
     /** Returns whether a machine that only a ledger names sent no heartbeat and is missing in a list requested well after it became known. */
-    private boolean wasNeverSeen(Machine machine, long requestedMicros) {
+    private boolean wasNeverSeen(Machine machine, long requestSentMicros) {
         return machine.lastHeartbeatMicros < 0
                 && machine.bootStartedMicros < 0
-                && requestedMicros - machine.knownSinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND;
+                && requestSentMicros - machine.knownSinceMicros > 2 * settings.listLagMicros() + 5 * Micros.SECOND;
     }
 }
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -269,12 +269,12 @@
     /**
      * Marks requests of unknown outcome as done if a list of machines is recent enough to show the machines that they gave.
      *
-     * @param requestedMicros when the list was requested; the state that it shows is at most twice the configured list lag older than that
+     * @param requestSentMicros when the list was requested; the state that it shows is at most twice the configured list lag older than that
      */
-    void resolveUnknownRequests(long requestedMicros) {
+    void resolveUnknownRequests(long requestSentMicros) {
         for (Request request : requests.values()) {
             if (request.state == State.UNKNOWN
-                    && requestedMicros - request.stateChangedMicros
+                    && requestSentMicros - request.stateChangedMicros
                             > 2 * settings.listLagMicros() + 5 * Micros.SECOND) {
                 request.state = State.DONE;
             }
--- a/src/main/java/io/micatide/scheduler/Scheduler.java
+++ b/src/main/java/io/micatide/scheduler/Scheduler.java
@@ -114,10 +114,10 @@
     /**
      * Records that the store was read and the response has been applied.
      *
-     * @param requestedMicros time at which the read was requested
+     * @param requestSentMicros time at which the read was requested
      */
-    public void storeReadAt(long requestedMicros) {
-        components.startGuard.storeReadAt(requestedMicros);
+    public void storeReadAt(long requestSentMicros) {
+        components.startGuard.storeReadAt(requestSentMicros);
     }
 
     /**
@@ -316,8 +316,8 @@
     }
 
     @Override
-    public void machinesListed(List<ListedMachine> machines, long requestedMicros, long nowMicros) {
-        components.autoscaler.machinesListed(machines, requestedMicros, nowMicros);
+    public void machinesListed(List<ListedMachine> machines, long requestSentMicros, long nowMicros) {
+        components.autoscaler.machinesListed(machines, requestSentMicros, nowMicros);
     }
 
     @Override
--- a/src/main/java/io/micatide/scheduler/StartGuard.java
+++ b/src/main/java/io/micatide/scheduler/StartGuard.java
@@ -29,9 +29,9 @@
     }
 
     /** Records a read of the store that was requested at the given time and whose response has been applied. */
-    void storeReadAt(long requestedMicros) {
-        if (requestedMicros >= resumedMicros) {
-            storeReadMicros = Math.max(storeReadMicros, requestedMicros);
+    void storeReadAt(long requestSentMicros) {
+        if (requestSentMicros >= resumedMicros) {
+            storeReadMicros = Math.max(storeReadMicros, requestSentMicros);
         }
     }
 
--- a/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
+++ b/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
@@ -35,12 +35,12 @@
     private Transaction inFlight;
     private boolean ledgerStored;
 
-    private static StoredRecord.JobRecord row(JobState state) {
+    private static StoredRecord.JobRecord jobRecord(JobState state) {
         return new StoredRecord.JobRecord(state, SPEC, 0, SPEC.taskCount());
     }
 
-    private void seen(JobState state, long version) {
-        leader.jobChanged(new JobCache.View(SPEC.id(), row(state), version, state, false, 0), now, now);
+    private void jobChanged(JobState state, long version) {
+        leader.jobChanged(new JobCache.View(SPEC.id(), jobRecord(state), version, state, false, 0), now, now);
     }
 
     /** Machine i-1 or i-2 reports running tasks by number and, after a slash, ended ones. */
@@ -59,7 +59,7 @@
     }
 
     /** What is due is written, and answered unless it stays in flight. */
-    private void round(boolean answered) {
+    private void runWriteBatches(boolean answered) {
         for (int each = 0; each < 5; each++) {
             now += 300 * Micros.MILLISECOND;
             leader.storeReadAt(now);
@@ -107,12 +107,12 @@
         "o l + a01234 b/01234 w a01234 w, 10, false",
         "o l + a01234 b/01234 w a012 w, 6, false",
     })
-    void countsUntilNothingIsAnywhere(String steps, int used, boolean ledger) {
+    void cancelledJobCountsUntilNoTaskCanBeOnAMachine(String steps, int used, boolean ledger) {
         leader.machineTypesChanged(List.of(SchedulerHarness.TYPE), 0);
         for (String step : steps.split(" ")) {
             switch (step.charAt(0)) {
-                case 'o' -> seen(JobState.OPEN, 3);
-                case 'c' -> seen(JobState.CANCELLED, 60);
+                case 'o' -> jobChanged(JobState.OPEN, 3);
+                case 'c' -> jobChanged(JobState.CANCELLED, 60);
                 case 'l' -> {
                     leader.ledgerLoaded("ledger/wk-1", new StoredRecord.Ledger(List.of("i-1", "i-2"), 0, ""), 4, now);
                     ledgerStored = true;
@@ -120,19 +120,19 @@
                 case '+' -> leader.allRecordsLoaded(now);
                 case 'a' -> heartbeat("i-1", step.substring(1));
                 case 'b' -> heartbeat("i-2", step.substring(1));
-                case 'f' -> round(false);
+                case 'f' -> runWriteBatches(false);
                 case 'u' -> {
                     inFlight = null;
                     leader.writeNotExecuted(now);
                 }
-                default -> round(true);
+                default -> runWriteBatches(true);
             }
         }
         assertEquals(used * 1000, leader.teamUsage("red").cpus(), "processors of the team");
         assertEquals(ledger, ledgerStored, "its ledger is stored");
         heartbeat("i-1", "");
         heartbeat("i-2", "");
-        round(true);
+        runWriteBatches(true);
         assertEquals(0, leader.teamUsage("red").cpus());
         assertTrue(!ledgerStored && leader.mayBeArchived("wk-1"), "nothing of it is left");
     }
--- a/src/test/java/io/micatide/scheduler/CloudReconciliationTest.java
+++ b/src/test/java/io/micatide/scheduler/CloudReconciliationTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void deletedMachineDoesNotComeBack() {
+    void deletedMachineIsNotAddedAgain() {
         fleet.getOrAdd("i-1", 0);
         fleet.markDeleted("i-1", Micros.SECOND);
         reconciliation.machinesListed(
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void unexpectedMachineIsTakenInAndFailedOneDeleted() {
+    void unexpectedMachineIsAddedAndFailedOneDeleted() {
         long now = 100 * Micros.SECOND;
         reconciliation.machinesListed(
                 List.of(
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void missingMachineIsGoneOnlyInAListThatIsNewEnough() {
+    void missingMachineIsDeletedOnlyIfTheListIsRecentEnough() {
         Machine named = fleet.getOrAdd("i-1", 0);
         long newEnough = 2 * settings.listLagMicros() + 5 * Micros.SECOND;
         reconciliation.machinesListed(List.of(), newEnough, newEnough);
--- a/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
+++ b/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
@@ -48,7 +48,7 @@
 
     @ParameterizedTest
     @CsvSource({"60, 0", "61, 1"})
-    void machineIsDeletedThatDoesNotComeUp(int bootingSeconds, int deleted) {
+    void machineThatDoesNotBootIsDeleted(int bootingSeconds, int deleted) {
         Machine machine = fleet.getOrAdd("i-new", NOW - bootingSeconds * Micros.SECOND);
         fleet.updateTypeAndZone(machine, SchedulerHarness.TYPE.name(), "a", false);
         machine.bootStartedMicros = NOW - bootingSeconds * Micros.SECOND;
--- a/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
+++ b/src/test/java/io/micatide/scheduler/DependencyFailureTest.java
@@ -44,28 +44,28 @@
     void noTaskStartsBeforeItsDependenciesAtAnyKillPoint(int from, double lostAnswers, int maxWrites) {
         for (int kill = from + 1; kill <= from + 200; kill++) {
             SchedulerHarness harness = new SchedulerHarness(kill, 3, 2048, maxWrites);
-            harness.opsLimit = maxWrites;
-            harness.valueLimit = 2048;
-            harness.lostAnswers = lostAnswers;
-            harness.killAfter = kill;
+            harness.maxWritesPerTransaction = maxWrites;
+            harness.maxValueBytes = 2048;
+            harness.lostAnswerProbability = lostAnswers;
+            harness.killAtInteraction = kill;
             // The first leader writes plain machine names, as production does; the next one writes compressed names.
-            harness.takeOver();
-            harness.marked = true;
+            harness.startLeader();
+            harness.isLayoutMarked = true;
             submitAll(harness);
             harness.run(8 * Micros.SECOND);
             harness.cancel("wk-f");
             // The dependents are cancelled at once, derived from the records alone, since the leader may be dead.
-            assertEquals(JobState.CANCELLED, harness.directory.state("wk-g"));
-            assertEquals(JobState.CANCELLED, harness.directory.state("wk-h"));
+            assertEquals(JobState.CANCELLED, harness.jobCache.state("wk-g"));
+            assertEquals(JobState.CANCELLED, harness.jobCache.state("wk-h"));
             harness.run(120 * Micros.SECOND);
             String context = "kill " + kill + " lost " + lostAnswers;
-            assertEquals(List.of(), harness.broken, context);
-            assertEquals(0, harness.refused, context);
+            assertEquals(List.of(), harness.violations, context);
+            assertEquals(0, harness.rejectedTransactions, context);
             for (String id : List.of("wk-a", "wk-b", "wk-c", "wk-d", "wk-e")) {
                 assertEquals(JobState.DONE, harness.state(id), context + ": " + id);
             }
             for (String id : List.of("wk-f", "wk-g", "wk-h")) {
-                assertEquals(0, harness.startsOf.getOrDefault(id, 0), context + ": " + id);
+                assertEquals(0, harness.startsByJob.getOrDefault(id, 0), context + ": " + id);
                 // The leader also changes the records to cancelled, for readers that read only those.
                 assertEquals(JobState.CANCELLED, harness.state(id), context + ": " + id);
             }
@@ -76,15 +76,15 @@
     @Test
     void finishedDependenciesDoNotDelayAJob() {
         SchedulerHarness harness = new SchedulerHarness(1, 3);
-        harness.takeOver();
+        harness.startLeader();
         harness.submit(job("wk-a", Priority.LOW, 3, 4));
         harness.run(20 * Micros.SECOND);
         assertEquals(JobState.DONE, harness.state("wk-a"));
         harness.submit(job("wk-b", Priority.LOW, 2, 4, "wk-a"));
-        harness.takeOver();
+        harness.startLeader();
         harness.run(20 * Micros.SECOND);
         assertEquals(JobState.DONE, harness.state("wk-b"));
-        assertEquals(List.of(), harness.broken);
+        assertEquals(List.of(), harness.violations);
     }
 
     /** A job that waits for its dependencies uses nothing: no share of the team's limit, no rented machine, no record. */
@@ -92,8 +92,8 @@
     void waitingJobUsesNoResources() {
         SchedulerHarness harness = new SchedulerHarness(1, 2);
         // Otherwise a record would be written when the idle machine is deleted, which is not under test.
-        harness.recorded = false;
-        harness.takeOver();
+        harness.recordsMachineDeletions = false;
+        harness.startLeader();
         harness.submit(job("wk-s", Priority.NORMAL, 1, 300));
         harness.run(15 * Micros.SECOND);
         long revision = harness.revision;
@@ -102,7 +102,7 @@
         harness.run(30 * Micros.SECOND);
         assertEquals(revision + 1, harness.revision, "something was written");
         assertEquals(machines, harness.workers.size());
-        assertEquals(0, harness.startsOf.getOrDefault("wk-w", 0));
+        assertEquals(0, harness.startsByJob.getOrDefault("wk-w", 0));
         assertTrue(harness.leader.summary(harness.now).contains("awaiting=1"), harness.leader.summary(harness.now));
     }
 }
--- a/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
@@ -114,7 +114,7 @@
     void faultyJobsAreOnlyProbed() {
         SchedulerHarness harness = new SchedulerHarness(1, 6);
         harness.faultyMachines.add("i-000002");
-        harness.takeOver();
+        harness.startLeader();
         // Faulty jobs cannot be distinguished from others before their first tasks have failed.
         for (int i = 0; i < 3; i++) {
             harness.faultyJobs.add("wk-9" + i);
@@ -125,19 +125,20 @@
         harness.submit(SchedulerHarness.job("wk-2", JobKind.ARRAY, "blue", Priority.NORMAL, 60, 5));
         harness.run(5 * Micros.SECOND);
         int machines = harness.workers.size();
-        int initialStarts =
-                harness.startsOf.values().stream().mapToInt(Integer::intValue).sum();
+        int initialStarts = harness.startsByJob.values().stream()
+                .mapToInt(Integer::intValue)
+                .sum();
         harness.run(120 * Micros.SECOND);
         assertEquals(JobState.DONE, harness.state("wk-1"));
         assertEquals(JobState.DONE, harness.state("wk-2"));
         int faultyStarts = 0;
         for (String job : harness.faultyJobs) {
-            faultyStarts += harness.startsOf.getOrDefault(job, 0);
+            faultyStarts += harness.startsByJob.getOrDefault(job, 0);
         }
         assertTrue(
                 faultyStarts <= initialStarts + 3 * 12,
                 faultyStarts + " starts of faulty jobs, " + initialStarts + " by any job within 10 s");
-        assertTrue(harness.workers.get("i-000002").deleted, "the faulty machine was not deleted");
+        assertTrue(harness.workers.get("i-000002").isDeleted, "the faulty machine was not deleted");
         assertTrue(harness.leader.summary(harness.now).contains("suspect=3"), harness.leader.summary(harness.now));
         assertEquals(machines, harness.workers.size(), "machines were rented for faulty jobs");
     }
--- a/src/test/java/io/micatide/scheduler/FailureTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureTest.java
@@ -31,8 +31,8 @@
         world.submit(SchedulerHarness.job("wk-5", JobKind.GANG, "blue", Priority.NORMAL, 3, 5));
     }
 
-    private static void assertSound(SchedulerHarness world, String what) {
-        assertEquals(List.of(), world.broken, what);
+    private static void assertFinishedWithoutViolation(SchedulerHarness world, String what) {
+        assertEquals(List.of(), world.violations, what);
         for (String id : List.of("wk-1", "wk-2", "wk-5")) {
             assertEquals(JobState.DONE, world.state(id), what + ": " + id);
         }
@@ -40,7 +40,7 @@
         assertTrue(world.leader.summary(world.now).contains("unsettled=0"), what + world.leader.summary(world.now));
         // Nothing of what is over stays behind: only the replicas run and only their ledger is kept.
         List<String> kept = new ArrayList<>();
-        world.rows.keySet().stream()
+        world.records.keySet().stream()
                 .filter(key -> key.startsWith(StoreKeys.LEDGERS))
                 .forEach(kept::add);
         assertEquals(List.of(StoreKeys.ledger("wk-3", 0)), kept, what);
@@ -49,20 +49,20 @@
     /** Each row moves the kill over another stretch of the interactions of a whole run. */
     @ParameterizedTest
     @CsvSource({"0, 0", "0, 0.02", "300, 0", "300, 0.02", "150, 0.1"})
-    void noSecondRunWhereverTheLeaderIsKilled(int from, double lostAnswers) {
+    void noTaskRunsTwiceAtAnyKillPoint(int from, double lostAnswers) {
         int duplicates = 0;
         for (int kill = from + 1; kill <= from + 300; kill++) {
             SchedulerHarness world = new SchedulerHarness(kill, 3);
-            world.lostAnswers = lostAnswers;
-            world.killAfter = kill;
-            world.takeOver();
+            world.lostAnswerProbability = lostAnswers;
+            world.killAtInteraction = kill;
+            world.startLeader();
             submitAll(world);
             world.run(12 * Micros.SECOND);
             world.cancel("wk-4");
             world.run(150 * Micros.SECOND);
-            assertTrue(world.interactions > kill || world.takeOvers > 1, "the kill was not reached");
-            assertSound(world, "kill " + kill + " lost " + lostAnswers);
-            duplicates += (int) world.broken.stream()
+            assertTrue(world.interactions > kill || world.leadersStarted > 1, "the kill was not reached");
+            assertFinishedWithoutViolation(world, "kill " + kill + " lost " + lostAnswers);
+            duplicates += (int) world.violations.stream()
                     .filter(rule -> rule.startsWith("ran_twice"))
                     .count();
         }
@@ -71,65 +71,65 @@
 
     /** The leader before claimed a rental and ended: whether it was made is settled by a list, and nothing more is rented there before. */
     @Test
-    void rentalsOfAFormerTermAreSettled() {
+    void requestsOfThePreviousTermAreResolved() {
         SchedulerHarness world = new SchedulerHarness(7, 3);
-        world.takeOver();
+        world.startLeader();
         world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 4, 6));
         String key = StoreKeys.provisioningRequest("r-99-1");
-        world.rows.put(key, new StoredRecord.Provisioning("claimed", SchedulerHarness.TYPE.name(), "a", true, 2));
+        world.records.put(key, new StoredRecord.Provisioning("claimed", SchedulerHarness.TYPE.name(), "a", true, 2));
         world.versions.put(key, ++world.revision);
-        world.takeOver();
+        world.startLeader();
         assertTrue(world.leader.summary(world.now).contains("bookings=1"), world.leader.summary(world.now));
         world.run(120 * Micros.SECOND);
-        assertEquals(false, world.rows.containsKey(key), "its row goes once it is settled");
+        assertEquals(false, world.records.containsKey(key), "its row goes once it is settled");
         assertEquals(JobState.DONE, world.state("wk-1"));
     }
 
     /** A ledger names a machine that the leader before has returned: who was told so does not wait for the cloud's list. */
     @ParameterizedTest
     @CsvSource({"true, 3", "false, 5"})
-    void machinesThatAreGoneHoldUpNothing(boolean told, int seconds) {
+    void hintOfADeletedMachineSpeedsUpRecovery(boolean told, int seconds) {
         SchedulerHarness world = new SchedulerHarness(5, 3);
-        world.takeOver();
+        world.startLeader();
         world.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 40, 60));
         world.run(40 * Micros.SECOND);
-        StoredRecord.Ledger ledger = (StoredRecord.Ledger) world.rows.get(StoreKeys.ledger("wk-1", 0));
+        StoredRecord.Ledger ledger = (StoredRecord.Ledger) world.records.get(StoreKeys.ledger("wk-1", 0));
         String gone = ledger.machines().get(0);
-        world.workers.get(gone).deleted = true;
+        world.workers.get(gone).isDeleted = true;
         world.workers.get(gone).tasks.clear();
         world.hints = told ? List.of(Hint.MachineHint.deleted(gone)) : List.of();
-        world.takeOver();
+        world.startLeader();
         world.run(seconds * Micros.SECOND);
         assertEquals(told, world.leader.summary(world.now).contains("unsettled=0"), world.leader.summary(world.now));
         world.run(200 * Micros.SECOND);
         assertEquals(JobState.DONE, world.state("wk-1"));
-        assertEquals(List.of(), world.broken);
+        assertEquals(List.of(), world.violations);
     }
 
     /** A greeting's answer may be older than what is on its way to the machine: nothing that was sent is taken for lost by it. */
     @Test
-    void greetingsThatOvertakeBreakNothing() {
+    void reorderedAnnouncementAnswersBreakNothing() {
         for (int seed = 1; seed <= 20; seed++) {
             SchedulerHarness world = new SchedulerHarness(seed, 3);
-            world.greets = true;
-            world.lostAnswers = 0.02;
-            world.killAfter = 40 + 9 * seed;
-            world.takeOver();
+            world.announcesAtEachHeartbeat = true;
+            world.lostAnswerProbability = 0.02;
+            world.killAtInteraction = 40 + 9 * seed;
+            world.startLeader();
             submitAll(world);
             world.run(12 * Micros.SECOND);
             world.cancel("wk-4");
             world.run(150 * Micros.SECOND);
-            assertSound(world, "seed " + seed);
+            assertFinishedWithoutViolation(world, "seed " + seed);
         }
     }
 
     /** Hints speed up and never allow: whatever they say, nothing runs twice and everything is done, if later. */
     @Test
-    void hintsThatLieBreakNothing() {
+    void wrongHintsBreakNothing() {
         for (int seed = 1; seed <= 40; seed++) {
             SchedulerHarness world = new SchedulerHarness(seed, 3);
-            world.lostAnswers = 0.02;
-            world.killAfter = 20 + 7 * seed;
+            world.lostAnswerProbability = 0.02;
+            world.killAtInteraction = 20 + 7 * seed;
             List<Hint> lies =
                     new ArrayList<>(List.of(new Hint.JobClassHint("class", 9, 3), new Hint.JobClassHint("x", -4, -1)));
             for (int job = 0; job <= 6; job++) {
@@ -152,12 +152,12 @@
                         world.random.nextInt(6) == 0));
             }
             world.hints = lies;
-            world.takeOver();
+            world.startLeader();
             submitAll(world);
             world.run(12 * Micros.SECOND);
             world.cancel("wk-4");
             world.run(240 * Micros.SECOND);
-            assertSound(world, "seed " + seed);
+            assertFinishedWithoutViolation(world, "seed " + seed);
         }
     }
 
@@ -176,26 +176,26 @@
         "2, 12, 30, 0, 0, 0, 60",
         "0, 0, 50, 2, 30, 0, 40",
     })
-    void hangsAndOutagesOverATakeOver(
+    void hangsAndOutagesDuringFailover(
             int hangAt, int hangFor, int kill, int outageAt, int outageFor, int cloudAt, int cloudFor) {
         for (int seed = 0; seed < 12; seed++) {
             SchedulerHarness world = new SchedulerHarness(seed, 4);
-            world.killAfter = kill + seed * 5;
-            world.lostAnswers = 0.01;
-            world.takeOver();
+            world.killAtInteraction = kill + seed * 5;
+            world.lostAnswerProbability = 0.01;
+            world.startLeader();
             submitAll(world);
             for (int second = 0; second < 240; second++) {
                 if (second == hangAt && hangFor > 0) {
-                    world.workers.values().iterator().next().hungUntil = world.now + hangFor * Micros.SECOND;
+                    world.workers.values().iterator().next().hungUntilMicros = world.now + hangFor * Micros.SECOND;
                 }
                 if (second == 12 || second == 80) {
                     world.cancel("wk-4");
                 }
-                world.stateOutage = outageFor > 0 && second >= outageAt && second < outageAt + outageFor;
+                world.storeOutage = outageFor > 0 && second >= outageAt && second < outageAt + outageFor;
                 world.cloudOutage = cloudFor > 0 && second >= cloudAt && second < cloudAt + cloudFor;
                 world.run(Micros.SECOND);
             }
-            assertSound(world, "seed " + seed);
+            assertFinishedWithoutViolation(world, "seed " + seed);
         }
     }
 
@@ -205,20 +205,20 @@
      */
     @ParameterizedTest
     @CsvSource({"4, 8, 0", "4, 30, 0", "8, 30, 0", "8, 60, 0", "12, 20, 40", "6, 90, 90"})
-    void aZoneKeptAliveByAFormerLeader(int cutAt, int cutFor, int cloudOutageFor) {
+    void zoneConnectedToThePreviousLeaderOnly(int cutAt, int cutFor, int cloudOutageFor) {
         for (int seed = 0; seed < 12; seed++) {
             SchedulerHarness world = new SchedulerHarness(seed, 4);
-            world.lostAnswers = 0.01;
-            world.takeOver();
+            world.lostAnswerProbability = 0.01;
+            world.startLeader();
             submitAll(world);
             for (int second = 0; second < 260; second++) {
                 if (second == cutAt + seed % 3) {
-                    world.cutOffLeader(cutFor * Micros.SECOND);
+                    world.isolateLeader(cutFor * Micros.SECOND);
                 }
                 world.cloudOutage = second >= cutAt && second < cutAt + cloudOutageFor;
                 world.run(Micros.SECOND);
             }
-            assertEquals(List.of(), world.broken, "seed " + seed);
+            assertEquals(List.of(), world.violations, "seed " + seed);
             assertEquals(JobState.DONE, world.state("wk-1"), "seed " + seed);
             assertEquals(JobState.DONE, world.state("wk-4"), "seed " + seed);
         }
@@ -226,17 +226,17 @@
 
     /** In an outage of the state service the leader answers on, so tasks live, and nothing new starts. */
     @Test
-    void outageKeepsTasksAliveAndStartsNothing() {
+    void storeOutageKeepsTasksRunningAndStartsNothing() {
         SchedulerHarness world = new SchedulerHarness(1, 3);
-        world.takeOver();
+        world.startLeader();
         world.submit(SchedulerHarness.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, 4, 0));
         world.run(15 * Micros.SECOND);
         assertEquals(4, world.starts);
-        world.stateOutage = true;
+        world.storeOutage = true;
         world.submit(SchedulerHarness.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 5));
         world.run(40 * Micros.SECOND);
         assertEquals(4, world.starts, "started during the outage");
-        world.stateOutage = false;
+        world.storeOutage = false;
         world.run(30 * Micros.SECOND);
         assertEquals(8, world.starts, "replicas were started again");
         assertEquals(JobState.DONE, world.state("wk-6"));
@@ -248,21 +248,24 @@
      */
     @ParameterizedTest
     @CsvSource({"4, 1, true", "4, 5, true", "4, 8, true", "4, 20, false", "1, 8, true"})
-    void aStallReturnsNoMachines(int machines, int seconds, boolean tasksLive) {
+    void processPauseDeletesNoMachines(int machines, int seconds, boolean tasksLive) {
         SchedulerHarness world = new SchedulerHarness(1, machines);
-        world.takeOver();
+        world.startLeader();
         world.submit(SchedulerHarness.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, machines, 0));
         world.submit(SchedulerHarness.job("wk-6", JobKind.ARRAY, "blue", Priority.NORMAL, 3 * machines, 60));
         world.run(15 * Micros.SECOND);
         int starts = world.starts;
-        long returned =
-                world.workers.values().stream().filter(worker -> worker.deleted).count();
-        world.stall(seconds * Micros.SECOND);
+        long returned = world.workers.values().stream()
+                .filter(worker -> worker.isDeleted)
+                .count();
+        world.pauseLeader(seconds * Micros.SECOND);
         world.run(8 * Micros.SECOND);
         assertEquals(
                 returned,
-                world.workers.values().stream().filter(worker -> worker.deleted).count());
-        assertEquals(List.of(), world.broken);
+                world.workers.values().stream()
+                        .filter(worker -> worker.isDeleted)
+                        .count());
+        assertEquals(List.of(), world.violations);
         assertEquals(tasksLive, starts == world.starts, world.starts + " starts");
         world.run(90 * Micros.SECOND);
         assertEquals(JobState.DONE, world.state("wk-6"));
@@ -274,9 +277,9 @@
      */
     @ParameterizedTest
     @CsvSource({"2, true", "5, false", "30, false"})
-    void aFormerLeaderThatWakesUpDoesNothing(int seconds, boolean leads) {
+    void leaderResumedAfterItsLeaseDoesNothing(int seconds, boolean leads) {
         SchedulerHarness world = new SchedulerHarness(1, 4);
-        world.takeOver();
+        world.startLeader();
         world.run(15 * Micros.SECOND);
         long held = world.now + 3 * Micros.SECOND;
         world.leader.leaseHeldUntil(held);
@@ -286,7 +289,7 @@
         int before = world.starts;
         List<CloudCall> calls = new ArrayList<>();
         for (int step = 0; step < 80; step++) {
-            world.now += SchedulerHarness.STEP;
+            world.now += SchedulerHarness.STEP_MICROS;
             if (leads) {
                 world.leader.leaseHeldUntil(world.now + 3 * Micros.SECOND);
             }
@@ -316,23 +319,23 @@
      */
     @ParameterizedTest
     @CsvSource({"8, 8, false, 0", "8, 1, false, 1", "8, 8, true, 8"})
-    void aLeaderThatHearsNobodyReturnsNoMachines(int machines, int hang, boolean gone, int returned) {
+    void newLeaderWithoutHeartbeatsDeletesNoMachines(int machines, int hang, boolean gone, int returned) {
         SchedulerHarness world = new SchedulerHarness(1, machines);
-        world.takeOver();
+        world.startLeader();
         world.submit(SchedulerHarness.job("wk-3", JobKind.SERVICE, "blue", Priority.HIGH, 4 * machines, 0));
         world.run(15 * Micros.SECOND);
         int hung = 0;
         for (SchedulerHarness.Worker worker : world.workers.values()) {
             if (hung++ < hang) {
-                worker.hungUntil = world.now + 300 * Micros.SECOND;
-                worker.deleted = gone;
+                worker.hungUntilMicros = world.now + 300 * Micros.SECOND;
+                worker.isDeleted = gone;
             }
         }
-        world.takeOver();
-        world.returned = 0;
+        world.startLeader();
+        world.machinesDeleted = 0;
         world.run(60 * Micros.SECOND);
-        assertEquals(returned, world.returned);
-        assertEquals(List.of(), world.broken);
+        assertEquals(returned, world.machinesDeleted);
+        assertEquals(List.of(), world.violations);
     }
 
     /**
@@ -341,21 +344,21 @@
      */
     @ParameterizedTest
     @CsvSource({"true, true", "false, false"})
-    void aLateDeletionTakesNothingThatRuns(boolean recorded, boolean nothingLost) {
+    void delayedDeletionLosesNoTasks(boolean recorded, boolean nothingLost) {
         SchedulerHarness world = new SchedulerHarness(1, 8);
-        world.recorded = recorded;
-        world.takeOver();
+        world.recordsMachineDeletions = recorded;
+        world.startLeader();
         world.submit(SchedulerHarness.job("wk-3", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
         world.run(20 * Micros.SECOND);
-        world.deletionsLateMicros = 30 * Micros.SECOND;
+        world.deletionDelayMicros = 30 * Micros.SECOND;
         world.run(40 * Micros.SECOND);
-        world.takeOver();
+        world.startLeader();
         world.submit(SchedulerHarness.job("wk-4", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 120));
         world.run(60 * Micros.SECOND);
-        assertEquals(nothingLost, world.lostToDeletions == 0, world.lostToDeletions + " tasks lost");
-        world.deletionsLateMicros = 0;
+        assertEquals(nothingLost, world.tasksLostToDeletions == 0, world.tasksLostToDeletions + " tasks lost");
+        world.deletionDelayMicros = 0;
         world.run(200 * Micros.SECOND);
-        assertEquals(List.of(), world.broken);
+        assertEquals(List.of(), world.violations);
         assertTrue(world.leader.summary(world.now).contains("jobs=0"), world.leader.summary(world.now));
     }
 
@@ -377,24 +380,24 @@
         "3, 3, ARRAY, false, 0",
         "3, 3, ARRAY, true, 6",
     })
-    void silentMachinesOfAZoneThatReportsAreGivenBack(int inA, int inB, JobKind kind, boolean takeOver, int returned) {
+    void silentMachinesOfAReachableZoneAreDeleted(int inA, int inB, JobKind kind, boolean takeOver, int returned) {
         SchedulerHarness world = new SchedulerHarness(1, 16);
-        world.takeOver();
+        world.startLeader();
         world.submit(SchedulerHarness.job("wk-3", kind, "blue", Priority.NORMAL, 64, 300));
         world.run(15 * Micros.SECOND);
         Map<String, Integer> left = new HashMap<>(Map.of("a", inA, "b", inB));
         for (SchedulerHarness.Worker worker : world.workers.values()) {
             if (left.merge(worker.zone, -1, Integer::sum) >= 0) {
-                worker.hungUntil = world.now + 9_200 * Micros.MILLISECOND;
+                worker.hungUntilMicros = world.now + 9_200 * Micros.MILLISECOND;
             }
         }
         if (takeOver) {
-            world.takeOver();
+            world.startLeader();
         }
-        world.returned = 0;
+        world.machinesDeleted = 0;
         world.run(9 * Micros.SECOND);
-        assertEquals(returned, world.returned);
+        assertEquals(returned, world.machinesDeleted);
         world.run(40 * Micros.SECOND);
-        assertEquals(List.of(), world.broken);
+        assertEquals(List.of(), world.violations);
     }
 }
--- a/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementPlannerTest.java
@@ -37,9 +37,9 @@
 
     private static long runningTasks(SchedulerHarness harness, String job) {
         return harness.workers.values().stream()
-                .filter(worker -> !worker.deleted)
+                .filter(worker -> !worker.isDeleted)
                 .flatMap(worker -> worker.tasks.values().stream())
-                .filter(task -> task.job.equals(job) && task.cause == null)
+                .filter(task -> task.job.equals(job) && task.exitCause == null)
                 .count();
     }
 
@@ -58,7 +58,7 @@
     void preemptsNoMoreThanNeeded(JobKind kind, Priority priority, int tasks, int preempted) {
         SchedulerHarness harness = new SchedulerHarness(1, 2);
         harness.cloudOutage = true;
-        harness.takeOver();
+        harness.startLeader();
         harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 300));
         harness.run(20 * Micros.SECOND);
         assertEquals(8, runningTasks(harness, "wk-1"));
@@ -78,7 +78,7 @@
     void lowPriorityWorkIsPreemptedOnlyForUrgentJobs(Priority running, int deadlineSeconds, int started) {
         SchedulerHarness harness = new SchedulerHarness(1, 2);
         harness.cloudOutage = true;
-        harness.takeOver();
+        harness.startLeader();
         harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", running, 8, 300));
         harness.run(20 * Micros.SECOND);
         assertEquals(8, runningTasks(harness, "wk-1"));
@@ -98,7 +98,7 @@
     void replicasAreColocatedOnFewMachines(int replicas, int expectedPerMachine) {
         SchedulerHarness harness = new SchedulerHarness(1, 2);
         harness.cloudOutage = true;
-        harness.takeOver();
+        harness.startLeader();
         harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 8, 2));
         harness.run(10 * Micros.SECOND);
         for (int i = 0; i < replicas; i++) {
@@ -127,11 +127,11 @@
     void machinesAreRefilledAtTheirHeartbeats() {
         SchedulerHarness harness = new SchedulerHarness(1, 1);
         harness.cloudOutage = true;
-        harness.takeOver();
+        harness.startLeader();
         harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 40, 2));
         long startedMicros = harness.now;
         while (harness.state("wk-1") == JobState.OPEN) {
-            harness.run(SchedulerHarness.STEP);
+            harness.run(SchedulerHarness.STEP_MICROS);
             assertTrue(harness.now - startedMicros < 60 * Micros.SECOND, "the job was still open after 60 s");
         }
         // The 40 tasks run four at a time in ten groups, each taking 2 s and up to one heartbeat interval of 0.8 s.
@@ -147,8 +147,8 @@
     @CsvSource({"1, false", "20, true"})
     void lateMachinesAreDeletedOnceNoTasksArePending(int bootFactor, boolean deleted) {
         SchedulerHarness harness = new SchedulerHarness(1, 2);
-        harness.bootFactor = bootFactor;
-        harness.takeOver();
+        harness.bootTimeFactor = bootFactor;
+        harness.startLeader();
         harness.submit(withDeadline(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 44, 6), 30));
         for (int second = 0; second < 120 && harness.state("wk-1") == JobState.OPEN; second++) {
             harness.run(Micros.SECOND);
@@ -158,7 +158,7 @@
         assertTrue(harness.workers.size() > 2, "no machine was rented");
         long remaining = harness.workers.values().stream()
                 .skip(2)
-                .filter(worker -> !worker.deleted)
+                .filter(worker -> !worker.isDeleted)
                 .count();
         assertEquals(deleted, remaining == 0);
     }
--- a/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
@@ -26,7 +26,7 @@
             List.of(Resources.of(1, 0, 4), Resources.of(2, 0, 30), Resources.of(3, 0, 8), Resources.of(8, 0, 16));
 
     /** Jobs of all kinds, classes, teams and limits on where they may go. */
-    static JobSpec drawn(Random random, int number) {
+    static JobSpec randomJob(Random random, int number) {
         JobKind kind = KINDS.get(random.nextInt(KINDS.size()));
         boolean oneZone = random.nextInt(5) == 0;
         boolean saves = random.nextInt(3) == 0 && kind != JobKind.SERVICE;
@@ -52,19 +52,19 @@
                 number > 0 && random.nextInt(6) == 0 ? List.of("wk-" + random.nextInt(number)) : List.of());
     }
 
-    private static List<String> play(long seed, SchedulerComponents.PlannerFactory planners) {
+    private static List<String> runScenario(long seed, SchedulerComponents.PlannerFactory planners) {
         Random random = new Random(seed);
         SchedulerHarness world = new SchedulerHarness(seed, 2 + random.nextInt(12));
         List<String> decisions = new ArrayList<>();
-        world.planners = planners;
-        world.decisions = decisions::add;
-        world.lostAnswers = random.nextInt(3) == 0 ? 0.02 : 0;
-        world.killAfter = random.nextInt(3) == 0 ? 200 + random.nextInt(600) : -1;
+        world.plannerFactory = planners;
+        world.decisionListener = decisions::add;
+        world.lostAnswerProbability = random.nextInt(3) == 0 ? 0.02 : 0;
+        world.killAtInteraction = random.nextInt(3) == 0 ? 200 + random.nextInt(600) : -1;
         world.cloudOutage = random.nextBoolean();
-        world.takeOver();
+        world.startLeader();
         for (int second = 0; second < SECONDS; second++) {
             for (int more = random.nextInt(3); more > 0 && second < SECONDS / 2; more--) {
-                world.submit(drawn(random, world.specs.size()));
+                world.submit(randomJob(random, world.specs.size()));
             }
             if (random.nextInt(10) == 0 && !world.specs.isEmpty()) {
                 world.cancel("wk-" + random.nextInt(world.specs.size()));
@@ -90,8 +90,8 @@
         int starts = 0;
         int stops = 0;
         for (long seed = 0; seed < FLEETS; seed++) {
-            List<String> expected = play(seed, ReferencePlacementPlanner::new);
-            List<String> actual = play(seed, PlacementPlanner::new);
+            List<String> expected = runScenario(seed, ReferencePlacementPlanner::new);
+            List<String> actual = runScenario(seed, PlacementPlanner::new);
             for (int i = 0; i < Math.max(expected.size(), actual.size()); i++) {
                 String old = i < expected.size() ? expected.get(i) : "nothing";
                 String now = i < actual.size() ? actual.get(i) : "nothing";
--- a/src/test/java/io/micatide/scheduler/PlanningCostTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningCostTest.java
@@ -30,8 +30,8 @@
             int machines, Priority gangPriority, boolean arraysCheckpoint) {
         SchedulerHarness harness = new SchedulerHarness(1, machines);
         harness.cloudOutage = true;
-        harness.marked = true;
-        harness.takeOver();
+        harness.isLayoutMarked = true;
+        harness.startLeader();
         int expectedStarts = machines * TASKS_PER_MACHINE;
         for (int job = 0; job * TASKS_PER_JOB < expectedStarts; job++) {
             harness.submit(array(job, Math.min(TASKS_PER_JOB, expectedStarts - job * TASKS_PER_JOB), arraysCheckpoint));
@@ -81,7 +81,7 @@
     private static long machinesExaminedPerPlan(int machines, Priority gangPriority, boolean arraysCheckpoint) {
         SchedulerHarness harness = harnessWithFullMachines(machines, gangPriority, arraysCheckpoint);
         long before = harness.leader.machinesExamined();
-        harness.run(TICKS * SchedulerHarness.STEP);
+        harness.run(TICKS * SchedulerHarness.STEP_MICROS);
         assertEquals(machines * TASKS_PER_MACHINE, harness.starts, "a gang was placed");
         return (harness.leader.machinesExamined() - before) / TICKS;
     }
--- a/src/test/java/io/micatide/scheduler/PlanningPassTest.java
+++ b/src/test/java/io/micatide/scheduler/PlanningPassTest.java
@@ -28,11 +28,11 @@
     @BeforeEach
     void startLeaderWithAllMachines() {
         harness.cloudOutage = true;
-        harness.planners = (scheduler, settings, fleet, ledgers, runtimes) -> {
+        harness.plannerFactory = (scheduler, settings, fleet, ledgers, runtimes) -> {
             planners.add(new PlacementPlanner(scheduler, settings, fleet, ledgers, runtimes));
             return planners.get(0);
         };
-        harness.takeOver();
+        harness.startLeader();
         harness.run(3 * Micros.SECOND);
     }
 
@@ -44,7 +44,7 @@
 
     /** Returns the jobs with pending tasks after a tick without heartbeats. */
     private List<String> pendingJobsAfterTick() {
-        harness.now += SchedulerHarness.STEP;
+        harness.now += SchedulerHarness.STEP_MICROS;
         harness.leader.tick(harness.now);
         return planners.get(0).queue().order(harness.now).stream()
                 .map(queued -> queued.job().id())
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -25,75 +25,76 @@
     /** An image that takes longer than this to fetch is worth stopping other work for. */
     private static final long LONG_FETCH_MICROS = 1_500 * Micros.MILLISECOND;
 
-    private static final long GUARANTEE_PATIENCE_MICROS = 2_500 * Micros.MILLISECOND;
+    private static final long DEFAULT_GUARANTEE_WAIT_MICROS = 2_500 * Micros.MILLISECOND;
     /** How much of an aim's time a team waits for its guarantee by itself before others have to yield. */
-    private static final double GUARANTEE_PATIENCE = 0.5;
+    private static final double GUARANTEE_WAIT_SHARE = 0.5;
 
-    private static final long PREEMPT_EVERY_MICROS = 500 * Micros.MILLISECOND;
+    private static final long PREEMPTION_INTERVAL_MICROS = 500 * Micros.MILLISECOND;
     /**
      * The share of all replicas that gather on one machine: it may hang. On a fleet of 40 a large machine once took most
      * of them, and 0.93 were up in the worst 30 s.
      */
-    private static final double MOST_TOGETHER_SHARE = 0.05;
+    private static final double MAX_REPLICA_SHARE_PER_MACHINE = 0.05;
 
-    private static final int FEWEST_TOGETHER = 2;
+    private static final int MIN_REPLICA_LIMIT_PER_MACHINE = 2;
     /** Work that may be lost for a replica that has room elsewhere. */
-    private static final long CHEAP_LOSS_MICROS = 10 * Micros.SECOND;
+    private static final long MAX_CHEAP_LOSS_MICROS = 10 * Micros.SECOND;
     /** An order older than this is not gone by. */
-    private static final long ORDER_MICROS = Micros.SECOND;
+    private static final long MAX_ORDER_AGE_MICROS = Micros.SECOND;
     /** A job whose image is there goes before one that is due so much earlier and has to fetch its own. */
-    private static final long PRECEDENCE_MICROS = 5 * Micros.SECOND;
+    private static final long IMAGE_PRECEDENCE_MICROS = 5 * Micros.SECOND;
 
-    private static final Comparator<Machine> LEAST_ROOM = Comparator.comparing((Machine machine) -> !machine.isSpot)
+    private static final Comparator<Machine> LEAST_FREE_CAPACITY = Comparator.comparing(
+                    (Machine machine) -> !machine.isSpot)
             .thenComparing(machine -> machine.freeCapacity().cpus());
-    private static final Comparator<Machine> MOST_ROOM =
+    private static final Comparator<Machine> MOST_FREE_CAPACITY =
             Comparator.comparing((Machine machine) -> -machine.freeCapacity().cpus());
 
     private final PlacementActions placements;
     private final Settings settings;
     private final Fleet fleet;
     private final JobLedgers ledgers;
-    private final RuntimeEstimator runTimes;
-    private final long guaranteePatienceMicros;
+    private final RuntimeEstimator runtimeEstimator;
+    private final long guaranteeWaitMicros;
     private List<JobQueue.QueuedJob> order = List.of();
     private long orderMicros = Long.MIN_VALUE / 2;
     /** The least of each resource that any job in the order asks for. */
-    private Resources least = Resources.NONE;
+    private Resources minTaskResources = Resources.NONE;
     /** Replicas that gather on one machine at most, as of the last plan. */
-    private int mostTogether = FEWEST_TOGETHER;
+    private int maxReplicasPerMachine = MIN_REPLICA_LIMIT_PER_MACHINE;
 
-    private boolean lowestRuns;
+    private boolean hasRunningLowPriorityWork;
     private int evictedByReplicas;
     private int evictedByGuarantees;
-    private Map<String, Resources> unknown = Map.of();
+    private Map<String, Resources> unreconciledUsage = Map.of();
 
     ReferencePlacementPlanner(
             PlacementActions placements,
             Settings settings,
             Fleet fleet,
             JobLedgers ledgers,
-            RuntimeEstimator runTimes) {
-        super(placements, settings, fleet, ledgers, runTimes);
+            RuntimeEstimator runtimeEstimator) {
+        super(placements, settings, fleet, ledgers, runtimeEstimator);
         this.placements = placements;
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
-        this.runTimes = runTimes;
-        long patience = GUARANTEE_PATIENCE_MICROS;
+        this.runtimeEstimator = runtimeEstimator;
+        long patience = DEFAULT_GUARANTEE_WAIT_MICROS;
         for (Settings.Objective objective : settings.objectives()) {
             if (objective.kind().equals("guarantee") && objective.withinMicros() > 0) {
-                patience = Math.round(objective.withinMicros() * GUARANTEE_PATIENCE);
+                patience = Math.round(objective.withinMicros() * GUARANTEE_WAIT_SHARE);
             }
         }
-        this.guaranteePatienceMicros = patience;
+        this.guaranteeWaitMicros = patience;
     }
 
     /** Jobs with waiting tasks in the order in which they get room. */
-    private List<JobQueue.QueuedJob> queue(long nowMicros) {
+    private List<JobQueue.QueuedJob> buildQueue(long nowMicros) {
         Map<String, Resources> asked = new HashMap<>();
         List<JobQueue.QueuedJob> result = new ArrayList<>();
         Map<Job, DeadlineFeasibility.JobEstimate> entries = new HashMap<>();
-        for (DeadlineFeasibility.JobEstimate entry : decide(nowMicros)) {
+        for (DeadlineFeasibility.JobEstimate entry : markFeasibleJobs(nowMicros)) {
             entries.put(entry.job, entry);
         }
         for (Job job : ledgers.jobs()) {
@@ -139,12 +140,12 @@
      * What can be on time: first within each team's limit, since room beyond it helps none of the team's jobs, then
      * with all processors.
      */
-    private List<DeadlineFeasibility.JobEstimate> decide(long nowMicros) {
+    private List<DeadlineFeasibility.JobEstimate> markFeasibleJobs(long nowMicros) {
         double cpus = arrayCpus(nowMicros);
         Map<String, List<DeadlineFeasibility.JobEstimate>> perTeam = new LinkedHashMap<>();
         List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
         List<DeadlineFeasibility.JobEstimate> lowest = new ArrayList<>();
-        for (DeadlineFeasibility.JobEstimate entry : arrays(nowMicros)) {
+        for (DeadlineFeasibility.JobEstimate entry : estimates(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
                 // It gets what is left: a large job of a rare class would count for more than many of the others.
                 lowest.add(entry);
@@ -167,18 +168,18 @@
     }
 
     /** What is left of every job that ends. */
-    private List<DeadlineFeasibility.JobEstimate> arrays(long nowMicros) {
+    private List<DeadlineFeasibility.JobEstimate> estimates(long nowMicros) {
         List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
-                long length = runTimes.expectedMicros(job);
+                long length = runtimeEstimator.expectedMicros(job);
                 int waiting = job.pendingCount();
                 double work = job.spec.taskResources().cpus()
                         * (double) length
                         * (waiting + 0.5 * (job.unfinishedCount() - waiting));
-                long slowest = runTimes.slowestMicros(job);
+                long slowest = runtimeEstimator.slowestMicros(job);
                 result.add(new DeadlineFeasibility.JobEstimate(
-                        job, work, slowest, due(job, slowest, nowMicros), weight(job.spec.jobClass())));
+                        job, work, slowest, dueMicros(job, slowest, nowMicros), weight(job.spec.jobClass())));
             }
         }
         return result;
@@ -215,7 +216,7 @@
     }
 
     /** The earliest time at which users expect the job and that it can still reach. */
-    private long due(Job job, long length, long nowMicros) {
+    private long dueMicros(Job job, long length, long nowMicros) {
         JobSpec spec = job.spec;
         long reachable = nowMicros + length;
         long due = Long.MAX_VALUE;
@@ -249,19 +250,20 @@
     /** Places what waits, on all machines. The order that it finds is what {@link #refill} goes by until the next time. */
     @Override
     void plan(long nowMicros) {
-        order = queue(nowMicros);
+        order = buildQueue(nowMicros);
         orderMicros = nowMicros;
-        unknown = unknownUse();
-        lowestRuns = lowestRuns();
+        unreconciledUsage = computeUnreconciledUsage();
+        hasRunningLowPriorityWork = hasRunningLowPriorityWork();
         if (order.isEmpty()) {
-            least = Resources.NONE;
+            minTaskResources = Resources.NONE;
             return;
         }
-        least = order.get(0).job().spec.taskResources();
+        minTaskResources = order.get(0).job().spec.taskResources();
         for (JobQueue.QueuedJob queued : order) {
-            least = least.min(queued.job().spec.taskResources());
+            minTaskResources = minTaskResources.min(queued.job().spec.taskResources());
         }
-        mostTogether = Math.max(FEWEST_TOGETHER, (int) (MOST_TOGETHER_SHARE * replicas()));
+        maxReplicasPerMachine =
+                Math.max(MIN_REPLICA_LIMIT_PER_MACHINE, (int) (MAX_REPLICA_SHARE_PER_MACHINE * replicaCount()));
         List<Machine> usable = new ArrayList<>();
         for (Machine machine : fleet.machines()) {
             if (machine.isSchedulable(nowMicros, settings)) {
@@ -270,7 +272,7 @@
         }
         List<Machine> open = new ArrayList<>();
         for (Machine machine : usable) {
-            if (least.fitsIn(machine.freeCapacity())) {
+            if (minTaskResources.fitsIn(machine.freeCapacity())) {
                 open.add(machine);
             }
         }
@@ -285,17 +287,17 @@
      * Work of the lowest priority yields to what would be late otherwise, not to all that waits: hundreds of a guest's tasks
      * of 150 s were once started over for jobs that had time.
      */
-    private boolean mayEvictLowest(JobQueue.QueuedJob queued, long nowMicros) {
-        return lowestRuns && isUrgent(queued, nowMicros);
+    private boolean mayEvictLowPriorityWork(JobQueue.QueuedJob queued, long nowMicros) {
+        return hasRunningLowPriorityWork && isUrgent(queued, nowMicros);
     }
 
     /** It can be on time, but only if it starts about now. */
     private static boolean isUrgent(JobQueue.QueuedJob queued, long nowMicros) {
-        return queued.canMeetDeadline() && queued.dueMicros() - nowMicros < PRECEDENCE_MICROS;
+        return queued.canMeetDeadline() && queued.dueMicros() - nowMicros < IMAGE_PRECEDENCE_MICROS;
     }
 
     /** Whether work of the lowest priority runs, which any other may displace. */
-    private boolean lowestRuns() {
+    private boolean hasRunningLowPriorityWork() {
         for (Job job : ledgers.jobs()) {
             if (job.priority() == Priority.LOW && !job.liveAttempts.isEmpty()) {
                 return true;
@@ -310,7 +312,7 @@
         return evictedByReplicas + "/" + evictedByGuarantees;
     }
 
-    private int replicas() {
+    private int replicaCount() {
         int count = 0;
         for (Job job : ledgers.jobs()) {
             count += job.spec.kind() == JobKind.SERVICE ? job.liveAttempts.size() : 0;
@@ -331,23 +333,24 @@
      */
     @Override
     void refill(Machine machine, long nowMicros) {
-        if (nowMicros - orderMicros > ORDER_MICROS || !machine.isSchedulable(nowMicros, settings)) {
+        if (nowMicros - orderMicros > MAX_ORDER_AGE_MICROS || !machine.isSchedulable(nowMicros, settings)) {
             return;
         }
-        if (order.isEmpty() || !least.fitsIn(machine.freeCapacity())) {
+        if (order.isEmpty() || !minTaskResources.fitsIn(machine.freeCapacity())) {
             return;
         }
-        for (Job job = next(machine, nowMicros); job != null; job = next(machine, nowMicros)) {
+        for (Job job = nextJob(machine, nowMicros); job != null; job = nextJob(machine, nowMicros)) {
             placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
         }
     }
 
     /** The job in the order that gets room on this machine, or null. */
-    private Job next(Machine machine, long nowMicros) {
+    private Job nextJob(Machine machine, long nowMicros) {
         JobQueue.QueuedJob first = null;
         for (JobQueue.QueuedJob queued : order) {
             if (first != null
-                    && (!first.hasSameRank(queued) || queued.dueMicros() - first.dueMicros() >= PRECEDENCE_MICROS)) {
+                    && (!first.hasSameRank(queued)
+                            || queued.dueMicros() - first.dueMicros() >= IMAGE_PRECEDENCE_MICROS)) {
                 break;
             }
             if (mayRefill(queued.job(), machine, nowMicros)) {
@@ -365,19 +368,19 @@
                 && job.placeableCount() > 0
                 && ledgers.get(job.id()) == job
                 && isStartable(job, nowMicros)
-                && suits(job, machine, nowMicros)
+                && isSuitable(job, machine, nowMicros)
                 && placements.mayRecordMachine(job, machine, nowMicros)
                 && job.spec.taskResources().fitsIn(machine.freeCapacity())
-                && zoneAllows(job, machine)
-                && teamAllows(job);
+                && isWithinZoneLimit(job, machine)
+                && isWithinTeamLimit(job);
     }
 
-    private boolean teamAllows(Job job) {
+    private boolean isWithinTeamLimit(Job job) {
         Team team = settings.teams().get(job.spec.team());
         return team == null
                 || team.isWithinLimit(placements
                         .teamUsage(team.name())
-                        .plus(unknown.getOrDefault(team.name(), Resources.NONE))
+                        .plus(unreconciledUsage.getOrDefault(team.name(), Resources.NONE))
                         .plus(job.spec.taskResources()));
     }
 
@@ -393,7 +396,7 @@
         Resources each = job.spec.taskResources();
         Resources there = placements
                 .teamUsage(team.name())
-                .plus(unknown.getOrDefault(team.name(), Resources.NONE))
+                .plus(unreconciledUsage.getOrDefault(team.name(), Resources.NONE))
                 .plus(others);
         long most = count;
         if (team.maxCpus() > 0 && each.cpus() > 0) {
@@ -405,7 +408,7 @@
         return job.spec.kind() == JobKind.GANG && most < count ? 0 : (int) most;
     }
 
-    private static boolean suits(Job job, Machine machine, long nowMicros) {
+    private static boolean isSuitable(Job job, Machine machine, long nowMicros) {
         JobSpec spec = job.spec;
         return spec.allowsMachine(machine.type, machine.zone, machine.isSpot)
                 && !job.failedMachines.contains(machine.name)
@@ -422,13 +425,13 @@
         if (job.spec.kind() == JobKind.ARRAY && job.pendingCount() > 0 && !job.quarantined) {
             List<Machine> usable = new ArrayList<>();
             for (Machine machine : fleet.machines()) {
-                if (machine.isSchedulable(nowMicros, settings) && suits(job, machine, nowMicros)) {
+                if (machine.isSchedulable(nowMicros, settings) && isSuitable(job, machine, nowMicros)) {
                     usable.add(machine);
                 }
             }
             if (usable.size() > most) {
                 // A small value cannot name all: those with room, then those that the ledger names already.
-                usable.sort(MOST_ROOM.thenComparing(machine -> !job.ledgerMachines.contains(machine.name)));
+                usable.sort(MOST_FREE_CAPACITY.thenComparing(machine -> !job.ledgerMachines.contains(machine.name)));
             }
             for (Machine machine : usable.subList(0, Math.min(most, usable.size()))) {
                 names.add(machine.name);
@@ -443,7 +446,7 @@
     }
 
     /** Tasks that may still sit on machines which have not reported to this leader count for their team. */
-    private Map<String, Resources> unknownUse() {
+    private Map<String, Resources> computeUnreconciledUsage() {
         Map<String, Resources> result = new HashMap<>();
         for (Job job : ledgers.jobs()) {
             if (job.hasUnreconciledMachines()) {
@@ -459,10 +462,10 @@
         JobSpec spec = job.spec;
         // Room comes free all the time, and what is first in the queue gets it: stopping work of the same priority
         // is for a team that has waited for its guarantee.
-        boolean waited = nowMicros - job.readyMicros > guaranteePatienceMicros;
+        boolean waited = nowMicros - job.readyMicros > guaranteeWaitMicros;
         boolean preempts = !job.quarantined
                 && (spec.kind() == JobKind.SERVICE
-                        || ((queued.isGuaranteed() || mayEvictLowest(queued, nowMicros)) && waited)
+                        || ((queued.isGuaranteed() || mayEvictLowPriorityWork(queued, nowMicros)) && waited)
                         || (spec.priority() == job.priority()
                                 ? spec.priority() != Priority.NORMAL
                                 : isUrgent(queued, nowMicros)));
@@ -472,8 +475,11 @@
             placeReplicas(queued, suitable(job, usable, nowMicros), nowMicros);
         } else {
             placeArray(job, open, nowMicros);
-            if (preempts && job.pendingCount() > 0 && nowMicros >= job.nextPreemptionMicros && othersYield(job)) {
-                job.nextPreemptionMicros = nowMicros + PREEMPT_EVERY_MICROS;
+            if (preempts
+                    && job.pendingCount() > 0
+                    && nowMicros >= job.nextPreemptionMicros
+                    && mayHaveEvictableWork(job)) {
+                job.nextPreemptionMicros = nowMicros + PREEMPTION_INTERVAL_MICROS;
                 preempt(queued, suitable(job, usable, nowMicros), nowMicros);
             }
         }
@@ -482,7 +488,7 @@
     private List<Machine> suitable(Job job, List<Machine> machines, long nowMicros) {
         List<Machine> result = new ArrayList<>();
         for (Machine machine : machines) {
-            if (suits(job, machine, nowMicros) && placements.mayRecordMachine(job, machine, nowMicros)) {
+            if (isSuitable(job, machine, nowMicros) && placements.mayRecordMachine(job, machine, nowMicros)) {
                 result.add(machine);
             }
         }
@@ -491,9 +497,9 @@
 
     private void placeReplicas(JobQueue.QueuedJob queued, List<Machine> candidates, long nowMicros) {
         Job job = queued.job();
-        for (int left = queued.pendingTasks(); left > 0 && job.placeableCount() > 0 && teamAllows(job); left--) {
-            Machine machine = besideReplicas(job, candidates, nowMicros);
-            machine = machine != null ? machine : choose(job, candidates, true, nowMicros);
+        for (int left = queued.pendingTasks(); left > 0 && job.placeableCount() > 0 && isWithinTeamLimit(job); left--) {
+            Machine machine = machineWithReplicas(job, candidates, nowMicros);
+            machine = machine != null ? machine : chooseMachine(job, candidates, true, nowMicros);
             if (machine == null) {
                 return;
             }
@@ -505,12 +511,12 @@
      * A machine with the image that has replicas already, the one with most; work that ends yields there. Replicas live
      * for minutes, and strewn over the fleet each of them kept a machine that would have been returned.
      */
-    private Machine besideReplicas(Job job, List<Machine> candidates, long nowMicros) {
+    private Machine machineWithReplicas(Job job, List<Machine> candidates, long nowMicros) {
         Resources each = job.spec.taskResources();
         Machine best = null;
         long bestScore = 0;
         for (Machine machine : candidates) {
-            if (!machine.images.containsKey(job.spec.image()) || !zoneAllows(job, machine)) {
+            if (!machine.images.containsKey(job.spec.image()) || !isWithinZoneLimit(job, machine)) {
                 continue;
             }
             Resources replicas = Resources.NONE;
@@ -521,12 +527,14 @@
                     count++;
                 }
             }
-            if (count == 0 || count >= mostTogether || !each.plus(replicas).fitsIn(machine.capacity())) {
+            if (count == 0
+                    || count >= maxReplicasPerMachine
+                    || !each.plus(replicas).fitsIn(machine.capacity())) {
                 continue;
             }
             boolean fits = each.fitsIn(machine.freeCapacity());
             long score = replicas.cpus() + (fits ? 2 * each.cpus() : 0);
-            if (score > bestScore && (fits || yieldsCheaply(job, machine, nowMicros))) {
+            if (score > bestScore && (fits || canEvictCheaply(job, machine, nowMicros))) {
                 best = machine;
                 bestScore = score;
             }
@@ -537,9 +545,9 @@
         return best;
     }
 
-    private boolean yieldsCheaply(Job job, Machine machine, long nowMicros) {
+    private boolean canEvictCheaply(Job job, Machine machine, long nowMicros) {
         List<Placement> victims = victims(job, machine);
-        return victims != null && loss(victims, nowMicros) < CHEAP_LOSS_MICROS;
+        return victims != null && lossMicros(victims, nowMicros) < MAX_CHEAP_LOSS_MICROS;
     }
 
     /** Fills one machine after another: each further one has to fetch the image and to be recorded. */
@@ -550,30 +558,30 @@
         List<Machine> ready = new ArrayList<>();
         List<Machine> others = new ArrayList<>();
         for (Machine machine : open) {
-            if (suits(job, machine, nowMicros)) {
+            if (isSuitable(job, machine, nowMicros)) {
                 (hasImage(machine, job) ? ready : others).add(machine);
             }
         }
-        ready.sort(LEAST_ROOM);
-        others.sort(MOST_ROOM);
+        ready.sort(LEAST_FREE_CAPACITY);
+        others.sort(MOST_FREE_CAPACITY);
         ready.addAll(others);
         for (Machine machine : ready) {
             while (job.spec.taskResources().fitsIn(machine.freeCapacity())
-                    && zoneAllows(job, machine)
+                    && isWithinZoneLimit(job, machine)
                     && placements.mayRecordMachine(job, machine, nowMicros)) {
-                if (job.placeableCount() == 0 || !teamAllows(job)) {
-                    open.removeIf(each -> !least.fitsIn(each.freeCapacity()));
+                if (job.placeableCount() == 0 || !isWithinTeamLimit(job)) {
+                    open.removeIf(each -> !minTaskResources.fitsIn(each.freeCapacity()));
                     return;
                 }
                 placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
-        open.removeIf(each -> !least.fitsIn(each.freeCapacity()));
+        open.removeIf(each -> !minTaskResources.fitsIn(each.freeCapacity()));
     }
 
     /** Whether there can be work that a task of this job may displace. */
-    private boolean othersYield(Job job) {
-        if (job.priority() != Priority.NORMAL || lowestRuns) {
+    private boolean mayHaveEvictableWork(Job job) {
+        if (job.priority() != Priority.NORMAL || hasRunningLowPriorityWork) {
             return true;
         }
         for (Team team : settings.teams().values()) {
@@ -593,15 +601,16 @@
         Job job = queued.job();
         int left = job.pendingCount();
         if (job.priority() == Priority.NORMAL) {
-            long until = job.readyMicros + guaranteePatienceMicros * 3 / 2 - nowMicros;
-            left = (int) Math.ceil(left * PREEMPT_EVERY_MICROS / (double) Math.max(PREEMPT_EVERY_MICROS, until));
+            long until = job.readyMicros + guaranteeWaitMicros * 3 / 2 - nowMicros;
+            left = (int)
+                    Math.ceil(left * PREEMPTION_INTERVAL_MICROS / (double) Math.max(PREEMPTION_INTERVAL_MICROS, until));
         }
         record Option(Machine machine, boolean image, long loss) {}
         List<Option> options = new ArrayList<>();
         for (Machine machine : candidates) {
             List<Placement> victims = victims(job, machine, queued.isGuaranteed());
             if (victims != null) {
-                options.add(new Option(machine, hasImage(machine, job), loss(victims, nowMicros)));
+                options.add(new Option(machine, hasImage(machine, job), lossMicros(victims, nowMicros)));
             }
         }
         options.sort(Comparator.comparing((Option option) -> !option.image()).thenComparing(Option::loss));
@@ -609,9 +618,10 @@
             progress = false;
             for (Option option : options) {
                 Machine machine = option.machine();
-                List<Placement> victims =
-                        left > 0 && zoneAllows(job, machine) ? victims(job, machine, queued.isGuaranteed()) : null;
-                if (job.pendingCount() == 0 || !teamAllows(job)) {
+                List<Placement> victims = left > 0 && isWithinZoneLimit(job, machine)
+                        ? victims(job, machine, queued.isGuaranteed())
+                        : null;
+                if (job.pendingCount() == 0 || !isWithinTeamLimit(job)) {
                     return;
                 }
                 if (victims != null) {
@@ -648,7 +658,7 @@
                 || (team != null
                         && !team.isWithinLimit(placements
                                 .teamUsage(spec.team())
-                                .plus(unknown.getOrDefault(spec.team(), Resources.NONE))
+                                .plus(unreconciledUsage.getOrDefault(spec.team(), Resources.NONE))
                                 .plus(spec.taskResources().times(missing))))) {
             return;
         }
@@ -657,7 +667,7 @@
             Resources room = machine.freeCapacity();
             if (preempts) {
                 for (Placement placement : machine.placements) {
-                    if (!placement.isStopping() && yields(placement, job)) {
+                    if (!placement.isStopping() && isEvictable(placement, job)) {
                         room = room.plus(placement.job.spec.taskResources());
                     }
                 }
@@ -691,7 +701,7 @@
         }
         for (int i = 0; i < missing; i++) {
             int index = job.nextPendingTask();
-            Machine machine = index < 0 ? null : choose(job, candidates, preempts, nowMicros);
+            Machine machine = index < 0 ? null : chooseMachine(job, candidates, preempts, nowMicros);
             if (machine == null) {
                 for (List<Placement> list : List.copyOf(job.liveAttempts.values())) {
                     for (Placement placement : List.copyOf(list)) {
@@ -706,16 +716,16 @@
         }
     }
 
-    private Machine choose(Job job, List<Machine> candidates, boolean preempts, long nowMicros) {
+    private Machine chooseMachine(Job job, List<Machine> candidates, boolean preempts, long nowMicros) {
         JobSpec spec = job.spec;
         Machine with = null;
         Machine without = null;
         for (Machine machine : candidates) {
-            if (spec.taskResources().fitsIn(machine.freeCapacity()) && zoneAllows(job, machine)) {
+            if (spec.taskResources().fitsIn(machine.freeCapacity()) && isWithinZoneLimit(job, machine)) {
                 if (machine.images.containsKey(spec.image())) {
-                    with = with == null || LEAST_ROOM.compare(machine, with) < 0 ? machine : with;
+                    with = with == null || LEAST_FREE_CAPACITY.compare(machine, with) < 0 ? machine : with;
                 } else {
-                    without = without == null || MOST_ROOM.compare(machine, without) < 0 ? machine : without;
+                    without = without == null || MOST_FREE_CAPACITY.compare(machine, without) < 0 ? machine : without;
                 }
             }
         }
@@ -728,11 +738,11 @@
             Machine there = null;
             long least = Long.MAX_VALUE;
             for (Machine machine : candidates) {
-                if ((without == null || machine.images.containsKey(spec.image())) && zoneAllows(job, machine)) {
+                if ((without == null || machine.images.containsKey(spec.image())) && isWithinZoneLimit(job, machine)) {
                     List<Placement> victims = victims(job, machine);
                     long loss = victims == null
                             ? Long.MAX_VALUE
-                            : loss(victims, nowMicros)
+                            : lossMicros(victims, nowMicros)
                                     + (machine.images.containsKey(spec.image()) ? 0 : fetchMicros(machine, spec));
                     if (loss < least) {
                         least = loss;
@@ -746,14 +756,14 @@
                 return there;
             }
             if (without == null) {
-                askSavingWork(job, candidates, nowMicros);
+                stopCheckpointingWork(job, candidates, nowMicros);
             }
         }
         return without;
     }
 
     /** Work that saves needs time to end; its room is taken once it is there. */
-    private void askSavingWork(Job job, List<Machine> candidates, long nowMicros) {
+    private void stopCheckpointingWork(Job job, List<Machine> candidates, long nowMicros) {
         if (job.capacityAwaitedUntilMicros > nowMicros) {
             return;
         }
@@ -789,7 +799,7 @@
                 : Micros.ofSeconds(spec.imageGb() / type.fetchGbPerSecond());
     }
 
-    private boolean zoneAllows(Job job, Machine machine) {
+    private boolean isWithinZoneLimit(Job job, Machine machine) {
         if (!job.spec.singleZone() && !job.spec.spreadOverZones()) {
             return true;
         }
@@ -808,7 +818,7 @@
         return inZone < job.spec.maxTasksPerZone();
     }
 
-    private static long loss(List<Placement> victims, long nowMicros) {
+    private static long lossMicros(List<Placement> victims, long nowMicros) {
         long loss = 0;
         for (Placement victim : victims) {
             if (!victim.isUnsent()) {
@@ -832,7 +842,7 @@
             if (placement.isStopping() && placement.stopGraceMicros == 0) {
                 // Stopped for others that were placed here since: without this each further task displaced more.
                 room = room.plus(placement.job.spec.taskResources());
-            } else if (!placement.isStopping() && yields(placement, job)) {
+            } else if (!placement.isStopping() && isEvictable(placement, job)) {
                 lesser.add(placement);
             }
         }
@@ -842,7 +852,7 @@
             if (job.spec.taskResources().fitsIn(room)) {
                 break;
             }
-            if (!placement.job.priority().equals(job.priority()) || (same && overGuarantee(placement, taken))) {
+            if (!placement.job.priority().equals(job.priority()) || (same && exceedsGuarantee(placement, taken))) {
                 victims.add(placement);
                 room = room.plus(placement.job.spec.taskResources());
                 taken.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
@@ -851,7 +861,7 @@
         return job.spec.taskResources().fitsIn(room) ? victims : null;
     }
 
-    private boolean yields(Placement placement, Job job) {
+    private boolean isEvictable(Placement placement, Job job) {
         JobSpec theirs = placement.job.spec;
         if (theirs.kind() == JobKind.GANG || theirs.checkpointIntervalMicros() > 0) {
             return false;
@@ -862,7 +872,7 @@
                         && job.priority() == placement.job.priority());
     }
 
-    private boolean overGuarantee(Placement placement, Map<String, Resources> taken) {
+    private boolean exceedsGuarantee(Placement placement, Map<String, Resources> taken) {
         Team team = settings.teams().get(placement.job.spec.team());
         if (team == null) {
             return true;
--- a/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
+++ b/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
@@ -34,10 +34,10 @@
     @Test
     void tasksFoundRunningAtFailoverAreNotSampled() {
         SchedulerHarness harness = new SchedulerHarness(1, 2);
-        harness.takeOver();
+        harness.startLeader();
         harness.submit(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 4, 20));
         harness.run(18 * Micros.SECOND);
-        harness.takeOver();
+        harness.startLeader();
         harness.run(Micros.SECOND * 30);
         assertEquals(JobState.DONE, harness.state("wk-1"));
         List<String> completions = harness.leader.takeCompletionLines(harness.now);
--- a/src/test/java/io/micatide/scheduler/SchedulerDigestTest.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerDigestTest.java
@@ -18,24 +18,24 @@
     private static final int SECONDS = 90;
     private static final long NOTICE_MICROS = 20 * Micros.SECOND;
 
-    private static String play(long seed) {
+    private static String runScenario(long seed) {
         Random random = new Random(seed);
         SchedulerHarness world = new SchedulerHarness(seed, 4 + random.nextInt(12));
         RecordedDigests.Digester digester = new RecordedDigests.Digester();
-        world.messages = message -> digester.add(message.getBytes(StandardCharsets.UTF_8));
-        world.lostAnswers = 0.01;
-        world.killAfter = 300 + random.nextInt(600);
-        world.takeOver();
+        world.messageListener = message -> digester.add(message.getBytes(StandardCharsets.UTF_8));
+        world.lostAnswerProbability = 0.01;
+        world.killAtInteraction = 300 + random.nextInt(600);
+        world.startLeader();
         for (int second = 0; second < SECONDS; second++) {
             for (int more = random.nextInt(3); more > 0 && second < SECONDS / 2; more--) {
-                world.submit(PlacementReferenceTest.drawn(random, world.specs.size()));
+                world.submit(PlacementReferenceTest.randomJob(random, world.specs.size()));
             }
             if (random.nextInt(10) == 0 && !world.specs.isEmpty()) {
                 world.cancel("wk-" + random.nextInt(world.specs.size()));
             }
             if (random.nextInt(6) == 0 && !world.workers.isEmpty()) {
                 List<String> names = List.copyOf(world.workers.keySet());
-                world.notices.put(names.get(random.nextInt(names.size())), world.now + NOTICE_MICROS);
+                world.spotNoticeEndsMicros.put(names.get(random.nextInt(names.size())), world.now + NOTICE_MICROS);
             }
             if (random.nextInt(15) == 0) {
                 world.faultyMachines.add("i-00000" + random.nextInt(9));
@@ -45,7 +45,7 @@
             }
             world.run(Micros.SECOND);
         }
-        assertTrue(!world.notices.isEmpty(), "no machine got a notice");
+        assertTrue(!world.spotNoticeEndsMicros.isEmpty(), "no machine got a notice");
         return digester.summary();
     }
 
@@ -56,11 +56,11 @@
     @ParameterizedTest
     @MethodSource("recorded")
     void sendsTheRecordedMessages(String line) {
-        RecordedDigests.check(line, SchedulerDigestTest::play);
+        RecordedDigests.check(line, SchedulerDigestTest::runScenario);
     }
 
     /** Prints the digests of the seeds from the first argument up to, without, the second. */
     public static void main(String[] arguments) {
-        RecordedDigests.print("SCHEDULER", arguments, SchedulerDigestTest::play);
+        RecordedDigests.print("SCHEDULER", arguments, SchedulerDigestTest::runScenario);
     }
 }
--- a/src/test/java/io/micatide/scheduler/SchedulerHarness.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -47,7 +47,7 @@
  * task come from.
  */
 final class SchedulerHarness {
-    static final long STEP = 100 * Micros.MILLISECOND;
+    static final long STEP_MICROS = 100 * Micros.MILLISECOND;
     static final MachineType TYPE =
             new MachineType("small", Resources.of(8, 0, 64), 25, 0.5, 0.5, 0.2, 10 * Micros.SECOND, List.of("a", "b"));
 
@@ -55,73 +55,73 @@
     final Random random;
     long now = Micros.SECOND;
     long revision = 100;
-    final TreeMap<String, StoredRecord> rows = new TreeMap<>();
+    final TreeMap<String, StoredRecord> records = new TreeMap<>();
     final Map<String, Long> versions = new HashMap<>();
     final Map<String, Worker> workers = new LinkedHashMap<>();
-    final List<String> broken = new ArrayList<>();
-    final Set<String> everStarted = new HashSet<>();
+    final List<String> violations = new ArrayList<>();
+    final Set<String> startedTasks = new HashSet<>();
     final Set<String> cancelled = new HashSet<>();
-    final Map<String, Long> cancelledAt = new HashMap<>();
+    final Map<String, Long> cancelledMicros = new HashMap<>();
     int starts;
     private int machineNumber;
 
     /** How leaders plan. */
-    SchedulerComponents.PlannerFactory planners = PlacementPlanner::new;
+    SchedulerComponents.PlannerFactory plannerFactory = PlacementPlanner::new;
     /** Takes what leaders decide: commands and transactions, in their order. */
-    Consumer<String> decisions = decision -> {};
+    Consumer<String> decisionListener = decision -> {};
     /** Takes the same as it goes over the wire. */
-    Consumer<String> messages = message -> {};
+    Consumer<String> messageListener = message -> {};
     /** Spot machines with a notice, and the time at which the cloud is to take them away. */
-    final Map<String, Long> notices = new HashMap<>();
+    final Map<String, Long> spotNoticeEndsMicros = new HashMap<>();
 
     Scheduler leader;
     long fencingToken;
     /** Interactions until the leader is killed; negative: never. */
-    int killAfter = -1;
+    int killAtInteraction = -1;
 
     int interactions;
-    long deadUntil = -1;
+    long noLeaderUntilMicros = -1;
     /** Transactions of dead leaders that the state service has still to receive. */
-    final Deque<Transaction> late = new ArrayDeque<>();
+    final Deque<Transaction> delayedTransactions = new ArrayDeque<>();
     /** A leader that is cut off from the state service and its successor, and goes on answering zone a. */
-    Scheduler zombie;
+    Scheduler isolatedLeader;
 
-    long zombieToken;
-    long zombieUntil;
-    double lostAnswers;
+    long isolatedLeaderToken;
+    long isolatedUntilMicros;
+    double lostAnswerProbability;
     /** Boots take this many times as long as the type says. */
-    int bootFactor = 1;
+    int bootTimeFactor = 1;
 
-    int returned;
+    int machinesDeleted;
     /** Workers are greeted whenever they report. */
-    boolean greets;
+    boolean announcesAtEachHeartbeat;
     /** What each new leader is told by way of hints. */
     List<Hint> hints = List.of();
     /** Bookings are written on condition of their versions and of their fence. */
-    boolean fenced = true;
+    boolean fencesProvisioning = true;
     /** Machines that are given back are named in rows first. */
-    boolean recorded = true;
+    boolean recordsMachineDeletions = true;
     /** Deletions are carried out so much later, and nobody hears of it; 0 for as they should be. */
-    long deletionsLateMicros;
+    long deletionDelayMicros;
 
-    private final TreeMap<Long, List<String>> lateDeletions = new TreeMap<>();
-    int lostToDeletions;
+    private final TreeMap<Long, List<String>> delayedDeletions = new TreeMap<>();
+    int tasksLostToDeletions;
     /** Jobs submitted with a mistake and machines that are faulty: what runs there fails after a second. */
     final Set<String> faultyJobs = new HashSet<>();
 
     final Set<String> faultyMachines = new HashSet<>();
-    final Map<String, Integer> startsOf = new HashMap<>();
-    boolean stateOutage;
+    final Map<String, Integer> startsByJob = new HashMap<>();
+    boolean storeOutage;
     boolean cloudOutage;
-    int takeOvers;
+    int leadersStarted;
 
     /** The state service's limits as they are now; {@code settings} may know smaller ones that are to come. */
-    int valueLimit = 16 * 1024;
+    int maxValueBytes = 16 * 1024;
 
-    int opsLimit = 16;
-    int refused;
+    int maxWritesPerTransaction = 16;
+    int rejectedTransactions;
     /** Every controller reads the present layout, as the next leader finds. */
-    boolean marked;
+    boolean isLayoutMarked;
 
     SchedulerHarness(long seed, int machines) {
         this(seed, machines, 16 * 1024, 16);
@@ -168,74 +168,83 @@
     final class Worker {
         final String name;
         final String zone;
-        final boolean spot;
-        long upAt;
+        final boolean isSpot;
+        long bootedMicros;
         long incarnation = 1;
         long sequence;
         long seenToken;
-        long lastAnsweredSent;
-        long nextReport;
-        long hungUntil = -1;
-        boolean deleted;
+        long lastAnsweredMicros;
+        long nextHeartbeatMicros;
+        long hungUntilMicros = -1;
+        boolean isDeleted;
         final Map<String, Task> tasks = new LinkedHashMap<>();
 
         Worker(String name, String zone, boolean spot, long upAt) {
             this.name = name;
             this.zone = zone;
-            this.spot = spot;
-            this.upAt = upAt;
-            this.lastAnsweredSent = upAt;
-            this.nextReport = upAt;
+            this.isSpot = spot;
+            this.bootedMicros = upAt;
+            this.lastAnsweredMicros = upAt;
+            this.nextHeartbeatMicros = upAt;
         }
 
         Heartbeat heartbeat() {
             sequence++;
             List<TaskStatus> list = new ArrayList<>();
             for (Task task : tasks.values()) {
-                list.add(new TaskStatus(task.job, task.index, task.attempt, task.state(), task.cause, false));
+                list.add(new TaskStatus(task.job, task.index, task.attempt, task.state(), task.exitCause, false));
             }
             return new Heartbeat(
-                    name, "x:1", TYPE.name(), zone, spot, incarnation, sequence, seenToken, notice(), list);
+                    name,
+                    "x:1",
+                    TYPE.name(),
+                    zone,
+                    isSpot,
+                    incarnation,
+                    sequence,
+                    seenToken,
+                    remainingNoticeMicros(),
+                    list);
         }
 
-        private long notice() {
-            return notices.containsKey(name) ? Math.max(0, notices.get(name) - now) : -1;
+        private long remainingNoticeMicros() {
+            return spotNoticeEndsMicros.containsKey(name) ? Math.max(0, spotNoticeEndsMicros.get(name) - now) : -1;
         }
 
         void execute(long answerToken, List<Command> commands, long sentAt, long ofIncarnation) {
-            if (deleted || ofIncarnation != incarnation || answerToken < seenToken) {
+            if (isDeleted || ofIncarnation != incarnation || answerToken < seenToken) {
                 return;
             }
             seenToken = answerToken;
-            lastAnsweredSent = Math.max(lastAnsweredSent, sentAt);
+            lastAnsweredMicros = Math.max(lastAnsweredMicros, sentAt);
             for (Command command : commands) {
                 String key = command.job() + "/" + command.taskIndex() + "@" + command.attempt();
                 Task task = tasks.get(key);
                 if (command instanceof Command.Start && task == null) {
                     start(this, command, key);
-                } else if (command instanceof Command.Stop && task != null && task.cause == null) {
-                    task.cause = ExitCause.STOPPED;
-                } else if (command instanceof Command.Reap && task != null && task.cause != null) {
+                } else if (command instanceof Command.Stop && task != null && task.exitCause == null) {
+                    task.exitCause = ExitCause.STOPPED;
+                } else if (command instanceof Command.Reap && task != null && task.exitCause != null) {
                     tasks.remove(key);
                 }
             }
         }
 
-        void live() {
+        void advanceTasks() {
             for (Task task : tasks.values()) {
-                liveInGang(task);
+                advanceGangTask(task);
                 boolean faulty = faultyJobs.contains(task.job) || faultyMachines.contains(name);
-                if (task.cause == null && faulty && now >= task.placedAt + Micros.SECOND) {
-                    task.cause = ExitCause.ERROR;
+                if (task.exitCause == null && faulty && now >= task.startedMicros + Micros.SECOND) {
+                    task.exitCause = ExitCause.ERROR;
                 }
-                if (task.cause == null && now >= task.endsAt) {
-                    task.cause = ExitCause.DONE;
+                if (task.exitCause == null && now >= task.endsMicros) {
+                    task.exitCause = ExitCause.DONE;
                 }
             }
-            if (now - lastAnsweredSent > settings.workerLeaseMicros()) {
+            if (now - lastAnsweredMicros > settings.workerLeaseMicros()) {
                 tasks.clear();
                 incarnation++;
-                lastAnsweredSent = now;
+                lastAnsweredMicros = now;
             }
         }
     }
@@ -244,20 +253,20 @@
         String job;
         int index;
         long attempt;
-        boolean waiting;
-        long endsAt;
-        long placedAt;
-        ExitCause cause;
+        boolean isWaiting;
+        long endsMicros;
+        long startedMicros;
+        ExitCause exitCause;
 
         TaskState state() {
-            return cause != null ? TaskState.EXITED : waiting ? TaskState.WAITING : TaskState.RUNNING;
+            return exitCause != null ? TaskState.EXITED : isWaiting ? TaskState.WAITING : TaskState.RUNNING;
         }
     }
 
     /** A gang starts when its last task is there, completes together, and ends when it loses one. */
-    private void liveInGang(Task task) {
+    private void advanceGangTask(Task task) {
         JobSpec spec = specs.get(task.job);
-        if (spec.kind() != JobKind.GANG || task.cause != null) {
+        if (spec.kind() != JobKind.GANG || task.exitCause != null) {
             return;
         }
         List<Task> peers = new ArrayList<>();
@@ -265,24 +274,24 @@
         for (Worker worker : workers.values()) {
             for (Task other : worker.tasks.values()) {
                 if (other.job.equals(task.job) && other.attempt == task.attempt) {
-                    done |= other.cause == ExitCause.DONE;
-                    if (other.cause == null) {
+                    done |= other.exitCause == ExitCause.DONE;
+                    if (other.exitCause == null) {
                         peers.add(other);
                     }
                 }
             }
         }
-        if (task.waiting && peers.size() == spec.taskCount()) {
+        if (task.isWaiting && peers.size() == spec.taskCount()) {
             for (Task other : peers) {
-                other.waiting = false;
-                other.endsAt = now + spec.estimatedRuntimeMicros();
+                other.isWaiting = false;
+                other.endsMicros = now + spec.estimatedRuntimeMicros();
             }
-        } else if (task.waiting && now - task.placedAt > settings.gangStartTimeoutMicros()) {
-            task.cause = ExitCause.ALONE;
-        } else if (!task.waiting && done) {
-            task.cause = ExitCause.DONE;
-        } else if (!task.waiting && peers.size() < spec.taskCount()) {
-            task.cause = ExitCause.PEERS;
+        } else if (task.isWaiting && now - task.startedMicros > settings.gangStartTimeoutMicros()) {
+            task.exitCause = ExitCause.ALONE;
+        } else if (!task.isWaiting && done) {
+            task.exitCause = ExitCause.DONE;
+        } else if (!task.isWaiting && peers.size() < spec.taskCount()) {
+            task.exitCause = ExitCause.PEERS;
         }
     }
 
@@ -295,48 +304,48 @@
 
     private void start(Worker worker, Command command, String key) {
         String taskName = command.job() + "/" + command.taskIndex();
-        StoredRecord row = rows.get(StoreKeys.job(command.job()));
+        StoredRecord row = records.get(StoreKeys.job(command.job()));
         for (Worker other : workers.values()) {
             for (Task task : other.tasks.values()) {
-                if (task.cause == null && task.job.equals(command.job()) && task.index == command.taskIndex()) {
-                    broken.add("ran_twice " + taskName + " on " + worker.name + " and " + other.name);
+                if (task.exitCause == null && task.job.equals(command.job()) && task.index == command.taskIndex()) {
+                    violations.add("ran_twice " + taskName + " on " + worker.name + " and " + other.name);
                 }
             }
         }
-        if (cancelledAt.getOrDefault(command.job(), Long.MAX_VALUE) < now - settings.cancellationLimitMicros()) {
-            broken.add("ran_cancelled " + taskName);
+        if (cancelledMicros.getOrDefault(command.job(), Long.MAX_VALUE) < now - settings.cancellationLimitMicros()) {
+            violations.add("ran_cancelled " + taskName);
         }
         Task task = new Task();
         task.job = command.job();
         task.index = command.taskIndex();
         task.attempt = command.attempt();
         JobSpec spec = specs.get(command.job());
-        task.placedAt = now;
-        task.waiting = spec.kind() == JobKind.GANG;
-        task.endsAt =
-                task.waiting || spec.kind() == JobKind.SERVICE ? Long.MAX_VALUE : now + spec.estimatedRuntimeMicros();
+        task.startedMicros = now;
+        task.isWaiting = spec.kind() == JobKind.GANG;
+        task.endsMicros =
+                task.isWaiting || spec.kind() == JobKind.SERVICE ? Long.MAX_VALUE : now + spec.estimatedRuntimeMicros();
         worker.tasks.put(key, task);
         starts++;
-        startsOf.merge(command.job(), 1, Integer::sum);
-        everStarted.add(taskName);
+        startsByJob.merge(command.job(), 1, Integer::sum);
+        startedTasks.add(taskName);
         if (row == null) {
-            broken.add("started without a row: " + taskName);
+            violations.add("started without a row: " + taskName);
         }
         for (String need : spec.dependencies()) {
             if (state(need) != JobState.DONE) {
-                broken.add("too_early " + taskName + " before " + need);
+                violations.add("too_early " + taskName + " before " + need);
             }
         }
         long red = 0;
         for (Worker other : workers.values()) {
             for (Task each : other.tasks.values()) {
-                if (each.cause == null && specs.get(each.job).team().equals("red")) {
+                if (each.exitCause == null && specs.get(each.job).team().equals("red")) {
                     red += specs.get(each.job).taskResources().cpus();
                 }
             }
         }
         if (red > settings.teams().get("red").maxCpus()) {
-            broken.add("quota at " + taskName);
+            violations.add("quota at " + taskName);
         }
     }
 
@@ -351,9 +360,9 @@
     }
 
     void cancel(String id) {
-        StoredRecord.JobRecord row = (StoredRecord.JobRecord) rows.get(StoreKeys.job(id));
+        StoredRecord.JobRecord row = (StoredRecord.JobRecord) records.get(StoreKeys.job(id));
         if (row != null && row.state() == JobState.OPEN) {
-            cancelledAt.put(id, now);
+            cancelledMicros.put(id, now);
             put(
                     StoreKeys.job(id),
                     new StoredRecord.JobRecord(JobState.CANCELLED, row.spec(), row.submittedWall(), row.taskCount()),
@@ -362,22 +371,22 @@
     }
 
     /** What any controller's copy makes of the rows; a leader hears of each change. */
-    final JobCache directory = new JobCache();
+    final JobCache jobCache = new JobCache();
 
-    private void copy(String key, StoredRecord.JobRecord row, long version) {
-        for (String changed : directory.apply(key.substring(StoreKeys.JOBS.length()), row, version)) {
+    private void updateJobCache(String key, StoredRecord.JobRecord row, long version) {
+        for (String changed : jobCache.apply(key.substring(StoreKeys.JOBS.length()), row, version)) {
             if (leader != null) {
-                leader.jobChanged(directory.view(changed), now, now);
+                leader.jobChanged(jobCache.view(changed), now, now);
             }
         }
     }
 
     JobState state(String id) {
-        return ((StoredRecord.JobRecord) rows.get(StoreKeys.job(id))).state();
+        return ((StoredRecord.JobRecord) records.get(StoreKeys.job(id))).state();
     }
 
     /** What is stored is text: a leader reads what the one before it wrote, not its objects. */
-    private static StoredRecord throughText(String key, StoredRecord row, long at) {
+    private static StoredRecord encodeAndDecode(String key, StoredRecord row, long at) {
         try {
             JsonNode data = Json.tree(StoreCodec.transaction(
                             new Transaction(List.of(), List.of(new Transaction.Write(key, row, 0)))))
@@ -393,18 +402,18 @@
     }
 
     private void put(String key, StoredRecord given, long at) {
-        StoredRecord row = given == null ? null : throughText(key, given, at);
+        StoredRecord row = given == null ? null : encodeAndDecode(key, given, at);
         if (row == null) {
-            rows.remove(key);
+            records.remove(key);
             versions.remove(key);
         } else {
             if (row instanceof StoredRecord.JobRecord job && job.state() == JobState.DONE) {
                 checkDone(key.substring(StoreKeys.JOBS.length()));
             }
-            rows.put(key, row);
+            records.put(key, row);
             versions.put(key, at);
             if (row instanceof StoredRecord.JobRecord job) {
-                copy(key, job, at);
+                updateJobCache(key, job, at);
             }
         }
     }
@@ -412,8 +421,8 @@
     private void checkDone(String id) {
         JobSpec spec = specs.get(id);
         for (int i = 0; i < spec.taskCount(); i++) {
-            if (!everStarted.contains(id + "/" + i)) {
-                broken.add("not_done " + id + "/" + i);
+            if (!startedTasks.contains(id + "/" + i)) {
+                violations.add("not_done " + id + "/" + i);
             }
         }
     }
@@ -432,22 +441,22 @@
         return revision;
     }
 
-    void takeOver() {
+    void startLeader() {
         fencingToken = ++revision;
         put(StoreKeys.LEADER, new StoredRecord.Leader("c0"), fencingToken);
-        leader = new Scheduler(settings, Tuning.defaults(settings), fencingToken, now, planners);
+        leader = new Scheduler(settings, Tuning.defaults(settings), fencingToken, now, plannerFactory);
         leader.hintsReceived(hints, false, now);
-        takeOvers++;
+        leadersStarted++;
         leader.machineTypesChanged(List.of(TYPE), now);
-        directory.openAndCancelled().forEach(view -> leader.jobChanged(view, now, now));
-        if (marked) {
+        jobCache.openAndCancelled().forEach(view -> leader.jobChanged(view, now, now));
+        if (isLayoutMarked) {
             put(
                     StoreKeys.LAYOUT,
                     new StoredRecord.Layout(Settings.LAYOUT, settings.pageTasks()),
                     versions.getOrDefault(StoreKeys.LAYOUT, ++revision));
-            leader.layoutMarked(versions.get(StoreKeys.LAYOUT), (StoredRecord.Layout) rows.get(StoreKeys.LAYOUT));
+            leader.layoutMarked(versions.get(StoreKeys.LAYOUT), (StoredRecord.Layout) records.get(StoreKeys.LAYOUT));
         }
-        rows.forEach((key, row) -> {
+        records.forEach((key, row) -> {
             if (row instanceof StoredRecord.Ledger ledger) {
                 leader.ledgerLoaded(key, ledger, versions.get(key), now);
             } else if (row instanceof StoredRecord.MachinesToDelete returned) {
@@ -459,91 +468,92 @@
         });
         leader.provisioningFenceRead(
                 versions.getOrDefault(StoreKeys.PROVISIONING_FENCE, 0L),
-                rows.get(StoreKeys.PROVISIONING_FENCE) instanceof StoredRecord.ProvisioningFence fence
+                records.get(StoreKeys.PROVISIONING_FENCE) instanceof StoredRecord.ProvisioningFence fence
                         ? fence.number()
                         : 0);
-        leader.featureFlagsChanged(versions.getOrDefault(StoreKeys.FEATURE_STAGES, 0L), fenced, recorded);
+        leader.featureFlagsChanged(
+                versions.getOrDefault(StoreKeys.FEATURE_STAGES, 0L), fencesProvisioning, recordsMachineDeletions);
         leader.allRecordsLoaded(now);
     }
 
     /** Whether the leader dies here; called between any two things that it does. */
-    private boolean dies() {
-        if (leader != null && ++interactions == killAfter) {
+    private boolean killLeaderIfDue() {
+        if (leader != null && ++interactions == killAtInteraction) {
             leader = null;
-            deadUntil = now + 2 * Micros.SECOND + random.nextInt(8) * Micros.SECOND;
+            noLeaderUntilMicros = now + 2 * Micros.SECOND + random.nextInt(8) * Micros.SECOND;
             return true;
         }
         return leader == null;
     }
 
     void run(long micros) {
-        for (long end = now + micros; now < end; now += STEP) {
+        for (long end = now + micros; now < end; now += STEP_MICROS) {
             step();
         }
     }
 
     /** The leader's process stands still while its clock and the workers go on. */
-    void stall(long micros) {
-        for (long end = now + micros; now < end; now += STEP) {
+    void pauseLeader(long micros) {
+        for (long end = now + micros; now < end; now += STEP_MICROS) {
             for (Worker worker : workers.values()) {
-                if (!worker.deleted && worker.upAt <= now) {
-                    worker.live();
+                if (!worker.isDeleted && worker.bootedMicros <= now) {
+                    worker.advanceTasks();
                 }
             }
         }
         leader.processResumed(now);
         // Its timers may fire before it has read what waits at its sockets.
         leader.tick(now);
-        leader.cloudCalls(now).forEach(this::cloud);
+        leader.cloudCalls(now).forEach(this::executeCloudCall);
     }
 
     private void step() {
-        while (!lateDeletions.isEmpty() && lateDeletions.firstKey() <= now) {
-            for (String name : lateDeletions.pollFirstEntry().getValue()) {
+        while (!delayedDeletions.isEmpty() && delayedDeletions.firstKey() <= now) {
+            for (String name : delayedDeletions.pollFirstEntry().getValue()) {
                 Worker worker = workers.get(name);
-                lostToDeletions += worker == null || worker.deleted ? 0 : worker.tasks.size();
+                tasksLostToDeletions += worker == null || worker.isDeleted ? 0 : worker.tasks.size();
                 if (worker != null) {
-                    worker.deleted = true;
+                    worker.isDeleted = true;
                     worker.tasks.clear();
                 }
             }
         }
-        if (leader == null && now >= deadUntil && !stateOutage) {
-            takeOver();
+        if (leader == null && now >= noLeaderUntilMicros && !storeOutage) {
+            startLeader();
         }
-        if (zombie != null) {
-            zombie.tick(now);
-            if (zombie.nextWriteBatch(now, now) != null) {
-                zombie.writeNotExecuted(now);
+        if (isolatedLeader != null) {
+            isolatedLeader.tick(now);
+            if (isolatedLeader.nextWriteBatch(now, now) != null) {
+                isolatedLeader.writeNotExecuted(now);
             }
-            zombie = now < zombieUntil ? zombie : null;
+            isolatedLeader = now < isolatedUntilMicros ? isolatedLeader : null;
         }
-        if (random.nextInt(10) == 0 && !late.isEmpty()) {
-            apply(late.pollFirst());
+        if (random.nextInt(10) == 0 && !delayedTransactions.isEmpty()) {
+            apply(delayedTransactions.pollFirst());
         }
         for (Worker worker : List.copyOf(workers.values())) {
-            if (worker.deleted || worker.upAt > now || worker.hungUntil > now) {
+            if (worker.isDeleted || worker.bootedMicros > now || worker.hungUntilMicros > now) {
                 continue;
             }
-            worker.live();
-            if (now >= worker.nextReport) {
-                worker.nextReport = now + settings.heartbeatIntervalMicros();
-                exchange(worker);
+            worker.advanceTasks();
+            if (now >= worker.nextHeartbeatMicros) {
+                worker.nextHeartbeatMicros = now + settings.heartbeatIntervalMicros();
+                exchangeHeartbeat(worker);
             }
         }
         if (leader != null) {
-            if (!stateOutage) {
+            if (!storeOutage) {
                 leader.storeReadAt(now);
             }
             leader.tick(now);
-            writeRound();
+            executeWriteBatch();
         }
         if (leader != null) {
             for (CloudCall call : leader.cloudCalls(now)) {
-                decisions.accept(now + " " + call);
-                messages.accept(now + " " + encoded(call));
-                if (!dies()) {
-                    cloud(call);
+                decisionListener.accept(now + " " + call);
+                messageListener.accept(now + " " + encoded(call));
+                if (!killLeaderIfDue()) {
+                    executeCloudCall(call);
                 }
             }
         }
@@ -564,67 +574,67 @@
     }
 
     /** The leader loses the state service and all but zone a; another one takes over once its lease is out. */
-    void cutOffLeader(long micros) {
-        zombie = leader;
-        zombieToken = fencingToken;
-        zombieUntil = now + micros;
+    void isolateLeader(long micros) {
+        isolatedLeader = leader;
+        isolatedLeaderToken = fencingToken;
+        isolatedUntilMicros = now + micros;
         leader = null;
-        deadUntil = now + 3 * Micros.SECOND;
+        noLeaderUntilMicros = now + 3 * Micros.SECOND;
     }
 
-    private void exchange(Worker worker) {
+    private void exchangeHeartbeat(Worker worker) {
         Heartbeat heartbeat = worker.heartbeat();
         long incarnation = worker.incarnation;
-        if (zombie != null && worker.zone.equals("a")) {
+        if (isolatedLeader != null && worker.zone.equals("a")) {
             if (leader != null && random.nextInt(15) == 0) {
                 // It tried the new leader, whose answer was lost, and goes back to the former one.
                 leader.handleHeartbeat(heartbeat, now);
-            } else if (heartbeat.fencingToken() <= zombieToken) {
-                worker.execute(zombieToken, zombie.handleHeartbeat(heartbeat, now), now, incarnation);
+            } else if (heartbeat.fencingToken() <= isolatedLeaderToken) {
+                worker.execute(isolatedLeaderToken, isolatedLeader.handleHeartbeat(heartbeat, now), now, incarnation);
             }
             return;
         }
-        if (dies() || heartbeat.fencingToken() > fencingToken) {
+        if (killLeaderIfDue() || heartbeat.fencingToken() > fencingToken) {
             return;
         }
         List<Command> commands = leader.handleHeartbeat(heartbeat, now);
-        decisions.accept(now + " " + worker.name + " " + commands);
-        messages.accept(now + " " + worker.name + " " + text(WorkerCodec.answer(fencingToken, commands)));
-        if (greets) {
+        decisionListener.accept(now + " " + worker.name + " " + commands);
+        messageListener.accept(now + " " + worker.name + " " + text(WorkerCodec.answer(fencingToken, commands)));
+        if (announcesAtEachHeartbeat) {
             // The greeting's answer overtakes that of the report: it was made before the commands came.
             leader.announcementAnswered(worker.heartbeat(), now);
         }
-        boolean lost = random.nextDouble() < lostAnswers;
-        boolean diesAfter = dies();
+        boolean lost = random.nextDouble() < lostAnswerProbability;
+        boolean diesAfter = killLeaderIfDue();
         if (!lost && !(diesAfter && random.nextBoolean())) {
             worker.execute(fencingToken, commands, now, incarnation);
         }
     }
 
-    private void writeRound() {
+    private void executeWriteBatch() {
         Transaction round = leader.nextWriteBatch(now, now);
         if (round == null) {
             return;
         }
-        decisions.accept(now + " " + round);
-        messages.accept(now + " " + text(StoreCodec.transaction(round)));
-        if (dies()) {
+        decisionListener.accept(now + " " + round);
+        messageListener.accept(now + " " + text(StoreCodec.transaction(round)));
+        if (killLeaderIfDue()) {
             // Killed with the request on its way: it arrives some time later, or never.
-            late.add(round);
+            delayedTransactions.add(round);
             return;
         }
-        if (stateOutage) {
+        if (storeOutage) {
             leader.writeNotExecuted(now);
             return;
         }
-        if (breaksLimits(round)) {
-            refused++;
+        if (exceedsLimits(round)) {
+            rejectedTransactions++;
             leader.writeRejected(now);
             return;
         }
-        boolean lost = random.nextDouble() < lostAnswers;
+        boolean lost = random.nextDouble() < lostAnswerProbability;
         if (lost && random.nextBoolean()) {
-            late.add(round);
+            delayedTransactions.add(round);
             readBack();
             return;
         }
@@ -635,7 +645,7 @@
             }
         }
         long applied = apply(round);
-        if (dies()) {
+        if (killLeaderIfDue()) {
             return;
         }
         if (lost) {
@@ -650,10 +660,11 @@
         }
     }
 
-    private boolean breaksLimits(Transaction round) {
-        boolean breaks = round.writes().size() > opsLimit || round.conditions().size() > 4 * opsLimit;
+    private boolean exceedsLimits(Transaction round) {
+        boolean breaks = round.writes().size() > maxWritesPerTransaction
+                || round.conditions().size() > 4 * maxWritesPerTransaction;
         for (Transaction.Write write : round.writes()) {
-            breaks |= write.record() != null && StoreCodec.encodedBytes(write.record()) > valueLimit;
+            breaks |= write.record() != null && StoreCodec.encodedBytes(write.record()) > maxValueBytes;
         }
         return breaks;
     }
@@ -664,7 +675,7 @@
     }
 
     private void read(String key) {
-        StoredRecord row = rows.get(key);
+        StoredRecord row = records.get(key);
         if (Scheduler.isCloudRecord(key)) {
             leader.cloudRecordReadBack(key, row, versions.getOrDefault(key, 0L));
         } else if (row instanceof StoredRecord.JobRecord job) {
@@ -674,7 +685,7 @@
         }
     }
 
-    private void cloud(CloudCall call) {
+    private void executeCloudCall(CloudCall call) {
         if (call instanceof CloudCall.Rent rent) {
             if (cloudOutage) {
                 leader.provisioningUnanswered(rent.requestName(), now);
@@ -682,9 +693,9 @@
             }
             List<String> names = new ArrayList<>();
             for (int i = 0; i < rent.count() && workers.size() < 40; i++) {
-                names.add(boot(rent.zone(), rent.spot(), now + bootFactor * TYPE.bootMicros()).name);
+                names.add(boot(rent.zone(), rent.spot(), now + bootTimeFactor * TYPE.bootMicros()).name);
             }
-            if (random.nextDouble() < lostAnswers) {
+            if (random.nextDouble() < lostAnswerProbability) {
                 leader.provisioningUnanswered(rent.requestName(), now);
             } else if (names.isEmpty()) {
                 leader.noCapacity(rent.requestName(), now);
@@ -695,21 +706,21 @@
             if (cloudOutage) {
                 return;
             }
-            if (deletionsLateMicros > 0) {
-                lateDeletions
-                        .computeIfAbsent(now + deletionsLateMicros, k -> new ArrayList<>())
+            if (deletionDelayMicros > 0) {
+                delayedDeletions
+                        .computeIfAbsent(now + deletionDelayMicros, k -> new ArrayList<>())
                         .addAll(delete.machines());
                 return;
             }
-            returned += delete.machines().size();
+            machinesDeleted += delete.machines().size();
             for (String name : delete.machines()) {
                 Worker worker = workers.get(name);
                 if (worker != null) {
-                    worker.deleted = true;
+                    worker.isDeleted = true;
                     worker.tasks.clear();
                 }
             }
-            if (random.nextDouble() >= lostAnswers) {
+            if (random.nextDouble() >= lostAnswerProbability) {
                 leader.machinesDeleted(delete.machines(), now);
             }
         } else if (call instanceof CloudCall.ListTypes) {
@@ -719,13 +730,13 @@
         } else {
             List<ListedMachine> list = new ArrayList<>();
             for (Worker worker : workers.values()) {
-                if (!worker.deleted) {
+                if (!worker.isDeleted) {
                     list.add(new ListedMachine(
                             worker.name,
                             TYPE.name(),
                             worker.zone,
-                            worker.spot,
-                            worker.upAt > now ? ListedMachine.State.BOOTING : ListedMachine.State.RUNNING,
+                            worker.isSpot,
+                            worker.bootedMicros > now ? ListedMachine.State.BOOTING : ListedMachine.State.RUNNING,
                             0));
                 }
             }
