--- a/src/main/java/io/micatide/scheduler/LedgerPages.java
+++ b/src/main/java/io/micatide/scheduler/LedgerPages.java
@@ -34,7 +34,7 @@
     /** Predicts on which further machines a job will run, so that its ledger can name them in advance. */
     @FunctionalInterface
     interface CandidateMachineSource {
-        /** Names at most {@code limit} machines, the most likely one first. */
+        /** Returns the names of at most {@code limit} machines. They are added to the ledger in this order while they fit. */
         List<String> machines(Job job, int limit);
     }
 
--- a/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
+++ b/src/test/java/io/micatide/scheduler/CancelledJobQuotaTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is left of a cancelled job counts for its team, and its ledger stays, until nothing of it can be on any machine. */
+/**
+ * Tasks of a cancelled job count towards the quota of their team, and the job's ledger is kept, until no task of the job can be
+ * on any machine. Otherwise the team could exceed its quota.
+ */
 class CancelledJobQuotaTest {
     private static final JobSpec SPEC = SchedulerHarness.job("wk-1", JobKind.ARRAY, "red", Priority.NORMAL, 5, 60);
     private static final long TOKEN = 50;
@@ -43,30 +46,30 @@
         leader.jobChanged(new JobCache.View(SPEC.id(), jobRecord(state), version, state, false, 0), now, now);
     }
 
-    /** Machine i-1 or i-2 reports running tasks by number and, after a slash, ended ones. */
+    /** Sends a heartbeat of the given machine with running tasks, one digit each, and finished tasks after a slash. */
     private void heartbeat(String machine, String tasks) {
-        List<TaskStatus> lines = new ArrayList<>();
+        List<TaskStatus> statuses = new ArrayList<>();
         String[] parts = tasks.split("/", -1);
         parts[0].chars()
-                .forEach(each -> lines.add(new TaskStatus("wk-1", each - '0', 7, TaskState.RUNNING, null, false)));
+                .forEach(digit -> statuses.add(new TaskStatus("wk-1", digit - '0', 7, TaskState.RUNNING, null, false)));
         if (parts.length > 1) {
             parts[1].chars()
-                    .forEach(each ->
-                            lines.add(new TaskStatus("wk-1", each - '0', 7, TaskState.EXITED, ExitCause.DONE, false)));
+                    .forEach(digit -> statuses.add(
+                            new TaskStatus("wk-1", digit - '0', 7, TaskState.EXITED, ExitCause.DONE, false)));
         }
         leader.handleHeartbeat(
-                new Heartbeat(machine, "x:1", "small", "a", false, 1, ++sequence, TOKEN, -1, lines), now);
+                new Heartbeat(machine, "x:1", "small", "a", false, 1, ++sequence, TOKEN, -1, statuses), now);
     }
 
-    /** What is due is written, and answered unless it stays in flight. */
-    private void runWriteBatches(boolean answered) {
-        for (int each = 0; each < 5; each++) {
+    /** Sends the write batches that are due; the store answers them, or they stay in flight. */
+    private void runWriteBatches(boolean isAnswered) {
+        for (int step = 0; step < 5; step++) {
             now += 300 * Micros.MILLISECOND;
             leader.storeReadAt(now);
             leader.tick(now);
             Transaction next = inFlight != null ? null : leader.nextWriteBatch(now, now);
             inFlight = next == null ? inFlight : next;
-            if (inFlight != null && answered) {
+            if (inFlight != null && isAnswered) {
                 for (Transaction.Write write : inFlight.writes()) {
                     ledgerStored = write.key().equals("ledger/wk-1") ? write.record() != null : ledgerStored;
                 }
@@ -77,37 +80,39 @@
     }
 
     /**
-     * Steps of a term: {@code o} the row is read as open, {@code c} as cancelled, {@code l} the ledger of an earlier leader is, which names i-1
-     * and i-2, {@code +} all is read, {@code a012/3} machine i-1 reports, {@code b…} machine i-2 does, {@code w} rounds are written,
-     * {@code f} one goes out and is not answered yet, {@code u} it was not executed. Then {@code used} processors count for the team and the ledger is
-     * there or not; once the machines report nothing more, both are gone.
+     * Executes the steps of a term: {@code o} the job record is read as open, {@code c} as cancelled; {@code l} the ledger of
+     * the previous leader is read, which names i-1 and i-2; {@code +} all records are read; {@code a012/3} machine i-1 sends a
+     * heartbeat with running tasks 0, 1 and 2 and finished task 3, {@code b…} machine i-2 does; {@code w} write batches are
+     * written; {@code f} a write batch is sent and not answered yet; {@code u} it was not executed. Then {@code usedCpus} CPUs
+     * count for the team, and the ledger is stored or not. When the machines report no more tasks, the team uses no CPUs and
+     * the ledger is deleted.
      */
     @ParameterizedTest
     @CsvSource({
-        // Cancelled with nothing else in its ledger to write.
+        // Cancelled while no other change of its ledger is to be written.
         "o l + a012 b34 w c w, 10, true",
-        // Dirty for another reason: a task had just ended, on the same machine or on the other.
+        // The ledger is dirty for another reason: a task has just finished, on the same machine or on the other one.
         "o l + a012 b34 w a01/2 c w, 8, true",
         "o l + a012 b34 w b3/4 c w, 8, true",
-        // A round is in flight at the cancellation, and is answered or not executed.
+        // A write batch is in flight at the cancellation, and is then answered or not executed.
         "o l + a012 b34 w a01/2 f c w, 8, true",
         "o l + a012 b34 w a01/2 f c u w, 8, true",
-        // What a machine goes on reporting counts, however many rounds there were meanwhile.
+        // Tasks that a machine still reports count, regardless of the write batches since the cancellation.
         "o l + a012 b34 w a01/2 c w a01 w b34 w, 8, true",
-        // Cancelled while the leader loads: before and after its ledger was read, and known as cancelled only.
+        // Cancelled while the leader loads: before or after its ledger is read, or never known as open.
         "o c l + w, 0, true",
         "o l c + w, 0, true",
         "c l + w, 0, true",
         "o c l + a012 w, 6, true",
         "c l + a012 w, 6, true",
-        // A former version took the ledger away too early: what is reported counts all the same.
+        // A previous version of the program deleted the ledger too early: reported tasks count nevertheless.
         "c + a012 w, 6, false",
-        // Done elsewhere, as an older report of the other machine tells: the job is over, and what still runs counts
-        // until it is gone.
+        // An older heartbeat of the other machine reports the tasks as done: the job is finished, and attempts that
+        // still run count until they have ended.
         "o l + a01234 b/01234 w a01234 w, 10, false",
         "o l + a01234 b/01234 w a012 w, 6, false",
     })
-    void cancelledJobCountsUntilNoTaskCanBeOnAMachine(String steps, int used, boolean ledger) {
+    void cancelledJobCountsUntilNoTaskCanBeOnAMachine(String steps, int usedCpus, boolean isLedgerStored) {
         leader.machineTypesChanged(List.of(SchedulerHarness.TYPE), 0);
         for (String step : steps.split(" ")) {
             switch (step.charAt(0)) {
@@ -128,12 +133,12 @@
                 default -> runWriteBatches(true);
             }
         }
-        assertEquals(used * 1000, leader.teamUsage("red").cpus(), "processors of the team");
-        assertEquals(ledger, ledgerStored, "its ledger is stored");
+        assertEquals(usedCpus * 1000, leader.teamUsage("red").cpus(), "CPUs of the team in thousandths");
+        assertEquals(isLedgerStored, ledgerStored, "whether the ledger is stored");
         heartbeat("i-1", "");
         heartbeat("i-2", "");
         runWriteBatches(true);
         assertEquals(0, leader.teamUsage("red").cpus());
-        assertTrue(!ledgerStored && leader.mayBeArchived("wk-1"), "nothing of it is left");
+        assertTrue(!ledgerStored && leader.mayBeArchived("wk-1"), "the ledger is deleted and the job may be archived");
     }
 }
--- a/src/test/java/io/micatide/scheduler/CloudReconciliationTest.java
+++ b/src/test/java/io/micatide/scheduler/CloudReconciliationTest.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The cloud's list lags: it brings nothing back, and what it does not have is gone only if the list is new enough. */
+/**
+ * The cloud's list of machines lags behind: a deleted machine that is still listed is not added again, and a missing machine
+ * counts as deleted only if the list is recent enough.
+ */
 class CloudReconciliationTest {
     private final Settings settings = new SchedulerHarness(1, 0).settings;
     private final Fleet fleet = new Fleet();
@@ -46,11 +49,11 @@
 
     @Test
     void missingMachineIsDeletedOnlyIfTheListIsRecentEnough() {
-        Machine named = fleet.getOrAdd("i-1", 0);
-        long newEnough = 2 * settings.listLagMicros() + 5 * Micros.SECOND;
-        reconciliation.machinesListed(List.of(), newEnough, newEnough);
-        assertEquals(false, named.deletionRequested);
-        reconciliation.machinesListed(List.of(), newEnough + 1, newEnough + 1);
-        assertEquals(true, named.deletionRequested);
+        Machine missing = fleet.getOrAdd("i-1", 0);
+        long limitMicros = 2 * settings.listLagMicros() + 5 * Micros.SECOND;
+        reconciliation.machinesListed(List.of(), limitMicros, limitMicros);
+        assertEquals(false, missing.deletionRequested);
+        reconciliation.machinesListed(List.of(), limitMicros + 1, limitMicros + 1);
+        assertEquals(true, missing.deletionRequested);
     }
 }
--- a/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
+++ b/src/test/java/io/micatide/scheduler/DeadMachineDetectorTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Dead machines are marked for deletion, but none while it may be the leader that is cut off. */
+/**
+ * Dead machines are marked for deletion, but none while more than half of the machines are silent: then the leader itself may
+ * have lost its connection, and the machines may be healthy.
+ */
 class DeadMachineDetectorTest {
     private static final long NOW = 1_000 * Micros.SECOND;
     private static final int MACHINES = 10;
@@ -39,20 +42,20 @@
 
     @ParameterizedTest
     @CsvSource({"0, 0", "1, 1", "5, 5", "6, 0", "10, 0"})
-    void moreThanHalfSilentMeansThatTheLeaderIsCutOff(int silent, int deleted) {
-        for (int i = 0; i < silent; i++) {
+    void moreThanHalfSilentMeansThatTheLeaderIsCutOff(int silentMachines, int deletedMachines) {
+        for (int i = 0; i < silentMachines; i++) {
             fleet.get("i-" + i).lastHeartbeatMicros = NOW - 5 * settings.workerLeaseExpiryMicros();
         }
-        assertEquals(deleted, deleted());
+        assertEquals(deletedMachines, deleted());
     }
 
     @ParameterizedTest
     @CsvSource({"60, 0", "61, 1"})
-    void machineThatDoesNotBootIsDeleted(int bootingSeconds, int deleted) {
+    void machineThatDoesNotBootIsDeleted(int bootingSeconds, int deletedMachines) {
         Machine machine = fleet.getOrAdd("i-new", NOW - bootingSeconds * Micros.SECOND);
         fleet.updateTypeAndZone(machine, SchedulerHarness.TYPE.name(), "a", false);
         machine.bootStartedMicros = NOW - bootingSeconds * Micros.SECOND;
-        assertEquals(deleted, deleted());
+        assertEquals(deletedMachines, deleted());
     }
 
     @Test
--- a/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
+++ b/src/test/java/io/micatide/scheduler/PlacementReferenceTest.java
@@ -13,23 +13,26 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** On random fleets the planner decides what the former one decides: the same commands, transactions and calls to the cloud in the same order. */
+/**
+ * On random fleets the planner makes the same decisions as the reference planner: the same commands, transactions and cloud
+ * calls in the same order. Guards against the index of free capacity changing a decision.
+ */
 class PlacementReferenceTest {
-    /** Long runs outside CI: {@code -Dmicatide.fleets=20000}. */
+    /** Number of random fleets; more can be run outside CI with {@code -Dmicatide.fleets=20000}. */
     private static final int FLEETS = Integer.getInteger("micatide.fleets", 150);
 
     private static final int SECONDS = 90;
     private static final List<JobKind> KINDS = List.of(JobKind.ARRAY, JobKind.ARRAY, JobKind.GANG, JobKind.SERVICE);
 
-    /** Few, so that many jobs ask for the same. */
+    /** Only a few different values, so that many jobs request the same resources. */
     private static final List<Resources> TASK_RESOURCES =
             List.of(Resources.of(1, 0, 4), Resources.of(2, 0, 30), Resources.of(3, 0, 8), Resources.of(8, 0, 16));
 
-    /** Jobs of all kinds, classes, teams and limits on where they may go. */
+    /** Returns a random job: any kind, class, team, priority and placement constraints. */
     static JobSpec randomJob(Random random, int number) {
         JobKind kind = KINDS.get(random.nextInt(KINDS.size()));
-        boolean oneZone = random.nextInt(5) == 0;
-        boolean saves = random.nextInt(3) == 0 && kind != JobKind.SERVICE;
+        boolean singleZone = random.nextInt(5) == 0;
+        boolean hasCheckpoints = random.nextInt(3) == 0 && kind != JobKind.SERVICE;
         return new JobSpec(
                 "wk-" + number,
                 "class-" + random.nextInt(3),
@@ -42,40 +45,40 @@
                 random.nextInt(5),
                 List.of(),
                 random.nextInt(4) == 0 ? (random.nextBoolean() ? "a" : "b") : null,
-                oneZone,
-                !oneZone && random.nextInt(5) == 0,
+                singleZone,
+                !singleZone && random.nextInt(5) == 0,
                 random.nextBoolean(),
                 (2 + random.nextInt(30)) * Micros.SECOND,
-                saves ? 2 * Micros.SECOND : 0,
-                saves ? Micros.SECOND : 0,
+                hasCheckpoints ? 2 * Micros.SECOND : 0,
+                hasCheckpoints ? Micros.SECOND : 0,
                 random.nextBoolean() ? (10 + random.nextInt(60)) * Micros.SECOND : -1,
                 number > 0 && random.nextInt(6) == 0 ? List.of("wk-" + random.nextInt(number)) : List.of());
     }
 
-    private static List<String> runScenario(long seed, SchedulerComponents.PlannerFactory planners) {
+    private static List<String> runScenario(long seed, SchedulerComponents.PlannerFactory plannerFactory) {
         Random random = new Random(seed);
-        SchedulerHarness world = new SchedulerHarness(seed, 2 + random.nextInt(12));
+        SchedulerHarness harness = new SchedulerHarness(seed, 2 + random.nextInt(12));
         List<String> decisions = new ArrayList<>();
-        world.plannerFactory = planners;
-        world.decisionListener = decisions::add;
-        world.lostAnswerProbability = random.nextInt(3) == 0 ? 0.02 : 0;
-        world.killAtInteraction = random.nextInt(3) == 0 ? 200 + random.nextInt(600) : -1;
-        world.cloudOutage = random.nextBoolean();
-        world.startLeader();
+        harness.plannerFactory = plannerFactory;
+        harness.decisionListener = decisions::add;
+        harness.lostAnswerProbability = random.nextInt(3) == 0 ? 0.02 : 0;
+        harness.killAtInteraction = random.nextInt(3) == 0 ? 200 + random.nextInt(600) : -1;
+        harness.cloudOutage = random.nextBoolean();
+        harness.startLeader();
         for (int second = 0; second < SECONDS; second++) {
-            for (int more = random.nextInt(3); more > 0 && second < SECONDS / 2; more--) {
-                world.submit(randomJob(random, world.specs.size()));
+            for (int jobs = random.nextInt(3); jobs > 0 && second < SECONDS / 2; jobs--) {
+                harness.submit(randomJob(random, harness.specs.size()));
             }
-            if (random.nextInt(10) == 0 && !world.specs.isEmpty()) {
-                world.cancel("wk-" + random.nextInt(world.specs.size()));
+            if (random.nextInt(10) == 0 && !harness.specs.isEmpty()) {
+                harness.cancel("wk-" + random.nextInt(harness.specs.size()));
             }
             if (random.nextInt(15) == 0) {
-                world.faultyMachines.add("i-00000" + random.nextInt(9));
+                harness.faultyMachines.add("i-00000" + random.nextInt(9));
             }
             if (random.nextInt(20) == 0) {
-                world.faultyJobs.add("wk-" + random.nextInt(40));
+                harness.faultyJobs.add("wk-" + random.nextInt(40));
             }
-            world.run(Micros.SECOND);
+            harness.run(Micros.SECOND);
         }
         return decisions;
     }
@@ -86,27 +89,31 @@
 
     @Test
     void decidesAsTheReferencePlannerDoes() {
-        List<String> differ = new ArrayList<>();
+        List<String> differences = new ArrayList<>();
         int starts = 0;
         int stops = 0;
         for (long seed = 0; seed < FLEETS; seed++) {
             List<String> expected = runScenario(seed, ReferencePlacementPlanner::new);
             List<String> actual = runScenario(seed, PlacementPlanner::new);
             for (int i = 0; i < Math.max(expected.size(), actual.size()); i++) {
-                String old = i < expected.size() ? expected.get(i) : "nothing";
-                String now = i < actual.size() ? actual.get(i) : "nothing";
-                if (!old.equals(now)) {
-                    differ.add("fleet " + seed + " decision " + i + ": " + shortened(old) + " and " + shortened(now));
+                String expectedDecision = i < expected.size() ? expected.get(i) : "nothing";
+                String actualDecision = i < actual.size() ? actual.get(i) : "nothing";
+                if (!expectedDecision.equals(actualDecision)) {
+                    differences.add("fleet " + seed + " decision " + i + ": expected " + shortened(expectedDecision)
+                            + " but was " + shortened(actualDecision));
                     break;
                 }
             }
-            starts += (int)
-                    actual.stream().filter(each -> each.contains("Start[")).count();
-            stops +=
-                    (int) actual.stream().filter(each -> each.contains("Stop[")).count();
+            starts += (int) actual.stream()
+                    .filter(decision -> decision.contains("Start["))
+                    .count();
+            stops += (int) actual.stream()
+                    .filter(decision -> decision.contains("Stop["))
+                    .count();
         }
-        assertEquals(List.of(), differ);
+        assertEquals(List.of(), differences);
         assertTrue(
-                starts > 20 * FLEETS && stops > 5 * FLEETS, starts + " answers start and " + stops + " stop something");
+                starts > 20 * FLEETS && stops > 5 * FLEETS,
+                starts + " responses with starts and " + stops + " with stops");
     }
 }
--- a/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
+++ b/src/test/java/io/micatide/scheduler/ReferencePlacementPlanner.java
@@ -16,32 +16,38 @@
 import java.util.Map;
 
 /**
- * The former planner, from before there was an index of free capacity: it tests each waiting job against all machines. Kept
- * in one piece as it was, as the reference that {@link PlacementReferenceTest} compares {@link PlacementPlanner} with,
- * decision for decision. It shares no code with the planner that it checks, and is changed only where a rename reaches it:
- * its names and its shape are those of its time.
+ * The planner as it was before the index of free capacity: it checks each pending job against all machines.
+ * {@link PlacementReferenceTest} compares the decisions of {@link PlacementPlanner} with those of this reference. On purpose it
+ * repeats the placement logic in one class and shares no placement code with the planner that it checks. Only its names and
+ * comments are changed.
  */
 final class ReferencePlacementPlanner extends PlacementPlanner {
-    /** An image that takes longer than this to fetch is worth stopping other work for. */
+    /** If fetching the image takes longer than this, other work may be preempted on a machine that has the image. */
     private static final long LONG_FETCH_MICROS = 1_500 * Micros.MILLISECOND;
 
+    /** Time for which a team waits for its guarantee if there is no objective for guarantees. */
     private static final long DEFAULT_GUARANTEE_WAIT_MICROS = 2_500 * Micros.MILLISECOND;
-    /** How much of an aim's time a team waits for its guarantee by itself before others have to yield. */
+    /** Share of the time of the objective for guarantees for which a team waits before work of others is preempted. */
     private static final double GUARANTEE_WAIT_SHARE = 0.5;
 
+    /** Minimum time between two preemptions for the same array. */
     private static final long PREEMPTION_INTERVAL_MICROS = 500 * Micros.MILLISECOND;
     /**
-     * The share of all replicas that gather on one machine: it may hang. On a fleet of 40 a large machine once took most
-     * of them, and 0.93 were up in the worst 30 s.
+     * Maximum share of all replicas on one machine, since a machine may hang. On a fleet of 40 machines one large machine held
+     * most replicas, and only a share of 0.93 were up in the worst 30 s.
      */
     private static final double MAX_REPLICA_SHARE_PER_MACHINE = 0.05;
 
+    /** Lower bound of the limit of replicas per machine. */
     private static final int MIN_REPLICA_LIMIT_PER_MACHINE = 2;
-    /** Work that may be lost for a replica that has room elsewhere. */
+    /** Maximum work lost to colocate a replica with others although another machine has free capacity. */
     private static final long MAX_CHEAP_LOSS_MICROS = 10 * Micros.SECOND;
-    /** An order older than this is not gone by. */
+    /** Maximum age of the order of jobs that is used to refill a machine. */
     private static final long MAX_ORDER_AGE_MICROS = Micros.SECOND;
-    /** A job whose image is there goes before one that is due so much earlier and has to fetch its own. */
+    /**
+     * A job whose image is on the machine precedes jobs of the same rank that are due earlier by less than this. A job that can
+     * meet its deadline is urgent if its latest start is less than this away.
+     */
     private static final long IMAGE_PRECEDENCE_MICROS = 5 * Micros.SECOND;
 
     private static final Comparator<Machine> LEAST_FREE_CAPACITY = Comparator.comparing(
@@ -58,9 +64,9 @@
     private final long guaranteeWaitMicros;
     private List<JobQueue.QueuedJob> order = List.of();
     private long orderMicros = Long.MIN_VALUE / 2;
-    /** The least of each resource that any job in the order asks for. */
+    /** Minimum of each resource over the tasks of all jobs in the order. */
     private Resources minTaskResources = Resources.NONE;
-    /** Replicas that gather on one machine at most, as of the last plan. */
+    /** Maximum number of replicas colocated on one machine, as of the last plan. */
     private int maxReplicasPerMachine = MIN_REPLICA_LIMIT_PER_MACHINE;
 
     private boolean hasRunningLowPriorityWork;
@@ -80,18 +86,18 @@
         this.fleet = fleet;
         this.ledgers = ledgers;
         this.runtimeEstimator = runtimeEstimator;
-        long patience = DEFAULT_GUARANTEE_WAIT_MICROS;
+        long waitMicros = DEFAULT_GUARANTEE_WAIT_MICROS;
         for (Settings.Objective objective : settings.objectives()) {
             if (objective.kind().equals("guarantee") && objective.withinMicros() > 0) {
-                patience = Math.round(objective.withinMicros() * GUARANTEE_WAIT_SHARE);
+                waitMicros = Math.round(objective.withinMicros() * GUARANTEE_WAIT_SHARE);
             }
         }
-        this.guaranteeWaitMicros = patience;
+        this.guaranteeWaitMicros = waitMicros;
     }
 
-    /** Jobs with waiting tasks in the order in which they get room. */
+    /** Returns the jobs with pending tasks in the order in which they get capacity. */
     private List<JobQueue.QueuedJob> buildQueue(long nowMicros) {
-        Map<String, Resources> asked = new HashMap<>();
+        Map<String, Resources> requested = new HashMap<>();
         List<JobQueue.QueuedJob> result = new ArrayList<>();
         Map<Job, DeadlineFeasibility.JobEstimate> entries = new HashMap<>();
         for (DeadlineFeasibility.JobEstimate entry : markFeasibleJobs(nowMicros)) {
@@ -106,7 +112,7 @@
                 continue;
             }
             Team team = settings.teams().get(job.spec.team());
-            Resources total = asked.merge(
+            Resources total = requested.merge(
                     job.spec.team(), job.spec.taskResources().times(job.unfinishedCount()), Resources::plus);
             boolean guaranteed = team != null && team.guaranteedCpus() > 0 && team.isWithinGuarantee(total);
             int waiting = job.pendingCount();
@@ -120,16 +126,20 @@
                         entry == null ? job.readyMicros : entry.latestStartMicros()));
             }
         }
-        result.sort(Comparator.comparing((JobQueue.QueuedJob q) -> q.job().priority())
-                .thenComparing(q -> q.job().spec.kind() == JobKind.SERVICE ? 0 : 1)
-                .thenComparing(q -> !q.isGuaranteed())
-                .thenComparing(q -> !q.canMeetDeadline())
-                .thenComparing(JobQueue.QueuedJob::dueMicros)
-                .thenComparing(q -> q.job().readyMicros));
+        result.sort(
+                Comparator.comparing((JobQueue.QueuedJob queued) -> queued.job().priority())
+                        .thenComparing(queued -> queued.job().spec.kind() == JobKind.SERVICE ? 0 : 1)
+                        .thenComparing(queued -> !queued.isGuaranteed())
+                        .thenComparing(queued -> !queued.canMeetDeadline())
+                        .thenComparing(JobQueue.QueuedJob::dueMicros)
+                        .thenComparing(queued -> queued.job().readyMicros));
         return result;
     }
 
-    /** A job that fails wherever it is tried holds no guarantee and no place among what can be on time. */
+    /**
+     * Adds a quarantined job as a probe: a job that fails on every machine must not use its team's guarantee or delay jobs that
+     * can meet their deadline.
+     */
     private static void queueProbe(Job job, List<JobQueue.QueuedJob> queue) {
         if (job.placeableCount() > 0) {
             queue.add(new JobQueue.QueuedJob(job, job.placeableCount(), false, false, Long.MAX_VALUE));
@@ -137,8 +147,8 @@
     }
 
     /**
-     * What can be on time: first within each team's limit, since room beyond it helps none of the team's jobs, then
-     * with all processors.
+     * Determines which jobs can meet their deadline: first within the limit of each team, since capacity beyond it helps none
+     * of the team's jobs, then with all CPUs.
      */
     private List<DeadlineFeasibility.JobEstimate> markFeasibleJobs(long nowMicros) {
         double cpus = arrayCpus(nowMicros);
@@ -147,7 +157,8 @@
         List<DeadlineFeasibility.JobEstimate> lowest = new ArrayList<>();
         for (DeadlineFeasibility.JobEstimate entry : estimates(nowMicros)) {
             if (entry.job.priority() == Priority.LOW) {
-                // It gets what is left: a large job of a rare class would count for more than many of the others.
+                // Low priority gets the remaining CPUs: one large job of a rare class would otherwise outweigh many
+                // other jobs.
                 lowest.add(entry);
                 continue;
             }
@@ -157,8 +168,9 @@
         List<DeadlineFeasibility.JobEstimate> possible = new ArrayList<>();
         perTeam.forEach((name, entries) -> {
             Team team = settings.teams().get(name);
-            double most = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, team.maxCpus());
-            for (DeadlineFeasibility.JobEstimate entry : DeadlineFeasibility.markFeasible(entries, most, nowMicros)) {
+            double limitCpus = team == null || team.maxCpus() == 0 ? cpus : Math.min(cpus, team.maxCpus());
+            for (DeadlineFeasibility.JobEstimate entry :
+                    DeadlineFeasibility.markFeasible(entries, limitCpus, nowMicros)) {
                 (entry.isFeasible ? possible : result).add(entry);
             }
         });
@@ -167,7 +179,7 @@
         return result;
     }
 
-    /** What is left of every job that ends. */
+    /** Returns the remaining work of every unfinished job that is not a service. */
     private List<DeadlineFeasibility.JobEstimate> estimates(long nowMicros) {
         List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
@@ -185,7 +197,10 @@
         return result;
     }
 
-    /** Aims are shares of a class: the fewer jobs it has, and the more aims, the more one of them counts. */
+    /**
+     * Returns the weight of one job of the class. Objectives are shares of a class, so a job counts for more the fewer jobs and
+     * the more objectives its class has.
+     */
     private double weight(String jobClass) {
         int aims = 1;
         for (Settings.Objective objective : settings.objectives()) {
@@ -194,7 +209,7 @@
         return aims / (double) Math.max(1, ledgers.jobsSeenOfClass(jobClass));
     }
 
-    /** Processors, in thousandths, that are there for work that ends. */
+    /** Returns the CPUs available to jobs other than services, in thousandths. */
     private double arrayCpus(long nowMicros) {
         double cpus = 0;
         for (Machine machine : fleet.machines()) {
@@ -215,7 +230,7 @@
         return cpus;
     }
 
-    /** The earliest time at which users expect the job and that it can still reach. */
+    /** Returns the earliest time at which users expect the job and that it can still reach. */
     private long dueMicros(Job job, long length, long nowMicros) {
         JobSpec spec = job.spec;
         long reachable = nowMicros + length;
@@ -236,7 +251,8 @@
                 }
             }
         }
-        // Without an aim, or beyond all of them: soon, but after what can still be on time.
+        // Without an objective that can still be met, the job is due soon, but later than jobs that can meet
+        // victimSpec.
         return due < Long.MAX_VALUE
                 ? due
                 : Math.max(job.readyMicros, nowMicros - 600 * Micros.SECOND) + 900 * Micros.SECOND;
@@ -247,7 +263,7 @@
         return !job.cancelled && job.backoffUntilMicros <= nowMicros && !job.hasUnreconciledMachines();
     }
 
-    /** Places what waits, on all machines. The order that it finds is what {@link #refill} goes by until the next time. */
+    /** Places pending tasks on all machines, and sets the order that {@link #refill} uses until the next plan. */
     @Override
     void plan(long nowMicros) {
         order = buildQueue(nowMicros);
@@ -284,19 +300,19 @@
     }
 
     /**
-     * Work of the lowest priority yields to what would be late otherwise, not to all that waits: hundreds of a guest's tasks
-     * of 150 s were once started over for jobs that had time.
+     * Returns whether work of the lowest priority may be evicted for the job: only for jobs that would otherwise be late. When
+     * it was evicted for any pending job, hundreds of tasks of 150 s were restarted for jobs that had time left.
      */
     private boolean mayEvictLowPriorityWork(JobQueue.QueuedJob queued, long nowMicros) {
         return hasRunningLowPriorityWork && isUrgent(queued, nowMicros);
     }
 
-    /** It can be on time, but only if it starts about now. */
+    /** Returns whether the job can meet its deadline, but only if it starts about now. */
     private static boolean isUrgent(JobQueue.QueuedJob queued, long nowMicros) {
         return queued.canMeetDeadline() && queued.dueMicros() - nowMicros < IMAGE_PRECEDENCE_MICROS;
     }
 
-    /** Whether work of the lowest priority runs, which any other may displace. */
+    /** Returns whether work of the lowest priority is running, which may be evicted for any other. */
     private boolean hasRunningLowPriorityWork() {
         for (Job job : ledgers.jobs()) {
             if (job.priority() == Priority.LOW && !job.liveAttempts.isEmpty()) {
@@ -306,7 +322,7 @@
         return false;
     }
 
-    /** Attempts that had to yield in this term, for the log. */
+    /** Returns the number of attempts evicted in this term, for the log: for services, and for gangs and arrays. */
     @Override
     String evictionCounts() {
         return evictedByReplicas + "/" + evictedByGuarantees;
@@ -320,16 +336,16 @@
         return count;
     }
 
-    /** The jobs with waiting tasks as of the last plan. */
+    /** Returns the jobs that had pending tasks at the last plan, in queue order. */
     @Override
     List<JobQueue.QueuedJob> order() {
         return order;
     }
 
     /**
-     * Gives the room that came free on one machine to the next in the queue, so that it goes out with the answer to the
-     * report that told of it. Planning for all machines at every report once took more than the whole share of a
-     * core with 373 of them, and the leader lost its lease.
+     * Places tasks of the next jobs in the queue on one machine with newly freed capacity, so that their starts are sent in the
+     * response to the heartbeat that reported it. Planning for all machines at every heartbeat took more than the whole CPU share
+     * of the leader with 373 machines, and it lost its lease.
      */
     @Override
     void refill(Machine machine, long nowMicros) {
@@ -344,7 +360,7 @@
         }
     }
 
-    /** The job in the order that gets room on this machine, or null. */
+    /** Returns the next job in the order that gets capacity on this machine, or null. */
     private Job nextJob(Machine machine, long nowMicros) {
         JobQueue.QueuedJob first = null;
         for (JobQueue.QueuedJob queued : order) {
@@ -384,28 +400,26 @@
                         .plus(job.spec.taskResources()));
     }
 
-    /**
-     * How many of so many tasks the team's limit allows beside what it uses and {@code others}; of a gang all or none.
-     */
+    /** Returns how many of the tasks the team's limit allows in addition to its usage and {@code others}; for a gang, all or none. */
     @Override
     int tasksWithinLimit(Job job, int count, Resources others) {
         Team team = settings.teams().get(job.spec.team());
         if (team == null) {
             return count;
         }
-        Resources each = job.spec.taskResources();
-        Resources there = placements
+        Resources perTask = job.spec.taskResources();
+        Resources used = placements
                 .teamUsage(team.name())
                 .plus(unreconciledUsage.getOrDefault(team.name(), Resources.NONE))
                 .plus(others);
-        long most = count;
-        if (team.maxCpus() > 0 && each.cpus() > 0) {
-            most = Math.min(most, Math.max(0, team.maxCpus() - there.cpus()) / each.cpus());
+        long allowed = count;
+        if (team.maxCpus() > 0 && perTask.cpus() > 0) {
+            allowed = Math.min(allowed, Math.max(0, team.maxCpus() - used.cpus()) / perTask.cpus());
         }
-        if (team.maxGpus() > 0 && each.gpus() > 0) {
-            most = Math.min(most, Math.max(0, team.maxGpus() - there.gpus()) / each.gpus());
+        if (team.maxGpus() > 0 && perTask.gpus() > 0) {
+            allowed = Math.min(allowed, Math.max(0, team.maxGpus() - used.gpus()) / perTask.gpus());
         }
-        return job.spec.kind() == JobKind.GANG && most < count ? 0 : (int) most;
+        return job.spec.kind() == JobKind.GANG && allowed < count ? 0 : (int) allowed;
     }
 
     private static boolean isSuitable(Job job, Machine machine, long nowMicros) {
@@ -416,11 +430,11 @@
     }
 
     /**
-     * Machines on which tasks that still wait may be placed later. With the ledger naming them before, such a start goes
-     * out with the answer to the report that told of the room, instead of waiting for a round first.
+     * Returns machines on which pending tasks may be placed later. If the ledger names them in advance, a start is sent in the
+     * response to the heartbeat that reported the free capacity, without waiting for a write batch.
      */
     @Override
-    List<String> candidateMachines(Job job, int most, long nowMicros) {
+    List<String> candidateMachines(Job job, int limit, long nowMicros) {
         List<String> names = new ArrayList<>();
         if (job.spec.kind() == JobKind.ARRAY && job.pendingCount() > 0 && !job.quarantined) {
             List<Machine> usable = new ArrayList<>();
@@ -429,23 +443,24 @@
                     usable.add(machine);
                 }
             }
-            if (usable.size() > most) {
-                // A small value cannot name all: those with room, then those that the ledger names already.
+            if (usable.size() > limit) {
+                // The ledger cannot name all: machines with the most free capacity, of equal ones first those that it
+                // names already.
                 usable.sort(MOST_FREE_CAPACITY.thenComparing(machine -> !job.ledgerMachines.contains(machine.name)));
             }
-            for (Machine machine : usable.subList(0, Math.min(most, usable.size()))) {
+            for (Machine machine : usable.subList(0, Math.min(limit, usable.size()))) {
                 names.add(machine.name);
             }
         }
         return names;
     }
 
-    /** There, or being fetched for another task of the job. */
+    /** Returns whether the machine has the job's image or is fetching it for another task of the job. */
     private static boolean hasImage(Machine machine, Job job) {
         return machine.images.containsKey(job.spec.image()) || job.liveMachines.contains(machine.name);
     }
 
-    /** Tasks that may still sit on machines which have not reported to this leader count for their team. */
+    /** Returns the usage by team of tasks that may be on machines that have not sent a heartbeat to this leader yet. */
     private Map<String, Resources> computeUnreconciledUsage() {
         Map<String, Resources> result = new HashMap<>();
         for (Job job : ledgers.jobs()) {
@@ -460,22 +475,23 @@
     private void placeJob(JobQueue.QueuedJob queued, List<Machine> usable, List<Machine> open, long nowMicros) {
         Job job = queued.job();
         JobSpec spec = job.spec;
-        // Room comes free all the time, and what is first in the queue gets it: stopping work of the same priority
-        // is for a team that has waited for its guarantee.
-        boolean waited = nowMicros - job.readyMicros > guaranteeWaitMicros;
-        boolean preempts = !job.quarantined
+        // Capacity becomes free continuously and goes to the first job in the queue. Work of the same priority is
+        // stopped only
+        // for a team that has waited for its guarantee.
+        boolean hasWaited = nowMicros - job.readyMicros > guaranteeWaitMicros;
+        boolean mayPreempt = !job.quarantined
                 && (spec.kind() == JobKind.SERVICE
-                        || ((queued.isGuaranteed() || mayEvictLowPriorityWork(queued, nowMicros)) && waited)
+                        || ((queued.isGuaranteed() || mayEvictLowPriorityWork(queued, nowMicros)) && hasWaited)
                         || (spec.priority() == job.priority()
                                 ? spec.priority() != Priority.NORMAL
                                 : isUrgent(queued, nowMicros)));
         if (spec.kind() == JobKind.GANG) {
-            placeGang(job, queued.pendingTasks(), suitable(job, usable, nowMicros), preempts, nowMicros);
+            placeGang(job, queued.pendingTasks(), suitable(job, usable, nowMicros), mayPreempt, nowMicros);
         } else if (spec.kind() == JobKind.SERVICE) {
             placeReplicas(queued, suitable(job, usable, nowMicros), nowMicros);
         } else {
             placeArray(job, open, nowMicros);
-            if (preempts
+            if (mayPreempt
                     && job.pendingCount() > 0
                     && nowMicros >= job.nextPreemptionMicros
                     && mayHaveEvictableWork(job)) {
@@ -508,11 +524,12 @@
     }
 
     /**
-     * A machine with the image that has replicas already, the one with most; work that ends yields there. Replicas live
-     * for minutes, and strewn over the fleet each of them kept a machine that would have been returned.
+     * Returns a machine with the image that has replicas already, or null: preferably one with many replicas and enough free
+     * capacity. Evicts other work there if necessary. Replicas run for minutes, and replicas spread over the fleet each kept a
+     * machine that would otherwise have been returned.
      */
     private Machine machineWithReplicas(Job job, List<Machine> candidates, long nowMicros) {
-        Resources each = job.spec.taskResources();
+        Resources perReplica = job.spec.taskResources();
         Machine best = null;
         long bestScore = 0;
         for (Machine machine : candidates) {
@@ -529,17 +546,17 @@
             }
             if (count == 0
                     || count >= maxReplicasPerMachine
-                    || !each.plus(replicas).fitsIn(machine.capacity())) {
+                    || !perReplica.plus(replicas).fitsIn(machine.capacity())) {
                 continue;
             }
-            boolean fits = each.fitsIn(machine.freeCapacity());
-            long score = replicas.cpus() + (fits ? 2 * each.cpus() : 0);
+            boolean fits = perReplica.fitsIn(machine.freeCapacity());
+            long score = replicas.cpus() + (fits ? 2 * perReplica.cpus() : 0);
             if (score > bestScore && (fits || canEvictCheaply(job, machine, nowMicros))) {
                 best = machine;
                 bestScore = score;
             }
         }
-        if (best != null && !each.fitsIn(best.freeCapacity())) {
+        if (best != null && !perReplica.fitsIn(best.freeCapacity())) {
             evict(job, victims(job, best), nowMicros);
         }
         return best;
@@ -550,7 +567,7 @@
         return victims != null && lossMicros(victims, nowMicros) < MAX_CHEAP_LOSS_MICROS;
     }
 
-    /** Fills one machine after another: each further one has to fetch the image and to be recorded. */
+    /** Fills one machine after another, since each further machine has to fetch the image and to be named in the ledger. */
     private void placeArray(Job job, List<Machine> open, long nowMicros) {
         if (open.isEmpty()) {
             return;
@@ -570,16 +587,16 @@
                     && isWithinZoneLimit(job, machine)
                     && placements.mayRecordMachine(job, machine, nowMicros)) {
                 if (job.placeableCount() == 0 || !isWithinTeamLimit(job)) {
-                    open.removeIf(each -> !minTaskResources.fitsIn(each.freeCapacity()));
+                    open.removeIf(full -> !minTaskResources.fitsIn(full.freeCapacity()));
                     return;
                 }
                 placements.placeTask(job, job.nextPendingTask(), machine, nowMicros);
             }
         }
-        open.removeIf(each -> !minTaskResources.fitsIn(each.freeCapacity()));
+        open.removeIf(full -> !minTaskResources.fitsIn(full.freeCapacity()));
     }
 
-    /** Whether there can be work that a task of this job may displace. */
+    /** Returns whether any work may exist that can be evicted for a task of this job. */
     private boolean mayHaveEvictableWork(Job job) {
         if (job.priority() != Priority.NORMAL || hasRunningLowPriorityWork) {
             return true;
@@ -593,9 +610,9 @@
     }
 
     /**
-     * Takes the room of lesser work: those attempts first that have run for the shortest time, where the image is. The
-     * room that comes free by itself serves most of a job, so a team that waits for its guarantee takes a part at a
-     * time: taking all at once lost one start in ten, and some tasks were started fifteen times.
+     * Evicts other work for the job, on machines with the image first and then by least lost work. Most of a job is served by
+     * capacity that becomes free anyway, so a job of normal priority is given its capacity in parts: taking all of it at once
+     * lost one start in ten, and some tasks were started fifteen times.
      */
     private void preempt(JobQueue.QueuedJob queued, List<Machine> candidates, long nowMicros) {
         Job job = queued.job();
@@ -605,7 +622,7 @@
             left = (int)
                     Math.ceil(left * PREEMPTION_INTERVAL_MICROS / (double) Math.max(PREEMPTION_INTERVAL_MICROS, until));
         }
-        record Option(Machine machine, boolean image, long loss) {}
+        record Option(Machine machine, boolean hasImage, long lossMicros) {}
         List<Option> options = new ArrayList<>();
         for (Machine machine : candidates) {
             List<Placement> victims = victims(job, machine, queued.isGuaranteed());
@@ -613,7 +630,7 @@
                 options.add(new Option(machine, hasImage(machine, job), lossMicros(victims, nowMicros)));
             }
         }
-        options.sort(Comparator.comparing((Option option) -> !option.image()).thenComparing(Option::loss));
+        options.sort(Comparator.comparing((Option option) -> !option.hasImage()).thenComparing(Option::lossMicros));
         for (boolean progress = true; progress && left > 0; ) {
             progress = false;
             for (Option option : options) {
@@ -649,12 +666,12 @@
         }
     }
 
-    /** All missing tasks of a gang at once, or none: a part of it would hold its places for nothing. */
-    private void placeGang(Job job, int missing, List<Machine> all, boolean preempts, long nowMicros) {
+    /** Places all missing tasks of a gang or none, since a part of a gang would use capacity without running. */
+    private void placeGang(Job job, int missing, List<Machine> machines, boolean mayPreempt, long nowMicros) {
         JobSpec spec = job.spec;
         Team team = settings.teams().get(spec.team());
-        boolean ended = job.gangAttemptEnded || (job.gangStarted && !job.liveAttempts.isEmpty());
-        if (ended
+        boolean mustNotStart = job.gangAttemptEnded || (job.gangStarted && !job.liveAttempts.isEmpty());
+        if (mustNotStart
                 || (team != null
                         && !team.isWithinLimit(placements
                                 .teamUsage(spec.team())
@@ -663,18 +680,18 @@
             return;
         }
         Map<String, Long> perZone = new HashMap<>();
-        for (Machine machine : all) {
-            Resources room = machine.freeCapacity();
-            if (preempts) {
+        for (Machine machine : machines) {
+            Resources freeCapacity = machine.freeCapacity();
+            if (mayPreempt) {
                 for (Placement placement : machine.placements) {
                     if (!placement.isStopping() && isEvictable(placement, job)) {
-                        room = room.plus(placement.job.spec.taskResources());
+                        freeCapacity = freeCapacity.plus(placement.job.spec.taskResources());
                     }
                 }
             }
-            perZone.merge(machine.zone, spec.taskResources().timesFittingIn(room), Long::sum);
+            perZone.merge(machine.zone, spec.taskResources().timesFittingIn(freeCapacity), Long::sum);
         }
-        List<Machine> candidates = all;
+        List<Machine> candidates = machines;
         if (spec.singleZone()) {
             String zone = job.liveAttempts.isEmpty()
                     ? null
@@ -685,23 +702,24 @@
                 }
             }
             String chosen = zone;
-            candidates =
-                    all.stream().filter(machine -> machine.zone.equals(chosen)).toList();
+            candidates = machines.stream()
+                    .filter(machine -> machine.zone.equals(chosen))
+                    .toList();
             if (chosen == null || perZone.getOrDefault(chosen, 0L) < missing) {
                 return;
             }
         } else {
-            long fits = 0;
+            long fittingTasks = 0;
             for (long count : perZone.values()) {
-                fits += Math.min(count, spec.maxTasksPerZone());
+                fittingTasks += Math.min(count, spec.maxTasksPerZone());
             }
-            if (fits < missing) {
+            if (fittingTasks < missing) {
                 return;
             }
         }
         for (int i = 0; i < missing; i++) {
             int index = job.nextPendingTask();
-            Machine machine = index < 0 ? null : chooseMachine(job, candidates, preempts, nowMicros);
+            Machine machine = index < 0 ? null : chooseMachine(job, candidates, mayPreempt, nowMicros);
             if (machine == null) {
                 for (List<Placement> list : List.copyOf(job.liveAttempts.values())) {
                     for (Placement placement : List.copyOf(list)) {
@@ -716,71 +734,76 @@
         }
     }
 
-    private Machine chooseMachine(Job job, List<Machine> candidates, boolean preempts, long nowMicros) {
+    private Machine chooseMachine(Job job, List<Machine> candidates, boolean mayPreempt, long nowMicros) {
         JobSpec spec = job.spec;
-        Machine with = null;
-        Machine without = null;
+        Machine withImage = null;
+        Machine withoutImage = null;
         for (Machine machine : candidates) {
             if (spec.taskResources().fitsIn(machine.freeCapacity()) && isWithinZoneLimit(job, machine)) {
                 if (machine.images.containsKey(spec.image())) {
-                    with = with == null || LEAST_FREE_CAPACITY.compare(machine, with) < 0 ? machine : with;
+                    withImage = withImage == null || LEAST_FREE_CAPACITY.compare(machine, withImage) < 0
+                            ? machine
+                            : withImage;
                 } else {
-                    without = without == null || MOST_FREE_CAPACITY.compare(machine, without) < 0 ? machine : without;
+                    withoutImage = withoutImage == null || MOST_FREE_CAPACITY.compare(machine, withoutImage) < 0
+                            ? machine
+                            : withoutImage;
                 }
             }
         }
-        if (with != null) {
-            return with;
+        if (withImage != null) {
+            return withImage;
         }
-        boolean longFetch = without != null && fetchMicros(without, spec) > LONG_FETCH_MICROS;
-        if (preempts && (without == null || longFetch)) {
-            List<Placement> cheapest = null;
-            Machine there = null;
-            long least = Long.MAX_VALUE;
+        boolean longFetch = withoutImage != null && fetchMicros(withoutImage, spec) > LONG_FETCH_MICROS;
+        if (mayPreempt && (withoutImage == null || longFetch)) {
+            List<Placement> cheapestVictims = null;
+            Machine cheapestMachine = null;
+            long leastLossMicros = Long.MAX_VALUE;
             for (Machine machine : candidates) {
-                if ((without == null || machine.images.containsKey(spec.image())) && isWithinZoneLimit(job, machine)) {
+                if ((withoutImage == null || machine.images.containsKey(spec.image()))
+                        && isWithinZoneLimit(job, machine)) {
                     List<Placement> victims = victims(job, machine);
-                    long loss = victims == null
+                    long lossMicros = victims == null
                             ? Long.MAX_VALUE
                             : lossMicros(victims, nowMicros)
                                     + (machine.images.containsKey(spec.image()) ? 0 : fetchMicros(machine, spec));
-                    if (loss < least) {
-                        least = loss;
-                        cheapest = victims;
-                        there = machine;
+                    if (lossMicros < leastLossMicros) {
+                        leastLossMicros = lossMicros;
+                        cheapestVictims = victims;
+                        cheapestMachine = machine;
                     }
                 }
             }
-            if (there != null) {
-                evict(job, cheapest, nowMicros);
-                return there;
+            if (cheapestMachine != null) {
+                evict(job, cheapestVictims, nowMicros);
+                return cheapestMachine;
             }
-            if (without == null) {
+            if (withoutImage == null) {
                 stopCheckpointingWork(job, candidates, nowMicros);
             }
         }
-        return without;
+        return withoutImage;
     }
 
-    /** Work that saves needs time to end; its room is taken once it is there. */
+    /** Stops work that writes a checkpoint before it ends; its capacity is used when it has become free. */
     private void stopCheckpointingWork(Job job, List<Machine> candidates, long nowMicros) {
         if (job.capacityAwaitedUntilMicros > nowMicros) {
             return;
         }
         for (Machine machine : candidates) {
-            Resources room = machine.freeCapacity();
+            Resources freeCapacity = machine.freeCapacity();
             List<Placement> victims = new ArrayList<>();
             for (Placement placement : machine.placements) {
-                JobSpec theirs = placement.job.spec;
-                if (!job.spec.taskResources().fitsIn(room)
-                        && theirs.kind() != JobKind.SERVICE
+                JobSpec victimSpec = placement.job.spec;
+                if (!job.spec.taskResources().fitsIn(freeCapacity)
+                        && victimSpec.kind() != JobKind.SERVICE
                         && !placement.isStopping()
                         && job.priority().isAbove(placement.job.priority())) {
                     victims.add(placement);
-                    room = room.plus(theirs.taskResources());
+                    freeCapacity = freeCapacity.plus(victimSpec.taskResources());
                 }
             }
-            if (!victims.isEmpty() && job.spec.taskResources().fitsIn(room)) {
+            if (!victims.isEmpty() && job.spec.taskResources().fitsIn(freeCapacity)) {
                 for (Placement victim : victims) {
                     job.capacityAwaitedUntilMicros = Math.max(
                             job.capacityAwaitedUntilMicros,
@@ -819,65 +842,72 @@
     }
 
     private static long lossMicros(List<Placement> victims, long nowMicros) {
-        long loss = 0;
+        long lossMicros = 0;
         for (Placement victim : victims) {
             if (!victim.isUnsent()) {
-                loss += Micros.SECOND + nowMicros - victim.createdMicros;
+                lossMicros += Micros.SECOND + nowMicros - victim.createdMicros;
             }
         }
-        return loss;
+        return lossMicros;
     }
 
-    /** Lesser work that ends at once when it is stopped, so that a start in the same answer finds room; or null. */
+    /**
+     * Returns work to evict that ends immediately when it is stopped, so that a start in the same response finds the capacity
+     * free; or null if evicting everything would not be enough.
+     */
     private List<Placement> victims(Job job, Machine machine) {
         return victims(job, machine, true);
     }
 
-    /** @param same whether work of the same priority beyond its team's guarantee may be among them */
-    private List<Placement> victims(Job job, Machine machine, boolean same) {
+    /** @param includesSamePriority whether work of the same priority of teams that exceed their guarantee may be evicted too */
+    private List<Placement> victims(Job job, Machine machine, boolean includesSamePriority) {
         List<Placement> victims = new ArrayList<>();
-        Resources room = machine.freeCapacity();
-        List<Placement> lesser = new ArrayList<>();
+        Resources freeCapacity = machine.freeCapacity();
+        List<Placement> evictable = new ArrayList<>();
         for (Placement placement : machine.placements) {
             if (placement.isStopping() && placement.stopGraceMicros == 0) {
-                // Stopped for others that were placed here since: without this each further task displaced more.
-                room = room.plus(placement.job.spec.taskResources());
+                // Already stopped for tasks that were placed here since. Without this, each further task would evict
+                // more work.
+                freeCapacity = freeCapacity.plus(placement.job.spec.taskResources());
             } else if (!placement.isStopping() && isEvictable(placement, job)) {
-                lesser.add(placement);
+                evictable.add(placement);
             }
         }
-        lesser.sort(Comparator.comparing((Placement p) -> !p.isUnsent()).thenComparing(p -> -p.createdMicros));
-        Map<String, Resources> taken = new HashMap<>();
-        for (Placement placement : lesser) {
-            if (job.spec.taskResources().fitsIn(room)) {
+        evictable.sort(Comparator.comparing((Placement placement) -> !placement.isUnsent())
+                .thenComparing(placement -> -placement.createdMicros));
+        Map<String, Resources> evictedByTeam = new HashMap<>();
+        for (Placement placement : evictable) {
+            if (job.spec.taskResources().fitsIn(freeCapacity)) {
                 break;
             }
-            if (!placement.job.priority().equals(job.priority()) || (same && exceedsGuarantee(placement, taken))) {
+            if (!placement.job.priority().equals(job.priority())
+                    || (includesSamePriority && exceedsGuarantee(placement, evictedByTeam))) {
                 victims.add(placement);
-                room = room.plus(placement.job.spec.taskResources());
-                taken.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
+                freeCapacity = freeCapacity.plus(placement.job.spec.taskResources());
+                evictedByTeam.merge(placement.job.spec.team(), placement.job.spec.taskResources(), Resources::plus);
             }
         }
-        return job.spec.taskResources().fitsIn(room) ? victims : null;
+        return job.spec.taskResources().fitsIn(freeCapacity) ? victims : null;
     }
 
     private boolean isEvictable(Placement placement, Job job) {
-        JobSpec theirs = placement.job.spec;
-        if (theirs.kind() == JobKind.GANG || theirs.checkpointIntervalMicros() > 0) {
+        JobSpec victimSpec = placement.job.spec;
+        if (victimSpec.kind() == JobKind.GANG || victimSpec.checkpointIntervalMicros() > 0) {
             return false;
         }
         return job.priority().isAbove(placement.job.priority())
-                || (!theirs.team().equals(job.spec.team())
-                        && theirs.kind() == JobKind.ARRAY
+                || (!victimSpec.team().equals(job.spec.team())
+                        && victimSpec.kind() == JobKind.ARRAY
                         && job.priority() == placement.job.priority());
     }
 
-    private boolean exceedsGuarantee(Placement placement, Map<String, Resources> taken) {
+    private boolean exceedsGuarantee(Placement placement, Map<String, Resources> evictedByTeam) {
         Team team = settings.teams().get(placement.job.spec.team());
         if (team == null) {
             return true;
         }
-        Resources use = placements.teamUsage(team.name()).minus(taken.getOrDefault(team.name(), Resources.NONE));
-        return !team.isWithinGuarantee(use);
+        Resources usage =
+                placements.teamUsage(team.name()).minus(evictedByTeam.getOrDefault(team.name(), Resources.NONE));
+        return !team.isWithinGuarantee(usage);
     }
 }
--- a/src/test/java/io/micatide/scheduler/SchedulerDigestTest.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerDigestTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What leaders send to workers, state service and cloud on drawn fleets with spot notices, faulty jobs and machines, preemption and
- * failovers is what is recorded, to the byte. See {@link RecordedDigests}.
+ * Leaders send exactly the recorded bytes to workers, store and cloud on random fleets with spot notices, faulty jobs and
+ * machines, preemption and failovers. Guards against unintended changes of behavior. See {@link RecordedDigests}.
  */
 class SchedulerDigestTest {
     private static final int SECONDS = 90;
@@ -20,32 +20,32 @@
 
     private static String runScenario(long seed) {
         Random random = new Random(seed);
-        SchedulerHarness world = new SchedulerHarness(seed, 4 + random.nextInt(12));
+        SchedulerHarness harness = new SchedulerHarness(seed, 4 + random.nextInt(12));
         RecordedDigests.Digester digester = new RecordedDigests.Digester();
-        world.messageListener = message -> digester.add(message.getBytes(StandardCharsets.UTF_8));
-        world.lostAnswerProbability = 0.01;
-        world.killAtInteraction = 300 + random.nextInt(600);
-        world.startLeader();
+        harness.messageListener = message -> digester.add(message.getBytes(StandardCharsets.UTF_8));
+        harness.lostAnswerProbability = 0.01;
+        harness.killAtInteraction = 300 + random.nextInt(600);
+        harness.startLeader();
         for (int second = 0; second < SECONDS; second++) {
-            for (int more = random.nextInt(3); more > 0 && second < SECONDS / 2; more--) {
-                world.submit(PlacementReferenceTest.randomJob(random, world.specs.size()));
+            for (int jobs = random.nextInt(3); jobs > 0 && second < SECONDS / 2; jobs--) {
+                harness.submit(PlacementReferenceTest.randomJob(random, harness.specs.size()));
             }
-            if (random.nextInt(10) == 0 && !world.specs.isEmpty()) {
-                world.cancel("wk-" + random.nextInt(world.specs.size()));
+            if (random.nextInt(10) == 0 && !harness.specs.isEmpty()) {
+                harness.cancel("wk-" + random.nextInt(harness.specs.size()));
             }
-            if (random.nextInt(6) == 0 && !world.workers.isEmpty()) {
-                List<String> names = List.copyOf(world.workers.keySet());
-                world.spotNoticeEndsMicros.put(names.get(random.nextInt(names.size())), world.now + NOTICE_MICROS);
+            if (random.nextInt(6) == 0 && !harness.workers.isEmpty()) {
+                List<String> names = List.copyOf(harness.workers.keySet());
+                harness.spotNoticeEndsMicros.put(names.get(random.nextInt(names.size())), harness.now + NOTICE_MICROS);
             }
             if (random.nextInt(15) == 0) {
-                world.faultyMachines.add("i-00000" + random.nextInt(9));
+                harness.faultyMachines.add("i-00000" + random.nextInt(9));
             }
             if (random.nextInt(20) == 0) {
-                world.faultyJobs.add("wk-" + random.nextInt(40));
+                harness.faultyJobs.add("wk-" + random.nextInt(40));
             }
-            world.run(Micros.SECOND);
+            harness.run(Micros.SECOND);
         }
-        assertTrue(!world.spotNoticeEndsMicros.isEmpty(), "no machine got a notice");
+        assertTrue(!harness.spotNoticeEndsMicros.isEmpty(), "no machine received a spot notice");
         return digester.summary();
     }
 
@@ -59,7 +59,7 @@
         RecordedDigests.check(line, SchedulerDigestTest::runScenario);
     }
 
-    /** Prints the digests of the seeds from the first argument up to, without, the second. */
+    /** Prints the digests of the seeds from the first argument (inclusive) to the second (exclusive). */
     public static void main(String[] arguments) {
         RecordedDigests.print("SCHEDULER", arguments, SchedulerDigestTest::runScenario);
     }
--- a/src/test/java/io/micatide/scheduler/SchedulerHarness.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -42,9 +42,9 @@
 import java.util.function.Consumer;
 
 /**
- * Stand-ins of the state service, the cloud and the workers, written to the published protocol, in simulated time. A
- * leader can be killed after any interaction, and what it had sent may still arrive: that is where second runs of a
- * task come from.
+ * Simulates the store, the cloud and the workers of one scheduler according to the published protocol, in simulated time.
+ * A leader can be killed after any interaction, and a transaction that it had sent may still be applied later. This is how
+ * a task could be run a second time.
  */
 final class SchedulerHarness {
     static final long STEP_MICROS = 100 * Micros.MILLISECOND;
@@ -55,79 +55,104 @@
     final Random random;
     long now = Micros.SECOND;
     long revision = 100;
+    /** Contents of the store by key. */
     final TreeMap<String, StoredRecord> records = new TreeMap<>();
+    /** Revision of the last write of each key of {@link #records}. */
     final Map<String, Long> versions = new HashMap<>();
+
     final Map<String, Worker> workers = new LinkedHashMap<>();
+    /** Violations of the invariants that every scenario keeps; each names the rule first. */
     final List<String> violations = new ArrayList<>();
+    /** Tasks that were started at least once, as {@code job/index}. */
     final Set<String> startedTasks = new HashSet<>();
+
     final Set<String> cancelled = new HashSet<>();
+    /** Time at which each cancelled job was cancelled. */
     final Map<String, Long> cancelledMicros = new HashMap<>();
+    /** Number of task starts. */
     int starts;
+
     private int machineNumber;
 
-    /** How leaders plan. */
+    /** Creates the planner of each new leader. */
     SchedulerComponents.PlannerFactory plannerFactory = PlacementPlanner::new;
-    /** Takes what leaders decide: commands and transactions, in their order. */
+    /** Receives the text form of each decision of a leader, in order: commands, transactions and cloud calls. */
     Consumer<String> decisionListener = decision -> {};
-    /** Takes the same as it goes over the wire. */
+    /** Receives the same decisions in the form in which they are sent. */
     Consumer<String> messageListener = message -> {};
-    /** Spot machines with a notice, and the time at which the cloud is to take them away. */
+    /** Time at which the cloud will reclaim each spot machine that has a notice, by machine name. */
     final Map<String, Long> spotNoticeEndsMicros = new HashMap<>();
 
     Scheduler leader;
     long fencingToken;
-    /** Interactions until the leader is killed; negative: never. */
+    /** Number of the interaction at which the leader is killed; -1 if it is never killed. */
     int killAtInteraction = -1;
 
+    /** Interactions of the leaders so far. */
     int interactions;
+
+    /** Time until which no new leader is elected. */
     long noLeaderUntilMicros = -1;
-    /** Transactions of dead leaders that the state service has still to receive. */
+    /** Transactions in flight that the store applies later, or never: their leader was killed or received no answer. */
     final Deque<Transaction> delayedTransactions = new ArrayDeque<>();
-    /** A leader that is cut off from the state service and its successor, and goes on answering zone a. */
+    /** A leader that has lost the connection to the store and to its successor, but still answers the workers of zone a; or null. */
     Scheduler isolatedLeader;
 
     long isolatedLeaderToken;
     long isolatedUntilMicros;
+    /** Probability that the answer to a request is lost. */
     double lostAnswerProbability;
-    /** Boots take this many times as long as the type says. */
+
+    /** Factor by which a boot takes longer than the machine type states. */
     int bootTimeFactor = 1;
 
+    /** Number of machines that the cloud was asked to delete, except for delayed deletions. */
     int machinesDeleted;
-    /** Workers are greeted whenever they report. */
+
+    /** Whether an announcement is answered by the worker after each of its heartbeats. */
     boolean announcesAtEachHeartbeat;
-    /** What each new leader is told by way of hints. */
+    /** Hints that each new leader receives. */
     List<Hint> hints = List.of();
-    /** Bookings are written on condition of their versions and of their fence. */
+    /** Whether leaders write provisioning requests only on condition of the versions of their records and of the provisioning fence. */
     boolean fencesProvisioning = true;
-    /** Machines that are given back are named in rows first. */
+    /** Whether leaders write a record that names machines before they delete them. */
     boolean recordsMachineDeletions = true;
-    /** Deletions are carried out so much later, and nobody hears of it; 0 for as they should be. */
+    /** Time after which the cloud executes deletions, without an answer; 0 if it executes and answers them at once. */
     long deletionDelayMicros;
 
     private final TreeMap<Long, List<String>> delayedDeletions = new TreeMap<>();
+    /** Number of tasks on machines at the time of their delayed deletion. */
     int tasksLostToDeletions;
-    /** Jobs submitted with a mistake and machines that are faulty: what runs there fails after a second. */
+
+    /** Jobs whose tasks fail one second after their start. */
     final Set<String> faultyJobs = new HashSet<>();
 
+    /** Machines on which tasks fail one second after their start. */
     final Set<String> faultyMachines = new HashSet<>();
+    /** Number of task starts by job. */
     final Map<String, Integer> startsByJob = new HashMap<>();
+
     boolean storeOutage;
     boolean cloudOutage;
+    /** Number of leaders started, including the first one. */
     int leadersStarted;
 
-    /** The state service's limits as they are now; {@code settings} may know smaller ones that are to come. */
+    /** Largest value that the store accepts now; the settings may have a lower limit that is to come into force later. */
     int maxValueBytes = 16 * 1024;
 
+    /** Most writes per transaction that the store accepts now; four times as many conditions are accepted. */
     int maxWritesPerTransaction = 16;
+    /** Number of transactions that the store rejected because they exceeded a limit. */
     int rejectedTransactions;
-    /** Every controller reads the present layout, as the next leader finds. */
+
+    /** Whether the next leader finds the current layout marked in the store as readable by all controllers. */
     boolean isLayoutMarked;
 
     SchedulerHarness(long seed, int machines) {
         this(seed, machines, 16 * 1024, 16);
     }
 
-    SchedulerHarness(long seed, int machines, int writableBytes, int ops) {
+    SchedulerHarness(long seed, int machines, int writableBytes, int maxWrites) {
         random = new Random(seed);
         Map<String, Team> teams = new LinkedHashMap<>();
         teams.put("red", new Team("red", 16_000, 0, 24_000, 0));
@@ -153,7 +178,7 @@
                 30,
                 16 * 1024,
                 writableBytes,
-                ops,
+                maxWrites,
                 8,
                 5 * Micros.SECOND,
                 0.4,
@@ -164,7 +189,7 @@
         }
     }
 
-    /** A worker as the protocol describes it. */
+    /** A worker that follows the published protocol. */
     final class Worker {
         final String name;
         final String zone;
@@ -179,20 +204,20 @@
         boolean isDeleted;
         final Map<String, Task> tasks = new LinkedHashMap<>();
 
-        Worker(String name, String zone, boolean spot, long upAt) {
+        Worker(String name, String zone, boolean isSpot, long bootedMicros) {
             this.name = name;
             this.zone = zone;
-            this.isSpot = spot;
-            this.bootedMicros = upAt;
-            this.lastAnsweredMicros = upAt;
-            this.nextHeartbeatMicros = upAt;
+            this.isSpot = isSpot;
+            this.bootedMicros = bootedMicros;
+            this.lastAnsweredMicros = bootedMicros;
+            this.nextHeartbeatMicros = bootedMicros;
         }
 
         Heartbeat heartbeat() {
             sequence++;
-            List<TaskStatus> list = new ArrayList<>();
+            List<TaskStatus> statuses = new ArrayList<>();
             for (Task task : tasks.values()) {
-                list.add(new TaskStatus(task.job, task.index, task.attempt, task.state(), task.exitCause, false));
+                statuses.add(new TaskStatus(task.job, task.index, task.attempt, task.state(), task.exitCause, false));
             }
             return new Heartbeat(
                     name,
@@ -204,19 +229,19 @@
                     sequence,
                     seenToken,
                     remainingNoticeMicros(),
-                    list);
+                    statuses);
         }
 
         private long remainingNoticeMicros() {
             return spotNoticeEndsMicros.containsKey(name) ? Math.max(0, spotNoticeEndsMicros.get(name) - now) : -1;
         }
 
-        void execute(long answerToken, List<Command> commands, long sentAt, long ofIncarnation) {
-            if (isDeleted || ofIncarnation != incarnation || answerToken < seenToken) {
+        void execute(long answerToken, List<Command> commands, long sentMicros, long expectedIncarnation) {
+            if (isDeleted || expectedIncarnation != incarnation || answerToken < seenToken) {
                 return;
             }
             seenToken = answerToken;
-            lastAnsweredMicros = Math.max(lastAnsweredMicros, sentAt);
+            lastAnsweredMicros = Math.max(lastAnsweredMicros, sentMicros);
             for (Command command : commands) {
                 String key = command.job() + "/" + command.taskIndex() + "@" + command.attempt();
                 Task task = tasks.get(key);
@@ -233,8 +258,8 @@
         void advanceTasks() {
             for (Task task : tasks.values()) {
                 advanceGangTask(task);
-                boolean faulty = faultyJobs.contains(task.job) || faultyMachines.contains(name);
-                if (task.exitCause == null && faulty && now >= task.startedMicros + Micros.SECOND) {
+                boolean isFaulty = faultyJobs.contains(task.job) || faultyMachines.contains(name);
+                if (task.exitCause == null && isFaulty && now >= task.startedMicros + Micros.SECOND) {
                     task.exitCause = ExitCause.ERROR;
                 }
                 if (task.exitCause == null && now >= task.endsMicros) {
@@ -263,7 +288,7 @@
         }
     }
 
-    /** A gang starts when its last task is there, completes together, and ends when it loses one. */
+    /** Advances a task of a gang: all tasks start to run when the last one was started, finish together, and end when one of them is lost. */
     private void advanceGangTask(Task task) {
         JobSpec spec = specs.get(task.job);
         if (spec.kind() != JobKind.GANG || task.exitCause != null) {
@@ -295,16 +320,16 @@
         }
     }
 
-    Worker boot(String zone, boolean spot, long upAt) {
+    Worker boot(String zone, boolean isSpot, long bootedMicros) {
         String name = String.format("i-%06d", ++machineNumber);
-        Worker worker = new Worker(name, zone, spot, Math.max(upAt, now));
+        Worker worker = new Worker(name, zone, isSpot, Math.max(bootedMicros, now));
         workers.put(name, worker);
         return worker;
     }
 
     private void start(Worker worker, Command command, String key) {
         String taskName = command.job() + "/" + command.taskIndex();
-        StoredRecord row = records.get(StoreKeys.job(command.job()));
+        StoredRecord storedRecord = records.get(StoreKeys.job(command.job()));
         for (Worker other : workers.values()) {
             for (Task task : other.tasks.values()) {
                 if (task.exitCause == null && task.job.equals(command.job()) && task.index == command.taskIndex()) {
@@ -328,24 +353,24 @@
         starts++;
         startsByJob.merge(command.job(), 1, Integer::sum);
         startedTasks.add(taskName);
-        if (row == null) {
-            violations.add("started without a row: " + taskName);
+        if (storedRecord == null) {
+            violations.add("started without a record: " + taskName);
         }
-        for (String need : spec.dependencies()) {
-            if (state(need) != JobState.DONE) {
-                violations.add("too_early " + taskName + " before " + need);
+        for (String dependency : spec.dependencies()) {
+            if (state(dependency) != JobState.DONE) {
+                violations.add("too_early " + taskName + " before " + dependency);
             }
         }
-        long red = 0;
+        long redTeamCpus = 0;
         for (Worker other : workers.values()) {
-            for (Task each : other.tasks.values()) {
-                if (each.exitCause == null && specs.get(each.job).team().equals("red")) {
-                    red += specs.get(each.job).taskResources().cpus();
+            for (Task running : other.tasks.values()) {
+                if (running.exitCause == null && specs.get(running.job).team().equals("red")) {
+                    redTeamCpus += specs.get(running.job).taskResources().cpus();
                 }
             }
         }
-        if (red > settings.teams().get("red").maxCpus()) {
-            violations.add("quota at " + taskName);
+        if (redTeamCpus > settings.teams().get("red").maxCpus()) {
+            violations.add("quota exceeded by " + taskName);
         }
     }
 
@@ -360,21 +385,25 @@
     }
 
     void cancel(String id) {
-        StoredRecord.JobRecord row = (StoredRecord.JobRecord) records.get(StoreKeys.job(id));
-        if (row != null && row.state() == JobState.OPEN) {
+        StoredRecord.JobRecord storedRecord = (StoredRecord.JobRecord) records.get(StoreKeys.job(id));
+        if (storedRecord != null && storedRecord.state() == JobState.OPEN) {
             cancelledMicros.put(id, now);
             put(
                     StoreKeys.job(id),
-                    new StoredRecord.JobRecord(JobState.CANCELLED, row.spec(), row.submittedWall(), row.taskCount()),
+                    new StoredRecord.JobRecord(
+                            JobState.CANCELLED,
+                            storedRecord.spec(),
+                            storedRecord.submittedWall(),
+                            storedRecord.taskCount()),
                     ++revision);
         }
     }
 
-    /** What any controller's copy makes of the rows; a leader hears of each change. */
+    /** Job cache of a controller, built from the job records; the leader is notified of each change. */
     final JobCache jobCache = new JobCache();
 
-    private void updateJobCache(String key, StoredRecord.JobRecord row, long version) {
-        for (String changed : jobCache.apply(key.substring(StoreKeys.JOBS.length()), row, version)) {
+    private void updateJobCache(String key, StoredRecord.JobRecord storedRecord, long version) {
+        for (String changed : jobCache.apply(key.substring(StoreKeys.JOBS.length()), storedRecord, version)) {
             if (leader != null) {
                 leader.jobChanged(jobCache.view(changed), now, now);
             }
@@ -385,15 +414,15 @@
         return ((StoredRecord.JobRecord) records.get(StoreKeys.job(id))).state();
     }
 
-    /** What is stored is text: a leader reads what the one before it wrote, not its objects. */
-    private static StoredRecord encodeAndDecode(String key, StoredRecord row, long at) {
+    /** Encodes and decodes a record, so that a leader reads the stored text of its predecessor and not its objects. */
+    private static StoredRecord encodeAndDecode(String key, StoredRecord storedRecord, long version) {
         try {
             JsonNode data = Json.tree(StoreCodec.transaction(
-                            new Transaction(List.of(), List.of(new Transaction.Write(key, row, 0)))))
+                            new Transaction(List.of(), List.of(new Transaction.Write(key, storedRecord, 0)))))
                     .path("writes")
                     .get(0)
                     .path("data");
-            return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + data + ",\"stamp\":" + at + "}")
+            return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + data + ",\"stamp\":" + version + "}")
                             .getBytes(StandardCharsets.UTF_8))
                     .record();
         } catch (MalformedException e) {
@@ -401,19 +430,19 @@
         }
     }
 
-    private void put(String key, StoredRecord given, long at) {
-        StoredRecord row = given == null ? null : encodeAndDecode(key, given, at);
-        if (row == null) {
+    private void put(String key, StoredRecord written, long version) {
+        StoredRecord storedRecord = written == null ? null : encodeAndDecode(key, written, version);
+        if (storedRecord == null) {
             records.remove(key);
             versions.remove(key);
         } else {
-            if (row instanceof StoredRecord.JobRecord job && job.state() == JobState.DONE) {
+            if (storedRecord instanceof StoredRecord.JobRecord job && job.state() == JobState.DONE) {
                 checkDone(key.substring(StoreKeys.JOBS.length()));
             }
-            records.put(key, row);
-            versions.put(key, at);
-            if (row instanceof StoredRecord.JobRecord job) {
-                updateJobCache(key, job, at);
+            records.put(key, storedRecord);
+            versions.put(key, version);
+            if (storedRecord instanceof StoredRecord.JobRecord job) {
+                updateJobCache(key, job, version);
             }
         }
     }
@@ -427,10 +456,10 @@
         }
     }
 
-    /** The revision, or 0 if a condition failed. */
+    /** Applies a transaction and returns its revision, or 0 if a condition failed. */
     long apply(Transaction transaction) {
-        for (Transaction.Condition compare : transaction.conditions()) {
-            if (versions.getOrDefault(compare.key(), 0L) != compare.version()) {
+        for (Transaction.Condition condition : transaction.conditions()) {
+            if (versions.getOrDefault(condition.key(), 0L) != condition.version()) {
                 return 0;
             }
         }
@@ -456,14 +485,14 @@
                     versions.getOrDefault(StoreKeys.LAYOUT, ++revision));
             leader.layoutMarked(versions.get(StoreKeys.LAYOUT), (StoredRecord.Layout) records.get(StoreKeys.LAYOUT));
         }
-        records.forEach((key, row) -> {
-            if (row instanceof StoredRecord.Ledger ledger) {
+        records.forEach((key, storedRecord) -> {
+            if (storedRecord instanceof StoredRecord.Ledger ledger) {
                 leader.ledgerLoaded(key, ledger, versions.get(key), now);
-            } else if (row instanceof StoredRecord.MachinesToDelete returned) {
-                leader.machineDeletionLoaded(key, returned, versions.get(key), now);
-            } else if (row instanceof StoredRecord.Provisioning booking) {
+            } else if (storedRecord instanceof StoredRecord.MachinesToDelete deletion) {
+                leader.machineDeletionLoaded(key, deletion, versions.get(key), now);
+            } else if (storedRecord instanceof StoredRecord.Provisioning provisioning) {
                 leader.provisioningRequestLoaded(
-                        key.substring(StoreKeys.PROVISIONING_REQUESTS.length()), booking, versions.get(key), now);
+                        key.substring(StoreKeys.PROVISIONING_REQUESTS.length()), provisioning, versions.get(key), now);
             }
         });
         leader.provisioningFenceRead(
@@ -476,7 +505,7 @@
         leader.allRecordsLoaded(now);
     }
 
-    /** Whether the leader dies here; called between any two things that it does. */
+    /** Counts an interaction, kills the leader if it is due, and returns whether there is no leader. */
     private boolean killLeaderIfDue() {
         if (leader != null && ++interactions == killAtInteraction) {
             leader = null;
@@ -492,7 +521,7 @@
         }
     }
 
-    /** The leader's process stands still while its clock and the workers go on. */
+    /** Pauses the leader's process while the clock and the workers go on. */
     void pauseLeader(long micros) {
         for (long end = now + micros; now < end; now += STEP_MICROS) {
             for (Worker worker : workers.values()) {
@@ -502,7 +531,7 @@
             }
         }
         leader.processResumed(now);
-        // Its timers may fire before it has read what waits at its sockets.
+        // Timers may fire before the process has read the messages that wait at its sockets.
         leader.tick(now);
         leader.cloudCalls(now).forEach(this::executeCloudCall);
     }
@@ -573,7 +602,7 @@
                 : call instanceof CloudCall.ListMachines ? "list" : "types";
     }
 
-    /** The leader loses the state service and all but zone a; another one takes over once its lease is out. */
+    /** Cuts the leader off from the store and from all zones except zone a. A new leader is elected when its lease has expired. */
     void isolateLeader(long micros) {
         isolatedLeader = leader;
         isolatedLeaderToken = fencingToken;
@@ -587,7 +616,7 @@
         long incarnation = worker.incarnation;
         if (isolatedLeader != null && worker.zone.equals("a")) {
             if (leader != null && random.nextInt(15) == 0) {
-                // It tried the new leader, whose answer was lost, and goes back to the former one.
+                // The worker tried the new leader, whose answer was lost, and returns to the previous leader.
                 leader.handleHeartbeat(heartbeat, now);
             } else if (heartbeat.fencingToken() <= isolatedLeaderToken) {
                 worker.execute(isolatedLeaderToken, isolatedLeader.handleHeartbeat(heartbeat, now), now, incarnation);
@@ -601,54 +630,54 @@
         decisionListener.accept(now + " " + worker.name + " " + commands);
         messageListener.accept(now + " " + worker.name + " " + text(WorkerCodec.answer(fencingToken, commands)));
         if (announcesAtEachHeartbeat) {
-            // The greeting's answer overtakes that of the report: it was made before the commands came.
+            // The answer to the announcement arrives first: the worker created it before it received the commands.
             leader.announcementAnswered(worker.heartbeat(), now);
         }
-        boolean lost = random.nextDouble() < lostAnswerProbability;
-        boolean diesAfter = killLeaderIfDue();
-        if (!lost && !(diesAfter && random.nextBoolean())) {
+        boolean isAnswerLost = random.nextDouble() < lostAnswerProbability;
+        boolean isKilledAfter = killLeaderIfDue();
+        if (!isAnswerLost && !(isKilledAfter && random.nextBoolean())) {
             worker.execute(fencingToken, commands, now, incarnation);
         }
     }
 
     private void executeWriteBatch() {
-        Transaction round = leader.nextWriteBatch(now, now);
-        if (round == null) {
+        Transaction transaction = leader.nextWriteBatch(now, now);
+        if (transaction == null) {
             return;
         }
-        decisionListener.accept(now + " " + round);
-        messageListener.accept(now + " " + text(StoreCodec.transaction(round)));
+        decisionListener.accept(now + " " + transaction);
+        messageListener.accept(now + " " + text(StoreCodec.transaction(transaction)));
         if (killLeaderIfDue()) {
-            // Killed with the request on its way: it arrives some time later, or never.
-            delayedTransactions.add(round);
+            // The leader was killed while the request was in flight: it arrives later, or never.
+            delayedTransactions.add(transaction);
             return;
         }
         if (storeOutage) {
             leader.writeNotExecuted(now);
             return;
         }
-        if (exceedsLimits(round)) {
+        if (exceedsLimits(transaction)) {
             rejectedTransactions++;
             leader.writeRejected(now);
             return;
         }
-        boolean lost = random.nextDouble() < lostAnswerProbability;
-        if (lost && random.nextBoolean()) {
-            delayedTransactions.add(round);
+        boolean isAnswerLost = random.nextDouble() < lostAnswerProbability;
+        if (isAnswerLost && random.nextBoolean()) {
+            delayedTransactions.add(transaction);
             readBack();
             return;
         }
         List<String> failed = new ArrayList<>();
-        for (Transaction.Condition compare : round.conditions()) {
-            if (versions.getOrDefault(compare.key(), 0L) != compare.version()) {
-                failed.add(compare.key());
+        for (Transaction.Condition condition : transaction.conditions()) {
+            if (versions.getOrDefault(condition.key(), 0L) != condition.version()) {
+                failed.add(condition.key());
             }
         }
-        long applied = apply(round);
+        long applied = apply(transaction);
         if (killLeaderIfDue()) {
             return;
         }
-        if (lost) {
+        if (isAnswerLost) {
             readBack();
         } else if (applied == 0) {
             leader.writeConflicted(failed, now).forEach(key -> {
@@ -660,13 +689,13 @@
         }
     }
 
-    private boolean exceedsLimits(Transaction round) {
-        boolean breaks = round.writes().size() > maxWritesPerTransaction
-                || round.conditions().size() > 4 * maxWritesPerTransaction;
-        for (Transaction.Write write : round.writes()) {
-            breaks |= write.record() != null && StoreCodec.encodedBytes(write.record()) > maxValueBytes;
+    private boolean exceedsLimits(Transaction transaction) {
+        boolean exceeds = transaction.writes().size() > maxWritesPerTransaction
+                || transaction.conditions().size() > 4 * maxWritesPerTransaction;
+        for (Transaction.Write write : transaction.writes()) {
+            exceeds |= write.record() != null && StoreCodec.encodedBytes(write.record()) > maxValueBytes;
         }
-        return breaks;
+        return exceeds;
     }
 
     private void readBack() {
@@ -675,13 +704,13 @@
     }
 
     private void read(String key) {
-        StoredRecord row = records.get(key);
+        StoredRecord storedRecord = records.get(key);
         if (Scheduler.isCloudRecord(key)) {
-            leader.cloudRecordReadBack(key, row, versions.getOrDefault(key, 0L));
-        } else if (row instanceof StoredRecord.JobRecord job) {
+            leader.cloudRecordReadBack(key, storedRecord, versions.getOrDefault(key, 0L));
+        } else if (storedRecord instanceof StoredRecord.JobRecord job) {
             leader.jobReadBack(key.substring(StoreKeys.JOBS.length()), job, versions.get(key), now);
         } else if (key.startsWith(StoreKeys.LEDGERS)) {
-            leader.ledgerReadBack(key, (StoredRecord.Ledger) row, versions.getOrDefault(key, 0L));
+            leader.ledgerReadBack(key, (StoredRecord.Ledger) storedRecord, versions.getOrDefault(key, 0L));
         }
     }
 
@@ -728,10 +757,10 @@
         } else if (cloudOutage) {
             leader.machinesListed(null, now, now);
         } else {
-            List<ListedMachine> list = new ArrayList<>();
+            List<ListedMachine> machines = new ArrayList<>();
             for (Worker worker : workers.values()) {
                 if (!worker.isDeleted) {
-                    list.add(new ListedMachine(
+                    machines.add(new ListedMachine(
                             worker.name,
                             TYPE.name(),
                             worker.zone,
@@ -740,7 +769,7 @@
                             0));
                 }
             }
-            leader.machinesListed(list, now, now);
+            leader.machinesListed(machines, now, now);
         }
     }
 
