--- a/src/test/java/io/micatide/scheduler/FailureTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureTest.java
@@ -23,7 +23,8 @@
 
 /**
  * Leaders are killed, paused, cut off or replaced at any point, while workers hang, answers are lost and the store or the cloud
- * is unavailable. No task may run twice, no machine in use may be deleted, and every ledger must be reconciled in the end.
+ * is unavailable. No task may run twice, every ledger must be reconciled in the end, and a leader without a connection may not
+ * delete machines.
  */
 class FailureTest {
     private static void submitAll(SchedulerHarness harness) {
--- a/src/test/java/io/micatide/scheduler/SchedulerHarness.java
+++ b/src/test/java/io/micatide/scheduler/SchedulerHarness.java
@@ -43,8 +43,8 @@
 
 /**
  * Simulates the store, the cloud and the workers of one scheduler according to the published protocol, in simulated time.
- * A leader can be killed after any interaction, and a transaction that it had sent may still be applied later. This is how
- * a task could be run a second time.
+ * A leader can be killed after any interaction, and a transaction that it had sent may still be applied later. Without
+ * care by the next leader, a task would then run a second time.
  */
 final class SchedulerHarness {
     static final long STEP_MICROS = 100 * Micros.MILLISECOND;
@@ -61,7 +61,7 @@
     final Map<String, Long> versions = new HashMap<>();
 
     final Map<String, Worker> workers = new LinkedHashMap<>();
-    /** Violations of the invariants that every scenario keeps; each names the rule first. */
+    /** Violations of the invariants of all scenarios; each text begins with the violated rule. */
     final List<String> violations = new ArrayList<>();
     /** Tasks that were started at least once, as {@code job/index}. */
     final Set<String> startedTasks = new HashSet<>();
