--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -111,7 +111,7 @@
                 refresher.apply(id, message.row(), version);
                 leaderActor.tell(
                         new LeaderMessage.CancellationConfirmed(new CancellationDigest.Cancelled(id, version)));
-                message.request().answer(200, JobCodec.accepted(id, JobCodec.Standing.CANCELLED));
+                message.request().answer(200, JobCodec.accepted(id, JobCodec.PublicState.CANCELLED));
                 return;
             } catch (MalformedException e) {
                 LOG.error("transaction answer: {}", e.getMessage());
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -138,7 +138,7 @@
             try {
                 CloudCodec.Page page = CloudCodec.page(message.reply().body());
                 machines.addAll(page.machines());
-                if (page.more() && !page.machines().isEmpty()) {
+                if (page.hasMore() && !page.machines().isEmpty()) {
                     String lastName = machines.get(machines.size() - 1).name();
                     requestListPage(lastName, message.fencingToken(), message.requestSentMicros(), machines);
                 } else {
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -177,7 +177,7 @@
         }
         StoreCodec.Items page = StoreCodec.page(reply.body());
         leader.tell(new TermMessage.RecordsLoaded(fencingToken, page.items()));
-        if (page.more() && !page.items().isEmpty()) {
+        if (page.hasMore() && !page.items().isEmpty()) {
             tell(new ReadDue(
                     request.prefix(), page.items().get(page.items().size() - 1).key()));
         } else if (!request.prefix().equals(StoreKeys.LEARNED_STATE)) {
--- a/src/main/java/io/micatide/controller/HeartbeatHandler.java
+++ b/src/main/java/io/micatide/controller/HeartbeatHandler.java
@@ -43,7 +43,7 @@
         owner.observeFencingToken(heartbeat.fencingToken());
         LeadershipTransfer transfer = owner.transfer();
         if (transfer.isCompleted()) {
-            request.answer(421, WorkerCodec.elsewhere(transfer.successor()));
+            request.answer(421, WorkerCodec.redirection(transfer.successor()));
         } else if (owner.term() == null) {
             redirect(heartbeat, request);
         } else {
@@ -57,7 +57,7 @@
         long now = owner.now();
         workerConnectivity.heartbeatRedirected(heartbeat, election.highestFencingToken(), now);
         boolean isLeaderUnknown = label.equals(leader) || workerConnectivity.isLeaderUnreachable(now);
-        request.answer(421, WorkerCodec.elsewhere(isLeaderUnknown ? null : leader));
+        request.answer(421, WorkerCodec.redirection(isLeaderUnknown ? null : leader));
     }
 
     private void answerAsLeader(LeaderTerm term, Heartbeat heartbeat, Request request) {
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -136,7 +136,7 @@
                 apply(item);
                 last = item.key();
             }
-            if (page.more()) {
+            if (page.hasMore()) {
                 readPage(last);
             } else {
                 isLoaded = true;
--- a/src/main/java/io/micatide/controller/PeerExchange.java
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -100,7 +100,7 @@
             PeerCodec.PeerStatus answer = PeerCodec.peerStatus(reply.body());
             owner.observeFencingToken(answer.fencingToken(), null);
             long now = owner.now();
-            collaborators.workerConnectivity().peerReportedWorkerLostLeader(answer.strayAgentAgoMicros(), now);
+            collaborators.workerConnectivity().peerReportedWorkerLostLeader(answer.workerLostLeaderAgoMicros(), now);
             transfer.resignIfPeerReachesWorkers(now);
             LeaderTerm term = owner.term();
             if (term != null && term.fencingToken() == message.fencingToken()) {
@@ -132,7 +132,7 @@
         boolean isOfLatestTerm =
                 status.fencingToken() == collaborators.election().highestFencingToken();
         if (isOfLatestTerm) {
-            collaborators.workerConnectivity().leaderReportedSilence(status.agentSilenceMicros(), now);
+            collaborators.workerConnectivity().leaderReportedSilence(status.workersSilentMicros(), now);
         }
         collaborators.rollout().newerVersionReported(status.featureFlagsVersion());
         if (status.storeReachable()) {
--- a/src/main/java/io/micatide/controller/StandbyActor.java
+++ b/src/main/java/io/micatide/controller/StandbyActor.java
@@ -255,7 +255,7 @@
         }
         try {
             StoreCodec.Items page = StoreCodec.page(message.reply().body());
-            boolean hasMore = page.more() && !page.items().isEmpty();
+            boolean hasMore = page.hasMore() && !page.items().isEmpty();
             replica.loadPage(entriesOf(page), message.isFirst(), !hasMore, page.revision());
             if (replica.invalidReason() != null) {
                 discardInvalid(replica);
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -135,7 +135,7 @@
                 electionDelay.peerReadinessReported(
                         peer,
                         answer.readiness() == null ? StandbyReadiness.COLD : answer.readiness(),
-                        answer.strayAgentAgoMicros() >= 0,
+                        answer.workerLostLeaderAgoMicros() >= 0,
                         now);
             } catch (MalformedException e) {
                 LOG.error("peer {}: malformed readiness: {}", peer, e.getMessage());
--- a/src/main/java/io/micatide/controller/TermAnnouncer.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -93,7 +93,7 @@
         long fencingToken = scheduler.fencingToken();
         worker.post(
                 "/commands",
-                WorkerCodec.greeting(fencingToken, announcement.incarnation()),
+                WorkerCodec.termAnnouncement(fencingToken, announcement.incarnation()),
                 TIMEOUT_MICROS,
                 owner.onReply(r -> new TermMessage.AnnouncementAnswered(r, fencingToken, announcement, worker)));
     }
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -14,7 +14,7 @@
 import io.micatide.protocol.ApiDescription;
 import io.micatide.protocol.CloudCodec;
 import io.micatide.protocol.JobCodec;
-import io.micatide.protocol.JobCodec.Standing;
+import io.micatide.protocol.JobCodec.PublicState;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
 import io.micatide.protocol.StoreCodec;
@@ -411,8 +411,8 @@
         }
     }
 
-    Standing standing(JobOutcome outcome) {
-        return outcome.state() == JobState.DONE ? Standing.DONE : Standing.CANCELLED;
+    PublicState standing(JobOutcome outcome) {
+        return outcome.state() == JobState.DONE ? PublicState.DONE : PublicState.CANCELLED;
     }
 
     private void tellStatus(Request request, JobCache.Entry entry) {
@@ -428,12 +428,12 @@
                         done || counts == null || state == JobState.CANCELLED ? 0 : counts.runningTasks()));
     }
 
-    Standing standing(JobCache.Entry entry) {
+    PublicState standing(JobCache.Entry entry) {
         JobProgress counts = progress.get(entry.id());
         return switch (jobCache.state(entry.id())) {
-            case DONE -> Standing.DONE;
-            case CANCELLED -> Standing.CANCELLED;
-            case OPEN -> counts != null && counts.runningTasks() > 0 ? Standing.RUNNING : Standing.QUEUED;
+            case DONE -> PublicState.DONE;
+            case CANCELLED -> PublicState.CANCELLED;
+            case OPEN -> counts != null && counts.runningTasks() > 0 ? PublicState.RUNNING : PublicState.QUEUED;
         };
     }
 }
--- a/src/main/java/io/micatide/protocol/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -16,7 +16,7 @@
     private CloudCodec() {}
 
     /** A page of the list. */
-    public record Page(List<ListedMachine> machines, boolean more) {}
+    public record Page(List<ListedMachine> machines, boolean hasMore) {}
 
     public static List<MachineType> types(byte[] body) throws MalformedException {
         List<MachineType> types = new ArrayList<>();
--- a/src/main/java/io/micatide/protocol/CloudSideCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudSideCodec.java
@@ -61,7 +61,7 @@
     }
 
     /** The description of a job from its row in the state service, or null if the row keeps none. */
-    public static io.micatide.model.JobSpec described(byte[] row) throws MalformedException {
+    public static io.micatide.model.JobSpec jobSpec(byte[] row) throws MalformedException {
         JsonNode spec = Json.tree(row).path("spec");
         return spec.isObject() ? JobCodec.spec(spec) : null;
     }
--- a/src/main/java/io/micatide/protocol/JobCodec.java
+++ b/src/main/java/io/micatide/protocol/JobCodec.java
@@ -14,24 +14,24 @@
 
 /** Jobs as users describe them, and what users are told. */
 public final class JobCodec {
-    public static final int MOST_TASKS = 100_000;
+    public static final int MAX_TASKS = 100_000;
     private static final Pattern ID = Pattern.compile("wk-[A-Za-z0-9_-]{1,60}");
 
     /** What a user is told of a job. */
-    public enum Standing {
+    public enum PublicState {
         QUEUED("queued"),
         RUNNING("running"),
         DONE("done"),
         CANCELLED("withdrawn");
 
-        private final String word;
+        private final String wireName;
 
-        Standing(String word) {
-            this.word = word;
+        PublicState(String word) {
+            this.wireName = word;
         }
 
-        String word() {
-            return word;
+        String wireName() {
+            return wireName;
         }
     }
 
@@ -58,7 +58,7 @@
                 in.text("crew"),
                 kind(in.text("form")),
                 priority(in.text("rank")),
-                (int) in.count("legs", 1, MOST_TASKS),
+                (int) in.count("legs", 1, MAX_TASKS),
                 Resources.of(in.amount("cpus"), in.amount("cards"), in.amount("memGb")),
                 in.text("kit"),
                 in.amount("sizeGb"),
@@ -71,11 +71,11 @@
                 in.seconds("halftimeS"),
                 in.seconds("stowS"),
                 in.has("whistleS") ? in.seconds("whistleS") : -1,
-                needs(in));
+                dependencies(in));
     }
 
     /** Names of other jobs, each once. */
-    private static List<String> needs(JsonFields in) throws MalformedException {
+    private static List<String> dependencies(JsonFields in) throws MalformedException {
         if (!in.has("awaits")) {
             return List.of();
         }
@@ -94,8 +94,8 @@
         out.writeStringField("nameId", spec.id());
         out.writeStringField("roster", spec.jobClass());
         out.writeStringField("crew", spec.team());
-        out.writeStringField("form", word(spec.kind()));
-        out.writeStringField("rank", word(spec.priority()));
+        out.writeStringField("form", wireName(spec.kind()));
+        out.writeStringField("rank", wireName(spec.priority()));
         out.writeNumberField("legs", spec.taskCount());
         out.writeNumberField("cpus", spec.taskResources().cpus() / 1000.0);
         out.writeNumberField("cards", spec.taskResources().gpus() / 1000.0);
@@ -131,20 +131,20 @@
         out.writeEndObject();
     }
 
-    public static byte[] accepted(String id, Standing standing) {
+    public static byte[] accepted(String id, PublicState standing) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeStringField("nameId", id);
-            out.writeStringField("standing", standing.word);
+            out.writeStringField("standing", standing.wireName);
             out.writeEndObject();
         });
     }
 
-    public static byte[] status(String id, Standing standing, int done, int running) {
+    public static byte[] status(String id, PublicState standing, int done, int running) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeStringField("nameId", id);
-            out.writeStringField("standing", standing.word);
+            out.writeStringField("standing", standing.wireName);
             out.writeNumberField("done", done);
             out.writeNumberField("running", running);
             out.writeEndObject();
@@ -160,7 +160,7 @@
         };
     }
 
-    private static String word(JobKind kind) {
+    private static String wireName(JobKind kind) {
         return switch (kind) {
             case ARRAY -> "batch";
             case GANG -> "group";
@@ -178,7 +178,7 @@
         };
     }
 
-    private static String word(Priority priority) {
+    private static String wireName(Priority priority) {
         return switch (priority) {
             case PRODUCTION -> "production";
             case HIGH -> "high";
--- a/src/main/java/io/micatide/protocol/JobRecordSplitter.java
+++ b/src/main/java/io/micatide/protocol/JobRecordSplitter.java
@@ -10,9 +10,9 @@
 /** Splits a new job's record into as many as the size limit of a value asks for: a job may have any number of dependencies. */
 public final class JobRecordSplitter {
     /** What the frame of a list of names and the number of further records take at most. */
-    private static final int FRAME_BYTES = 48;
+    private static final int LIST_OVERHEAD_BYTES = 48;
     /** What a name takes besides its letters: quotes and comma. */
-    private static final int NAME_FRAME_BYTES = 3;
+    private static final int NAME_OVERHEAD_BYTES = 3;
 
     private JobRecordSplitter() {}
 
@@ -32,12 +32,12 @@
             return Optional.empty();
         }
         int bytesWithoutNames = StoreCodec.encodedBytes(record.withDependencies(List.of(), 0));
-        int freeBytes = maxBytes - FRAME_BYTES - bytesWithoutNames;
+        int freeBytes = maxBytes - LIST_OVERHEAD_BYTES - bytesWithoutNames;
         if (freeBytes < 0) {
             return Optional.empty();
         }
         return Optional.of(
-                writes(jobId, record, splitNames(record.spec().dependencies(), freeBytes, maxBytes - FRAME_BYTES)));
+                writes(jobId, record, splitNames(record.spec().dependencies(), freeBytes, maxBytes - LIST_OVERHEAD_BYTES)));
     }
 
     /** The names in pieces; the first one is the part that the job's own record has room for. */
@@ -45,7 +45,7 @@
         List<List<String>> pieces = new ArrayList<>(List.of(new ArrayList<>()));
         int freeBytes = firstPieceBytes;
         for (String name : names) {
-            int nameBytes = name.length() + NAME_FRAME_BYTES;
+            int nameBytes = name.length() + NAME_OVERHEAD_BYTES;
             freeBytes -= nameBytes;
             if (freeBytes < 0) {
                 pieces.add(new ArrayList<>());
--- a/src/main/java/io/micatide/protocol/Json.java
+++ b/src/main/java/io/micatide/protocol/Json.java
@@ -17,11 +17,11 @@
 
     /** Something that writes one JSON value. */
     @FunctionalInterface
-    public interface Body {
+    public interface ValueWriter {
         void write(JsonGenerator out) throws IOException;
     }
 
-    public static byte[] bytes(Body body) {
+    public static byte[] bytes(ValueWriter body) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             body.write(generator);
--- a/src/main/java/io/micatide/protocol/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -20,7 +20,7 @@
      * @param fencingToken the leader's
      * @param leader the leader's label
      * @param storeReachable whether the store has answered the leader just now
-     * @param agentSilenceMicros for how long no agent has come to the leader
+     * @param workersSilentMicros for how long no agent has come to the leader
      * @param designatedStandbys labels of the controllers that are to take over, the first one first; null from a leader that designates
      *     nobody
      * @param replacesProgress whether the progress of earlier messages of this leader is dropped
@@ -33,7 +33,7 @@
             long fencingToken,
             String leader,
             boolean storeReachable,
-            long agentSilenceMicros,
+            long workersSilentMicros,
             List<String> designatedStandbys,
             boolean replacesProgress,
             List<JobProgress> jobs,
@@ -82,7 +82,7 @@
      * A controller's answer to a {@link LeaderStatus}.
      *
      * @param fencingToken the highest one that it knows of
-     * @param strayAgentAgoMicros how long ago an agent that had lost the leader came to it, -1 for never
+     * @param workerLostLeaderAgoMicros how long ago an agent that had lost the leader came to it, -1 for never
      * @param layout the stored layout that it reads, 1 from the version before layouts had numbers
      * @param storeReachable whether the store answers it; versions before layout 3 do not say
      * @param readiness how ready it is to take over, null of one that cannot follow a leader
@@ -90,7 +90,7 @@
      */
     public record PeerStatus(
             long fencingToken,
-            long strayAgentAgoMicros,
+            long workerLostLeaderAgoMicros,
             int layout,
             boolean storeReachable,
             StandbyReadiness readiness,
@@ -120,7 +120,7 @@
          * @return a copy
          */
         public PeerStatus withCancellations(CancellationDigest digest) {
-            return new PeerStatus(fencingToken, strayAgentAgoMicros, layout, storeReachable, readiness, digest);
+            return new PeerStatus(fencingToken, workerLostLeaderAgoMicros, layout, storeReachable, readiness, digest);
         }
     }
 
@@ -136,7 +136,7 @@
             out.writeNumberField("token", status.fencingToken());
             out.writeStringField("leader", status.leader());
             out.writeBooleanField("stateServed", status.storeReachable());
-            out.writeNumberField("silentUs", status.agentSilenceMicros());
+            out.writeNumberField("silentUs", status.workersSilentMicros());
             if (status.designatedStandbys() != null) {
                 out.writeArrayFieldStart("heirs");
                 for (String standby : status.designatedStandbys()) {
@@ -201,7 +201,7 @@
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("token", status.fencingToken());
-            out.writeNumberField("strayedUs", status.strayAgentAgoMicros());
+            out.writeNumberField("strayedUs", status.workerLostLeaderAgoMicros());
             out.writeNumberField("layout", status.layout());
             if (status.storeReachable()) {
                 out.writeBooleanField("served", true);
--- a/src/main/java/io/micatide/protocol/RolloutCodec.java
+++ b/src/main/java/io/micatide/protocol/RolloutCodec.java
@@ -57,7 +57,7 @@
     }
 
     /** Reads the record under a key. */
-    static StoredRecord row(String key, JsonFields in, JsonNode data) throws MalformedException {
+    static StoredRecord read(String key, JsonFields in, JsonNode data) throws MalformedException {
         if (key.equals(StoreKeys.FEATURE_STAGES)) {
             return featureStages(data);
         }
--- a/src/main/java/io/micatide/protocol/StoreCodec.java
+++ b/src/main/java/io/micatide/protocol/StoreCodec.java
@@ -35,10 +35,10 @@
      * A page of keys, or the changes since a revision.
      *
      * @param items the keys with their records, in the order in which the store sent them
-     * @param more whether the page was cut and the next one is to be read
+     * @param hasMore whether the page was cut and the next one is to be read
      * @param revision revision of the store as of which this was read
      */
-    public record Items(List<Item> items, boolean more, long revision) {}
+    public record Items(List<Item> items, boolean hasMore, long revision) {}
 
     /** Encodes a transaction. */
     public static byte[] transaction(Transaction transaction) {
--- a/src/main/java/io/micatide/protocol/StoredRecordCodec.java
+++ b/src/main/java/io/micatide/protocol/StoredRecordCodec.java
@@ -150,7 +150,7 @@
             return ArchiveCodec.manifest(in, value);
         }
         if (RolloutCodec.isFor(key)) {
-            return RolloutCodec.row(key, in, value);
+            return RolloutCodec.read(key, in, value);
         }
         if (key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
             return ArchiveCodec.segment(in);
--- a/src/main/java/io/micatide/protocol/UserSideCodec.java
+++ b/src/main/java/io/micatide/protocol/UserSideCodec.java
@@ -12,7 +12,7 @@
     }
 
     /** The wire's word for how a job stands, null if the answer does not say. */
-    public static String standing(byte[] answer) {
+    public static String state(byte[] answer) {
         try {
             return Json.tree(answer).path("standing").asText(null);
         } catch (MalformedException e) {
@@ -21,12 +21,12 @@
     }
 
     /** Whether the word says that the job is over. */
-    public static boolean isOver(String standing) {
-        return isDone(standing) || JobCodec.Standing.CANCELLED.word().equals(standing);
+    public static boolean isFinished(String standing) {
+        return isDone(standing) || JobCodec.PublicState.CANCELLED.wireName().equals(standing);
     }
 
     /** Whether the word says that all tasks of the job are done. */
     public static boolean isDone(String standing) {
-        return JobCodec.Standing.DONE.word().equals(standing);
+        return JobCodec.PublicState.DONE.wireName().equals(standing);
     }
 }
--- a/src/main/java/io/micatide/protocol/WorkerCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerCodec.java
@@ -146,7 +146,7 @@
             out.writeArrayFieldStart("calls");
             for (Command command : commands) {
                 out.writeStartObject();
-                out.writeStringField("call", word(command));
+                out.writeStringField("call", wireName(command));
                 out.writeStringField("leg", command.job() + "/" + command.taskIndex());
                 out.writeNumberField("throwIn", command.attempt());
                 if (command instanceof Command.Stop stop) {
@@ -159,7 +159,7 @@
         });
     }
 
-    private static String word(Command command) {
+    private static String wireName(Command command) {
         if (command instanceof Command.Start) {
             return "start";
         }
@@ -167,7 +167,7 @@
     }
 
     /** Tells a worker of a token and nothing else, outside an answer to its report. */
-    public static byte[] greeting(long fencingToken, long incarnation) {
+    public static byte[] termAnnouncement(long fencingToken, long incarnation) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeNumberField("armband", fencingToken);
@@ -179,7 +179,7 @@
     }
 
     /** Sends a worker to the leader; without a label it tries the next node. */
-    public static byte[] elsewhere(String leader) {
+    public static byte[] redirection(String leader) {
         return Json.bytes(out -> {
             out.writeStartObject();
             if (leader != null) {
--- a/src/main/java/io/micatide/protocol/WorkerSideCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerSideCodec.java
@@ -36,9 +36,9 @@
                 out.writeStartObject();
                 out.writeStringField("leg", task.job() + "/" + task.taskIndex());
                 out.writeNumberField("throwIn", task.attempt());
-                out.writeStringField("standing", word(task.state()));
+                out.writeStringField("standing", wireName(task.state()));
                 if (task.cause() != null) {
-                    out.writeStringField("cause", word(task.cause()));
+                    out.writeStringField("cause", wireName(task.cause()));
                 }
                 if (task.saved()) {
                     out.writeBooleanField("stored", true);
@@ -50,7 +50,7 @@
         });
     }
 
-    private static String word(TaskState state) {
+    private static String wireName(TaskState state) {
         return switch (state) {
             case FETCHING -> "pulling";
             case WAITING -> "waiting";
@@ -60,7 +60,7 @@
         };
     }
 
-    private static String word(ExitCause cause) {
+    private static String wireName(ExitCause cause) {
         return switch (cause) {
             case DONE -> "done";
             case STOPPED -> "halted";
@@ -103,7 +103,7 @@
     }
 
     /** The controller that a refusal names, or null. */
-    public static String steward(byte[] body) {
+    public static String redirectTarget(byte[] body) {
         try {
             return Json.tree(body).path("steward").asText(null);
         } catch (MalformedException e) {
--- a/src/main/java/io/micatide/simulation/LocalDeployment.java
+++ b/src/main/java/io/micatide/simulation/LocalDeployment.java
@@ -213,7 +213,7 @@
     private JobSpec described(String id) {
         SimulatedStore.Value row = state.values().get(StoreKeys.job(id));
         try {
-            return row == null ? null : CloudSideCodec.described(row.json());
+            return row == null ? null : CloudSideCodec.jobSpec(row.json());
         } catch (MalformedException e) {
             throw new IllegalStateException(e.getMessage(), e);
         }
--- a/src/main/java/io/micatide/simulation/SimulatedWorker.java
+++ b/src/main/java/io/micatide/simulation/SimulatedWorker.java
@@ -257,7 +257,7 @@
             execute(reply, sent, ofIncarnation);
             return;
         }
-        String other = reply.status() == 421 ? WorkerSideCodec.steward(reply.body()) : null;
+        String other = reply.status() == 421 ? WorkerSideCodec.redirectTarget(reply.body()) : null;
         int next = other == null ? -1 : controllerLabels.indexOf(other);
         boolean named = next >= 0 && next != controllerIndex;
         Http left = controllers.get(controllerLabels.get(controllerIndex));
--- a/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
+++ b/src/main/java/io/micatide/simulation/scale/ScaleUsers.java
@@ -274,7 +274,7 @@
         checker.asks(job.spec.id());
         controller().get("/v1/jobs/" + job.spec.id(), POLL_ANSWER_MICROS, reply -> {
             String standing = heard(job, asked, reply);
-            if (UserSideCodec.isOver(standing)) {
+            if (UserSideCodec.isFinished(standing)) {
                 if (UserSideCodec.isDone(standing) && !job.over && job.doneMicros >= 0) {
                     record(told, loop.now() - job.doneMicros);
                 }
@@ -292,7 +292,7 @@
         long asked = loop.now();
         checker.cancels(job.spec.id());
         controller().post("/v1/jobs/" + job.spec.id() + "/abort", new byte[0], ANSWER_MICROS, reply -> {
-            if (UserSideCodec.isOver(heard(job, asked, reply))) {
+            if (UserSideCodec.isFinished(heard(job, asked, reply))) {
                 job.over = true;
             } else {
                 loop.executeLater(() -> cancel(job), RETRY_MICROS);
@@ -301,7 +301,7 @@
     }
 
     private String heard(UserJob job, long asked, Reply reply) {
-        String standing = reply.status() == 200 || reply.status() == 201 ? UserSideCodec.standing(reply.body()) : null;
+        String standing = reply.status() == 200 || reply.status() == 201 ? UserSideCodec.state(reply.body()) : null;
         checker.responseReceived(job.spec.id(), asked, reply.status(), standing);
         return standing;
     }
--- a/src/test/java/io/micatide/archive/ArchiveUsers.java
+++ b/src/test/java/io/micatide/archive/ArchiveUsers.java
@@ -69,7 +69,7 @@
         try {
             return body == null
                     ? null
-                    : CloudSideCodec.described(("{\"spec\":" + new String(body, StandardCharsets.UTF_8) + "}")
+                    : CloudSideCodec.jobSpec(("{\"spec\":" + new String(body, StandardCharsets.UTF_8) + "}")
                             .getBytes(StandardCharsets.UTF_8));
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/io/micatide/protocol/ApiDescriptionTest.java
+++ b/src/test/java/io/micatide/protocol/ApiDescriptionTest.java
@@ -34,7 +34,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = "1.0.0")
-    void nothingBreaksAClientOfAReleasedDescription(String version) throws IOException {
+    void servedDescriptionIsCompatibleWithReleasedOnes(String version) throws IOException {
         ChangedOpenApi changed =
                 compare(released(version), new String(new ApiDescription().bytes(), StandardCharsets.UTF_8));
         assertTrue(changed.isCompatible(), () -> changed.getChangedOperations().toString());
@@ -54,7 +54,7 @@
                 "/paths/~1v1~1jobs~1{nameId}|drop|get",
                 "/paths/~1v1~1jobs/post/responses|drop|201",
             })
-    void aBreakIsSeen(String at, String change, String what) throws IOException {
+    void incompatibleChangeIsDetected(String at, String change, String what) throws IOException {
         JsonNode description = MAPPER.readTree(new ApiDescription().bytes());
         int slash = at.lastIndexOf('/');
         JsonNode place = description.at(at);
--- a/src/test/java/io/micatide/protocol/CodecTest.java
+++ b/src/test/java/io/micatide/protocol/CodecTest.java
@@ -73,7 +73,7 @@
                 "'awaits':['wk-2']|wk-2",
                 "'awaits':['wk-3','wk-2','wk-3']|wk-3 wk-2",
             })
-    void namesOfNeededJobsCountOnce(String part, String needs) throws MalformedException {
+    void repeatedDependenciesCountOnce(String part, String needs) throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB.replace("'whistleS':90.0", part))));
         assertEquals(needs == null ? "" : needs, String.join(" ", spec.dependencies()));
     }
@@ -82,7 +82,7 @@
     @CsvSource(
             delimiter = '|',
             value = {"[]", "7", "{", "x", "''"})
-    void whatIsNoObjectIsMalformed(String text) {
+    void nonObjectIsMalformed(String text) {
         assertThrows(MalformedException.class, () -> JobCodec.id(Json.tree(json(text))));
     }
 
@@ -101,7 +101,7 @@
                 "'form':'batch'|'form':'daemon'|needs more than the limit",
                 "'form':'batch'|'form':'group'|needs more than the limit",
             })
-    void admitsWhatCanRun(String part, String instead, String reason) throws MalformedException {
+    void admitsOnlyJobsThatCanRun(String part, String instead, String reason) throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB.replace(part, instead))));
         MachineType type = new MachineType("g8", Resources.of(8, 0, 64), 25, 0.3, 1, 0.3, 1, List.of("a", "b"));
         String refusal = JobAdmission.refusal(
@@ -115,7 +115,7 @@
 
     /** What is stored of an accepted job is what was submitted. */
     @Test
-    void aJobComesBackFromTheStore() throws MalformedException {
+    void storedJobIsReadBackUnchanged() throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB))).withDependencies(List.of("wk-7", "wk-8"));
         StoredRecord.JobRecord row = new StoredRecord.JobRecord(JobState.OPEN, spec, 5, 16);
         byte[] sent = StoreCodec.transaction(new Transaction(
@@ -141,12 +141,12 @@
                 "{'berth':'i-1','build':'g8','ground':'a','stint':1,'tally':1,'armband':0,"
                         + "'legs':[{'leg':'wk-1/x','throwIn':1,'standing':'running'}]}",
             })
-    void aBadReportIsMalformed(String text) {
+    void invalidHeartbeatIsMalformed(String text) {
         assertThrows(MalformedException.class, () -> WorkerCodec.heartbeat(json(text)));
     }
 
     @Test
-    void anAnswerCarriesTheTokenAndTheCommandsInOrder() {
+    void answerHasTheTokenAndTheCommandsInOrder() {
         byte[] answer = WorkerCodec.answer(
                 41,
                 List.of(
--- a/src/test/java/io/micatide/protocol/SettingsTest.java
+++ b/src/test/java/io/micatide/protocol/SettingsTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SettingsTest {
-    static String good() throws IOException {
+    static String validSettings() throws IOException {
         try (InputStream in = SettingsTest.class.getResourceAsStream("/warm-up-settings.toml")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).replaceAll("@[a-z]+@", "127.0.0.1:7000");
         }
     }
 
     @Test
-    void unknownFieldsOfThePlatformAreIgnored() throws IOException, MalformedException {
-        Settings settings = SettingsReader.parse("new_field = 3\n" + good());
+    void unknownSettingsFieldsAreIgnored() throws IOException, MalformedException {
+        Settings settings = SettingsReader.parse("new_field = 3\n" + validSettings());
         assertEquals("warm-0", settings.label());
         assertEquals(10_000_000, settings.workerLeaseMicros());
     }
@@ -36,7 +36,7 @@
         "count = 2, count = , file",
     })
     void missingOrWrongFieldsAreNamed(String part, String instead, String field) throws IOException {
-        String text = good().replace(part, instead);
+        String text = validSettings().replace(part, instead);
         MalformedException e = assertThrows(MalformedException.class, () -> SettingsReader.parse(text));
         assertEquals(field, e.field());
     }
@@ -50,10 +50,10 @@
         "write_rps = 21.0, 21, 16384, 16",
         "value_kb = 64.0, 1000, 16384, 16",
     })
-    void keepsToTheSmallerLimit(String next, double writeRate, int valueBytes, int ops)
+    void appliesTheSmallerLimit(String next, double writeRate, int valueBytes, int ops)
             throws IOException, MalformedException {
         Settings settings = SettingsReader.parse(
-                good().replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]"));
+                validSettings().replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]"));
         assertEquals(writeRate, settings.storeWritesPerSecond());
         assertEquals(valueBytes, settings.maxWritableValueBytes());
         assertEquals(ops, settings.maxTransactionWrites());
@@ -67,8 +67,8 @@
         "txn_ops = 1, deployment.state.next.txn_ops",
         "write_rps = -1.0, deployment.state.next.write_rps",
     })
-    void wrongLimitsToComeAreNamed(String next, String field) throws IOException {
-        String text = good().replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]");
+    void wrongNextLimitsAreNamed(String next, String field) throws IOException {
+        String text = validSettings().replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]");
         MalformedException e = assertThrows(MalformedException.class, () -> SettingsReader.parse(text));
         assertEquals(field, e.field());
     }
@@ -81,15 +81,15 @@
         "standby = true, 8.0, 2400",
         "'standby = true\nleader_lease_s = 4', 17.5, 4000"
     })
-    void theLeadersLease(String text, String workersLease, long millis) throws IOException, MalformedException {
-        Settings settings = SettingsReader.parse(good().replace("lease_s = 10.0", "lease_s = " + workersLease));
+    void leaderLeaseDependsOnTuningAndWorkerLease(String text, String workersLease, long millis) throws IOException, MalformedException {
+        Settings settings = SettingsReader.parse(validSettings().replace("lease_s = 10.0", "lease_s = " + workersLease));
         assertEquals(millis * 1_000, TuningReader.parse(text, settings).leaderLeaseMicros());
     }
 
     @ParameterizedTest
     @CsvSource({"leader_lease = 3, leader_lease", "leader_lease_s = 9.0, leader_lease_s", "idle_s = \"x\", idle_s"})
-    void operatorsTyposAreErrors(String text, String field) throws IOException, MalformedException {
-        Settings settings = SettingsReader.parse(good());
+    void wrongTuningKeysAndValuesAreErrors(String text, String field) throws IOException, MalformedException {
+        Settings settings = SettingsReader.parse(validSettings());
         MalformedException e = assertThrows(MalformedException.class, () -> TuningReader.parse(text, settings));
         assertEquals(field, e.field());
     }
--- a/src/test/java/io/micatide/protocol/StoredFormatTest.java
+++ b/src/test/java/io/micatide/protocol/StoredFormatTest.java
@@ -35,7 +35,7 @@
             "{'nameId':'wk-1','roster':'train','crew':'red','form':'batch','rank':'best_effort',"
                     + "'legs':16,'cpus':2.0,'cards':0.0,'memGb':4.5,'kit':'img','sizeGb':1.5,'builds':['g8'],'ground':'a',"
                     + "'samePlace':false,'scatter':true,'loaners':true,'runtimeS':20.0,'halftimeS':0.0,'stowS':0.0,'whistleS':90.0}";
-    private static final String PLAIN = "{'nameId':'wk-2','roster':'feed','crew':'red','form':'daemon','rank':'high',"
+    private static final String SERVICE_SPEC = "{'nameId':'wk-2','roster':'feed','crew':'red','form':'daemon','rank':'high',"
             + "'legs':2,'cpus':2.0,'cards':0.0,'memGb':8.1,'kit':'img','sizeGb':1.0,'samePlace':false,'scatter':false,"
             + "'loaners':false,'runtimeS':0.0,'halftimeS':0.0,'stowS':0.0}";
 
@@ -51,7 +51,7 @@
             value = {
                 "leader|{'owner':'berth-0'}",
                 "job/wk-1|{'state':'OPEN','tasks':16,'submitted':1790000000000000,'spec':" + SPEC + "}",
-                "job/wk-2|{'state':'OPEN','tasks':2,'submitted':1790000000000000,'spec':" + PLAIN + "}",
+                "job/wk-2|{'state':'OPEN','tasks':2,'submitted':1790000000000000,'spec':" + SERVICE_SPEC + "}",
                 "job/wk-1|{'state':'CANCELLED','tasks':16,'submitted':5,'spec':" + SPEC + "}",
                 "job/wk-1|{'state':'DONE','tasks':16,'submitted':5}",
                 "ledger/wk-1|{'machines':['i-000231','i-000007'],'gang':0,'done':'0-5,7,9-12'}",
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aStoredJobRecordKeepsItsMeaning() throws MalformedException {
+    void storedJobRecordIsDecodedAsBefore() throws MalformedException {
         StoreCodec.Item item = StoreCodec.item(json("{'k':'job/wk-1','data':{'state':'OPEN','tasks':16,'submitted':7,"
                 + "'spec':" + SPEC + "},'stamp':9}"));
         JobSpec spec = ((StoredRecord.JobRecord) item.record()).spec();
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void newsOfProduction() throws MalformedException {
+    void statusOfTheProductionVersion() throws MalformedException {
         String text = "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'first':true,"
                 + "'jobs':[['wk-1',3,13]]}";
         PeerCodec.LeaderStatus news = PeerCodec.leaderStatus(json(text));
@@ -180,7 +180,7 @@
 
     /** What a standby adds to the news is passed over by who does not know it, and a word of a later version says nothing. */
     @Test
-    void newsOfAStandby() throws MalformedException {
+    void statusWithDesignatedStandbys() throws MalformedException {
         String text =
                 "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'heirs':['berth-2'],'first':true,'jobs':[]}";
         PeerCodec.LeaderStatus news = PeerCodec.leaderStatus(json(text));
@@ -195,7 +195,7 @@
 
     /** What controllers say of cancellations: passed over by who does not know it; what is malformed proves nothing. */
     @Test
-    void wordsOnCancellations() throws MalformedException {
+    void cancellationMessages() throws MalformedException {
         String news =
                 "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'first':true,'jobs':[],'revision':7}";
         assertEquals(7, PeerCodec.leaderStatus(json(news)).revision());
@@ -247,7 +247,7 @@
                 "ledger/wk-1|{'fleet':['i-/6/231+29,2'],'gang':0,'done':'0-5'}",
                 "ledger/wk-1|{'fleet':[],'gang':0,'done':''}",
             })
-    void rowsOfThisVersion(String key, String data) throws MalformedException {
+    void recordsAddedByThisVersion(String key, String data) throws MalformedException {
         storedRecordsAreReadAndWrittenUnchanged(key, data);
     }
 
@@ -256,7 +256,7 @@
     @CsvSource({"16, 2048", "32, 4096", "2, 256", "64, 8192"})
     void pagesHoldAsManyTasksAsInProduction(String valueKb, int tasks) throws IOException, MalformedException {
         Settings settings =
-                SettingsReader.parse(SettingsTest.good().replace("value_kb = 16.0", "value_kb = " + valueKb));
+                SettingsReader.parse(SettingsTest.validSettings().replace("value_kb = 16.0", "value_kb = " + valueKb));
         assertEquals(tasks, settings.pageTasks());
     }
 }
--- a/src/test/java/io/micatide/simulation/ZonePartitionTest.java
+++ b/src/test/java/io/micatide/simulation/ZonePartitionTest.java
@@ -131,7 +131,7 @@
 
     private JobSpec described(String id) {
         try {
-            return CloudSideCodec.described(("{\"spec\":" + new String(submitted.get(id), StandardCharsets.UTF_8) + "}")
+            return CloudSideCodec.jobSpec(("{\"spec\":" + new String(submitted.get(id), StandardCharsets.UTF_8) + "}")
                     .getBytes(StandardCharsets.UTF_8));
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
