--- a/src/main/java/io/micatide/protocol/ArchiveCodec.java
+++ b/src/main/java/io/micatide/protocol/ArchiveCodec.java
@@ -8,9 +8,9 @@
 import java.util.Base64;
 import java.util.List;
 
-/** The JSON of the archive's records. Runs are written as lists, since a manifest of many has to fit a small value. */
+/** Encodes and decodes the records of the archive as JSON. Runs are lists, not objects, so that a manifest of many runs fits a small value. */
 final class ArchiveCodec {
-    /** The format of the archive; a reader that does not know it must not go on. */
+    /** Format number of the archive. A reader must not read an archive of a format that it does not know. */
     private static final int FORMAT = 1;
 
     private static final int RUN_FIELDS = 4;
@@ -43,17 +43,17 @@
             throw new MalformedException(in.path("salt"), "must be two numbers");
         }
         List<StoredRecord.ArchiveRun> runs = new ArrayList<>();
-        for (JsonNode each : data.path("runs")) {
-            if (each.size() != RUN_FIELDS
-                    || !each.get(0).isTextual()
-                    || each.get(1).asInt() < 1) {
+        for (JsonNode run : data.path("runs")) {
+            if (run.size() != RUN_FIELDS
+                    || !run.get(0).isTextual()
+                    || run.get(1).asInt() < 1) {
                 throw new MalformedException(in.path("runs"), "must be lists of name, segments, jobs and bytes");
             }
             runs.add(new StoredRecord.ArchiveRun(
-                    each.get(0).textValue(),
-                    each.get(1).asInt(),
-                    each.get(2).asLong(),
-                    each.get(3).asLong()));
+                    run.get(0).textValue(),
+                    run.get(1).asInt(),
+                    run.get(2).asLong(),
+                    run.get(3).asLong()));
         }
         return new StoredRecord.ArchiveManifest(
                 in.count("since", 0, Long.MAX_VALUE),
--- a/src/main/java/io/micatide/protocol/CloudCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudCodec.java
@@ -11,11 +11,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The cloud's messages. */
+/** Encodes requests to the cloud and decodes its answers. */
 public final class CloudCodec {
     private CloudCodec() {}
 
-    /** A page of the list. */
+    /**
+     * A page of the list of machines.
+     *
+     * @param machines the machines of this page
+     * @param hasMore whether the list was cut off after this page
+     */
     public record Page(List<ListedMachine> machines, boolean hasMore) {}
 
     public static List<MachineType> types(byte[] body) throws MalformedException {
@@ -77,7 +82,7 @@
         return new JsonFields(Json.tree(body), "").texts("berths");
     }
 
-    /** Tells "no capacity" from an outage: both are 503. */
+    /** Returns whether an answer 503 means that the cloud has no capacity; an outage of the cloud is answered 503 too. */
     public static boolean isNoCapacity(byte[] body) {
         try {
             return "no capacity".equals(Json.tree(body).path("error").asText());
--- a/src/main/java/io/micatide/protocol/CloudSideCodec.java
+++ b/src/main/java/io/micatide/protocol/CloudSideCodec.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The protocol of the cloud as the cloud sees it: for its stand-in. */
+/** The cloud's side of the cloud protocol, used by the simulated cloud: decodes requests and encodes answers. */
 public final class CloudSideCodec {
     private CloudSideCodec() {}
 
@@ -34,12 +34,12 @@
         return new CloudCall.Delete(new JsonFields(Json.tree(body), "").texts("berths"));
     }
 
-    /** The answer to a rental. */
+    /** Encodes the answer to a rental request. */
     public static byte[] rented(List<String> machines) {
         return CloudCodec.delete(machines);
     }
 
-    public static byte[] list(List<ListedMachine> machines, boolean more) {
+    public static byte[] list(List<ListedMachine> machines, boolean hasMore) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeArrayFieldStart("berths");
@@ -55,14 +55,14 @@
                 out.writeEndObject();
             }
             out.writeEndArray();
-            out.writeBooleanField("truncated", more);
+            out.writeBooleanField("truncated", hasMore);
             out.writeEndObject();
         });
     }
 
-    /** The description of a job from its row in the state service, or null if the row keeps none. */
-    public static io.micatide.model.JobSpec jobSpec(byte[] row) throws MalformedException {
-        JsonNode spec = Json.tree(row).path("spec");
+    /** Decodes the specification of a job from its record in the store; null if the record has none. */
+    public static io.micatide.model.JobSpec jobSpec(byte[] value) throws MalformedException {
+        JsonNode spec = Json.tree(value).path("spec");
         return spec.isObject() ? JobCodec.spec(spec) : null;
     }
 }
--- a/src/main/java/io/micatide/protocol/HintCodec.java
+++ b/src/main/java/io/micatide/protocol/HintCodec.java
@@ -9,9 +9,12 @@
 import java.util.List;
 
 /**
- * The JSON of a leader's hints to a designated standby, and of the stored records of learned state. Compact, since hundreds change in a
- * second: a machine is {@code ["m", name, address, incarnation, flags, image, size, …]}, a job {@code ["j", name, mean, tasks, probes]}
- * with -1 probes if it is not quarantined, a class {@code ["c", name, factor, spread]}; what begins with another letter is passed over.
+ * Encodes and decodes a leader's hints to a designated standby, and the stored records of learned state, as JSON.
+ *
+ * <p>The format is compact because hundreds of hints change per second. A machine is
+ * {@code ["m", name, address, incarnation, flags, image, size, …]}, a job {@code ["j", name, mean, tasks, probes]} with -1 probes if it is
+ * not quarantined, a job class {@code ["c", name, factor, spread]}. A list that begins with another letter is ignored: it is from a later
+ * version.
  */
 public final class HintCodec {
     private static final int SLOW = 1;
@@ -23,7 +26,7 @@
     /**
      * Encodes a batch of hints.
      *
-     * @param batch what to send
+     * @param batch the batch to send
      * @return JSON
      */
     public static byte[] batch(HintBatch batch) {
@@ -44,7 +47,7 @@
         });
     }
 
-    /** A field with hints, as they are stored and sent. */
+    /** Writes the field {@code hints}, which has the same form in messages and in stored records. */
     static void write(JsonGenerator out, List<Hint> hints) throws IOException {
         out.writeArrayFieldStart("hints");
         for (Hint hint : hints) {
@@ -56,28 +59,29 @@
     }
 
     private static void write(JsonGenerator out, Hint hint) throws IOException {
-        if (hint instanceof Hint.MachineHint each) {
+        if (hint instanceof Hint.MachineHint machine) {
             out.writeString("m");
-            out.writeString(each.name());
-            out.writeString(each.address());
-            out.writeNumber(each.incarnation());
-            out.writeNumber(
-                    (each.slow() ? SLOW : 0) + (each.quarantined() ? QUARANTINED : 0) + (each.deleted() ? DELETED : 0));
-            for (int i = 0; i < each.images().size(); i++) {
-                out.writeString(each.images().get(i));
-                out.writeNumber(each.imageSizesGb().get(i));
+            out.writeString(machine.name());
+            out.writeString(machine.address());
+            out.writeNumber(machine.incarnation());
+            out.writeNumber((machine.slow() ? SLOW : 0)
+                    + (machine.quarantined() ? QUARANTINED : 0)
+                    + (machine.deleted() ? DELETED : 0));
+            for (int i = 0; i < machine.images().size(); i++) {
+                out.writeString(machine.images().get(i));
+                out.writeNumber(machine.imageSizesGb().get(i));
             }
-        } else if (hint instanceof Hint.JobHint each) {
+        } else if (hint instanceof Hint.JobHint job) {
             out.writeString("j");
-            out.writeString(each.name());
-            out.writeNumber(each.meanRuntimeMicros());
-            out.writeNumber(each.completedTasks());
-            out.writeNumber(each.quarantined() ? each.failedProbes() : -1);
-        } else if (hint instanceof Hint.JobClassHint each) {
+            out.writeString(job.name());
+            out.writeNumber(job.meanRuntimeMicros());
+            out.writeNumber(job.completedTasks());
+            out.writeNumber(job.quarantined() ? job.failedProbes() : -1);
+        } else if (hint instanceof Hint.JobClassHint jobClass) {
             out.writeString("c");
-            out.writeString(each.name());
-            out.writeNumber(each.factor());
-            out.writeNumber(each.spread());
+            out.writeString(jobClass.name());
+            out.writeNumber(jobClass.factor());
+            out.writeNumber(jobClass.spread());
         }
     }
 
@@ -85,7 +89,7 @@
      * Decodes a batch of hints.
      *
      * @param body JSON
-     * @return the batch; hints of kinds that this version does not know are left out
+     * @return the batch, without hints of kinds that this version does not know
      * @throws MalformedException a field is missing or out of its range; the message names it
      */
     public static HintBatch batch(byte[] body) throws MalformedException {
@@ -101,47 +105,47 @@
                 in.texts("gone"));
     }
 
-    /** The field that {@link #write(JsonGenerator, List)} wrote. */
+    /** Decodes the field {@code hints} that {@link #write(JsonGenerator, List)} writes. */
     static List<Hint> hints(JsonNode tree) {
         List<Hint> hints = new ArrayList<>();
-        for (JsonNode each : tree.path("hints")) {
-            String name = each.path(1).asText();
-            switch (each.path(0).asText()) {
-                case "m" -> hints.add(machine(name, each));
-                case "j" -> hints.add(job(name, each));
+        for (JsonNode entry : tree.path("hints")) {
+            String name = entry.path(1).asText();
+            switch (entry.path(0).asText()) {
+                case "m" -> hints.add(machine(name, entry));
+                case "j" -> hints.add(job(name, entry));
                 case "c" ->
                     hints.add(new Hint.JobClassHint(
-                            name, each.path(2).asDouble(1), each.path(3).asDouble()));
+                            name, entry.path(2).asDouble(1), entry.path(3).asDouble()));
                 default -> {
-                    // Of a later version.
+                    // A kind of hint of a later version.
                 }
             }
         }
         return hints;
     }
 
-    private static Hint job(String name, JsonNode each) {
-        int failedProbes = each.path(4).asInt(-1);
+    private static Hint job(String name, JsonNode entry) {
+        int failedProbes = entry.path(4).asInt(-1);
         return new Hint.JobHint(
                 name,
-                Math.max(0, each.path(2).asLong()),
-                Math.max(0, each.path(3).asInt()),
+                Math.max(0, entry.path(2).asLong()),
+                Math.max(0, entry.path(3).asInt()),
                 failedProbes >= 0,
                 Math.max(0, failedProbes));
     }
 
-    private static Hint machine(String name, JsonNode each) {
+    private static Hint machine(String name, JsonNode entry) {
         List<String> images = new ArrayList<>();
         List<Double> sizes = new ArrayList<>();
-        for (int i = 5; i + 1 < each.size(); i += 2) {
-            images.add(each.path(i).asText());
-            sizes.add(each.path(i + 1).asDouble());
+        for (int i = 5; i + 1 < entry.size(); i += 2) {
+            images.add(entry.path(i).asText());
+            sizes.add(entry.path(i + 1).asDouble());
         }
-        int flags = each.path(4).asInt();
+        int flags = entry.path(4).asInt();
         return new Hint.MachineHint(
                 name,
-                each.path(2).asText(),
-                Math.max(0, each.path(3).asLong()),
+                entry.path(2).asText(),
+                Math.max(0, entry.path(3).asLong()),
                 images,
                 sizes,
                 (flags & SLOW) != 0,
@@ -152,7 +156,7 @@
     /**
      * Encodes a standby's acknowledgement.
      *
-     * @param number of the snapshot that it holds completely, 0 for none
+     * @param number number of the snapshot that the standby has received completely, 0 for none
      * @return JSON
      */
     public static byte[] acknowledgement(long number) {
@@ -167,7 +171,7 @@
      * Decodes a standby's acknowledgement.
      *
      * @param body JSON
-     * @return number of the snapshot that it holds completely, 0 for none
+     * @return number of the snapshot that the standby has received completely, 0 for none
      * @throws MalformedException the number is missing or out of its range
      */
     public static long acknowledgement(byte[] body) throws MalformedException {
--- a/src/main/java/io/micatide/protocol/JobCodec.java
+++ b/src/main/java/io/micatide/protocol/JobCodec.java
@@ -12,12 +12,12 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Jobs as users describe them, and what users are told. */
+/** Encodes and decodes the messages between users and controllers: specifications of jobs and the answers about jobs. */
 public final class JobCodec {
     public static final int MAX_TASKS = 100_000;
     private static final Pattern ID = Pattern.compile("wk-[A-Za-z0-9_-]{1,60}");
 
-    /** What a user is told of a job. */
+    /** State of a job as users see it. */
     public enum PublicState {
         QUEUED("queued"),
         RUNNING("running"),
@@ -41,7 +41,7 @@
         return ID.matcher(id).matches();
     }
 
-    /** The id alone: a retry of a known job is answered whatever else it says. */
+    /** Decodes only the id of a submission: the retry of a known job is accepted even if the rest of it is malformed or differs. */
     public static String id(JsonNode body) throws MalformedException {
         String id = new JsonFields(body, "").text("nameId");
         if (!isId(id)) {
@@ -74,7 +74,7 @@
                 dependencies(in));
     }
 
-    /** Names of other jobs, each once. */
+    /** Decodes the ids of the jobs that this job depends on, without duplicates and in the order of first mention. */
     private static List<String> dependencies(JsonFields in) throws MalformedException {
         if (!in.has("awaits")) {
             return List.of();
@@ -88,7 +88,7 @@
         return names;
     }
 
-    /** Stored as it came in, so that the next version reads what this one wrote. */
+    /** Writes a specification. Stored records have the same form as submissions, so that the next version reads what this one wrote. */
     static void writeSpec(JsonGenerator out, JobSpec spec) throws IOException {
         out.writeStartObject();
         out.writeStringField("nameId", spec.id());
@@ -123,28 +123,28 @@
         }
         if (!spec.dependencies().isEmpty()) {
             out.writeArrayFieldStart("awaits");
-            for (String need : spec.dependencies()) {
-                out.writeString(need);
+            for (String dependency : spec.dependencies()) {
+                out.writeString(dependency);
             }
             out.writeEndArray();
         }
         out.writeEndObject();
     }
 
-    public static byte[] accepted(String id, PublicState standing) {
+    public static byte[] accepted(String id, PublicState state) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeStringField("nameId", id);
-            out.writeStringField("standing", standing.wireName);
+            out.writeStringField("standing", state.wireName);
             out.writeEndObject();
         });
     }
 
-    public static byte[] status(String id, PublicState standing, int done, int running) {
+    public static byte[] status(String id, PublicState state, int done, int running) {
         return Json.bytes(out -> {
             out.writeStartObject();
             out.writeStringField("nameId", id);
-            out.writeStringField("standing", standing.wireName);
+            out.writeStringField("standing", state.wireName);
             out.writeNumberField("done", done);
             out.writeNumberField("running", running);
             out.writeEndObject();
--- a/src/main/java/io/micatide/protocol/JobRecordSplitter.java
+++ b/src/main/java/io/micatide/protocol/JobRecordSplitter.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Splits a new job's record into as many as the size limit of a value asks for: a job may have any number of dependencies. */
+/** Splits the record of a new job so that each part fits the store's limit on values: a job may have any number of dependencies. */
 public final class JobRecordSplitter {
-    /** What the frame of a list of names and the number of further records take at most. */
+    /** Upper bound, in bytes, of the JSON around a list of names, including the count of further records. */
     private static final int LIST_OVERHEAD_BYTES = 48;
-    /** What a name takes besides its letters: quotes and comma. */
+    /** Bytes of the JSON around a name: two quotes and a comma. */
     private static final int NAME_OVERHEAD_BYTES = 3;
 
     private JobRecordSplitter() {}
 
     /**
-     * Makes the writes of a new job: its own record and, for names of dependencies that it has no room for, further ones.
+     * Returns the writes of a new job: its own record and, if its dependencies do not fit in there, further records with the rest.
      *
-     * @param jobId the job
-     * @param record the whole record
-     * @param maxBytes the largest value that the store takes
+     * @param jobId id of the job
+     * @param record the record with all dependencies
+     * @param maxBytes largest value that the store accepts, in bytes
      * @return the writes for one transaction, or empty if the job does not fit even without its dependencies
      */
     public static Optional<List<Transaction.Write>> split(String jobId, StoredRecord.JobRecord record, int maxBytes) {
@@ -36,11 +36,11 @@
         if (freeBytes < 0) {
             return Optional.empty();
         }
-        return Optional.of(
-                writes(jobId, record, splitNames(record.spec().dependencies(), freeBytes, maxBytes - LIST_OVERHEAD_BYTES)));
+        return Optional.of(writes(
+                jobId, record, splitNames(record.spec().dependencies(), freeBytes, maxBytes - LIST_OVERHEAD_BYTES)));
     }
 
-    /** The names in pieces; the first one is the part that the job's own record has room for. */
+    /** Splits the names into pieces in their order. The first piece fits in the job's own record and may be empty. */
     private static List<List<String>> splitNames(List<String> names, int firstPieceBytes, int pieceBytes) {
         List<List<String>> pieces = new ArrayList<>(List.of(new ArrayList<>()));
         int freeBytes = firstPieceBytes;
--- a/src/main/java/io/micatide/protocol/Json.java
+++ b/src/main/java/io/micatide/protocol/Json.java
@@ -8,14 +8,14 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The one Jackson mapper; trees and streams only, since binding by reflection costs start time. */
+/** Holds the shared Jackson mapper. Codecs use trees and streams only, since data binding by reflection slows down the start of the process. */
 public final class Json {
     static final ObjectMapper MAPPER = new ObjectMapper();
     static final JsonFactory FACTORY = MAPPER.getFactory();
 
     private Json() {}
 
-    /** Something that writes one JSON value. */
+    /** Writes one JSON value. */
     @FunctionalInterface
     public interface ValueWriter {
         void write(JsonGenerator out) throws IOException;
@@ -31,7 +31,7 @@
         return out.toByteArray();
     }
 
-    /** The value as a tree. */
+    /** Parses a JSON value to a tree; empty input is malformed. */
     public static JsonNode tree(byte[] body) throws MalformedException {
         try {
             JsonNode node = MAPPER.readTree(body);
@@ -44,6 +44,13 @@
         }
     }
 
+    /**
+     * Encodes an error.
+     *
+     * @param field name of the field at fault, null if there is none
+     * @param message text for the sender of the request
+     * @return JSON
+     */
     public static byte[] error(String field, String message) {
         return bytes(out -> {
             out.writeStartObject();
--- a/src/main/java/io/micatide/protocol/JsonFields.java
+++ b/src/main/java/io/micatide/protocol/JsonFields.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checked access to the fields of an object; every complaint names the field. */
+/** Checked access to the fields of a JSON object. Each exception names the field with its path. */
 final class JsonFields {
     private final JsonNode node;
     private final String path;
@@ -26,15 +26,17 @@
         return value;
     }
 
-    /** The field as complaints name it. */
+    /** Returns the name of a field with its path, as exceptions give it. */
     String path(String name) {
         return path + name;
     }
 
+    /** Returns whether the field exists and is not null. */
     boolean has(String name) {
         return node.hasNonNull(name);
     }
 
+    /** Returns a string that is not empty. */
     String text(String name) throws MalformedException {
         JsonNode value = required(name);
         if (!value.isTextual() || value.textValue().isEmpty()) {
@@ -55,6 +57,7 @@
         return value.booleanValue();
     }
 
+    /** Returns a number from 0 to 1e9. */
     double amount(String name) throws MalformedException {
         JsonNode value = required(name);
         double amount = value.isNumber() ? value.doubleValue() : Double.NaN;
@@ -64,16 +67,18 @@
         return amount;
     }
 
-    long count(String name, long least, long most) throws MalformedException {
+    /** Returns a whole number within the given bounds, both inclusive; {@code 3.0} counts as whole. */
+    long count(String name, long minimum, long maximum) throws MalformedException {
         JsonNode value = required(name);
         boolean whole = (value.isIntegralNumber() && value.canConvertToLong())
                 || (value.isFloatingPointNumber() && value.doubleValue() == Math.rint(value.doubleValue()));
-        if (!whole || value.longValue() < least || value.longValue() > most) {
-            throw new MalformedException(path + name, "must be a whole number from " + least + " to " + most);
+        if (!whole || value.longValue() < minimum || value.longValue() > maximum) {
+            throw new MalformedException(path + name, "must be a whole number from " + minimum + " to " + maximum);
         }
         return value.longValue();
     }
 
+    /** Returns a duration in microseconds that the field gives in seconds. */
     long seconds(String name) throws MalformedException {
         return Micros.ofSeconds(amount(name));
     }
@@ -84,15 +89,16 @@
             throw new MalformedException(path + name, "must be a list of strings");
         }
         List<String> result = new ArrayList<>();
-        for (JsonNode each : value) {
-            if (!each.isTextual() || each.textValue().isEmpty()) {
+        for (JsonNode entry : value) {
+            if (!entry.isTextual() || entry.textValue().isEmpty()) {
                 throw new MalformedException(path + name, "must be a list of strings");
             }
-            result.add(each.textValue());
+            result.add(entry.textValue());
         }
         return List.copyOf(result);
     }
 
+    /** Returns the objects of a list; empty if the field is missing or null. */
     List<JsonFields> objects(String name) throws MalformedException {
         JsonNode value = node.get(name);
         List<JsonFields> result = new ArrayList<>();
--- a/src/main/java/io/micatide/protocol/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -9,25 +9,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The JSON of messages between controllers: status, cancellations, and the handover of leadership. */
+/** Encodes and decodes the messages between controllers as JSON: status, cancellations, and the handover of leadership. */
 public final class PeerCodec {
     private PeerCodec() {}
 
     /**
-     *
      * A leader's status, which it sends to every other controller.
      *
-     * @param fencingToken the leader's
+     * @param fencingToken the leader's fencing token
      * @param leader the leader's label
-     * @param storeReachable whether the store has answered the leader just now
-     * @param workersSilentMicros for how long no agent has come to the leader
-     * @param designatedStandbys labels of the controllers that are to take over, the first one first; null from a leader that designates
-     *     nobody
-     * @param replacesProgress whether the progress of earlier messages of this leader is dropped
-     * @param jobs progress of jobs, which users are shown
-     * @param featureFlagsVersion version of the feature stages that the leader knows, 0 if there is none or from a former version
-     * @param revision up to which the leader has read the store, -1 from a version that does not ask for cancellations
-     *
+     * @param storeReachable whether the store answers the leader
+     * @param workersSilentMicros how long the leader has received no heartbeat, in microseconds
+     * @param designatedStandbys labels of the designated standbys, the first successor first; null if the leader designates none
+     * @param replacesProgress whether this progress replaces that of earlier messages of this leader
+     * @param jobs progress of jobs, as shown to users
+     * @param featureFlagsVersion version of the feature stages that the leader has read, 0 if there are none or the leader runs a previous version
+     * @param revision store revision up to which the leader has read; -1 from a version that does not ask for cancellations
      */
     public record LeaderStatus(
             long fencingToken,
@@ -40,14 +37,14 @@
             long featureFlagsVersion,
             long revision) {
         /**
-         * A status as versions without feature stages send it.
+         * Creates a status as versions without feature stages send it.
          *
-         * @param fencingToken the leader's
+         * @param fencingToken the leader's fencing token
          * @param leader the leader's label
-         * @param storeReachable whether the store has answered the leader just now
-         * @param agentSilenceMicros for how long no agent has come to the leader
-         * @param designatedStandbys labels of the controllers that are to take over, null if nobody is designated
-         * @param replacesProgress whether the progress of earlier messages is dropped
+         * @param storeReachable whether the store answers the leader
+         * @param agentSilenceMicros how long the leader has received no heartbeat, in microseconds
+         * @param designatedStandbys labels of the designated standbys, null if the leader designates none
+         * @param replacesProgress whether this progress replaces that of earlier messages
          * @param jobs progress of jobs
          */
         public LeaderStatus(
@@ -72,21 +69,21 @@
     }
 
     /**
-     * Jobs that a controller reports, unasked, as cancelled.
+     * Cancelled jobs that a controller reports without a request.
      *
-     * @param jobs those jobs, each with the version of its record
+     * @param jobs the cancelled jobs, each with the version of its record
      */
     public record CancellationNotice(List<CancellationDigest.Cancelled> jobs) {}
 
     /**
      * A controller's answer to a {@link LeaderStatus}.
      *
-     * @param fencingToken the highest one that it knows of
-     * @param workerLostLeaderAgoMicros how long ago an agent that had lost the leader came to it, -1 for never
-     * @param layout the stored layout that it reads, 1 from the version before layouts had numbers
-     * @param storeReachable whether the store answers it; versions before layout 3 do not say
-     * @param readiness how ready it is to take over, null of one that cannot follow a leader
-     * @param cancellations what it knows as cancelled; null if it was not asked for or from a version that does not say
+     * @param fencingToken highest fencing token that the controller knows
+     * @param workerLostLeaderAgoMicros time since a worker that had lost the leader turned to this controller, in microseconds, or -1 if none did recently
+     * @param layout number of the stored layout that the controller reads, 1 from the version before layouts had numbers
+     * @param storeReachable whether the store answers the controller; false from versions before layout 3, which do not report it
+     * @param readiness how ready the controller is to lead, null if it cannot follow a leader or is shutting down
+     * @param cancellations cancelled jobs that the controller knows; null if it was not asked for them or runs a version without them
      */
     public record PeerStatus(
             long fencingToken,
@@ -96,13 +93,13 @@
             StandbyReadiness readiness,
             CancellationDigest cancellations) {
         /**
-         * A status without cancellations.
+         * Creates a status without cancellations.
          *
-         * @param fencingToken the highest one that it knows of
-         * @param strayAgentAgoMicros how long ago an agent that had lost the leader came to it, -1 for never
-         * @param layout the stored layout that it reads
-         * @param storeReachable whether the store answers it
-         * @param readiness how ready it is to take over, may be null
+         * @param fencingToken highest fencing token that the controller knows
+         * @param strayAgentAgoMicros time since a worker that had lost the leader turned to this controller, in microseconds, or -1 if none did recently
+         * @param layout number of the stored layout that the controller reads
+         * @param storeReachable whether the store answers the controller
+         * @param readiness how ready the controller is to lead, may be null
          */
         public PeerStatus(
                 long fencingToken,
@@ -114,9 +111,9 @@
         }
 
         /**
-         * The same status with cancellations.
+         * Returns this status with cancellations.
          *
-         * @param digest what the controller knows as cancelled, may be null
+         * @param digest cancelled jobs that the controller knows, may be null
          * @return a copy
          */
         public PeerStatus withCancellations(CancellationDigest digest) {
@@ -127,7 +124,7 @@
     /**
      * Encodes a leader's status.
      *
-     * @param status what to send
+     * @param status the status
      * @return JSON
      */
     public static byte[] leaderStatus(LeaderStatus status) {
@@ -194,7 +191,7 @@
     /**
      * Encodes an answer to a leader's status.
      *
-     * @param status what to send
+     * @param status the status
      * @return JSON
      */
     public static byte[] peerStatus(PeerStatus status) {
@@ -251,10 +248,10 @@
 
     private static void writeCancelled(JsonGenerator out, List<CancellationDigest.Cancelled> jobs) throws IOException {
         out.writeArrayFieldStart("cancelled");
-        for (CancellationDigest.Cancelled each : jobs) {
+        for (CancellationDigest.Cancelled cancelled : jobs) {
             out.writeStartArray();
-            out.writeString(each.job());
-            out.writeNumber(each.version());
+            out.writeString(cancelled.job());
+            out.writeNumber(cancelled.version());
             out.writeEndArray();
         }
         out.writeEndArray();
@@ -266,15 +263,15 @@
             throw new MalformedException(path, "must be a list of jobs with their versions");
         }
         List<CancellationDigest.Cancelled> result = new ArrayList<>();
-        for (JsonNode each : list) {
-            String job = each.path(0).asText("");
+        for (JsonNode entry : list) {
+            String job = entry.path(0).asText("");
             if (!JobCodec.isId(job)
-                    || !each.path(1).isIntegralNumber()
-                    || each.path(1).asLong() < 1) {
+                    || !entry.path(1).isIntegralNumber()
+                    || entry.path(1).asLong() < 1) {
                 throw new MalformedException(
                         path + "[" + result.size() + "]", "must be a job's id and its row's version");
             }
-            result.add(new CancellationDigest.Cancelled(job, each.path(1).asLong()));
+            result.add(new CancellationDigest.Cancelled(job, entry.path(1).asLong()));
         }
         return result;
     }
@@ -282,7 +279,7 @@
     /**
      * Encodes a notice of cancelled jobs.
      *
-     * @param message what to send
+     * @param message the notice
      * @return JSON
      */
     public static byte[] cancellationNotice(CancellationNotice message) {
@@ -298,29 +295,29 @@
      *
      * @param body JSON
      * @return the notice
-     * @throws MalformedException the list is missing or wrong; the message names the place
+     * @throws MalformedException the list is missing or wrong; the message names the entry
      */
     public static CancellationNotice cancellationNotice(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         return new CancellationNotice(cancelled(tree, new JsonFields(tree, "").path("cancelled")));
     }
 
-    /** Null where nothing is said, or a constant of a later version. */
+    /** Returns null if the field is missing or has a value of a later version. */
     private static StandbyReadiness readiness(JsonNode tree) {
         String name = tree.path("standby").asText("");
-        for (StandbyReadiness each : StandbyReadiness.values()) {
-            if (each.name().equals(name)) {
-                return each;
+        for (StandbyReadiness readiness : StandbyReadiness.values()) {
+            if (readiness.name().equals(name)) {
+                return readiness;
             }
         }
         return null;
     }
 
     /**
-     * Encodes the message by which a leader that ends hands over to a designated standby.
+     * Encodes the message with which a leader that shuts down hands over to a designated standby.
      *
-     * @param fencingToken the leader's
-     * @param revision up to which the leader has written
+     * @param fencingToken the leader's fencing token
+     * @param revision store revision up to which the leader has written
      * @return JSON
      */
     public static byte[] handover(long fencingToken, long revision) {
@@ -336,7 +333,7 @@
      * Decodes the revision of a {@link #handover}.
      *
      * @param body JSON
-     * @return up to which the leader has written
+     * @return store revision up to which the leader has written
      * @throws MalformedException the revision is missing or wrong
      */
     public static long handoverRevision(byte[] body) throws MalformedException {
--- a/src/main/java/io/micatide/protocol/RawStoreCodec.java
+++ b/src/main/java/io/micatide/protocol/RawStoreCodec.java
@@ -6,25 +6,25 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The store's messages with values as they are stored, whatever they mean: for copies that have to be exact. */
+/** Encodes and decodes the store's messages with values as uninterpreted JSON, for exact copies: taking and restoring snapshots. */
 public final class RawStoreCodec {
     private RawStoreCodec() {}
 
     /**
-     * A value as it is stored.
+     * A value as uninterpreted JSON.
      *
-     * @param key the key
-     * @param json the value as compact JSON, null of a deletion
-     * @param version revision of its last change
+     * @param key key of the value
+     * @param json the value as compact JSON, null if the key was deleted
+     * @param version store revision of the last change of the key
      */
     public record Value(String key, String json, long version) {}
 
     /**
      * A page of values, or the changes since a revision in the order in which they were made.
      *
-     * @param values those
-     * @param hasMore whether there are values after the page
-     * @param revision of the store
+     * @param values the values or changes
+     * @param hasMore whether more values follow after the page
+     * @param revision store revision as of which this was read
      */
     public record Page(List<Value> values, boolean hasMore, long revision) {}
 
@@ -33,16 +33,16 @@
      *
      * @param body the store's answer
      * @return values in the order of their keys
-     * @throws MalformedException it is no such answer
+     * @throws MalformedException the answer does not have the expected form
      */
     public static Page page(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         List<Value> values = new ArrayList<>();
-        for (JsonNode each : tree.path("items")) {
+        for (JsonNode entry : tree.path("items")) {
             values.add(new Value(
-                    each.path("k").asText(),
-                    each.path("data").toString(),
-                    each.path("stamp").asLong()));
+                    entry.path("k").asText(),
+                    entry.path("data").toString(),
+                    entry.path("stamp").asLong()));
         }
         return new Page(values, tree.path("truncated").asBoolean(), StoreCodec.revision(body));
     }
@@ -52,16 +52,16 @@
      *
      * @param body the store's answer
      * @return changes in the order of their versions
-     * @throws MalformedException it is no such answer
+     * @throws MalformedException the answer does not have the expected form
      */
     public static Page changes(byte[] body) throws MalformedException {
         List<Value> values = new ArrayList<>();
-        for (JsonNode each : Json.tree(body).path("events")) {
-            boolean put = each.hasNonNull("put");
+        for (JsonNode entry : Json.tree(body).path("events")) {
+            boolean put = entry.hasNonNull("put");
             values.add(new Value(
-                    each.path(put ? "put" : "delete").asText(),
-                    put ? each.path("data").toString() : null,
-                    each.path("stamp").asLong()));
+                    entry.path(put ? "put" : "delete").asText(),
+                    put ? entry.path("data").toString() : null,
+                    entry.path("stamp").asLong()));
         }
         values.sort(Comparator.comparingLong(Value::version));
         return new Page(values, false, StoreCodec.revision(body));
@@ -72,7 +72,7 @@
      *
      * @param body the store's answer
      * @return the value
-     * @throws MalformedException it is no such answer
+     * @throws MalformedException the answer does not have the expected form
      */
     public static Value value(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
@@ -85,9 +85,9 @@
     /**
      * Encodes a transaction that puts values which must not exist yet.
      *
-     * @param values what to put
-     * @param marker a key that must have its version, null for no such condition
-     * @param markerVersion the marker's version
+     * @param values values to put
+     * @param marker key that must have the given version, null for no such condition; its value may be among the values to put
+     * @param markerVersion version that the marker must have
      * @return JSON
      */
     public static byte[] putNew(List<Value> values, String marker, long markerVersion) {
@@ -124,8 +124,8 @@
     /**
      * Encodes a transaction that deletes a key.
      *
-     * @param key to delete
-     * @param version that it must have
+     * @param key key to delete
+     * @param version version that the key must have
      * @return JSON
      */
     public static byte[] delete(String key, long version) {
@@ -137,21 +137,21 @@
     /**
      * Encodes a transaction that deletes a key and puts another.
      *
-     * @param key to delete
-     * @param version that it must have
-     * @param other what to put
+     * @param key key to delete
+     * @param version version that the key must have
+     * @param replacement key and value to put
      * @return JSON
      */
-    public static byte[] replace(String key, long version, Value other) {
+    public static byte[] replace(String key, long version, Value replacement) {
         return ("{\"if\":[{\"k\":\"" + key + "\",\"stamp\":" + version + "}],\"writes\":[{\"delete\":\"" + key
-                        + "\"},{\"put\":\"" + other.key() + "\",\"data\":" + other.json() + "}]}")
+                        + "\"},{\"put\":\"" + replacement.key() + "\",\"data\":" + replacement.json() + "}]}")
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /**
      * Encodes a value as a line of a file.
      *
-     * @param value what to encode
+     * @param value the value
      * @return JSON without a line end
      */
     public static String jsonLine(Value value) {
--- a/src/main/java/io/micatide/protocol/RolloutCodec.java
+++ b/src/main/java/io/micatide/protocol/RolloutCodec.java
@@ -9,13 +9,13 @@
 import java.util.TreeMap;
 
 /**
- * The JSON of the records of the roll-out and of the features that came with it. None of them has a field {@code state}, which former
- * versions ask job records for.
+ * Encodes and decodes the records of the roll-out and of the features that came with it as JSON. None of them has a field
+ * {@code state}, which previous versions require of job records.
  */
 final class RolloutCodec {
     private RolloutCodec() {}
 
-    /** Whether the record under a key is one of these. */
+    /** Returns whether this codec reads and writes the record of the given key. */
     static boolean isFor(String key) {
         return key.equals(StoreKeys.FEATURE_STAGES)
                 || key.startsWith(StoreKeys.ROLLOUT)
@@ -24,12 +24,12 @@
                 || key.startsWith(StoreKeys.MACHINE_DELETIONS);
     }
 
-    /** Writes the fields of a record; one of another kind has none here. */
+    /** Writes the fields of a record. Does nothing for a record of a kind that this codec does not handle. */
     static void write(JsonGenerator out, StoredRecord record) throws IOException {
         if (record instanceof StoredRecord.FeatureStages features) {
             out.writeObjectFieldStart("features");
-            for (Map.Entry<String, String> each : new TreeMap<>(features.stages()).entrySet()) {
-                out.writeStringField(each.getKey(), each.getValue());
+            for (Map.Entry<String, String> feature : new TreeMap<>(features.stages()).entrySet()) {
+                out.writeStringField(feature.getKey(), feature.getValue());
             }
             out.writeEndObject();
         } else if (record instanceof StoredRecord.RegisteredController controller) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Reads the record under a key. */
+    /** Decodes the record of the given key. */
     static StoredRecord read(String key, JsonFields in, JsonNode data) throws MalformedException {
         if (key.equals(StoreKeys.FEATURE_STAGES)) {
             return featureStages(data);
@@ -91,7 +91,7 @@
         return new StoredRecord.FeatureStages(stages);
     }
 
-    /** An action of a later version is read as HOLD: what this version does not understand it does not do. */
+    /** Decodes an action. One of a later version is read as HOLD, so that this version does not act on a request that it does not know. */
     private static StoredRecord.RequestedAction requestedAction(String name) {
         for (StoredRecord.RequestedAction action : StoredRecord.RequestedAction.values()) {
             if (action.name().equals(name)) {
--- a/src/main/java/io/micatide/protocol/SettingsReader.java
+++ b/src/main/java/io/micatide/protocol/SettingsReader.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The platform's settings file. Unknown fields are ignored; missing or wrong ones are named. */
+/** Reads the platform's settings file. Unknown fields are ignored; the exception for a missing or wrong field names it. */
 public final class SettingsReader {
     private SettingsReader() {}
 
@@ -38,29 +38,30 @@
         }
         JsonFields in = new JsonFields(tree, "");
         List<Settings.Sibling> siblings = new ArrayList<>();
-        for (JsonFields each : in.objects("siblings")) {
-            siblings.add(new Settings.Sibling(each.text("label"), each.text("site"), address(each, "endpoint")));
+        for (JsonFields sibling : in.objects("siblings")) {
+            siblings.add(
+                    new Settings.Sibling(sibling.text("label"), sibling.text("site"), address(sibling, "endpoint")));
         }
         JsonFields services = in.object("services");
         JsonFields deployment = in.object("deployment");
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (JsonFields each : deployment.objects("teams")) {
+        for (JsonFields team : deployment.objects("teams")) {
             teams.put(
-                    each.text("name"),
+                    team.text("name"),
                     new Team(
-                            each.text("name"),
-                            thousandths(each, "cpus"),
-                            thousandths(each, "gpus"),
-                            thousandths(each, "cpus_max"),
-                            thousandths(each, "gpus_max")));
+                            team.text("name"),
+                            thousandths(team, "cpus"),
+                            thousandths(team, "gpus"),
+                            thousandths(team, "cpus_max"),
+                            thousandths(team, "gpus_max")));
         }
         List<Settings.Objective> objectives = new ArrayList<>();
-        for (JsonFields each : deployment.objects("objectives")) {
+        for (JsonFields objective : deployment.objects("objectives")) {
             objectives.add(new Settings.Objective(
-                    each.text("kind"),
-                    each.has("class") ? each.text("class") : "",
-                    each.has("within_s") ? each.seconds("within_s") : -1,
-                    each.has("share") ? each.amount("share") : 1));
+                    objective.text("kind"),
+                    objective.has("class") ? objective.text("class") : "",
+                    objective.has("within_s") ? objective.seconds("within_s") : -1,
+                    objective.has("share") ? objective.amount("share") : 1));
         }
         JsonFields workers = deployment.object("workers");
         JsonFields state = deployment.object("state");
@@ -96,6 +97,7 @@
                 (int) limits.count("max_connections", 10, 1 << 30));
     }
 
+    /** Returns a duration in microseconds that the field gives in seconds and that must be above 0. */
     private static long positive(JsonFields in, String name) throws MalformedException {
         long micros = in.seconds(name);
         if (micros <= 0) {
@@ -104,19 +106,23 @@
         return micros;
     }
 
-    /** Reads one limit of the state service. */
+    /** Reads one limit of the store. */
     @FunctionalInterface
     private interface Limit {
         double read(JsonFields in, String name) throws MalformedException;
     }
 
-    /** The smaller of a limit that is in force and the one that the service will have some day without notice. */
+    /**
+     * Returns the smaller of the limit in force and the announced next limit, if there is one. The store may switch to the next limit at any
+     * time without notice.
+     */
     private static double smaller(JsonFields state, JsonFields next, String name, Limit limit)
             throws MalformedException {
-        double today = limit.read(state, name);
-        return next == null || !next.has(name) ? today : Math.min(today, limit.read(next, name));
+        double current = limit.read(state, name);
+        return next == null || !next.has(name) ? current : Math.min(current, limit.read(next, name));
     }
 
+    /** Returns a size in bytes that the field gives in KiB, from 1 KiB to 1 GiB. */
     private static int valueBytes(JsonFields in, String name) throws MalformedException {
         double kilobytes = in.amount(name);
         if (kilobytes < 1 || kilobytes > 1 << 20) {
@@ -142,7 +148,7 @@
                 return address;
             }
         } catch (NumberFormatException e) {
-            // Said below.
+            // Reported by the exception below.
         }
         throw new MalformedException(name, "must be host:port");
     }
--- a/src/main/java/io/micatide/protocol/StoreCodec.java
+++ b/src/main/java/io/micatide/protocol/StoreCodec.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The messages of the key-value store: transactions, reads, changes and leases. */
+/** Encodes and decodes the messages of the store: transactions, reads, changes and leases. */
 public final class StoreCodec {
     private static final String KEY = "k";
     private static final String VALUE = "data";
@@ -23,11 +23,11 @@
     private StoreCodec() {}
 
     /**
-     * A key with its record.
+     * A key and its record.
      *
      * @param key the key
-     * @param record null if the key does not exist or was deleted
-     * @param version revision of the last change of the key
+     * @param record the record, null if the key does not exist or was deleted
+     * @param version store revision of the last change of the key
      */
     public record Item(String key, StoredRecord record, long version) {}
 
@@ -35,8 +35,8 @@
      * A page of keys, or the changes since a revision.
      *
      * @param items the keys with their records, in the order in which the store sent them
-     * @param hasMore whether the page was cut and the next one is to be read
-     * @param revision revision of the store as of which this was read
+     * @param hasMore whether the page was cut off and the next one has to be read
+     * @param revision store revision as of which this was read
      */
     public record Items(List<Item> items, boolean hasMore, long revision) {}
 
@@ -68,7 +68,6 @@
     private static void writeWrite(JsonGenerator out, Transaction.Write write) throws IOException {
         out.writeStartObject();
         if (write.record() == null) {
-
             out.writeStringField(DELETE, write.key());
         } else {
             out.writeStringField(PUT, write.key());
@@ -81,15 +80,15 @@
         out.writeEndObject();
     }
 
-    /** What a record takes of the size limit of a value, in bytes. */
+    /** Returns the encoded size of a record in bytes, which counts against the store's limit on values. */
     public static int encodedBytes(StoredRecord record) {
         return Json.bytes(out -> StoredRecordCodec.write(out, record)).length;
     }
 
     /**
-     * The revision of the store at which a transaction was applied.
+     * Decodes the store revision at which a transaction was applied.
      *
-     * @throws MalformedException if the answer does not say
+     * @throws MalformedException if the answer has no revision
      */
     public static long revision(byte[] body) throws MalformedException {
         return revision(new JsonFields(Json.tree(body), ""));
@@ -100,9 +99,9 @@
     }
 
     /**
-     * The keys whose conditions did not hold, empty if the answer names none.
+     * Decodes the keys whose conditions did not hold; empty if the answer names none.
      *
-     * @throws MalformedException if the answer is no object or the list is none of texts
+     * @throws MalformedException if the answer is not an object or the keys are not a list of strings
      */
     public static List<String> failedKeys(byte[] body) throws MalformedException {
         JsonFields in = new JsonFields(Json.tree(body), "");
@@ -110,9 +109,9 @@
     }
 
     /**
-     * The answer to the read of one key.
+     * Decodes the answer to the read of one key.
      *
-     * @throws MalformedException if the key or its value is not as micatide writes it
+     * @throws MalformedException if the key or its value does not have the form that micatide writes
      */
     public static Item item(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
@@ -122,7 +121,7 @@
     }
 
     /**
-     * The lease that a key which was read is attached to, 0 for none.
+     * Decodes the id of the lease to which the key of an answer is attached, 0 for none.
      *
      * @throws MalformedException if the answer is not JSON
      */
@@ -131,40 +130,40 @@
     }
 
     /**
-     * A page of a listing of keys.
+     * Decodes a page of a list of keys.
      *
-     * @throws MalformedException if a key or its value is not as micatide writes it
+     * @throws MalformedException if a key or its value does not have the form that micatide writes
      */
     public static Items page(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
         List<Item> items = new ArrayList<>();
-        for (JsonNode each : tree.path("items")) {
-            String key = each.path(KEY).asText();
+        for (JsonNode entry : tree.path("items")) {
+            String key = entry.path(KEY).asText();
             items.add(new Item(
                     key,
-                    StoredRecordCodec.read(key, each.get(VALUE)),
-                    each.path(VERSION).asLong()));
+                    StoredRecordCodec.read(key, entry.get(VALUE)),
+                    entry.path(VERSION).asLong()));
         }
         return new Items(items, tree.path("truncated").asBoolean(), revision(in));
     }
 
     /**
-     * The changes of keys since a revision; a deleted key has no record.
+     * Decodes the changes of keys since a revision. The record of a deleted key is null.
      *
-     * @throws MalformedException if a key or its value is not as micatide writes it
+     * @throws MalformedException if a key or its value does not have the form that micatide writes
      */
     public static Items changes(byte[] body) throws MalformedException {
         JsonNode tree = Json.tree(body);
         JsonFields in = new JsonFields(tree, "");
         List<Item> items = new ArrayList<>();
-        for (JsonNode each : tree.path("events")) {
-            boolean put = each.hasNonNull(PUT);
-            String key = each.path(put ? PUT : DELETE).asText();
+        for (JsonNode entry : tree.path("events")) {
+            boolean put = entry.hasNonNull(PUT);
+            String key = entry.path(put ? PUT : DELETE).asText();
             items.add(new Item(
                     key,
-                    put ? StoredRecordCodec.read(key, each.get(VALUE)) : null,
-                    each.path(VERSION).asLong()));
+                    put ? StoredRecordCodec.read(key, entry.get(VALUE)) : null,
+                    entry.path(VERSION).asLong()));
         }
         return new Items(items, false, revision(in));
     }
@@ -179,9 +178,9 @@
     }
 
     /**
-     * The id of a lease that was granted.
+     * Decodes the id of a granted lease.
      *
-     * @throws MalformedException if the answer names none
+     * @throws MalformedException if the answer has no id
      */
     public static long grantedLeaseId(byte[] body) throws MalformedException {
         return new JsonFields(Json.tree(body), "").count(LEASE, 1, Long.MAX_VALUE);
--- a/src/main/java/io/micatide/protocol/StoredRecordCodec.java
+++ b/src/main/java/io/micatide/protocol/StoredRecordCodec.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * The JSON of the records that micatide keeps in the store. Which record a value holds follows from its key. Old and
- * new controllers serve side by side during an upgrade, so field names and their order stay as they are.
+ * Encodes and decodes the records that micatide keeps in the store as JSON. The key determines the type of its record. During an upgrade
+ * controllers of the old and the new version run side by side, so field names and their order must not change.
  */
 final class StoredRecordCodec {
     private static final String OWNER = "owner";
@@ -41,8 +41,6 @@
 
     private StoredRecordCodec() {}
 
-    // ---- writing
-
     static void write(JsonGenerator out, StoredRecord stored) throws IOException {
         out.writeStartObject();
         if (stored instanceof StoredRecord.Leader leader) {
@@ -128,12 +126,10 @@
         out.writeEndArray();
     }
 
-    // ---- reading
-
     /**
-     * Reads a value.
+     * Decodes the record of the given key.
      *
-     * @throws MalformedException if the key is not one of micatide, or the value does not fit it
+     * @throws MalformedException if micatide has no record under the key, or the value does not have the form of that record
      */
     static StoredRecord read(String key, JsonNode value) throws MalformedException {
         JsonFields in = new JsonFields(value, key);
@@ -202,7 +198,7 @@
         try {
             return MachineNameCodec.decompress(in.texts(COMPRESSED_MACHINES));
         } catch (IllegalArgumentException e) {
-            throw new MalformedException(in.path(COMPRESSED_MACHINES), "must be names in short");
+            throw new MalformedException(in.path(COMPRESSED_MACHINES), "must be a list of compressed machine names");
         }
     }
 
--- a/src/main/java/io/micatide/protocol/TuningReader.java
+++ b/src/main/java/io/micatide/protocol/TuningReader.java
@@ -10,7 +10,7 @@
 import java.util.Iterator;
 import java.util.Set;
 
-/** The operators' own settings. Unlike the platform's file, a key that is not known is an error: it is a typo. */
+/** Reads the tuning file, the operators' own settings. Unlike in the platform's file an unknown key is an error, since it is a typo. */
 public final class TuningReader {
     private static final Set<String> KEYS =
             Set.of("description", "leader_lease_s", "idle_s", "history", "history_batch", "rollout", "standby");
--- a/src/main/java/io/micatide/protocol/UserSideCodec.java
+++ b/src/main/java/io/micatide/protocol/UserSideCodec.java
@@ -2,16 +2,16 @@
 
 import io.micatide.model.JobSpec;
 
-/** The protocol between users and controllers as a user sees it: for stand-ins of users. */
+/** The user's side of the protocol between users and controllers, used by simulated users: encodes submissions and decodes answers. */
 public final class UserSideCodec {
     private UserSideCodec() {}
 
-    /** The body of a submission. */
+    /** Encodes the body of a submission. */
     public static byte[] submission(JobSpec spec) {
         return Json.bytes(out -> JobCodec.writeSpec(out, spec));
     }
 
-    /** The wire's word for how a job stands, null if the answer does not say. */
+    /** Decodes the state of a job as the wire names it; null if the answer has none. */
     public static String state(byte[] answer) {
         try {
             return Json.tree(answer).path("standing").asText(null);
@@ -20,13 +20,13 @@
         }
     }
 
-    /** Whether the word says that the job is over. */
-    public static boolean isFinished(String standing) {
-        return isDone(standing) || JobCodec.PublicState.CANCELLED.wireName().equals(standing);
+    /** Returns whether a job in the given state of the wire is finished: done or cancelled. */
+    public static boolean isFinished(String state) {
+        return isDone(state) || JobCodec.PublicState.CANCELLED.wireName().equals(state);
     }
 
-    /** Whether the word says that all tasks of the job are done. */
-    public static boolean isDone(String standing) {
-        return JobCodec.PublicState.DONE.wireName().equals(standing);
+    /** Returns whether all tasks of a job in the given state of the wire are done. */
+    public static boolean isDone(String state) {
+        return JobCodec.PublicState.DONE.wireName().equals(state);
     }
 }
--- a/src/main/java/io/micatide/protocol/WorkerCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerCodec.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reports of the workers and the answers to them. Reports are most of the traffic, so they are read as a stream. */
+/** Decodes heartbeats of workers and encodes the answers. Heartbeats are most of the traffic, so they are parsed as a stream, without a tree. */
 public final class WorkerCodec {
     private WorkerCodec() {}
 
@@ -166,7 +166,7 @@
         return command instanceof Command.Stop ? "halt" : "reap";
     }
 
-    /** Tells a worker of a token and nothing else, outside an answer to its report. */
+    /** Encodes the announcement of a new term to a worker: a fencing token without commands, sent outside an answer to a heartbeat. */
     public static byte[] termAnnouncement(long fencingToken, long incarnation) {
         return Json.bytes(out -> {
             out.writeStartObject();
@@ -178,7 +178,7 @@
         });
     }
 
-    /** Sends a worker to the leader; without a label it tries the next node. */
+    /** Encodes the answer that redirects a worker to the leader. With a null label the worker tries the next controller. */
     public static byte[] redirection(String leader) {
         return Json.bytes(out -> {
             out.writeStartObject();
--- a/src/main/java/io/micatide/protocol/WorkerSideCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerSideCodec.java
@@ -10,11 +10,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The protocol between workers and controllers as a worker sees it: for stand-ins of workers. */
+/** The worker's side of the protocol between workers and controllers, used by simulated workers: encodes heartbeats and decodes answers. */
 public final class WorkerSideCodec {
     private WorkerSideCodec() {}
 
-    /** What a controller answers; {@code fencingToken} -1 if there is none. */
+    /**
+     * A controller's answer to a heartbeat.
+     *
+     * @param fencingToken the controller's fencing token, -1 if the answer has none
+     * @param commands commands to carry out in this order
+     */
     public record Answer(long fencingToken, List<Command> commands) {}
 
     public static byte[] heartbeat(Heartbeat heartbeat) {
@@ -97,12 +102,12 @@
         return new Answer(tree.path("armband").asLong(-1), commands);
     }
 
-    /** The session that direct commands are for, -1 if they do not say. */
+    /** Decodes the incarnation of the worker that a direct message is for, -1 if the message has none. */
     public static long incarnation(byte[] body) throws MalformedException {
         return Json.tree(body).path("stint").asLong(-1);
     }
 
-    /** The controller that a refusal names, or null. */
+    /** Decodes the label of the leader in an answer that redirects the worker; null if it has none. */
     public static String redirectTarget(byte[] body) {
         try {
             return Json.tree(body).path("steward").asText(null);
--- a/src/test/java/io/micatide/protocol/ApiDescriptionTest.java
+++ b/src/test/java/io/micatide/protocol/ApiDescriptionTest.java
@@ -17,7 +17,7 @@
 import org.openapitools.openapidiff.core.OpenApiCompare;
 import org.openapitools.openapidiff.core.model.ChangedOpenApi;
 
-/** The description as it is served against those that were released: clients that were made from an older one have to go on. */
+/** Compares the served API description with the released ones: clients generated from a released description must keep working. */
 class ApiDescriptionTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -40,7 +40,7 @@
         assertTrue(changed.isCompatible(), () -> changed.getChangedOperations().toString());
     }
 
-    /** That the check sees what would break one: a change of the served description each. */
+    /** Guards against a comparison that misses incompatible changes: each row is one such change of the served description. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -54,21 +54,21 @@
                 "/paths/~1v1~1jobs~1{nameId}|drop|get",
                 "/paths/~1v1~1jobs/post/responses|drop|201",
             })
-    void incompatibleChangeIsDetected(String at, String change, String what) throws IOException {
+    void incompatibleChangeIsDetected(String pointer, String change, String operand) throws IOException {
         JsonNode description = MAPPER.readTree(new ApiDescription().bytes());
-        int slash = at.lastIndexOf('/');
-        JsonNode place = description.at(at);
-        ObjectNode parent = (ObjectNode) description.at(at.substring(0, slash));
+        int slash = pointer.lastIndexOf('/');
+        JsonNode target = description.at(pointer);
+        ObjectNode parent = (ObjectNode) description.at(pointer.substring(0, slash));
         switch (change) {
-            case "add" -> ((ArrayNode) place).add(what);
-            case "remove" -> ((ArrayNode) place).remove(Integer.parseInt(what));
-            case "set" -> parent.put(at.substring(slash + 1), Integer.parseInt(what));
-            case "text" -> parent.put(at.substring(slash + 1), what);
-            default -> ((ObjectNode) place).remove(what);
+            case "add" -> ((ArrayNode) target).add(operand);
+            case "remove" -> ((ArrayNode) target).remove(Integer.parseInt(operand));
+            case "set" -> parent.put(pointer.substring(slash + 1), Integer.parseInt(operand));
+            case "text" -> parent.put(pointer.substring(slash + 1), operand);
+            default -> ((ObjectNode) target).remove(operand);
         }
         assertEquals(
                 List.of(false),
                 List.of(compare(released("1.0.0"), description.toString()).isCompatible()),
-                at);
+                pointer);
     }
 }
--- a/src/test/java/io/micatide/protocol/CodecTest.java
+++ b/src/test/java/io/micatide/protocol/CodecTest.java
@@ -20,6 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Encoding and decoding of jobs, heartbeats and answers to workers, and the admission of jobs. */
 class CodecTest {
     private static final String JOB = "{'nameId':'wk-1','roster':'train','crew':'red','form':'batch','rank':'high',"
             + "'legs':16,'cpus':2.0,'cards':0.0,'memGb':4.0,'kit':'img','sizeGb':1.5,'builds':['g8'],'ground':null,"
@@ -30,7 +31,7 @@
         return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Each row replaces a part of a good job; the complaint names the field. */
+    /** Each row replaces a part of a valid job; the exception names the field. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -57,8 +58,8 @@
                 "'whistleS':90.0|'awaits':['wk-2','job 2']|awaits",
                 "'whistleS':90.0|'awaits':{'wk-2':1}|awaits",
             })
-    void namesTheFieldOfAMalformedJob(String part, String instead, String field) {
-        String text = JOB.replace(part, instead == null ? "" : instead);
+    void namesTheFieldOfAMalformedJob(String part, String replacement, String field) {
+        String text = JOB.replace(part, replacement == null ? "" : replacement);
         MalformedException e = assertThrows(MalformedException.class, () -> JobCodec.spec(Json.tree(json(text))));
         assertEquals(field, e.field());
     }
@@ -73,9 +74,9 @@
                 "'awaits':['wk-2']|wk-2",
                 "'awaits':['wk-3','wk-2','wk-3']|wk-3 wk-2",
             })
-    void repeatedDependenciesCountOnce(String part, String needs) throws MalformedException {
+    void repeatedDependenciesCountOnce(String part, String dependencies) throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB.replace("'whistleS':90.0", part))));
-        assertEquals(needs == null ? "" : needs, String.join(" ", spec.dependencies()));
+        assertEquals(dependencies == null ? "" : dependencies, String.join(" ", spec.dependencies()));
     }
 
     @ParameterizedTest
@@ -86,7 +87,7 @@
         assertThrows(MalformedException.class, () -> JobCodec.id(Json.tree(json(text))));
     }
 
-    /** Each row replaces a part of a good job; the reason begins as given, or there is none. */
+    /** Each row replaces a part of a valid job; the reason of the refusal begins as given, or the job is admitted. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -101,8 +102,8 @@
                 "'form':'batch'|'form':'daemon'|needs more than the limit",
                 "'form':'batch'|'form':'group'|needs more than the limit",
             })
-    void admitsOnlyJobsThatCanRun(String part, String instead, String reason) throws MalformedException {
-        JobSpec spec = JobCodec.spec(Json.tree(json(JOB.replace(part, instead))));
+    void admitsOnlyJobsThatCanRun(String part, String replacement, String reason) throws MalformedException {
+        JobSpec spec = JobCodec.spec(Json.tree(json(JOB.replace(part, replacement))));
         MachineType type = new MachineType("g8", Resources.of(8, 0, 64), 25, 0.3, 1, 0.3, 1, List.of("a", "b"));
         String refusal = JobAdmission.refusal(
                 spec, Map.of("red", new Team("red", 0, 0, 20_000, 0)), List.of("a", "b"), List.of(type));
@@ -113,20 +114,20 @@
                         : refusal.substring(0, Math.min(refusal.length(), reason.length())));
     }
 
-    /** What is stored of an accepted job is what was submitted. */
+    /** The specification read back from the store equals the submitted one. */
     @Test
     void storedJobIsReadBackUnchanged() throws MalformedException {
         JobSpec spec = JobCodec.spec(Json.tree(json(JOB))).withDependencies(List.of("wk-7", "wk-8"));
-        StoredRecord.JobRecord row = new StoredRecord.JobRecord(JobState.OPEN, spec, 5, 16);
+        StoredRecord.JobRecord job = new StoredRecord.JobRecord(JobState.OPEN, spec, 5, 16);
         byte[] sent = StoreCodec.transaction(new Transaction(
-                List.of(new Transaction.Condition("job/wk-1", 0)), List.of(new Transaction.Write("job/wk-1", row, 0))));
+                List.of(new Transaction.Condition("job/wk-1", 0)), List.of(new Transaction.Write("job/wk-1", job, 0))));
         String data = Json.MAPPER
                 .convertValue(
                         Json.tree(sent).path("writes").get(0).path("data"),
                         com.fasterxml.jackson.databind.JsonNode.class)
                 .toString();
         StoreCodec.Item item = StoreCodec.item(json("{'k':'job/wk-1','data':" + data + ",'stamp':9}"));
-        assertEquals(row, item.record());
+        assertEquals(job, item.record());
     }
 
     @ParameterizedTest
--- a/src/test/java/io/micatide/protocol/SettingsTest.java
+++ b/src/test/java/io/micatide/protocol/SettingsTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Reading of the platform's settings file and of the operators' tuning file. */
 class SettingsTest {
     static String validSettings() throws IOException {
         try (InputStream in = SettingsTest.class.getResourceAsStream("/warm-up-settings.toml")) {
@@ -35,13 +36,16 @@
         "[services], [service], services",
         "count = 2, count = , file",
     })
-    void missingOrWrongFieldsAreNamed(String part, String instead, String field) throws IOException {
-        String text = validSettings().replace(part, instead);
+    void missingOrWrongFieldsAreNamed(String part, String replacement, String field) throws IOException {
+        String text = validSettings().replace(part, replacement);
         MalformedException e = assertThrows(MalformedException.class, () -> SettingsReader.parse(text));
         assertEquals(field, e.field());
     }
 
-    /** Each row is a limit to come beside those of today (1000 changes a second, 16 KiB, 16 changes), and what is kept to. */
+    /**
+     * Each row is an announced next limit, besides the current limits (1000 writes per second, values of 16 KiB, 16 writes per transaction), and
+     * the limits that apply.
+     */
     @ParameterizedTest
     @CsvSource({
         "'', 1000, 16384, 16",
@@ -52,12 +56,12 @@
     })
     void appliesTheSmallerLimit(String next, double writeRate, int valueBytes, int ops)
             throws IOException, MalformedException {
-        Settings settings = SettingsReader.parse(
-                validSettings().replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]"));
+        Settings settings = SettingsReader.parse(validSettings()
+                .replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]"));
         assertEquals(writeRate, settings.storeWritesPerSecond());
         assertEquals(valueBytes, settings.maxWritableValueBytes());
         assertEquals(ops, settings.maxTransactionWrites());
-        assertEquals(2048, settings.pageTasks(), "stored pages stay as they are");
+        assertEquals(2048, settings.pageTasks(), "size of stored pages must not depend on the next limit");
     }
 
     @ParameterizedTest
@@ -68,12 +72,13 @@
         "write_rps = -1.0, deployment.state.next.write_rps",
     })
     void wrongNextLimitsAreNamed(String next, String field) throws IOException {
-        String text = validSettings().replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]");
+        String text = validSettings()
+                .replace("[deployment.cloud]", "[deployment.state.next]\n" + next + "\n[deployment.cloud]");
         MalformedException e = assertThrows(MalformedException.class, () -> SettingsReader.parse(text));
         assertEquals(field, e.field());
     }
 
-    /** With a standby the leader's lease is 3 s at most, and an operator's own word goes first. */
+    /** With standbys the leader's lease is at most 3 s by default; a lease set in the tuning file takes precedence. */
     @ParameterizedTest
     @CsvSource({
         "'', 17.5, 5250",
@@ -81,8 +86,10 @@
         "standby = true, 8.0, 2400",
         "'standby = true\nleader_lease_s = 4', 17.5, 4000"
     })
-    void leaderLeaseDependsOnTuningAndWorkerLease(String text, String workersLease, long millis) throws IOException, MalformedException {
-        Settings settings = SettingsReader.parse(validSettings().replace("lease_s = 10.0", "lease_s = " + workersLease));
+    void leaderLeaseDependsOnTuningAndWorkerLease(String text, String workersLease, long millis)
+            throws IOException, MalformedException {
+        Settings settings =
+                SettingsReader.parse(validSettings().replace("lease_s = 10.0", "lease_s = " + workersLease));
         assertEquals(millis * 1_000, TuningReader.parse(text, settings).leaderLeaseMicros());
     }
 
--- a/src/test/java/io/micatide/protocol/StoredFormatTest.java
+++ b/src/test/java/io/micatide/protocol/StoredFormatTest.java
@@ -27,23 +27,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What the version in production stores and says, as text. Old and new controllers serve side by side during an upgrade,
- * so each of these must be read as it always was, and written so that the old one reads it.
+ * Stored values and messages of the version in production, as text. During an upgrade controllers of both versions run side by side, so this
+ * version must decode each text as production does, and must write values that production can read.
  */
 class StoredFormatTest {
     private static final String SPEC =
             "{'nameId':'wk-1','roster':'train','crew':'red','form':'batch','rank':'best_effort',"
                     + "'legs':16,'cpus':2.0,'cards':0.0,'memGb':4.5,'kit':'img','sizeGb':1.5,'builds':['g8'],'ground':'a',"
                     + "'samePlace':false,'scatter':true,'loaners':true,'runtimeS':20.0,'halftimeS':0.0,'stowS':0.0,'whistleS':90.0}";
-    private static final String SERVICE_SPEC = "{'nameId':'wk-2','roster':'feed','crew':'red','form':'daemon','rank':'high',"
-            + "'legs':2,'cpus':2.0,'cards':0.0,'memGb':8.1,'kit':'img','sizeGb':1.0,'samePlace':false,'scatter':false,"
-            + "'loaners':false,'runtimeS':0.0,'halftimeS':0.0,'stowS':0.0}";
+    private static final String SERVICE_SPEC =
+            "{'nameId':'wk-2','roster':'feed','crew':'red','form':'daemon','rank':'high',"
+                    + "'legs':2,'cpus':2.0,'cards':0.0,'memGb':8.1,'kit':'img','sizeGb':1.0,'samePlace':false,'scatter':false,"
+                    + "'loaners':false,'runtimeS':0.0,'halftimeS':0.0,'stowS':0.0}";
 
     private static byte[] json(String text) {
         return text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     }
 
-    /** As production writes it; read and written again it is the same text. */
+    /** Values as production writes them: decoding and encoding must give the same text. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -99,7 +100,7 @@
         assertEquals(JobState.OPEN, ((StoredRecord.JobRecord) item.record()).state());
     }
 
-    /** A list of any length is kept whole, in as many rows as it takes, none above the limit. */
+    /** A dependency list of any length is stored completely, split into records that each fit the limit. */
     @ParameterizedTest
     @CsvSource({
         "0, 2048, 1",
@@ -110,12 +111,13 @@
         "5000, 2048, 31",
         "5000, 16384, 4"
     })
-    void longDependencyListsAreSplitWithinTheLimit(int names, int limit, int rows) throws MalformedException {
-        List<String> needs = new ArrayList<>();
-        for (int i = 0; i < names; i++) {
-            needs.add(String.format("wk-%06d", i));
+    void longDependencyListsAreSplitWithinTheLimit(int dependencyCount, int limit, int recordCount)
+            throws MalformedException {
+        List<String> dependencies = new ArrayList<>();
+        for (int i = 0; i < dependencyCount; i++) {
+            dependencies.add(String.format("wk-%06d", i));
         }
-        StoredRecord.JobRecord row = new StoredRecord.JobRecord(
+        StoredRecord.JobRecord job = new StoredRecord.JobRecord(
                 JobState.OPEN,
                 new JobSpec(
                         "wk-x",
@@ -136,12 +138,12 @@
                         0,
                         0,
                         -1,
-                        needs),
+                        dependencies),
                 7,
                 16);
         List<Transaction.Write> writes =
-                JobRecordSplitter.split("wk-x", row, limit).orElseThrow();
-        assertEquals(rows, writes.size());
+                JobRecordSplitter.split("wk-x", job, limit).orElseThrow();
+        assertEquals(recordCount, writes.size());
         JobCache jobCache = new JobCache();
         for (Transaction.Write write : writes) {
             assertTrue(StoreCodec.encodedBytes(write.record()) <= limit, write.key());
@@ -152,21 +154,24 @@
                 jobCache.apply("wk-x", (StoredRecord.JobRecord) write.record(), 5);
             }
         }
-        assertEquals(row, jobCache.get("wk-x").record());
-        assertEquals(Optional.empty(), JobRecordSplitter.split("wk-x", row, 200), "the job itself has to fit");
+        assertEquals(job, jobCache.get("wk-x").record());
+        assertEquals(
+                Optional.empty(),
+                JobRecordSplitter.split("wk-x", job, 200),
+                "a job that exceeds the limit without its dependencies must be refused");
     }
 
     @Test
     void statusOfTheProductionVersion() throws MalformedException {
         String text = "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'first':true,"
                 + "'jobs':[['wk-1',3,13]]}";
-        PeerCodec.LeaderStatus news = PeerCodec.leaderStatus(json(text));
+        PeerCodec.LeaderStatus status = PeerCodec.leaderStatus(json(text));
         assertEquals(
                 new PeerCodec.LeaderStatus(
                         41, "berth-1", true, 1200, null, true, List.of(new JobProgress("wk-1", 3, 13))),
-                news);
-        assertEquals(text, new String(PeerCodec.leaderStatus(news), StandardCharsets.UTF_8).replace('"', '\''));
-        // Production does not say which layout it reads.
+                status);
+        assertEquals(text, new String(PeerCodec.leaderStatus(status), StandardCharsets.UTF_8).replace('"', '\''));
+        // Production does not report which layout it reads.
         assertEquals(
                 new PeerCodec.PeerStatus(41, -1, 1, false, null),
                 PeerCodec.peerStatus(json("{'token':41,'strayedUs':-1}")));
@@ -178,14 +183,14 @@
                         .replace('"', '\''));
     }
 
-    /** What a standby adds to the news is passed over by who does not know it, and a word of a later version says nothing. */
+    /** The fields for standbys are optional, and an unknown readiness of a later version is read as none. */
     @Test
     void statusWithDesignatedStandbys() throws MalformedException {
         String text =
                 "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'heirs':['berth-2'],'first':true,'jobs':[]}";
-        PeerCodec.LeaderStatus news = PeerCodec.leaderStatus(json(text));
-        assertEquals(List.of("berth-2"), news.designatedStandbys());
-        assertEquals(text, new String(PeerCodec.leaderStatus(news), StandardCharsets.UTF_8).replace('"', '\''));
+        PeerCodec.LeaderStatus status = PeerCodec.leaderStatus(json(text));
+        assertEquals(List.of("berth-2"), status.designatedStandbys());
+        assertEquals(text, new String(PeerCodec.leaderStatus(status), StandardCharsets.UTF_8).replace('"', '\''));
         PeerCodec.PeerStatus answer = new PeerCodec.PeerStatus(41, -1, 3, true, StandbyReadiness.WARM);
         assertEquals(answer, PeerCodec.peerStatus(PeerCodec.peerStatus(answer)));
         assertNull(PeerCodec.peerStatus(json("{'token':41,'strayedUs':-1,'standby':'HOT'}"))
@@ -193,47 +198,48 @@
         assertEquals(77, PeerCodec.handoverRevision(PeerCodec.handover(41, 77)));
     }
 
-    /** What controllers say of cancellations: passed over by who does not know it; what is malformed proves nothing. */
+    /** The fields for cancellations are optional; a malformed digest is rejected as a whole, since it must not count as complete. */
     @Test
     void cancellationMessages() throws MalformedException {
-        String news =
+        String status =
                 "{'token':41,'leader':'berth-1','stateServed':true,'silentUs':1200,'first':true,'jobs':[],'revision':7}";
-        assertEquals(7, PeerCodec.leaderStatus(json(news)).revision());
+        assertEquals(7, PeerCodec.leaderStatus(json(status)).revision());
         assertEquals(
-                news,
-                new String(PeerCodec.leaderStatus(PeerCodec.leaderStatus(json(news))), StandardCharsets.UTF_8)
+                status,
+                new String(PeerCodec.leaderStatus(PeerCodec.leaderStatus(json(status))), StandardCharsets.UTF_8)
                         .replace('"', '\''));
-        CancellationDigest word = new CancellationDigest(
+        CancellationDigest digest = new CancellationDigest(
                 "berth-2", 5_000_000, true, List.of(new CancellationDigest.Cancelled("wk-1", 44)));
-        PeerCodec.PeerStatus answer = new PeerCodec.PeerStatus(41, -1, 3, true, null).withCancellations(word);
-        String told = new String(PeerCodec.peerStatus(answer), StandardCharsets.UTF_8).replace('"', '\'');
+        PeerCodec.PeerStatus answer = new PeerCodec.PeerStatus(41, -1, 3, true, null).withCancellations(digest);
+        String encoded = new String(PeerCodec.peerStatus(answer), StandardCharsets.UTF_8).replace('"', '\'');
         assertEquals(
                 "{'token':41,'strayedUs':-1,'layout':3,'served':true,"
                         + "'testimony':{'by':'berth-2','livedUs':5000000,'whole':true,'cancelled':[['wk-1',44]]}}",
-                told);
-        assertEquals(answer, PeerCodec.peerStatus(json(told)));
+                encoded);
+        assertEquals(answer, PeerCodec.peerStatus(json(encoded)));
         for (String part :
                 List.of("'by':'berth-2',", "'livedUs':5000000,", "'whole':true,", ",'cancelled':[['wk-1',44]]")) {
-            assertThrows(MalformedException.class, () -> PeerCodec.peerStatus(json(told.replace(part, ""))), part);
+            assertThrows(MalformedException.class, () -> PeerCodec.peerStatus(json(encoded.replace(part, ""))), part);
         }
-        for (String instead : List.of("7", "['wk-1']", "['wk-1',0]", "['job 1',44]", "[44,'wk-1']", "['wk-1','44']")) {
+        for (String replacement :
+                List.of("7", "['wk-1']", "['wk-1',0]", "['job 1',44]", "[44,'wk-1']", "['wk-1','44']")) {
             assertThrows(
                     MalformedException.class,
-                    () -> PeerCodec.peerStatus(json(told.replace("['wk-1',44]", instead))),
-                    instead);
+                    () -> PeerCodec.peerStatus(json(encoded.replace("['wk-1',44]", replacement))),
+                    replacement);
             assertThrows(
                     MalformedException.class,
-                    () -> PeerCodec.cancellationNotice(json("{'cancelled':[" + instead + "]}")),
-                    instead);
+                    () -> PeerCodec.cancellationNotice(json("{'cancelled':[" + replacement + "]}")),
+                    replacement);
         }
-        PeerCodec.CancellationNotice push = new PeerCodec.CancellationNotice(word.cancelled());
-        assertEquals(push, PeerCodec.cancellationNotice(PeerCodec.cancellationNotice(push)));
+        PeerCodec.CancellationNotice notice = new PeerCodec.CancellationNotice(digest.cancelled());
+        assertEquals(notice, PeerCodec.cancellationNotice(PeerCodec.cancellationNotice(notice)));
         assertThrows(MalformedException.class, () -> PeerCodec.cancellationNotice(json("{}")));
     }
 
     /**
-     * What this version adds. Production passes over fields that it does not know, and cannot read the mark: it asks every
-     * row beside the jobs for {@code state}.
+     * Values that only this version writes. Production ignores unknown fields. It cannot read the layout record, since it requires
+     * {@code state} of every record under the prefix of the jobs.
      */
     @ParameterizedTest
     @CsvSource(
@@ -251,7 +257,7 @@
         storedRecordsAreReadAndWrittenUnchanged(key, data);
     }
 
-    /** A page's number gives its tasks, so its size may not follow the limits that are to come. */
+    /** A page's number determines its tasks, so the page size must not follow the announced next limits. */
     @ParameterizedTest
     @CsvSource({"16, 2048", "32, 4096", "2, 256", "64, 8192"})
     void pagesHoldAsManyTasksAsInProduction(String valueKb, int tasks) throws IOException, MalformedException {
