--- a/src/main/java/io/micatide/protocol/JobCodec.java
+++ b/src/main/java/io/micatide/protocol/JobCodec.java
@@ -41,7 +41,7 @@
         return ID.matcher(id).matches();
     }
 
-    /** Decodes only the id of a submission: the retry of a known job is accepted even if the rest of it is malformed or differs. */
+    /** Decodes only the id of a submission: the retry of a known job is answered regardless of its other fields. */
     public static String id(JsonNode body) throws MalformedException {
         String id = new JsonFields(body, "").text("nameId");
         if (!isId(id)) {
--- a/src/main/java/io/micatide/protocol/PeerCodec.java
+++ b/src/main/java/io/micatide/protocol/PeerCodec.java
@@ -20,10 +20,10 @@
      * @param leader the leader's label
      * @param storeReachable whether the store answers the leader
      * @param workersSilentMicros how long the leader has received no heartbeat, in microseconds
-     * @param designatedStandbys labels of the designated standbys, the first successor first; null if the leader designates none
+     * @param designatedStandbys labels of the designated standbys, in order of succession; null if the leader designates none
      * @param replacesProgress whether this progress replaces that of earlier messages of this leader
      * @param jobs progress of jobs, as shown to users
-     * @param featureFlagsVersion version of the feature stages that the leader has read, 0 if there are none or the leader runs a previous version
+     * @param featureFlagsVersion version of the feature stages that the leader has read, 0 if there are none or from a previous version
      * @param revision store revision up to which the leader has read; -1 from a version that does not ask for cancellations
      */
     public record LeaderStatus(
@@ -42,7 +42,7 @@
          * @param fencingToken the leader's fencing token
          * @param leader the leader's label
          * @param storeReachable whether the store answers the leader
-         * @param agentSilenceMicros how long the leader has received no heartbeat, in microseconds
+         * @param workersSilentMicros how long the leader has received no heartbeat, in microseconds
          * @param designatedStandbys labels of the designated standbys, null if the leader designates none
          * @param replacesProgress whether this progress replaces that of earlier messages
          * @param jobs progress of jobs
@@ -51,7 +51,7 @@
                 long fencingToken,
                 String leader,
                 boolean storeReachable,
-                long agentSilenceMicros,
+                long workersSilentMicros,
                 List<String> designatedStandbys,
                 boolean replacesProgress,
                 List<JobProgress> jobs) {
@@ -59,7 +59,7 @@
                     fencingToken,
                     leader,
                     storeReachable,
-                    agentSilenceMicros,
+                    workersSilentMicros,
                     designatedStandbys,
                     replacesProgress,
                     jobs,
@@ -79,7 +79,8 @@
      * A controller's answer to a {@link LeaderStatus}.
      *
      * @param fencingToken highest fencing token that the controller knows
-     * @param workerLostLeaderAgoMicros time since a worker that had lost the leader turned to this controller, in microseconds, or -1 if none did recently
+     * @param workerLostLeaderAgoMicros time in microseconds since a worker that had lost the leader contacted this controller, or -1 if
+     *     none did recently
      * @param layout number of the stored layout that the controller reads, 1 from the version before layouts had numbers
      * @param storeReachable whether the store answers the controller; false from versions before layout 3, which do not report it
      * @param readiness how ready the controller is to lead, null if it cannot follow a leader or is shutting down
@@ -96,18 +97,19 @@
          * Creates a status without cancellations.
          *
          * @param fencingToken highest fencing token that the controller knows
-         * @param strayAgentAgoMicros time since a worker that had lost the leader turned to this controller, in microseconds, or -1 if none did recently
+         * @param workerLostLeaderAgoMicros time in microseconds since a worker that had lost the leader contacted this controller, or -1 if
+         *     none did recently
          * @param layout number of the stored layout that the controller reads
          * @param storeReachable whether the store answers the controller
          * @param readiness how ready the controller is to lead, may be null
          */
         public PeerStatus(
                 long fencingToken,
-                long strayAgentAgoMicros,
+                long workerLostLeaderAgoMicros,
                 int layout,
                 boolean storeReachable,
                 StandbyReadiness readiness) {
-            this(fencingToken, strayAgentAgoMicros, layout, storeReachable, readiness, null);
+            this(fencingToken, workerLostLeaderAgoMicros, layout, storeReachable, readiness, null);
         }
 
         /**
--- a/src/test/java/io/micatide/protocol/SettingsTest.java
+++ b/src/test/java/io/micatide/protocol/SettingsTest.java
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Each row is an announced next limit, besides the current limits (1000 writes per second, values of 16 KiB, 16 writes per transaction), and
-     * the limits that apply.
+     * Each row has an announced next limit and the limits that apply with it. The current limits are 1000 writes per second, values of 16 KiB
+     * and 16 writes per transaction.
      */
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/io/micatide/protocol/StoredFormatTest.java
+++ b/src/test/java/io/micatide/protocol/StoredFormatTest.java
@@ -198,7 +198,7 @@
         assertEquals(77, PeerCodec.handoverRevision(PeerCodec.handover(41, 77)));
     }
 
-    /** The fields for cancellations are optional; a malformed digest is rejected as a whole, since it must not count as complete. */
+    /** The fields for cancellations are optional; a malformed digest is rejected, so that it proves nothing about cancellations. */
     @Test
     void cancellationMessages() throws MalformedException {
         String status =
