--- a/src/main/java/io/micatide/controller/Cancellations.java
+++ b/src/main/java/io/micatide/controller/Cancellations.java
@@ -121,7 +121,7 @@
                 refresher.apply(id, message.jobRecord(), version);
                 leaderActor.tell(
                         new LeaderMessage.CancellationConfirmed(new CancellationDigest.Cancelled(id, version)));
-                message.request().answer(200, JobCodec.accepted(id, JobCodec.Standing.CANCELLED));
+                message.request().answer(200, JobCodec.accepted(id, JobCodec.PublicState.CANCELLED));
                 return;
             } catch (MalformedException e) {
                 LOG.error("malformed answer to the transaction of a cancellation: {}", e.getMessage());
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -164,7 +164,7 @@
                 apply(item);
                 lastKey = item.key();
             }
-            if (page.more()) {
+            if (page.hasMore()) {
                 readPage(lastKey);
             } else {
                 isLoaded = true;
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -14,7 +14,7 @@
 import io.micatide.protocol.ApiDescription;
 import io.micatide.protocol.CloudCodec;
 import io.micatide.protocol.JobCodec;
-import io.micatide.protocol.JobCodec.Standing;
+import io.micatide.protocol.JobCodec.PublicState;
 import io.micatide.protocol.Json;
 import io.micatide.protocol.MalformedException;
 import io.micatide.protocol.StoreCodec;
@@ -458,8 +458,8 @@
         }
     }
 
-    Standing standing(JobOutcome outcome) {
-        return outcome.state() == JobState.DONE ? Standing.DONE : Standing.CANCELLED;
+    PublicState standing(JobOutcome outcome) {
+        return outcome.state() == JobState.DONE ? PublicState.DONE : PublicState.CANCELLED;
     }
 
     private void answerStatus(Request request, JobCache.Entry entry) {
@@ -475,12 +475,13 @@
                         isDone || jobProgress == null || state == JobState.CANCELLED ? 0 : jobProgress.runningTasks()));
     }
 
-    Standing standing(JobCache.Entry entry) {
+    PublicState standing(JobCache.Entry entry) {
         JobProgress jobProgress = progress.get(entry.id());
         return switch (jobCache.state(entry.id())) {
-            case DONE -> Standing.DONE;
-            case CANCELLED -> Standing.CANCELLED;
-            case OPEN -> jobProgress != null && jobProgress.runningTasks() > 0 ? Standing.RUNNING : Standing.QUEUED;
+            case DONE -> PublicState.DONE;
+            case CANCELLED -> PublicState.CANCELLED;
+            case OPEN ->
+                jobProgress != null && jobProgress.runningTasks() > 0 ? PublicState.RUNNING : PublicState.QUEUED;
         };
     }
 }
--- a/src/main/java/io/micatide/protocol/WorkerSideCodec.java
+++ b/src/main/java/io/micatide/protocol/WorkerSideCodec.java
@@ -10,11 +10,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The protocol between workers and controllers as a worker sees it: for stand-ins of workers. */
+/** The worker's side of the protocol between workers and controllers, used by simulated workers: encodes heartbeats and decodes answers. */
 public final class WorkerSideCodec {
     private WorkerSideCodec() {}
 
-    /** What a controller answers; {@code fencingToken} -1 if there is none. */
+    /**
+     * A controller's answer to a heartbeat.
+     *
+     * @param fencingToken the controller's fencing token, -1 if the answer has none
+     * @param commands commands to carry out in this order
+     */
     public record Answer(long fencingToken, List<Command> commands) {}
 
     public static byte[] heartbeat(Heartbeat heartbeat) {
@@ -36,9 +41,9 @@
                 out.writeStartObject();
                 out.writeStringField("leg", task.job() + "/" + task.taskIndex());
                 out.writeNumberField("throwIn", task.attempt());
-                out.writeStringField("standing", word(task.state()));
+                out.writeStringField("standing", wireName(task.state()));
                 if (task.cause() != null) {
-                    out.writeStringField("cause", word(task.cause()));
+                    out.writeStringField("cause", wireName(task.cause()));
                 }
                 if (task.saved()) {
                     out.writeBooleanField("stored", true);
@@ -50,7 +55,7 @@
         });
     }
 
-    private static String word(TaskState state) {
+    private static String wireName(TaskState state) {
         return switch (state) {
             case FETCHING -> "pulling";
             case WAITING -> "waiting";
@@ -60,7 +65,7 @@
         };
     }
 
-    private static String word(ExitCause cause) {
+    private static String wireName(ExitCause cause) {
         return switch (cause) {
             case DONE -> "done";
             case STOPPED -> "halted";
@@ -97,13 +102,13 @@
         return new Answer(tree.path("armband").asLong(-1), commands);
     }
 
-    /** The session that direct commands are for, -1 if they do not say. */
+    /** Decodes the incarnation of the worker that a direct message is for, -1 if the message has none. */
     public static long incarnation(byte[] body) throws MalformedException {
         return Json.tree(body).path("stint").asLong(-1);
     }
 
-    /** The controller that a refusal names, or null. */
-    public static String steward(byte[] body) {
+    /** Decodes the label of the leader in an answer that redirects the worker; null if it has none. */
+    public static String redirectTarget(byte[] body) {
         try {
             return Json.tree(body).path("steward").asText(null);
         } catch (MalformedException e) {
