--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -221,7 +221,7 @@
         if (wanted == null) {
             return;
         }
-        if (!store.idle() || lookupsBySegment.containsKey(wanted)) {
+        if (!store.hasSpareRate() || lookupsBySegment.containsKey(wanted)) {
             scheduleFilterBuild(FILTER_PAUSE_MICROS);
             return;
         }
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -105,7 +105,7 @@
     }
 
     private void startNextOperation(int writeBudget) {
-        if (now() < pausedUntilMicros || !store.idle()) {
+        if (now() < pausedUntilMicros || !store.hasSpareRate()) {
             return;
         }
 
@@ -117,7 +117,7 @@
         } else if (operation instanceof ArchiveOperation.ReadSegment read) {
             store.read(read.key(), answerTo(operation));
         } else if (operation instanceof ArchiveOperation.FindAfter find) {
-            store.after(StoreKeys.ARCHIVE_SEGMENTS, find.key(), answerTo(operation));
+            store.readFirstAfter(StoreKeys.ARCHIVE_SEGMENTS, find.key(), answerTo(operation));
         } else if (operation instanceof ArchiveOperation.ReadManifest) {
             store.read(StoreKeys.ARCHIVE_MANIFEST, answerTo(operation));
         }
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -92,9 +92,9 @@
         switch (election.nextAction(now, delayMicros)) {
             case READ_RECORD -> store.read(StoreKeys.LEADER, owner.onReply(LeaderMessage.LeaderRecordRead::new));
             case GRANT_LEASE ->
-                store.grant(election.leaseMicros(), owner.onReply(r -> new LeaderMessage.LeaseGranted(r, now)));
+                store.grantLease(election.leaseMicros(), owner.onReply(r -> new LeaderMessage.LeaseGranted(r, now)));
             case RENEW_LEASE ->
-                store.touch(election.leaseId(), owner.onReply(r -> new LeaderMessage.LeaseRenewed(r, now)));
+                store.renewLease(election.leaseId(), owner.onReply(r -> new LeaderMessage.LeaseRenewed(r, now)));
             case CLAIM -> claim();
             case NOTHING -> {}
         }
--- a/src/main/java/io/micatide/controller/LeadershipTransfer.java
+++ b/src/main/java/io/micatide/controller/LeadershipTransfer.java
@@ -74,7 +74,8 @@
      */
     void resignIfPeerReachesWorkers(long now) {
         LeaderTerm term = owner.term();
-        if (term == null || !workerConnectivity.shouldResign(store.reach().isConnected(now), now)) {
+        if (term == null
+                || !workerConnectivity.shouldResign(store.connectivity().isConnected(now), now)) {
             return;
         }
         LOG.warn(
--- a/src/main/java/io/micatide/controller/PeerClients.java
+++ b/src/main/java/io/micatide/controller/PeerClients.java
@@ -59,7 +59,7 @@
         this.owner = owner;
         this.settings = settings;
         for (Settings.Sibling peer : settings.siblings()) {
-            peers.add(connector.to(peer.endpoint(), CONNECTIONS_PER_PEER));
+            peers.add(connector.clientFor(peer.endpoint(), CONNECTIONS_PER_PEER));
         }
     }
 
@@ -106,7 +106,7 @@
             peers.get(peer)
                     .get(
                             "/standby",
-                            Http.PATIENCE_MICROS,
+                            Http.DEFAULT_TIMEOUT_MICROS,
                             owner.onReply(r -> new StandbyMessage.ReadinessAnswered(r, peer)));
         }
     }
@@ -119,7 +119,7 @@
                         .post(
                                 "/hints",
                                 HintCodec.batch(batch),
-                                Http.PATIENCE_MICROS,
+                                Http.DEFAULT_TIMEOUT_MICROS,
                                 owner.onReply(r -> new StandbyMessage.HintsAcknowledged(r, fencingToken, standby)));
             }
         }
@@ -143,7 +143,7 @@
                         .post(
                                 "/withdrawn",
                                 PeerCodec.cancellationNotice(cancellations),
-                                Http.PATIENCE_MICROS,
+                                Http.DEFAULT_TIMEOUT_MICROS,
                                 reply -> {});
             }
         }
@@ -165,7 +165,7 @@
                                 jobs,
                                 status.featureStagesVersion(),
                                 status.readRevision())),
-                        Http.PATIENCE_MICROS,
+                        Http.DEFAULT_TIMEOUT_MICROS,
                         owner.onReply(r ->
                                 new LeaderMessage.PeerStatusAnswered(r, status.fencingToken(), peer, askedMicros)));
     }
--- a/src/main/java/io/micatide/controller/PeerExchange.java
+++ b/src/main/java/io/micatide/controller/PeerExchange.java
@@ -84,7 +84,7 @@
     private PeerClients.LeaderStatus currentStatus(LeaderTerm term, long now) {
         return new PeerClients.LeaderStatus(
                 term.fencingToken(),
-                store.reach().isConnected(now),
+                store.connectivity().isConnected(now),
                 collaborators.workerConnectivity().silentMicros(now),
                 collaborators.standbyCoordinator().selectStandbys(now),
                 collaborators.rollout().featureFlags().version(),
@@ -136,7 +136,7 @@
         }
         collaborators.rollout().newerVersionReported(status.featureFlagsVersion());
         if (status.storeReachable()) {
-            store.reach().peerReachedStore(now);
+            store.connectivity().peerReachedStore(now);
         }
         if (owner.term() == null && isOfLatestTerm) {
             users.tell(new UsersActor.ProgressReported(status.replacesProgress(), status.jobs()));
@@ -149,7 +149,7 @@
                 collaborators.election().highestFencingToken(),
                 collaborators.workerConnectivity().workerLostLeaderAgoMicros(now),
                 Settings.LAYOUT,
-                store.reach().isConnected(now),
+                store.connectivity().isConnected(now),
                 transfer.isShuttingDown()
                         ? null
                         : collaborators.standbyCoordinator().readiness(now));
--- a/src/main/java/io/micatide/controller/TermAnnouncer.java
+++ b/src/main/java/io/micatide/controller/TermAnnouncer.java
@@ -72,7 +72,7 @@
         }
         for (TermAnnouncement announcement : scheduler.nextAnnouncements(allowed)) {
             budget--;
-            send(announcement, connector.to(announcement.address(), CONNECTIONS_PER_WORKER));
+            send(announcement, connector.clientFor(announcement.address(), CONNECTIONS_PER_WORKER));
         }
     }
 
--- a/src/main/java/io/micatide/controller/UsersActor.java
+++ b/src/main/java/io/micatide/controller/UsersActor.java
@@ -269,7 +269,7 @@
 
     /** No answer of the state service; the user is sent away only if another controller can do better. */
     void answerUnavailable(Request request) {
-        if (store.reach().isOnlyControllerPartitioned(now())) {
+        if (store.connectivity().isOnlyControllerPartitioned(now())) {
             request.answerAndClose(503, UNAVAILABLE, 1);
         } else {
             request.answer(503, UNAVAILABLE, 1);
@@ -303,7 +303,7 @@
         if (path.equals("/healthz")) {
             if (!request.method().equals("GET")) {
                 request.answer(405, WRONG_METHOD);
-            } else if (store.reach().isOnlyControllerPartitioned(now())) {
+            } else if (store.connectivity().isOnlyControllerPartitioned(now())) {
                 request.answer(503, UNAVAILABLE, 1);
             } else if (refresher.isLoaded() && !machineTypes.isEmpty()) {
                 request.answer(200, "{\"status\":\"ok\"}".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
--- a/src/main/java/io/micatide/net/HttpClient.java
+++ b/src/main/java/io/micatide/net/HttpClient.java
@@ -30,57 +30,57 @@
 
 /** A client of one service with kept connections. Used from its event loop only. */
 public final class HttpClient implements Http {
-    private static final int MOST_RESPONSE = 8 << 20;
-    private static final int MOST_QUEUED = 200;
+    private static final int MAX_RESPONSE_BYTES = 8 << 20;
+    private static final int MAX_QUEUED_CALLS = 200;
     private static final byte[] NO_BODY = new byte[0];
 
     private final EventLoop loop;
     private final String host;
     private final InetSocketAddress address;
-    private final int mostConnections;
+    private final int maxConnections;
     private final Deque<Connection> idle = new ArrayDeque<>();
     private final Deque<Call> queue = new ArrayDeque<>();
     private int connections;
 
-    public HttpClient(EventLoop loop, String endpoint, int mostConnections) {
+    public HttpClient(EventLoop loop, String endpoint, int maxConnections) {
         int colon = endpoint.lastIndexOf(':');
         this.loop = loop;
         this.host = endpoint;
         this.address =
                 new InetSocketAddress(endpoint.substring(0, colon), Integer.parseInt(endpoint.substring(colon + 1)));
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
     }
 
     private static final class Call {
         final HttpMethod method;
         final String path;
         final byte[] body;
-        final Consumer<Reply> then;
+        final Consumer<Reply> callback;
         ScheduledFuture<?> timeout;
         Connection connection;
-        boolean over;
+        boolean isFinished;
 
-        Call(HttpMethod method, String path, byte[] body, Consumer<Reply> then) {
+        Call(HttpMethod method, String path, byte[] body, Consumer<Reply> callback) {
             this.method = method;
             this.path = path;
             this.body = body;
-            this.then = then;
+            this.callback = callback;
         }
     }
 
     @Override
-    public void get(String path, long timeoutMicros, Consumer<Reply> then) {
-        send(HttpMethod.GET, path, NO_BODY, timeoutMicros, then);
+    public void get(String path, long timeoutMicros, Consumer<Reply> callback) {
+        send(HttpMethod.GET, path, NO_BODY, timeoutMicros, callback);
     }
 
     @Override
-    public void post(String path, byte[] body, long timeoutMicros, Consumer<Reply> then) {
-        send(HttpMethod.POST, path, body, timeoutMicros, then);
+    public void post(String path, byte[] body, long timeoutMicros, Consumer<Reply> callback) {
+        send(HttpMethod.POST, path, body, timeoutMicros, callback);
     }
 
     @Override
-    public void delete(String path, long timeoutMicros, Consumer<Reply> then) {
-        send(HttpMethod.DELETE, path, NO_BODY, timeoutMicros, then);
+    public void delete(String path, long timeoutMicros, Consumer<Reply> callback) {
+        send(HttpMethod.DELETE, path, NO_BODY, timeoutMicros, callback);
     }
 
     @Override
@@ -88,10 +88,10 @@
         idle.forEach(connection -> connection.channel.close());
     }
 
-    private void send(HttpMethod method, String path, byte[] body, long timeoutMicros, Consumer<Reply> then) {
-        Call call = new Call(method, path, body, then);
-        if (queue.size() >= MOST_QUEUED) {
-            then.accept(Reply.NOT_SENT);
+    private void send(HttpMethod method, String path, byte[] body, long timeoutMicros, Consumer<Reply> callback) {
+        Call call = new Call(method, path, body, callback);
+        if (queue.size() >= MAX_QUEUED_CALLS) {
+            callback.accept(Reply.NOT_SENT);
             return;
         }
         call.timeout = loop.schedule(() -> expire(call), timeoutMicros, TimeUnit.MICROSECONDS);
@@ -103,7 +103,7 @@
             connection.start(call);
         } else {
             queue.addLast(call);
-            if (connections < mostConnections) {
+            if (connections < maxConnections) {
                 connect();
             }
         }
@@ -121,10 +121,10 @@
     }
 
     private void finish(Call call, Reply reply) {
-        if (!call.over) {
-            call.over = true;
+        if (!call.isFinished) {
+            call.isFinished = true;
             call.timeout.cancel(false);
-            call.then.accept(reply);
+            call.callback.accept(reply);
         }
     }
 
@@ -140,7 +140,10 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_RESPONSE), connection);
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        connection);
                     }
                 })
                 .connect(address);
@@ -165,10 +168,10 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            ready();
+            startNextOrBecomeIdle();
         }
 
-        private void ready() {
+        private void startNextOrBecomeIdle() {
             Call next = queue.pollFirst();
             if (next != null) {
                 start(next);
@@ -204,7 +207,7 @@
                 finish(answered, reply);
             }
             if (keep && channel.isActive() && call == null) {
-                ready();
+                startNextOrBecomeIdle();
             }
         }
 
@@ -217,7 +220,7 @@
                 call = null;
                 finish(lost, Reply.UNANSWERED);
             }
-            if (!queue.isEmpty() && connections < mostConnections) {
+            if (!queue.isEmpty() && connections < maxConnections) {
                 connect();
             }
         }
--- a/src/main/java/io/micatide/net/HttpServer.java
+++ b/src/main/java/io/micatide/net/HttpServer.java
@@ -26,7 +26,7 @@
 /** A server whose answers may come later, from another actor. */
 public final class HttpServer {
     /** Largest request body of the protocols. */
-    public static final int MOST_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
     /** Takes requests; must answer each one exactly once. */
     @FunctionalInterface
@@ -35,12 +35,12 @@
     }
 
     private final Handler handler;
-    private final int mostConnections;
+    private final int maxConnections;
     private int connections;
 
-    public HttpServer(Handler handler, int mostConnections) {
+    public HttpServer(Handler handler, int maxConnections) {
         this.handler = handler;
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
     }
 
     public ChannelFuture bind(EventLoop loop, String endpoint) {
@@ -122,7 +122,7 @@
     /** The protocols say 400 where HTTP has 413, since users would retry that. */
     private static final class Aggregator extends HttpObjectAggregator {
         Aggregator() {
-            super(MOST_BODY);
+            super(MAX_BODY_BYTES);
         }
 
         @Override
@@ -150,7 +150,7 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            boolean keep = HttpUtil.isKeepAlive(request) && connections < mostConnections;
+            boolean keep = HttpUtil.isKeepAlive(request) && connections < maxConnections;
             handler.handle(new Exchange(
                     context.channel(),
                     keep,
--- a/src/main/java/io/micatide/net/RateLimitedClient.java
+++ b/src/main/java/io/micatide/net/RateLimitedClient.java
@@ -7,25 +7,25 @@
 abstract class RateLimitedClient {
     private static final Reply ABOVE_RATE = new Reply(429, new byte[0], false);
 
-    private final RateLimiter pacer;
+    private final RateLimiter rateLimiter;
     private final LongSupplier clock;
 
     RateLimitedClient(double rate, double burst, LongSupplier clock) {
-        this.pacer = new RateLimiter(rate, burst, clock.getAsLong());
+        this.rateLimiter = new RateLimiter(rate, burst, clock.getAsLong());
         this.clock = clock;
     }
 
-    /** Whether more than half of what may be asked at once is left: what can wait goes on only then. */
-    public final boolean idle() {
-        return pacer.left(clock.getAsLong()) > 0.5;
+    /** Whether more than half of what may be asked at once is left: what can wait goes on only callback. */
+    public final boolean hasSpareRate() {
+        return rateLimiter.remainingShare(clock.getAsLong()) > 0.5;
     }
 
     /** Whether the request is above the rate, in which case it has been answered. */
-    final boolean over(Consumer<Reply> then) {
-        if (pacer.take(clock.getAsLong())) {
+    final boolean rejectAboveRate(Consumer<Reply> callback) {
+        if (rateLimiter.tryAcquire(clock.getAsLong())) {
             return false;
         }
-        then.accept(ABOVE_RATE);
+        callback.accept(ABOVE_RATE);
         return true;
     }
 }
--- a/src/main/java/io/micatide/net/RateLimiter.java
+++ b/src/main/java/io/micatide/net/RateLimiter.java
@@ -6,31 +6,31 @@
  * Keeps a client under a service's rate. Guava's limiter blocks its caller, which an event loop cannot afford.
  */
 public final class RateLimiter {
-    private final double rate;
+    private final double tokensPerSecond;
     private final double burst;
     private double tokens;
-    private long atMicros;
+    private long refilledMicros;
 
     public RateLimiter(double rate, double burst, long nowMicros) {
-        this.rate = rate;
+        this.tokensPerSecond = rate;
         this.burst = burst;
         this.tokens = burst;
-        this.atMicros = nowMicros;
+        this.refilledMicros = nowMicros;
     }
 
     /** The share of the burst that is left. */
-    public double left(long nowMicros) {
-        fill(nowMicros);
+    public double remainingShare(long nowMicros) {
+        refill(nowMicros);
         return tokens / burst;
     }
 
-    private void fill(long nowMicros) {
-        tokens = Math.min(burst, tokens + rate * Micros.toSeconds(nowMicros - atMicros));
-        atMicros = nowMicros;
+    private void refill(long nowMicros) {
+        tokens = Math.min(burst, tokens + tokensPerSecond * Micros.toSeconds(nowMicros - refilledMicros));
+        refilledMicros = nowMicros;
     }
 
-    public boolean take(long nowMicros) {
-        fill(nowMicros);
+    public boolean tryAcquire(long nowMicros) {
+        refill(nowMicros);
         if (tokens < 1) {
             return false;
         }
--- a/src/main/java/io/micatide/net/Reply.java
+++ b/src/main/java/io/micatide/net/Reply.java
@@ -14,7 +14,7 @@
     }
 
     /** The service answered, and not that it is away. */
-    boolean served() {
+    boolean isServiceAvailable() {
         return status != 0 && status != 503;
     }
 
--- a/src/main/java/io/micatide/net/StoreClient.java
+++ b/src/main/java/io/micatide/net/StoreClient.java
@@ -13,84 +13,102 @@
     private final Http http;
     private final Http watches;
     private final LongSupplier clock;
-    private final StoreConnectivity reach = new StoreConnectivity();
+    private final StoreConnectivity connectivity = new StoreConnectivity();
 
     public StoreClient(Settings settings, Http.Connector connector, LongSupplier clock) {
         // One controller alone may need most of the rate; 429 and a second try settle the rare sum above it.
         super(settings.storeRequestsPerSecond() * 0.6, settings.storeRequestsPerSecond() * 0.3, clock);
-        this.http = connector.to(settings.store(), 12);
-        this.watches = connector.to(settings.store(), 2);
+        this.http = connector.clientFor(settings.store(), 12);
+        this.watches = connector.clientFor(settings.store(), 2);
         this.clock = clock;
     }
 
     /** What is known of this controller's and its siblings' way to the state service. */
-    public StoreConnectivity reach() {
-        return reach;
+    public StoreConnectivity connectivity() {
+        return connectivity;
     }
 
-    private Consumer<Reply> noting(Consumer<Reply> then) {
+    private Consumer<Reply> recordingConnectivity(Consumer<Reply> callback) {
         return reply -> {
-            if (reply.served()) {
-                reach.storeAnswered(clock.getAsLong());
+            if (reply.isServiceAvailable()) {
+                connectivity.storeAnswered(clock.getAsLong());
             }
-            then.accept(reply);
+            callback.accept(reply);
         };
     }
 
-    public void transaction(Transaction transaction, Consumer<Reply> then) {
-        if (!over(then)) {
-            http.post("/txn", StoreCodec.transaction(transaction), Http.PATIENCE_MICROS, noting(then));
+    public void transaction(Transaction transaction, Consumer<Reply> callback) {
+        if (!rejectAboveRate(callback)) {
+            http.post(
+                    "/txn",
+                    StoreCodec.transaction(transaction),
+                    Http.DEFAULT_TIMEOUT_MICROS,
+                    recordingConnectivity(callback));
         }
     }
 
-    public void read(String key, Consumer<Reply> then) {
-        if (!over(then)) {
-            http.get("/store/" + key, Http.PATIENCE_MICROS, noting(then));
+    public void read(String key, Consumer<Reply> callback) {
+        if (!rejectAboveRate(callback)) {
+            http.get("/store/" + key, Http.DEFAULT_TIMEOUT_MICROS, recordingConnectivity(callback));
         }
     }
 
-    public void list(String prefix, String after, Consumer<Reply> then) {
-        if (!over(then)) {
+    public void list(String prefix, String after, Consumer<Reply> callback) {
+        if (!rejectAboveRate(callback)) {
             http.get(
                     "/store?starts=" + prefix + (after == null ? "" : "&from=" + after) + "&most=500",
-                    3 * Http.PATIENCE_MICROS,
-                    noting(then));
+                    3 * Http.DEFAULT_TIMEOUT_MICROS,
+                    recordingConnectivity(callback));
         }
     }
 
     /** One value after a key, or none. */
-    public void after(String prefix, String key, Consumer<Reply> then) {
-        if (!over(then)) {
-            http.get("/store?starts=" + prefix + "&from=" + key + "&most=1", Http.PATIENCE_MICROS, noting(then));
+    public void readFirstAfter(String prefix, String key, Consumer<Reply> callback) {
+        if (!rejectAboveRate(callback)) {
+            http.get(
+                    "/store?starts=" + prefix + "&from=" + key + "&most=1",
+                    Http.DEFAULT_TIMEOUT_MICROS,
+                    recordingConnectivity(callback));
         }
     }
 
     /** What changed since a revision, as of now: older than no answer that any node has given. */
-    public void changes(String prefix, long since, Consumer<Reply> then) {
-        if (!over(then)) {
-            http.get("/changes?starts=" + prefix + "&from=" + since, Http.PATIENCE_MICROS, noting(then));
+    public void changes(String prefix, long since, Consumer<Reply> callback) {
+        if (!rejectAboveRate(callback)) {
+            http.get(
+                    "/changes?starts=" + prefix + "&from=" + since,
+                    Http.DEFAULT_TIMEOUT_MICROS,
+                    recordingConnectivity(callback));
         }
     }
 
-    public void watch(String prefix, long since, long waitMicros, Consumer<Reply> then) {
-        if (!over(then)) {
+    public void watch(String prefix, long since, long waitMicros, Consumer<Reply> callback) {
+        if (!rejectAboveRate(callback)) {
             watches.get(
                     "/changes?starts=" + prefix + "&from=" + since + "&waitMs=" + waitMicros / Micros.MILLISECOND,
                     waitMicros + 2 * Micros.SECOND,
-                    then);
+                    callback);
         }
     }
 
     /** Leases are not paced: losing the lead costs more than the requests. */
-    public void grant(long ttlMicros, Consumer<Reply> then) {
-        http.post("/grants", StoreCodec.leaseRequest(ttlMicros), Http.PATIENCE_MICROS, noting(then));
+    public void grantLease(long ttlMicros, Consumer<Reply> callback) {
+        http.post(
+                "/grants",
+                StoreCodec.leaseRequest(ttlMicros),
+                Http.DEFAULT_TIMEOUT_MICROS,
+                recordingConnectivity(callback));
     }
 
-    public void touch(long lease, Consumer<Reply> then) {
-        http.post("/grants/" + lease + "/touch", new byte[0], Http.PATIENCE_MICROS, noting(then));
+    public void renewLease(long lease, Consumer<Reply> callback) {
+        http.post(
+                "/grants/" + lease + "/touch",
+                new byte[0],
+                Http.DEFAULT_TIMEOUT_MICROS,
+                recordingConnectivity(callback));
     }
 
-    public void endLease(long lease, Consumer<Reply> then) {
-        http.delete("/grants/" + lease, Http.PATIENCE_MICROS, noting(then));
+    public void endLease(long lease, Consumer<Reply> callback) {
+        http.delete("/grants/" + lease, Http.DEFAULT_TIMEOUT_MICROS, recordingConnectivity(callback));
     }
 }
--- a/src/main/java/io/micatide/rollout/ControllerRegistration.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistration.java
@@ -29,7 +29,7 @@
     private final String key;
     private final String build;
     private final Capabilities capabilities;
-    private final long startedWall;
+    private final long startedWallMicros;
     private boolean isRequestInFlight;
     private long retryMicros = Long.MIN_VALUE;
     /** Of the stored record, 0 if there is none, {@link #NOT_KNOWN} before it was read. */
@@ -48,13 +48,13 @@
      * @param label of this controller
      * @param build the version of this program, for operators
      * @param capabilities of this version
-     * @param startedWall time of day at which this process began
+     * @param startedWallMicros time of day at which this process began
      */
-    public ControllerRegistration(String label, String build, Capabilities capabilities, long startedWall) {
+    public ControllerRegistration(String label, String build, Capabilities capabilities, long startedWallMicros) {
         this.key = StoreKeys.controller(label);
         this.build = build;
         this.capabilities = capabilities;
-        this.startedWall = startedWall;
+        this.startedWallMicros = startedWallMicros;
     }
 
     /**
@@ -99,7 +99,7 @@
                 List.of(new Transaction.Write(
                         key,
                         new StoredRecord.RegisteredController(
-                                build, capabilities.knownFeatureKeys(), requestedFlagsVersion, startedWall),
+                                build, capabilities.knownFeatureKeys(), requestedFlagsVersion, startedWallMicros),
                         requestedLease)));
     }
 
--- a/src/main/java/io/micatide/simulation/SimulatedStore.java
+++ b/src/main/java/io/micatide/simulation/SimulatedStore.java
@@ -124,7 +124,7 @@
             request.answer(503, text("{\"error\":\"away\"}"));
             return;
         }
-        if (!requestLimiter.take(executor.now())) {
+        if (!requestLimiter.tryAcquire(executor.now())) {
             request.answer(429, text("{\"error\":\"rate\"}"));
             return;
         }
@@ -263,7 +263,7 @@
             check(write);
         }
         for (int i = 0; i < writes.size(); i++) {
-            if (!writeLimiter.take(executor.now())) {
+            if (!writeLimiter.tryAcquire(executor.now())) {
                 request.answer(429, text("{\"error\":\"rate\"}"));
                 return;
             }
