--- a/src/main/java/io/micatide/net/Http.java
+++ b/src/main/java/io/micatide/net/Http.java
@@ -4,26 +4,35 @@
 import java.util.function.Consumer;
 
 /**
- * Requests to one service. {@code callback} is called once for each, on the caller's loop, at the latest when its time is over; an answer
- * after that is dropped. Times in microseconds.
+ * Asynchronous HTTP client of one service. The callback of each request is called exactly once, on the caller's event loop, at the latest
+ * when the timeout expires; an answer that arrives later is dropped. Times are in microseconds.
  */
 public interface Http {
-    /** How long a request waits by default. */
+    /** Default timeout of a request. */
     long DEFAULT_TIMEOUT_MICROS = Micros.SECOND;
 
+    /** Sends a GET request; the path includes the query. */
     void get(String path, long timeoutMicros, Consumer<Reply> callback);
 
+    /** Sends a POST request with a JSON body. */
     void post(String path, byte[] body, long timeoutMicros, Consumer<Reply> callback);
 
+    /** Sends a DELETE request. */
     void delete(String path, long timeoutMicros, Consumer<Reply> callback);
 
-    /** Gives back what is kept open for the next request; nothing more is asked. */
+    /** Closes the idle connections. No request may be sent afterwards. */
     default void close() {}
 
-    /** How a process comes to its services and siblings. */
+    /** Creates the clients with which a process reaches its services and peers. */
     @FunctionalInterface
     interface Connector {
-        /** @param endpoint host and port */
+        /**
+         * Creates a client of the given endpoint.
+         *
+         * @param endpoint host and port, separated by a colon
+         * @param maxConnections largest number of simultaneous connections to it
+         * @return a client that connects on demand
+         */
         Http clientFor(String endpoint, int maxConnections);
     }
 }
--- a/src/main/java/io/micatide/net/HttpClient.java
+++ b/src/main/java/io/micatide/net/HttpClient.java
@@ -28,7 +28,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A client of one service with kept connections. Used from its event loop only. */
+/**
+ * HTTP/1.1 client of one service with a pool of keep-alive connections, each with at most one request in flight. Requests that find no
+ * idle connection wait in a queue of limited length; one that does not fit is answered with {@link Reply#NOT_SENT}. Not thread-safe: used
+ * from its event loop only.
+ */
 public final class HttpClient implements Http {
     private static final int MAX_RESPONSE_BYTES = 8 << 20;
     private static final int MAX_QUEUED_CALLS = 200;
@@ -38,10 +42,20 @@
     private final String host;
     private final InetSocketAddress address;
     private final int maxConnections;
+    /** Open connections without a request in flight; the one used last is used first. */
     private final Deque<Connection> idle = new ArrayDeque<>();
+    /** Requests that wait for a connection, oldest first. */
     private final Deque<Call> queue = new ArrayDeque<>();
+    /** Number of connections that are open or being opened. */
     private int connections;
 
+    /**
+     * Creates a client without connections.
+     *
+     * @param loop the event loop on which it is used and calls back
+     * @param endpoint host and port, separated by a colon
+     * @param maxConnections largest number of simultaneous connections
+     */
     public HttpClient(EventLoop loop, String endpoint, int maxConnections) {
         int colon = endpoint.lastIndexOf(':');
         this.loop = loop;
@@ -51,13 +65,17 @@
         this.maxConnections = maxConnections;
     }
 
+    /** A request and its callback. */
     private static final class Call {
         final HttpMethod method;
         final String path;
         final byte[] body;
         final Consumer<Reply> callback;
         ScheduledFuture<?> timeout;
+        /** The connection on which the request was sent, null while it waits in the queue. */
         Connection connection;
+
+        /** Whether the callback was called. */
         boolean isFinished;
 
         Call(HttpMethod method, String path, byte[] body, Consumer<Reply> callback) {
@@ -109,6 +127,10 @@
         }
     }
 
+    /**
+     * Ends a request whose timeout has expired. A connection with an unanswered request is closed: a late answer on it would be
+     * taken for that of its next request.
+     */
     private void expire(Call call) {
         if (call.connection != null) {
             Channel channel = call.connection.channel;
@@ -162,8 +184,10 @@
         });
     }
 
+    /** One connection of the pool. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
+        /** The request in flight, or null. */
         private Call call;
 
         @Override
--- a/src/main/java/io/micatide/net/HttpServer.java
+++ b/src/main/java/io/micatide/net/HttpServer.java
@@ -23,26 +23,41 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
 
-/** A server whose answers may come later, from another actor. */
+/** HTTP/1.1 server with asynchronous answers: a handler may return before its request is answered, also by another actor. */
 public final class HttpServer {
-    /** Largest request body of the protocols. */
+    /** Largest request body that the protocols allow; a larger one is answered with status 400. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** Takes requests; must answer each one exactly once. */
+    /** Handles requests; must answer each one exactly once, now or later. */
     @FunctionalInterface
     public interface Handler {
+        /** Handles one request on the server's event loop. */
         void handle(Request request);
     }
 
     private final Handler handler;
     private final int maxConnections;
+    /** Number of open connections. */
     private int connections;
 
+    /**
+     * Creates a server that is not bound yet.
+     *
+     * @param handler receives the requests
+     * @param maxConnections number of open connections from which on each one is closed after its next answer
+     */
     public HttpServer(Handler handler, int maxConnections) {
         this.handler = handler;
         this.maxConnections = maxConnections;
     }
 
+    /**
+     * Starts to listen.
+     *
+     * @param loop the event loop that accepts connections and runs the handler
+     * @param endpoint host and port, separated by a colon
+     * @return completes when the socket is bound or binding has failed
+     */
     public ChannelFuture bind(EventLoop loop, String endpoint) {
         int colon = endpoint.lastIndexOf(':');
         return new ServerBootstrap()
@@ -61,6 +76,7 @@
                         endpoint.substring(0, colon), Integer.parseInt(endpoint.substring(colon + 1))));
     }
 
+    /** A request together with the channel on which it is answered. */
     private static final class Exchange implements Request {
         private final Channel channel;
         private final boolean keepAlive;
@@ -119,7 +135,10 @@
         }
     }
 
-    /** The protocols say 400 where HTTP has 413, since users would retry that. */
+    /**
+     * Assembles a whole request. Answers one with too large a body with status 400, as the protocols require: clients would retry the
+     * usual 413.
+     */
     private static final class Aggregator extends HttpObjectAggregator {
         Aggregator() {
             super(MAX_BODY_BYTES);
@@ -137,6 +156,7 @@
         }
     }
 
+    /** Passes the requests of one connection to the handler and counts open connections. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
--- a/src/main/java/io/micatide/net/RateLimiter.java
+++ b/src/main/java/io/micatide/net/RateLimiter.java
@@ -3,14 +3,23 @@
 import io.micatide.model.Micros;
 
 /**
- * Keeps a client under a service's rate. Guava's limiter blocks its caller, which an event loop cannot afford.
+ * Token bucket that keeps a client below the rate limit of a service. It never blocks, unlike Guava's limiter, which therefore cannot be
+ * used on an event loop. Times are in microseconds.
  */
 public final class RateLimiter {
     private final double tokensPerSecond;
     private final double burst;
     private double tokens;
+    /** Time up to which tokens were added. */
     private long refilledMicros;
 
+    /**
+     * Creates a full bucket.
+     *
+     * @param rate tokens that are added per second
+     * @param burst capacity in tokens
+     * @param nowMicros the present time
+     */
     public RateLimiter(double rate, double burst, long nowMicros) {
         this.tokensPerSecond = rate;
         this.burst = burst;
@@ -18,7 +27,7 @@
         this.refilledMicros = nowMicros;
     }
 
-    /** The share of the burst that is left. */
+    /** Returns the tokens that are left as a share of the burst, from 0 to 1. */
     public double remainingShare(long nowMicros) {
         refill(nowMicros);
         return tokens / burst;
@@ -29,6 +38,7 @@
         refilledMicros = nowMicros;
     }
 
+    /** Takes one token; returns false and takes none if less than one is left. */
     public boolean tryAcquire(long nowMicros) {
         refill(nowMicros);
         if (tokens < 1) {
--- a/src/main/java/io/micatide/net/StoreClient.java
+++ b/src/main/java/io/micatide/net/StoreClient.java
@@ -8,26 +8,41 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** The state service's calls, paced so that the controllers together stay under its rate. */
+/**
+ * Client of the store. Requests are limited so that the controllers of a deployment together usually stay below the store's rate; one above
+ * the limit is answered with status 429 without being sent. Records whether the store answers, in {@link #connectivity}.
+ */
 public final class StoreClient extends RateLimitedClient {
     private final Http http;
+    /** Separate connections for long polls, which would otherwise keep other requests waiting. */
     private final Http watches;
+
     private final LongSupplier clock;
     private final StoreConnectivity connectivity = new StoreConnectivity();
 
+    /**
+     * Creates a client of the store endpoint in the settings.
+     *
+     * @param settings endpoint and request rate of the store
+     * @param connector opens the HTTP clients
+     * @param clock the present time in microseconds
+     */
     public StoreClient(Settings settings, Http.Connector connector, LongSupplier clock) {
-        // One controller alone may need most of the rate; 429 and a second try settle the rare sum above it.
+        // A single controller may need most of the rate. If several together exceed it, which is rare, the store
+        // answers 429 and the
+        // request is retried.
         super(settings.storeRequestsPerSecond() * 0.6, settings.storeRequestsPerSecond() * 0.3, clock);
         this.http = connector.clientFor(settings.store(), 12);
         this.watches = connector.clientFor(settings.store(), 2);
         this.clock = clock;
     }
 
-    /** What is known of this controller's and its siblings' way to the state service. */
+    /** Returns the connectivity of this controller and its peers to the store, as far as this controller knows it. */
     public StoreConnectivity connectivity() {
         return connectivity;
     }
 
+    /** Wraps a callback so that an answer of the store other than 503 is first recorded as a sign of connectivity. */
     private Consumer<Reply> recordingConnectivity(Consumer<Reply> callback) {
         return reply -> {
             if (reply.isServiceAvailable()) {
@@ -37,6 +52,7 @@
         };
     }
 
+    /** Executes a transaction. */
     public void transaction(Transaction transaction, Consumer<Reply> callback) {
         if (!rejectAboveRate(callback)) {
             http.post(
@@ -47,12 +63,20 @@
         }
     }
 
+    /** Reads the record of one key. */
     public void read(String key, Consumer<Reply> callback) {
         if (!rejectAboveRate(callback)) {
             http.get("/store/" + key, Http.DEFAULT_TIMEOUT_MICROS, recordingConnectivity(callback));
         }
     }
 
+    /**
+     * Reads a page of up to 500 records in the order of their keys.
+     *
+     * @param prefix of the keys
+     * @param after the last key of the previous page, null for the first page
+     * @param callback receives the reply
+     */
     public void list(String prefix, String after, Consumer<Reply> callback) {
         if (!rejectAboveRate(callback)) {
             http.get(
@@ -62,7 +86,7 @@
         }
     }
 
-    /** One value after a key, or none. */
+    /** Reads the first record after the given key among those with the prefix, if there is one. */
     public void readFirstAfter(String prefix, String key, Consumer<Reply> callback) {
         if (!rejectAboveRate(callback)) {
             http.get(
@@ -72,7 +96,7 @@
         }
     }
 
-    /** What changed since a revision, as of now: older than no answer that any node has given. */
+    /** Reads the changes since a revision. The answer is at least as recent as any answer given before by any node of the store. */
     public void changes(String prefix, long since, Consumer<Reply> callback) {
         if (!rejectAboveRate(callback)) {
             http.get(
@@ -82,6 +106,14 @@
         }
     }
 
+    /**
+     * Waits for changes since a revision (long poll). The reply does not count for {@link #connectivity}.
+     *
+     * @param prefix of the keys
+     * @param since the revision
+     * @param waitMicros time after which the store answers without a change
+     * @param callback receives the reply
+     */
     public void watch(String prefix, long since, long waitMicros, Consumer<Reply> callback) {
         if (!rejectAboveRate(callback)) {
             watches.get(
@@ -91,7 +123,10 @@
         }
     }
 
-    /** Leases are not paced: losing the lead costs more than the requests. */
+    /**
+     * Requests a new lease with the given time to live. Requests for leases are exempt from the rate limit, since a lost leadership costs
+     * more than they do.
+     */
     public void grantLease(long ttlMicros, Consumer<Reply> callback) {
         http.post(
                 "/grants",
@@ -100,6 +135,7 @@
                 recordingConnectivity(callback));
     }
 
+    /** Renews a lease; not rate-limited. */
     public void renewLease(long lease, Consumer<Reply> callback) {
         http.post(
                 "/grants/" + lease + "/touch",
@@ -108,6 +144,7 @@
                 recordingConnectivity(callback));
     }
 
+    /** Revokes a lease; not rate-limited. */
     public void endLease(long lease, Consumer<Reply> callback) {
         http.delete("/grants/" + lease, Http.DEFAULT_TIMEOUT_MICROS, recordingConnectivity(callback));
     }
--- a/src/main/java/io/micatide/rollout/Capabilities.java
+++ b/src/main/java/io/micatide/rollout/Capabilities.java
@@ -4,36 +4,36 @@
 import java.util.List;
 
 /**
- * The features of the stored state that a version of the program supports. The program has {@link #ALL}; tests play other versions.
+ * The features of the stored state that a version of the program supports. The program uses {@link #ALL}; tests simulate other versions.
  *
- * @param knownFeatures those that it reads and writes at all their stages
- * @param supportsRegistration whether it registers as a controller and reads the feature stages; versions before them do neither, and
- *     cannot read past their record
+ * @param knownFeatures the features that it can read and write at each of their stages
+ * @param supportsRegistration whether it registers as a controller and reads the feature stages; versions from before the feature stages
+ *     do neither, and fail when they read the record of the stages
  */
 public record Capabilities(List<Feature> knownFeatures, boolean supportsRegistration) {
-    /** Those of this version. */
+    /** Capabilities of this version. */
     public static final Capabilities ALL = new Capabilities(List.of(Feature.values()), true);
-    /** Those of a version before the feature stages. */
+    /** Capabilities of a version from before the feature stages. */
     public static final Capabilities LEGACY = new Capabilities(List.of(), false);
 
     /**
-     * The capabilities of a version with feature stages that does not know some features yet.
+     * Returns the capabilities of a version that has feature stages but does not know the given features.
      *
-     * @param features what it does not know
-     * @return all others
+     * @param features the features that it does not know
+     * @return capabilities with all other features
      */
     public static Capabilities without(Feature... features) {
         return new Capabilities(
                 ALL.knownFeatures().stream()
-                        .filter(each -> !Arrays.asList(features).contains(each))
+                        .filter(feature -> !Arrays.asList(features).contains(feature))
                         .toList(),
                 true);
     }
 
     /**
-     * The keys of the features that it knows.
+     * Returns the keys of the known features.
      *
-     * @return in the order of {@link Feature}
+     * @return the keys in the order of {@link Feature}
      */
     public List<String> knownFeatureKeys() {
         return knownFeatures.stream().map(Feature::key).toList();
--- a/src/main/java/io/micatide/rollout/ControllerRegistration.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistration.java
@@ -7,19 +7,19 @@
 import java.util.List;
 
 /**
- * The registration of this controller: a record, attached to its lease, of what its version can do and on which version of the feature
- * stages it acts. It is put again whenever the controller has a new lease or newer stages. The put has the stages and the record's own
- * version as conditions, so one of a former process that arrives late is refused. One request is in flight at a time. Times in
- * microseconds.
+ * Keeps the registration of this controller in the store up to date. The registration is a record, attached to the controller's lease,
+ * that states the capabilities of its version and the version of the feature stages on which it acts. It is written again whenever the
+ * controller has a new lease or newer stages. The write has the versions of the stages and of the record itself as conditions, so that a
+ * late write of a previous process of this controller is rejected. At most one request is in flight. Times are in microseconds.
  */
 public final class ControllerRegistration {
-    /** What to do next; each one but {@link #NOTHING} must be followed by its outcome. */
+    /** What the caller should do next. It must report the outcome of each action other than {@link #NOTHING}. */
     public enum Action {
-        /** Nothing for now. */
+        /** Do nothing for now. */
         NOTHING,
         /** Read the record under {@link ControllerRegistration#key}. */
         READ,
-        /** Carry out {@link ControllerRegistration#registrationTransaction}. */
+        /** Execute {@link ControllerRegistration#registrationTransaction}. */
         PUT
     }
 
@@ -32,23 +32,26 @@
     private final long startedWallMicros;
     private boolean isRequestInFlight;
     private long retryMicros = Long.MIN_VALUE;
-    /** Of the stored record, 0 if there is none, {@link #NOT_KNOWN} before it was read. */
+    /** Version of the stored record, 0 if there is none, {@link #NOT_KNOWN} while it has to be read. */
     private long recordVersion = NOT_KNOWN;
 
+    /** Lease for which the latest action was returned. */
     private long requestedLease;
+    /** Version of the feature stages for which the latest action was returned. */
     private long requestedFlagsVersion;
-    /** What the stored record says. */
+    /** Lease of the latest stored registration, 0 before the first. */
     private long registeredLease;
 
+    /** Version of the feature stages in the latest stored registration. */
     private long registeredFlagsVersion = NOT_KNOWN;
 
     /**
-     * Makes the registration of a process that begins.
+     * Creates the registration of a process that has just started.
      *
-     * @param label of this controller
-     * @param build the version of this program, for operators
-     * @param capabilities of this version
-     * @param startedWallMicros time of day at which this process began
+     * @param label label of this controller
+     * @param build version of this program, shown to operators
+     * @param capabilities capabilities of this version
+     * @param startedWallMicros time of day at which this process started
      */
     public ControllerRegistration(String label, String build, Capabilities capabilities, long startedWallMicros) {
         this.key = StoreKeys.controller(label);
@@ -58,7 +61,7 @@
     }
 
     /**
-     * The key of the controller's record.
+     * Returns the key of this controller's record.
      *
      * @return a key under {@link StoreKeys#CONTROLLERS}
      */
@@ -67,12 +70,12 @@
     }
 
     /**
-     * Chooses the next action; after one other than {@link Action#NOTHING} a request is in flight.
+     * Returns the next action. After one other than {@link Action#NOTHING} a request counts as in flight until its outcome is reported.
      *
      * @param lease the lease of this controller, 0 if it has none
-     * @param flagsVersion version of the feature stages on which it acts, -1 while they are not known
+     * @param flagsVersion version of the feature stages on which this controller acts, -1 while they are not known
      * @param nowMicros the present time
-     * @return what to do
+     * @return the action
      */
     public Action nextAction(long lease, long flagsVersion, long nowMicros) {
         boolean isUpToDate = lease == registeredLease && flagsVersion == registeredFlagsVersion;
@@ -87,7 +90,7 @@
     }
 
     /**
-     * What to write after {@link Action#PUT}.
+     * Returns the transaction to execute after {@link Action#PUT}.
      *
      * @return the transaction
      */
@@ -104,9 +107,9 @@
     }
 
     /**
-     * Outcome of {@link Action#READ}.
+     * Reports that {@link Action#READ} succeeded.
      *
-     * @param version of the record, 0 if there is none
+     * @param version version of the record, 0 if there is none
      */
     public void recordRead(long version) {
         isRequestInFlight = false;
@@ -114,9 +117,9 @@
     }
 
     /**
-     * Outcome of {@link Action#PUT}: it is stored.
+     * Reports that {@link Action#PUT} succeeded.
      *
-     * @param revision of the store, which is the record's version
+     * @param revision revision of the store after the write, which is the version of the record
      */
     public void registrationStored(long revision) {
         isRequestInFlight = false;
@@ -126,7 +129,7 @@
     }
 
     /**
-     * The request was refused or its outcome is unknown: the record is read before the next try.
+     * Reports that the request was rejected or that its outcome is unknown. After a pause the record is read before the next write.
      *
      * @param nowMicros the present time
      */
@@ -136,7 +139,7 @@
     }
 
     /**
-     * The request was certainly not executed; it is tried again after a pause.
+     * Reports that the request was certainly not executed. It is retried after a pause.
      *
      * @param nowMicros the present time
      */
--- a/src/main/java/io/micatide/rollout/ControllerRegistry.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistry.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The controllers that are registered and what operators request, as one read of the records shows them. */
+/** The registered controllers and the operators' feature requests, as of one read of the records under {@link StoreKeys#ROLLOUT}. */
 public final class ControllerRegistry {
     private final List<String> labels;
     private final Map<String, StoredRecord.RegisteredController> registeredControllers = new TreeMap<>();
@@ -16,20 +16,20 @@
     private final Map<String, StoredRecord.FeatureRequest> requests = new TreeMap<>();
 
     /**
-     * Makes a registry without records.
+     * Creates a registry without records.
      *
-     * @param labels of all controllers of the deployment
+     * @param labels labels of all controllers of the deployment
      */
     public ControllerRegistry(List<String> labels) {
         this.labels = List.copyOf(labels);
     }
 
     /**
-     * Adds a record under {@link StoreKeys#ROLLOUT}; one of another kind is passed over.
+     * Adds a record under {@link StoreKeys#ROLLOUT}. A record that is neither a registration nor a feature request is ignored.
      *
-     * @param key its key
+     * @param key key of the record
      * @param record the record
-     * @param version its version
+     * @param version version of the record
      */
     public void add(String key, StoredRecord record, long version) {
         if (record instanceof StoredRecord.RegisteredController controller) {
@@ -42,19 +42,19 @@
     }
 
     /**
-     * The registered controllers.
+     * Returns the registered controllers.
      *
-     * @return a view by label, in the order of the labels
+     * @return a view of the registrations by label, in alphabetical order of the labels
      */
     public Map<String, StoredRecord.RegisteredController> registeredControllers() {
         return registeredControllers;
     }
 
     /**
-     * What an operator requests of a feature.
+     * Returns the action that an operator requests for a feature.
      *
      * @param feature any
-     * @return NONE if there is no request
+     * @return the requested action, NONE if there is no request
      */
     public StoredRecord.RequestedAction requestedAction(Feature feature) {
         StoredRecord.FeatureRequest request = requests.get(feature.key());
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Controllers that keep a feature from going forward.
+     * Returns the controllers that prevent a feature from moving to another stage: those not registered, or without support for it.
      *
      * @param feature any
-     * @return by label, with the reason; empty if nothing is in the way
+     * @return label and reason for each of these controllers; empty if there is none
      */
     public List<String> blockers(Feature feature) {
         List<String> blockers = new ArrayList<>();
@@ -81,10 +81,10 @@
     }
 
     /**
-     * Controllers that still act on another version of the feature stages.
+     * Returns the registered controllers that still act on another version of the feature stages.
      *
-     * @param version the present one
-     * @return by label, with the reason
+     * @param version the current version
+     * @return label and reason for each of these controllers
      */
     public List<String> controllersBehind(long version) {
         List<String> behind = new ArrayList<>();
@@ -98,11 +98,12 @@
     }
 
     /**
-     * Conditions that nobody registered anew since the records were read. Not needed for safety, which rests on the order of a transition
-     * and of what was registered before it (docs/rollout.md), but spares a controller that was just replaced by a former version.
+     * Returns conditions under which a transition is rejected if a controller has registered again since the records were read. They are not
+     * needed for safety, which rests on the order of a transition and of the registrations before it (docs/rollout.md). They spare a
+     * controller that has just been replaced by one of a previous version a transition that it may not support.
      *
-     * @param max how many there is room for
-     * @return one for each registered controller of the deployment, at most {@code max}
+     * @param max largest number of conditions that fit in the transaction
+     * @return one condition for each registered controller of the deployment, at most {@code max}
      */
     public List<Transaction.Condition> registrationConditions(int max) {
         List<Transaction.Condition> conditions = new ArrayList<>();
--- a/src/main/java/io/micatide/rollout/FeatureFlags.java
+++ b/src/main/java/io/micatide/rollout/FeatureFlags.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The stages of all features as this controller knows them. Never goes back: of two versions of the stored record that it is told, the
- * newer one counts, in whatever order they come. One thread at a time.
+ * The stages of all features as this controller knows them. Of several versions of the stored record the newest one counts, in whichever
+ * order they arrive, so that the flags never return to an earlier version. Not thread-safe.
  */
 public final class FeatureFlags {
     private static final long NOT_READ = -1;
@@ -17,20 +17,20 @@
     private StoredRecord.FeatureStages record = new StoredRecord.FeatureStages(Map.of());
 
     /**
-     * Makes flags that have not been read yet: every feature is off.
+     * Creates flags that have not been read yet, with every feature off.
      *
-     * @param capabilities of this version of the program
+     * @param capabilities capabilities of this version of the program
      */
     public FeatureFlags(Capabilities capabilities) {
         this.capabilities = capabilities;
     }
 
     /**
-     * Takes in the stored record as it was read or watched.
+     * Applies the stored record as it was read or received by a watch.
      *
-     * @param newVersion its version, 0 if there is none
+     * @param newVersion version of the record, 0 if there is none
      * @param newRecord the record, without stages if there is none
-     * @return whether that is newer than what was known
+     * @return whether the version is newer than the known one; if not, nothing changes
      */
     public boolean update(long newVersion, StoredRecord.FeatureStages newRecord) {
         if (newVersion <= version) {
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Whether the record has been read at all.
+     * Returns whether the record has been read.
      *
      * @return false in a process that has just started
      */
@@ -51,28 +51,28 @@
     }
 
     /**
-     * The version of the stored record. Whatever is written in a form that depends on a feature has it as a condition.
+     * Returns the version of the stored record. Every write in a form that depends on a feature has this version as a condition.
      *
-     * @return 0 if there is none, -1 if that is not known
+     * @return the version, 0 if there is no record, -1 before it was read
      */
     public long version() {
         return version;
     }
 
     /**
-     * The stored record.
+     * Returns the stored record.
      *
-     * @return without stages if there is none or it is not known
+     * @return the record, one without stages if there is none or it has not been read
      */
     public StoredRecord.FeatureStages record() {
         return record;
     }
 
     /**
-     * The stage of a feature.
+     * Returns the stage of a feature.
      *
-     * @param feature one that is no mark; a mark is always off here
-     * @return off as well if the record has a stage that this version does not know
+     * @param feature a feature without a mark; one with a mark is always off here
+     * @return the stage; off if the record has none for the feature, or one that this version does not know
      */
     public FeatureStage stage(Feature feature) {
         FeatureStage stage = parseStage(record.stages().get(feature.key()));
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Whether the new form is what counts.
+     * Returns whether the new form of a feature is authoritative.
      *
-     * @param feature one that is no mark
+     * @param feature a feature without a mark
      * @return whether it is at {@link FeatureStage#ON} or beyond
      */
     public boolean isEnabled(Feature feature) {
@@ -90,9 +90,10 @@
     }
 
     /**
-     * Features that are in use and that this version does not know, or not at that stage: it cannot read what is stored.
+     * Returns the features in use that this version does not know, or does not know at their stage. If there are any, this version cannot read
+     * the stored state.
      *
-     * @return their names with their stages, for operators
+     * @return names of the features with their stages, for operators
      */
     public List<String> unsupportedFeatures() {
         List<String> unsupported = new ArrayList<>();
@@ -111,7 +112,7 @@
                 && feature.stages().contains(stage);
     }
 
-    /** Null of a stage that this version does not know. */
+    /** Returns the stage of the given name: off for null, and null for a stage that this version does not know. */
     private static FeatureStage parseStage(String name) {
         for (FeatureStage stage : FeatureStage.values()) {
             if (stage.name().equals(name)) {
--- a/src/main/java/io/micatide/rollout/FeatureStage.java
+++ b/src/main/java/io/micatide/rollout/FeatureStage.java
@@ -1,15 +1,15 @@
 package io.micatide.rollout;
 
-/** How far a change of the stored state has come. A feature goes through some of these, in this order, one step at a time. */
+/** Stage in the introduction of a {@link Feature}. A feature goes through some of these stages, in this order, one at a time. */
 public enum FeatureStage {
-    /** Nobody may rely on anybody knowing it. */
+    /** No controller writes the new form, and controllers of versions that do not know it may serve. */
     OFF,
-    /** Every controller that serves reads the new form; nobody writes it. */
+    /** Every controller that serves can read the new form, but none writes it. */
     READ,
-    /** The new form is written beside the former one, which is still what counts. */
+    /** Both forms are written; the previous one is still authoritative. */
     BOTH,
-    /** The new form is what counts. */
+    /** The new form is authoritative. */
     ON,
-    /** The former form is gone: there is no way back. */
+    /** The previous form has been removed; the feature cannot be reverted. */
     CLEAN
 }
--- a/src/main/java/io/micatide/rollout/RolloutPlan.java
+++ b/src/main/java/io/micatide/rollout/RolloutPlan.java
@@ -8,19 +8,20 @@
 import java.util.TreeMap;
 
 /**
- * The leader's next transition of features between their stages, or what it waits for. Features that may go together do.
+ * The leader's next transition of features between their stages, and the reasons for which features wait. All features that can change
+ * their stage now do so in one transition.
  *
  * @param newStages the stages after the transition, null if there is nothing to do now
- * @param transitions what the transition does, for the log
- * @param blockers what is in the way of features that are not where they should be, by name
+ * @param transitions description of each change of a stage, for the log
+ * @param blockers for each feature that waits or is held, its name and the reason
  */
 public record RolloutPlan(StoredRecord.FeatureStages newStages, List<String> transitions, List<String> blockers) {
     /**
      * Plans the next transition.
      *
-     * @param flags the present stages
-     * @param registry the controllers that are registered, and what operators request
-     * @param isForwardAllowed whether this leader is to move features forward; back they go whenever an operator requests it
+     * @param flags the current stages
+     * @param registry the registered controllers and the operators' requests
+     * @param isForwardAllowed whether this leader may move features forward; they are reverted whenever an operator requests it
      * @return the plan
      */
     public static RolloutPlan create(FeatureFlags flags, ControllerRegistry registry, boolean isForwardAllowed) {
@@ -32,11 +33,11 @@
             if (feature.isMark()) {
                 continue;
             }
-            FeatureStage now = flags.stage(feature);
-            FeatureStage target = targetStage(feature, now, registry.requestedAction(feature), isForwardAllowed);
+            FeatureStage current = flags.stage(feature);
+            FeatureStage target = targetStage(feature, current, registry.requestedAction(feature), isForwardAllowed);
             if (target == null) {
-                if (registry.requestedAction(feature) == RequestedAction.HOLD && feature.stageAfter(now) != null) {
-                    blockers.add(feature.key() + " is held at " + now);
+                if (registry.requestedAction(feature) == RequestedAction.HOLD && feature.stageAfter(current) != null) {
+                    blockers.add(feature.key() + " is held at " + current);
                 }
                 continue;
             }
@@ -44,7 +45,7 @@
             missing.addAll(behind);
             if (missing.isEmpty()) {
                 stages.put(feature.key(), target.name());
-                transitions.add(feature.key() + " from " + now + " to " + target);
+                transitions.add(feature.key() + " from " + current + " to " + target);
             } else {
                 blockers.add(feature.key() + " waits to go to " + target + ": " + String.join(", ", missing));
             }
@@ -53,16 +54,19 @@
                 transitions.isEmpty() ? null : new StoredRecord.FeatureStages(stages), transitions, blockers);
     }
 
-    /** The stage to which a feature should go next, null if it should stay. */
+    /** Returns the stage to which a feature should move next, null if it should stay. */
     private static FeatureStage targetStage(
-            Feature feature, FeatureStage now, RequestedAction requested, boolean isForwardAllowed) {
+            Feature feature, FeatureStage current, RequestedAction requested, boolean isForwardAllowed) {
         if (requested == RequestedAction.BACK) {
-            return feature.stageBefore(now);
+            return feature.stageBefore(current);
         }
-        return requested == RequestedAction.HOLD || !isForwardAllowed ? null : feature.stageAfter(now);
+        return requested == RequestedAction.HOLD || !isForwardAllowed ? null : feature.stageAfter(current);
     }
 
-    /** Back to where nobody needs to know the feature asks nobody; all other transitions need everyone. */
+    /**
+     * Returns the controllers that prevent a feature from moving to the target stage. A transition to {@link FeatureStage#OFF} needs no support
+     * by any controller; all others need that of every controller.
+     */
     private static List<String> missingFor(Feature feature, FeatureStage target, ControllerRegistry registry) {
         return target == FeatureStage.OFF ? List.of() : registry.blockers(feature);
     }
