--- a/src/main/java/io/micatide/net/StoreClient.java
+++ b/src/main/java/io/micatide/net/StoreClient.java
@@ -28,9 +28,8 @@
      * @param clock the present time in microseconds
      */
     public StoreClient(Settings settings, Http.Connector connector, LongSupplier clock) {
-        // A single controller may need most of the rate. If several together exceed it, which is rare, the store
-        // answers 429 and the
-        // request is retried.
+        // A single controller may need most of the rate. Rarely, several together exceed it: the store then answers 429
+        // and the request is retried.
         super(settings.storeRequestsPerSecond() * 0.6, settings.storeRequestsPerSecond() * 0.3, clock);
         this.http = connector.clientFor(settings.store(), 12);
         this.watches = connector.clientFor(settings.store(), 2);
--- a/src/main/java/io/micatide/rollout/ControllerRegistry.java
+++ b/src/main/java/io/micatide/rollout/ControllerRegistry.java
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Returns conditions under which a transition is rejected if a controller has registered again since the records were read. They are not
+     * Returns conditions by which the store rejects a transition if a controller has registered again since the records were read. They are not
      * needed for safety, which rests on the order of a transition and of the registrations before it (docs/rollout.md). They spare a
      * controller that has just been replaced by one of a previous version a transition that it may not support.
      *
