--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -239,7 +239,7 @@
         if (segmentKey == null) {
             return;
         }
-        if (!store.idle() || lookupsBySegment.containsKey(segmentKey)) {
+        if (!store.hasSpareRate() || lookupsBySegment.containsKey(segmentKey)) {
             scheduleFilterRead(FILTER_READ_DELAY_MICROS);
             return;
         }
--- a/src/main/java/io/micatide/net/HttpClient.java
+++ b/src/main/java/io/micatide/net/HttpClient.java
@@ -28,59 +28,77 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A client of one service with kept connections. Used from its event loop only. */
+/**
+ * HTTP/1.1 client of one service with a pool of keep-alive connections, each with at most one request in flight. Requests that find no
+ * idle connection wait in a queue of limited length; one that does not fit is answered with {@link Reply#NOT_SENT}. Not thread-safe: used
+ * from its event loop only.
+ */
 public final class HttpClient implements Http {
-    private static final int MOST_RESPONSE = 8 << 20;
-    private static final int MOST_QUEUED = 200;
+    private static final int MAX_RESPONSE_BYTES = 8 << 20;
+    private static final int MAX_QUEUED_CALLS = 200;
     private static final byte[] NO_BODY = new byte[0];
 
     private final EventLoop loop;
     private final String host;
     private final InetSocketAddress address;
-    private final int mostConnections;
+    private final int maxConnections;
+    /** Open connections without a request in flight; the one used last is used first. */
     private final Deque<Connection> idle = new ArrayDeque<>();
+    /** Requests that wait for a connection, oldest first. */
     private final Deque<Call> queue = new ArrayDeque<>();
+    /** Number of connections that are open or being opened. */
     private int connections;
 
-    public HttpClient(EventLoop loop, String endpoint, int mostConnections) {
+    /**
+     * Creates a client without connections.
+     *
+     * @param loop the event loop on which it is used and calls back
+     * @param endpoint host and port, separated by a colon
+     * @param maxConnections largest number of simultaneous connections
+     */
+    public HttpClient(EventLoop loop, String endpoint, int maxConnections) {
         int colon = endpoint.lastIndexOf(':');
         this.loop = loop;
         this.host = endpoint;
         this.address =
                 new InetSocketAddress(endpoint.substring(0, colon), Integer.parseInt(endpoint.substring(colon + 1)));
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
     }
 
+    /** A request and its callback. */
     private static final class Call {
         final HttpMethod method;
         final String path;
         final byte[] body;
-        final Consumer<Reply> then;
+        final Consumer<Reply> callback;
         ScheduledFuture<?> timeout;
+        /** The connection on which the request was sent, null while it waits in the queue. */
         Connection connection;
-        boolean over;
 
-        Call(HttpMethod method, String path, byte[] body, Consumer<Reply> then) {
+        /** Whether the callback was called. */
+        boolean isFinished;
+
+        Call(HttpMethod method, String path, byte[] body, Consumer<Reply> callback) {
             this.method = method;
             this.path = path;
             this.body = body;
-            this.then = then;
+            this.callback = callback;
         }
     }
 
     @Override
-    public void get(String path, long timeoutMicros, Consumer<Reply> then) {
-        send(HttpMethod.GET, path, NO_BODY, timeoutMicros, then);
+    public void get(String path, long timeoutMicros, Consumer<Reply> callback) {
+        send(HttpMethod.GET, path, NO_BODY, timeoutMicros, callback);
     }
 
     @Override
-    public void post(String path, byte[] body, long timeoutMicros, Consumer<Reply> then) {
-        send(HttpMethod.POST, path, body, timeoutMicros, then);
+    public void post(String path, byte[] body, long timeoutMicros, Consumer<Reply> callback) {
+        send(HttpMethod.POST, path, body, timeoutMicros, callback);
     }
 
     @Override
-    public void delete(String path, long timeoutMicros, Consumer<Reply> then) {
-        send(HttpMethod.DELETE, path, NO_BODY, timeoutMicros, then);
+    public void delete(String path, long timeoutMicros, Consumer<Reply> callback) {
+        send(HttpMethod.DELETE, path, NO_BODY, timeoutMicros, callback);
     }
 
     @Override
@@ -88,10 +106,10 @@
         idle.forEach(connection -> connection.channel.close());
     }
 
-    private void send(HttpMethod method, String path, byte[] body, long timeoutMicros, Consumer<Reply> then) {
-        Call call = new Call(method, path, body, then);
-        if (queue.size() >= MOST_QUEUED) {
-            then.accept(Reply.NOT_SENT);
+    private void send(HttpMethod method, String path, byte[] body, long timeoutMicros, Consumer<Reply> callback) {
+        Call call = new Call(method, path, body, callback);
+        if (queue.size() >= MAX_QUEUED_CALLS) {
+            callback.accept(Reply.NOT_SENT);
             return;
         }
         call.timeout = loop.schedule(() -> expire(call), timeoutMicros, TimeUnit.MICROSECONDS);
@@ -103,12 +121,16 @@
             connection.start(call);
         } else {
             queue.addLast(call);
-            if (connections < mostConnections) {
+            if (connections < maxConnections) {
                 connect();
             }
         }
     }
 
+    /**
+     * Ends a request whose timeout has expired. A connection with an unanswered request is closed: a late answer on it would be
+     * taken for that of its next request.
+     */
     private void expire(Call call) {
         if (call.connection != null) {
             Channel channel = call.connection.channel;
@@ -121,10 +143,10 @@
     }
 
     private void finish(Call call, Reply reply) {
-        if (!call.over) {
-            call.over = true;
+        if (!call.isFinished) {
+            call.isFinished = true;
             call.timeout.cancel(false);
-            call.then.accept(reply);
+            call.callback.accept(reply);
         }
     }
 
@@ -140,7 +162,10 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_RESPONSE), connection);
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        connection);
                     }
                 })
                 .connect(address);
@@ -159,16 +184,18 @@
         });
     }
 
+    /** One connection of the pool. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
+        /** The request in flight, or null. */
         private Call call;
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            ready();
+            startNextOrBecomeIdle();
         }
 
-        private void ready() {
+        private void startNextOrBecomeIdle() {
             Call next = queue.pollFirst();
             if (next != null) {
                 start(next);
@@ -204,7 +231,7 @@
                 finish(answered, reply);
             }
             if (keep && channel.isActive() && call == null) {
-                ready();
+                startNextOrBecomeIdle();
             }
         }
 
@@ -217,7 +244,7 @@
                 call = null;
                 finish(lost, Reply.UNANSWERED);
             }
-            if (!queue.isEmpty() && connections < mostConnections) {
+            if (!queue.isEmpty() && connections < maxConnections) {
                 connect();
             }
         }
