--- a/src/main/java/io/micatide/archive/Archiver.java
+++ b/src/main/java/io/micatide/archive/Archiver.java
@@ -60,8 +60,8 @@
     private final HashPartitioner partitioner;
     private final SegmentSizing sizing;
     private final MergePolicy mergePolicy;
-    private final JobRecordRemoval records;
-    private final UnreferencedSegments unreferenced = new UnreferencedSegments();
+    private final JobRecordRemoval recordRemoval;
+    private final UnreferencedSegments unreferencedSegments = new UnreferencedSegments();
     /** Names of runs with a segment that cannot be read: they stay as they are. */
     private final Set<String> damagedRuns = new HashSet<>();
 
@@ -93,7 +93,7 @@
         this.partitioner = new HashPartitioner(manifest);
         this.sizing = new SegmentSizing(limits.valueBytes());
         this.mergePolicy = new MergePolicy(limits);
-        this.records = new JobRecordRemoval(limits.batchSize());
+        this.recordRemoval = new JobRecordRemoval(limits.batchSize());
         this.maxTransactionWrites = limits.transactionWrites();
         this.manifest = manifest;
         this.manifestVersion = manifestVersion;
@@ -118,12 +118,12 @@
      * @param policy how many jobs are worth a run now
      */
     public void offerCandidates(Collection<ArchivableJob> finished, long manifestVersion, BatchPolicy policy) {
-        records.offer(finished, policy, job -> isRecordRemovable(job.id(), manifestVersion));
+        recordRemoval.offer(finished, policy, job -> isRecordRemovable(job.id(), manifestVersion));
     }
 
     /** Guards the order of the two writes: a test that lets records go before their jobs are archived loses jobs. */
-    boolean isRecordRemovable(String id, long copyOfVersion) {
-        return records.isArchivedAt(id, copyOfVersion);
+    boolean isRecordRemovable(String id, long manifestVersion) {
+        return recordRemoval.isArchivedAt(id, manifestVersion);
     }
 
     /**
@@ -146,11 +146,11 @@
         if (isManifestUncertain) {
             return new ArchiveOperation.ReadManifest();
         }
-        if (!unreferenced.isSweepComplete()) {
-            return new ArchiveOperation.FindAfter(unreferenced.sweepCursor());
+        if (!unreferencedSegments.isSweepComplete()) {
+            return new ArchiveOperation.FindAfter(unreferencedSegments.sweepCursor());
         }
-        if (records.hasRemovable()) {
-            Transaction removal = maxWrites < 1 ? null : records.planRemoval(leadership(), maxWrites);
+        if (recordRemoval.hasRemovable()) {
+            Transaction removal = maxWrites < 1 ? null : recordRemoval.planRemoval(leadership(), maxWrites);
             return removal == null ? null : new ArchiveOperation.Write(removal);
         }
         if (builder == null) {
@@ -159,10 +159,10 @@
         if (builder != null) {
             return continueRun(maxWrites);
         }
-        if (unreferenced.isEmpty() || maxWrites < 1) {
+        if (unreferencedSegments.isEmpty() || maxWrites < 1) {
             return null;
         }
-        return new ArchiveOperation.Write(new Transaction(List.of(leadership()), unreferenced.planDeletes(maxWrites)));
+        return new ArchiveOperation.Write(new Transaction(List.of(leadership()), unreferencedSegments.planDeletes(maxWrites)));
     }
 
     private Transaction.Condition leadership() {
@@ -174,8 +174,8 @@
     }
 
     private void startNextRun() {
-        if (records.hasBatch()) {
-            RunBuilder.Input input = new RunBuilder.Input(List.of(), records.takeBatch());
+        if (recordRemoval.hasBatch()) {
+            RunBuilder.Input input = new RunBuilder.Input(List.of(), recordRemoval.takeBatch());
             startRun(sizing.segmentsForJobs(partitioner, input.archivedJobs()), input);
             return;
         }
@@ -245,8 +245,8 @@
     }
 
     private void abandonRun() {
-        unreferenced.addRun(builder.name(), builder.possiblyStoredSegments());
-        unreferenced.requireSweep();
+        unreferencedSegments.addRun(builder.name(), builder.possiblyStoredSegments());
+        unreferencedSegments.requireSweep();
         builder = null;
     }
 
@@ -259,7 +259,7 @@
      */
     public void keyFound(String key) {
         isOperationInFlight = false;
-        unreferenced.keyFound(key, manifest);
+        unreferencedSegments.keyFound(key, manifest);
     }
 
     /**
@@ -301,7 +301,7 @@
         } else if (first instanceof StoredRecord.ArchiveManifest stored) {
             manifestStored(stored, revision);
         } else {
-            transactionInFlight.writes().forEach(write -> deleted(write.key()));
+            transactionInFlight.writes().forEach(write -> keyDeleted(write.key()));
         }
     }
 
@@ -320,7 +320,7 @@
             isManifestUncertain = true;
         } else {
             // An earlier try deleted them.
-            keys.forEach(this::deleted);
+            keys.forEach(this::keyDeleted);
         }
     }
 
@@ -376,17 +376,17 @@
         manifest = stored;
         manifestVersion = version;
         RunBuilder.Input input = builder.input();
-        input.mergedRuns().forEach(run -> unreferenced.addRun(run.name(), run.segments()));
-        records.archived(input.newJobs(), version);
+        input.mergedRuns().forEach(run -> unreferencedSegments.addRun(run.name(), run.segments()));
+        recordRemoval.jobsArchived(input.newJobs(), version);
         builder = null;
-        unreferenced.manifestChanged();
+        unreferencedSegments.manifestChanged();
     }
 
-    private void deleted(String key) {
+    private void keyDeleted(String key) {
         if (key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
-            unreferenced.deleted(key);
+            unreferencedSegments.segmentDeleted(key);
         } else {
-            records.deleted(key);
+            recordRemoval.keyDeleted(key);
         }
     }
 
--- a/src/main/java/io/micatide/archive/JobRecordRemoval.java
+++ b/src/main/java/io/micatide/archive/JobRecordRemoval.java
@@ -26,7 +26,7 @@
 
     private final Map<String, Archiver.ArchivableJob> removable = new LinkedHashMap<>();
     private List<Archiver.ArchivableJob> candidates = List.of();
-    private boolean batchReady;
+    private boolean isBatchReady;
 
     JobRecordRemoval(int batchSize) {
         this.batchSize = batchSize;
@@ -50,7 +50,7 @@
             }
         }
         candidates = unarchived;
-        batchReady =
+        isBatchReady =
                 unarchived.size() >= batchSize || (policy == Archiver.BatchPolicy.ANY_SIZE && !unarchived.isEmpty());
     }
 
@@ -61,17 +61,17 @@
     }
 
     boolean hasBatch() {
-        return batchReady && !candidates.isEmpty();
+        return isBatchReady && !candidates.isEmpty();
     }
 
     /** The jobs of the next run; {@link #hasBatch} is false until candidates are offered again. */
     List<Archiver.ArchivableJob> takeBatch() {
-        batchReady = false;
+        isBatchReady = false;
         return candidates.subList(0, Math.min(candidates.size(), MAX_JOBS_PER_RUN));
     }
 
     /** The manifest names a run with these jobs, from this version of it on. */
-    void archived(List<Archiver.ArchivableJob> jobs, long manifestVersion) {
+    void jobsArchived(List<Archiver.ArchivableJob> jobs, long manifestVersion) {
         jobs.forEach(job -> archivedAtVersion.put(job.id(), manifestVersion));
         candidates = List.of();
     }
@@ -91,8 +91,8 @@
         List<Transaction.Condition> conditions = new ArrayList<>(List.of(leadership));
         List<Transaction.Write> writes = new ArrayList<>();
         for (Archiver.ArchivableJob job : removable.values()) {
-            boolean isFirstOfMany = writes.isEmpty() && job.dependencyRecords() > 0;
-            if (writes.size() + job.dependencyRecords() + 1 > maxWrites && !isFirstOfMany) {
+            boolean mayBeSplit = writes.isEmpty() && job.dependencyRecords() > 0;
+            if (writes.size() + job.dependencyRecords() + 1 > maxWrites && !mayBeSplit) {
                 break;
             }
             conditions.add(new Transaction.Condition(StoreKeys.job(job.id()), job.version()));
@@ -107,7 +107,7 @@
     }
 
     /** A key under {@link StoreKeys#JOBS} is gone from the store; that of a dependency record changes nothing here. */
-    void deleted(String key) {
+    void keyDeleted(String key) {
         String id = key.substring(StoreKeys.JOBS.length());
         if (id.indexOf('/') < 0) {
             removable.remove(id);
--- a/src/main/java/io/micatide/archive/RunBuilder.java
+++ b/src/main/java/io/micatide/archive/RunBuilder.java
@@ -29,7 +29,7 @@
     private final String name;
     private final int segmentCount;
     private final Input input;
-    private final SegmentMerger content;
+    private final SegmentMerger merger;
     private int nextSegment;
     private long storedJobs;
     private long storedBytes;
@@ -40,7 +40,7 @@
         this.name = name;
         this.segmentCount = segmentCount;
         this.input = input;
-        this.content = new SegmentMerger(partitioner, segmentCount, input.mergedRuns(), input.archivedJobs());
+        this.merger = new SegmentMerger(partitioner, segmentCount, input.mergedRuns(), input.archivedJobs());
     }
 
     String name() {
@@ -67,18 +67,18 @@
 
     /** The segment of an older run that has to be read before the next one can be packed, or null if there is none. */
     String nextUnreadSegment() {
-        return packedSegment == null ? content.nextUnreadSegment(nextSegment) : null;
+        return packedSegment == null ? merger.nextUnreadSegment(nextSegment) : null;
     }
 
     /** The content of a segment of an older run. */
     void addSegment(String key, List<ArchivedJob> jobs) {
-        content.addSegment(key, jobs);
+        merger.addSegment(key, jobs);
     }
 
     /** The next segment, packed once however often it is asked for. All that it needs must have been read. */
     StoredRecord.ArchiveSegment packNextSegment() {
         if (packedSegment == null) {
-            List<ArchivedJob> jobs = content.takeSegment(nextSegment);
+            List<ArchivedJob> jobs = merger.takeSegment(nextSegment);
             packedSegment = SegmentCodec.pack(nextKey(), jobs);
             packedJobs = jobs.size();
         }
--- a/src/main/java/io/micatide/archive/SegmentCodec.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -34,7 +34,7 @@
     private static final int VARINT_MASK = 0x7f;
     private static final int VARINT_CONTINUES = 0x80;
 
-    private static final String DOES_NOT_UNPACK = "does not unpack";
+    private static final String MALFORMED_CONTENT = "does not unpack";
 
     private SegmentCodec() {}
 
@@ -101,7 +101,7 @@
         Reader in = new Reader(key, plain);
         int count = in.readVarint();
         if (count < 0 || count > plain.length) {
-            throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
+            throw new DamagedSegmentException(key, MALFORMED_CONTENT);
         }
         List<String> ids = new ArrayList<>(count);
         byte[] id = new byte[0];
@@ -110,8 +110,8 @@
             ids.add(new String(id, StandardCharsets.UTF_8));
         }
         List<ArchivedJob> jobs = new ArrayList<>(count);
-        for (String each : ids) {
-            jobs.add(new ArchivedJob(each, outcome(in.readVarint())));
+        for (String jobId : ids) {
+            jobs.add(new ArchivedJob(jobId, outcome(in.readVarint())));
         }
         return jobs;
     }
@@ -177,16 +177,16 @@
             ByteArrayOutputStream out = new ByteArrayOutputStream(packed.length * 4 + 16);
             byte[] buffer = new byte[4096];
             while (!inflater.finished()) {
-                int some = inflater.inflate(buffer);
-                if ((some == 0 && (inflater.needsInput() || inflater.needsDictionary()))
+                int inflatedBytes = inflater.inflate(buffer);
+                if ((inflatedBytes == 0 && (inflater.needsInput() || inflater.needsDictionary()))
                         || out.size() > MAX_UNPACKED_BYTES) {
-                    throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
+                    throw new DamagedSegmentException(key, MALFORMED_CONTENT);
                 }
-                out.write(buffer, 0, some);
+                out.write(buffer, 0, inflatedBytes);
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
-            throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
+            throw new DamagedSegmentException(key, MALFORMED_CONTENT);
         } finally {
             inflater.end();
         }
@@ -215,17 +215,17 @@
                     return number;
                 }
             }
-            throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
+            throw new DamagedSegmentException(key, MALFORMED_CONTENT);
         }
 
-        byte[] readId(byte[] before) throws DamagedSegmentException {
+        byte[] readId(byte[] previousId) throws DamagedSegmentException {
             int shared = readVarint();
             int rest = readVarint();
-            if (shared < 0 || shared > before.length || rest < 0 || rest > content.length - position) {
-                throw new DamagedSegmentException(key, DOES_NOT_UNPACK);
+            if (shared < 0 || shared > previousId.length || rest < 0 || rest > content.length - position) {
+                throw new DamagedSegmentException(key, MALFORMED_CONTENT);
             }
             byte[] id = new byte[shared + rest];
-            System.arraycopy(before, 0, id, 0, shared);
+            System.arraycopy(previousId, 0, id, 0, shared);
             System.arraycopy(content, position, id, shared, rest);
             position += rest;
             return id;
--- a/src/main/java/io/micatide/archive/SegmentMerger.java
+++ b/src/main/java/io/micatide/archive/SegmentMerger.java
@@ -12,7 +12,7 @@
  */
 final class SegmentMerger {
     private final HashPartitioner partitioner;
-    private final int segments;
+    private final int segmentCount;
     private final List<Source> sources = new ArrayList<>();
 
     /** A run to be read, or the jobs that come from their records. */
@@ -38,14 +38,14 @@
     }
 
     /**
-     * @param segments number of segments of the new run
+     * @param segmentCount number of segments of the new run
      * @param runs what is merged
      * @param jobs what comes from records
      */
     SegmentMerger(
-            HashPartitioner partitioner, int segments, List<StoredRecord.ArchiveRun> runs, List<ArchivedJob> jobs) {
+            HashPartitioner partitioner, int segmentCount, List<StoredRecord.ArchiveRun> runs, List<ArchivedJob> jobs) {
         this.partitioner = partitioner;
-        this.segments = segments;
+        this.segmentCount = segmentCount;
         runs.forEach(run -> sources.add(new Source(run)));
         Source records = new Source(null);
         records.pendingJobs.addAll(jobs);
@@ -56,7 +56,7 @@
     String nextUnreadSegment(int number) {
         for (Source source : sources) {
             if (source.hasUnread()
-                    && HashPartitioner.startsBeforeEnd(source.segmentsRead, source.run.segments(), number, segments)) {
+                    && HashPartitioner.startsBeforeEnd(source.segmentsRead, source.run.segments(), number, segmentCount)) {
                 return source.nextKey();
             }
         }
@@ -83,7 +83,7 @@
         for (Source source : sources) {
             List<ArchivedJob> remaining = new ArrayList<>();
             for (ArchivedJob job : source.pendingJobs) {
-                if (HashPartitioner.segmentOf(partitioner.hash(job.id()), segments) == number) {
+                if (HashPartitioner.segmentOf(partitioner.hash(job.id()), segmentCount) == number) {
                     taken.putIfAbsent(job.id(), job);
                 } else {
                     remaining.add(job);
--- a/src/main/java/io/micatide/archive/SegmentSizing.java
+++ b/src/main/java/io/micatide/archive/SegmentSizing.java
@@ -10,7 +10,7 @@
  */
 final class SegmentSizing {
     /** What a value takes besides the packed bytes, which base64 makes longer by a third. */
-    private static final int FRAME_BYTES = 96;
+    private static final int VALUE_OVERHEAD_BYTES = 96;
 
     private static final int MAX_SEGMENT_BYTES = 16 * 1024;
     private static final int MIN_SEGMENT_BYTES = 512;
@@ -35,7 +35,7 @@
     /** The number of segments for jobs that are at hand, found by packing them. */
     int segmentsForJobs(HashPartitioner partitioner, List<ArchivedJob> jobs) {
         int segments = 1;
-        while (!fit(partitioner, jobs, segments)) {
+        while (!allSegmentsFit(partitioner, jobs, segments)) {
             segments = increase(segments);
         }
         return segments;
@@ -76,10 +76,10 @@
         return true;
     }
 
-    private boolean fit(HashPartitioner partitioner, List<ArchivedJob> jobs, int segments) {
-        SegmentMerger content = new SegmentMerger(partitioner, segments, List.of(), jobs);
+    private boolean allSegmentsFit(HashPartitioner partitioner, List<ArchivedJob> jobs, int segments) {
+        SegmentMerger merger = new SegmentMerger(partitioner, segments, List.of(), jobs);
         for (int number = 0; number < segments; number++) {
-            if (!fits(SegmentCodec.pack("", content.takeSegment(number)))) {
+            if (!fits(SegmentCodec.pack("", merger.takeSegment(number)))) {
                 return false;
             }
         }
@@ -87,6 +87,6 @@
     }
 
     private int capacityBytes() {
-        return (valueBytes - FRAME_BYTES) * 3 / 4;
+        return (valueBytes - VALUE_OVERHEAD_BYTES) * 3 / 4;
     }
 }
--- a/src/main/java/io/micatide/archive/UnreferencedSegments.java
+++ b/src/main/java/io/micatide/archive/UnreferencedSegments.java
@@ -19,15 +19,15 @@
 
     private final Deque<String> keys = new ArrayDeque<>();
     private String sweepCursor = StoreKeys.ARCHIVE_SEGMENTS;
-    private boolean sweepComplete;
-    private boolean sweepAgain;
+    private boolean isSweepComplete;
+    private boolean isSweepRequired;
 
     boolean isEmpty() {
         return keys.isEmpty();
     }
 
     boolean isSweepComplete() {
-        return sweepComplete;
+        return isSweepComplete;
     }
 
     /** The key after which the sweep goes on. */
@@ -42,12 +42,12 @@
      */
     void keyFound(String key, StoredRecord.ArchiveManifest manifest) {
         if (key == null || !key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
-            sweepComplete = true;
+            isSweepComplete = true;
             return;
         }
         int slash = key.indexOf('/', StoreKeys.ARCHIVE_SEGMENTS.length());
         String run = slash < 0 ? "" : key.substring(StoreKeys.ARCHIVE_SEGMENTS.length(), slash);
-        if (manifest.runs().stream().anyMatch(each -> each.name().equals(run))) {
+        if (manifest.runs().stream().anyMatch(named -> named.name().equals(run))) {
             sweepCursor = StoreKeys.ARCHIVE_SEGMENTS + run + AFTER_LAST_SEGMENT;
         } else {
             keys.add(key);
@@ -64,7 +64,7 @@
 
     /** A run was given up: a write of it may still arrive, so there is another sweep after the manifest's next change. */
     void requireSweep() {
-        sweepAgain = true;
+        isSweepRequired = true;
     }
 
     /**
@@ -72,9 +72,9 @@
      * more and a sweep now finds all of it.
      */
     void manifestChanged() {
-        if (sweepAgain) {
-            sweepAgain = false;
-            sweepComplete = false;
+        if (isSweepRequired) {
+            isSweepRequired = false;
+            isSweepComplete = false;
             sweepCursor = StoreKeys.ARCHIVE_SEGMENTS;
         }
     }
@@ -91,7 +91,7 @@
     }
 
     /** A segment is gone from the store. */
-    void deleted(String key) {
+    void segmentDeleted(String key) {
         keys.remove(key);
     }
 }
--- a/src/main/java/io/micatide/snapshot/SnapshotFile.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotFile.java
@@ -81,8 +81,8 @@
         if (Files.exists(file)) {
             throw new SnapshotException(file + ": is there already");
         }
-        Path half = file.resolveSibling(file.getFileName() + ".part");
-        try (OutputStream raw = Files.newOutputStream(half);
+        Path partialFile = file.resolveSibling(file.getFileName() + ".part");
+        try (OutputStream raw = Files.newOutputStream(partialFile);
                 TarArchiveOutputStream tar = new TarArchiveOutputStream(new GzipCompressorOutputStream(raw), "UTF-8")) {
             List<Part> parts = new ArrayList<>();
             StringBuilder lines = new StringBuilder();
@@ -105,9 +105,9 @@
             }
         }
         try {
-            Files.move(half, file, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(partialFile, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (AtomicMoveNotSupportedException e) {
-            Files.move(half, file);
+            Files.move(partialFile, file);
         }
     }
 
@@ -135,8 +135,8 @@
             out.writeStringField("taken", taken);
             out.writeBooleanField("signed", signed);
             out.writeObjectFieldStart("counts");
-            for (Map.Entry<String, Integer> each : image.counts().entrySet()) {
-                out.writeNumberField(each.getKey(), each.getValue());
+            for (Map.Entry<String, Integer> count : image.counts().entrySet()) {
+                out.writeNumberField(count.getKey(), count.getValue());
             }
             out.writeEndObject();
             out.writeArrayFieldStart("parts");
@@ -208,26 +208,26 @@
 
     private static Map<String, byte[]> readEntries(String file, InputStream in) throws SnapshotException {
         Map<String, byte[]> entries = new TreeMap<>();
-        String at = "its beginning";
-        try (GzipCompressorInputStream plain = new GzipCompressorInputStream(new BufferedInputStream(in));
-                TarArchiveInputStream tar = new TarArchiveInputStream(plain, "UTF-8")) {
+        String entryName = "its beginning";
+        try (GzipCompressorInputStream decompressed = new GzipCompressorInputStream(new BufferedInputStream(in));
+                TarArchiveInputStream tar = new TarArchiveInputStream(decompressed, "UTF-8")) {
             for (TarArchiveEntry entry = tar.getNextEntry(); entry != null; entry = tar.getNextEntry()) {
-                at = entry.getName();
+                entryName = entry.getName();
                 if (entry.getSize() > MAX_PART_BYTES) {
-                    throw new SnapshotException(file + ": " + at + " is larger than a part may be");
+                    throw new SnapshotException(file + ": " + entryName + " is larger than a part may be");
                 }
                 ByteArrayOutputStream bytes = new ByteArrayOutputStream();
                 tar.transferTo(bytes);
                 if (bytes.size() != entry.getSize()) {
-                    throw new SnapshotException(file + ": is cut off in " + at);
+                    throw new SnapshotException(file + ": is cut off in " + entryName);
                 }
-                entries.put(at, bytes.toByteArray());
+                entries.put(entryName, bytes.toByteArray());
             }
             // To the end of the compressed stream, whose sum is looked at only there.
-            plain.transferTo(OutputStream.nullOutputStream());
+            decompressed.transferTo(OutputStream.nullOutputStream());
             return entries;
         } catch (IOException | IllegalArgumentException e) {
-            throw new SnapshotException(file + ": cannot be read after " + at + ": " + e.getMessage());
+            throw new SnapshotException(file + ": cannot be read after " + entryName + ": " + e.getMessage());
         }
     }
 
@@ -264,7 +264,7 @@
         Map<String, Integer> counts = new TreeMap<>();
         tree.path("counts")
                 .properties()
-                .forEach(each -> counts.put(each.getKey(), each.getValue().asInt()));
+                .forEach(count -> counts.put(count.getKey(), count.getValue().asInt()));
         StoreImage image = new StoreImage(tree.path("revision").asLong(), values);
         if (!counts.equals(image.counts())) {
             throw new SnapshotException(file + ": holds " + image.counts() + " and not " + counts);
--- a/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
@@ -25,7 +25,7 @@
     private static final int MAX_ATTEMPTS = 50;
     private static final int MAX_TRANSACTION_BYTES = 40_000;
     /** What a value takes in a transaction besides its content and its key, which stands in its condition as well. */
-    private static final int VALUE_FRAME_BYTES = 64;
+    private static final int VALUE_OVERHEAD_BYTES = 64;
 
     private static final int NO_ANSWER = 0;
 
@@ -82,17 +82,17 @@
         List<RawStoreCodec.Value> batch = new ArrayList<>();
         int batchBytes = 0;
         int written = 0;
-        List<RawStoreCodec.Value> inOrder = new ArrayList<>(image.values().values());
+        List<RawStoreCodec.Value> valuesByVersion = new ArrayList<>(image.values().values());
         // Jobs in the order in which they were accepted: those with dependencies come after these.
-        inOrder.sort(Comparator.comparingLong(RawStoreCodec.Value::version).thenComparing(RawStoreCodec.Value::key));
-        for (RawStoreCodec.Value value : inOrder) {
-            int bytes = value.json().length() + 2 * value.key().length() + VALUE_FRAME_BYTES;
+        valuesByVersion.sort(Comparator.comparingLong(RawStoreCodec.Value::version).thenComparing(RawStoreCodec.Value::key));
+        for (RawStoreCodec.Value value : valuesByVersion) {
+            int bytes = value.json().length() + 2 * value.key().length() + VALUE_OVERHEAD_BYTES;
             boolean isFull = batch.size() == maxTransactionWrites || batchBytes + bytes > MAX_TRANSACTION_BYTES;
             boolean hasDependencies = value.json().contains("\"awaits\"");
             if (!batch.isEmpty() && (isFull || hasDependencies)) {
                 write(batch, marker);
                 written += batch.size();
-                progress.accept(written + " of " + inOrder.size() + " values");
+                progress.accept(written + " of " + valuesByVersion.size() + " values");
                 batch.clear();
                 batchBytes = 0;
             }
@@ -107,27 +107,27 @@
     }
 
     private boolean isRestored(String digest) throws SnapshotException {
-        RawStoreCodec.Value there = read(RESTORED);
-        return there != null && there.json().equals(marker(digest).json()) && read(MARKER) == null;
+        RawStoreCodec.Value stored = read(RESTORED);
+        return stored != null && stored.json().equals(marker(digest).json()) && read(MARKER) == null;
     }
 
     /** The marker's version: written now, or left by an earlier try with the same image. */
     private long writeMarker(String digest) throws SnapshotException {
-        RawStoreCodec.Value there = read(MARKER);
-        if (there == null) {
+        RawStoreCodec.Value stored = read(MARKER);
+        if (stored == null) {
             String found = findAnyKey();
             if (found != null) {
                 throw new SnapshotException(
                         "the state service is not empty: it holds " + found + "; nothing was written");
             }
             post(RawStoreCodec.putNew(List.of(marker(digest)), null, 0));
-            there = read(MARKER);
+            stored = read(MARKER);
         }
-        if (there == null || !there.json().equals(marker(digest).json())) {
+        if (stored == null || !stored.json().equals(marker(digest).json())) {
             throw new SnapshotException(
                     "another snapshot is being restored into this state service; nothing was written");
         }
-        return there.version();
+        return stored.version();
     }
 
     private String findAnyKey() throws SnapshotException {
@@ -149,19 +149,19 @@
     }
 
     /** The marker is rewritten until its version is past the image's revision. */
-    private long advanceRevision(String digest, long from, long past) throws SnapshotException {
-        long version = from;
-        for (long count = 0; version <= past; count++) {
+    private long advanceRevision(String digest, long markerVersion, long imageRevision) throws SnapshotException {
+        long version = markerVersion;
+        for (long count = 0; version <= imageRevision; count++) {
             if (count % 500 == 0) {
-                progress.accept("revision " + version + " of " + past);
+                progress.accept("revision " + version + " of " + imageRevision);
             }
             post(RawStoreCodec.delete(MARKER, version));
             post(RawStoreCodec.putNew(List.of(marker(digest)), null, 0));
-            RawStoreCodec.Value there = read(MARKER);
-            if (there == null) {
+            RawStoreCodec.Value stored = read(MARKER);
+            if (stored == null) {
                 throw new SnapshotException(MARKER + ": went meanwhile");
             }
-            version = there.version();
+            version = stored.version();
         }
         return version;
     }
@@ -193,8 +193,8 @@
             if (reply.ok()) {
                 continue;
             }
-            RawStoreCodec.Value there = read(value.key());
-            if (there == null || !there.json().equals(value.json())) {
+            RawStoreCodec.Value stored = read(value.key());
+            if (stored == null || !stored.json().equals(value.json())) {
                 throw new SnapshotException(value.key() + ": is there with another value");
             }
         }
--- a/src/main/java/io/micatide/snapshot/SnapshotTaker.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotTaker.java
@@ -22,7 +22,7 @@
     private final Consumer<String> progress;
     private final TreeMap<String, RawStoreCodec.Value> values = new TreeMap<>();
     /** Versions of deletions that were seen: a page that is older may still show the key. */
-    private final Map<String, Long> deleted = new HashMap<>();
+    private final Map<String, Long> deletedVersions = new HashMap<>();
 
     /** By prefix, the revision up to which its changes were read. */
     private final Map<String, Long> readRevisions = new HashMap<>();
@@ -49,13 +49,13 @@
             readPages(prefix);
         }
         long cut = Long.MAX_VALUE;
-        Map<String, RawStoreCodec.Page> last = new HashMap<>();
+        Map<String, RawStoreCodec.Page> lastChanges = new HashMap<>();
         for (String prefix : StoreImage.PREFIXES) {
             RawStoreCodec.Page changes = readChanges(prefix);
-            last.put(prefix, changes);
+            lastChanges.put(prefix, changes);
             cut = Math.min(cut, changes.revision());
         }
-        for (RawStoreCodec.Page changes : last.values()) {
+        for (RawStoreCodec.Page changes : lastChanges.values()) {
             apply(changes, cut);
         }
         progress.accept(values.size() + " values at revision " + cut);
@@ -87,9 +87,9 @@
         }
     }
 
-    private void apply(RawStoreCodec.Page changes, long upTo) {
+    private void apply(RawStoreCodec.Page changes, long maxRevision) {
         for (RawStoreCodec.Value value : changes.values()) {
-            if (value.version() <= upTo) {
+            if (value.version() <= maxRevision) {
                 put(value);
             }
         }
@@ -98,12 +98,12 @@
     private void put(RawStoreCodec.Value value) {
         RawStoreCodec.Value known = values.get(value.key());
         if ((known != null && known.version() >= value.version())
-                || deleted.getOrDefault(value.key(), 0L) >= value.version()) {
+                || deletedVersions.getOrDefault(value.key(), 0L) >= value.version()) {
             return;
         }
         if (value.json() == null) {
             values.remove(value.key());
-            deleted.put(value.key(), value.version());
+            deletedVersions.put(value.key(), value.version());
         } else {
             values.put(value.key(), value);
         }
