--- a/src/main/java/io/micatide/archive/ArchiveOperation.java
+++ b/src/main/java/io/micatide/archive/ArchiveOperation.java
@@ -2,7 +2,7 @@
 
 import io.micatide.store.Transaction;
 
-/** A read or write that an {@link Archiver} asks of the store, and whose outcome it is then told. */
+/** A read or write of the store that an {@link Archiver} requests and whose outcome its caller then reports to it. */
 public sealed interface ArchiveOperation {
     /**
      * Reads a segment; answered by {@link Archiver#segmentRead} or {@link Archiver#segmentDamaged}.
@@ -14,7 +14,7 @@
     /**
      * Finds the first key of the archive after another; answered by {@link Archiver#keyFound}.
      *
-     * @param key the key after which to look
+     * @param key the key after which the search begins
      */
     record FindAfter(String key) implements ArchiveOperation {}
 
@@ -22,10 +22,10 @@
     record ReadManifest() implements ArchiveOperation {}
 
     /**
-     * Carries out a transaction; answered by {@link Archiver#writeSucceeded}, {@link Archiver#writeConflicted},
+     * Sends a transaction; answered by {@link Archiver#writeSucceeded}, {@link Archiver#writeConflicted},
      * {@link Archiver#outcomeUnknown} or {@link Archiver#writeRejected}.
      *
-     * @param transaction what to write; never without a write
+     * @param transaction the transaction, with at least one write
      */
     record Write(Transaction transaction) implements ArchiveOperation {}
 }
--- a/src/main/java/io/micatide/archive/ArchivedJob.java
+++ b/src/main/java/io/micatide/archive/ArchivedJob.java
@@ -3,9 +3,9 @@
 import io.micatide.store.JobOutcome;
 
 /**
- * A job as a segment of the archive holds it.
+ * A job in a segment of the archive.
  *
  * @param id the job's id
- * @param outcome its final state and what users are shown of it
+ * @param outcome the job's final state and the details that users see
  */
 public record ArchivedJob(String id, JobOutcome outcome) {}
--- a/src/main/java/io/micatide/archive/Archiver.java
+++ b/src/main/java/io/micatide/archive/Archiver.java
@@ -11,45 +11,46 @@
 import java.util.Set;
 
 /**
- * Moves finished jobs from their records into the archive during one leader's term: writes runs of new jobs, merges runs of like size, and
- * deletes records and segments that are no longer needed. Returns each read or write as a {@link ArchiveOperation} and is told its outcome;
- * does no input or output itself. One thread at a time.
+ * Moves finished jobs from their records into the archive during one leader's term: writes runs of new jobs, merges runs of similar size, and
+ * deletes records and segments that are no longer needed. Returns each read or write as an {@link ArchiveOperation} and expects its outcome
+ * through one of the outcome methods; it performs no input or output itself. Not thread-safe: use by one thread at a time.
  *
- * <p>Invariant, whichever process is killed at whatever moment: each finished job has its record or is in a run that the manifest names. So
- * segments are written first, while no manifest names them; then the manifest names their run, by a compare-and-swap on its version; and a
- * record is deleted only when a copy of the records that was read after that shows no open job that needs it. Every write has the leader's
- * fencing token as a condition, and the name of a run is never used again. One operation is in flight at a time, and one of unknown
- * outcome is repeated until its outcome is known.
+ * <p>Invariant, even if any process is killed at any time: each finished job has its record or is in a run that the manifest names. For
+ * this, segments are written first, while no manifest names them; then the manifest is updated to name their run, by a compare-and-swap on
+ * its version; and a record is deleted only when a job cache that was read after that update shows no open job that needs the record. Every
+ * write has the leader's fencing token as a condition, and the name of a run is never reused. One operation is in flight at a time, and an
+ * operation of unknown outcome is repeated until its outcome is known.
  */
 public class Archiver {
     /**
-     * A job whose record is final, of which no task can run and which no open job needs, as a copy of the records shows it.
+     * A job in its final state that has no task that can run and that no open job needs, as the job cache shows it.
      *
      * @param id the job's id
-     * @param version version of its record
-     * @param outcome null of a record that a late write of a former version brought back: the job is archived, the record is just deleted
-     * @param dependencyRecords how many records with names of dependencies belong to it
+     * @param version version of the job's record
+     * @param outcome the job's outcome, or null if a late write of a previous version created the record again after the job was archived:
+     *     the record is then only deleted
+     * @param dependencyRecords number of further records that hold names of the job's dependencies
      */
     public record ArchivableJob(String id, long version, JobOutcome outcome, int dependencyRecords) {}
 
-    /** How many finished jobs are worth a run. */
+    /** How many finished jobs it takes to start a run. */
     public enum BatchPolicy {
-        /** Only as many as {@link ArchiveLimits#batchSize}. */
+        /** At least {@link ArchiveLimits#batchSize} jobs. */
         FULL_BATCHES,
-        /** Any number: they have waited long enough. */
+        /** Any number, since the jobs have waited long enough. */
         ANY_SIZE
     }
 
-    /** Makes a term's archiver; a test may plant a fault in one. */
+    /** Creates a term's archiver; tests use it to inject faults. */
     @FunctionalInterface
     public interface Factory {
         /**
-         * Makes an archiver; the parameters are those of its constructor.
+         * Creates an archiver; the parameters are those of its constructor.
          *
-         * @param fencingToken the leader's
-         * @param limits what it keeps to
-         * @param manifest as it is stored
-         * @param manifestVersion version of the manifest
+         * @param fencingToken fencing token of the leader
+         * @param limits limits that the archiver respects
+         * @param manifest the stored manifest
+         * @param manifestVersion version of the stored manifest
          * @return the term's archiver
          */
         Archiver create(
@@ -62,30 +63,30 @@
     private final MergePolicy mergePolicy;
     private final JobRecordRemoval recordRemoval;
     private final UnreferencedSegments unreferencedSegments = new UnreferencedSegments();
-    /** Names of runs with a segment that cannot be read: they stay as they are. */
+    /** Names of runs with a segment that is missing or damaged; these runs are not merged. */
     private final Set<String> damagedRuns = new HashSet<>();
 
     private int maxTransactionWrites;
     private StoredRecord.ArchiveManifest manifest;
     private long manifestVersion;
-    /** Whether a write of the manifest may have been carried out unseen. */
+    /** Whether a write of the manifest may have been applied without this leader seeing its outcome. */
     private boolean isManifestUncertain;
 
     private int runsStarted;
-    /** The run that is being written, null between runs. */
+    /** Builder of the run that is being written, or null between runs. */
     private RunBuilder builder;
 
     private boolean isOperationInFlight;
-    /** The transaction in flight, null if the operation is a read. */
+    /** The transaction in flight, or null if there is none or the operation is a read. */
     private Transaction transactionInFlight;
 
     /**
-     * Makes a term's archiver.
+     * Creates a term's archiver.
      *
-     * @param fencingToken the leader's
-     * @param limits what it keeps to
-     * @param manifest as it is stored
-     * @param manifestVersion version of the manifest
+     * @param fencingToken fencing token of the leader
+     * @param limits limits that the archiver respects
+     * @param manifest the stored manifest
+     * @param manifestVersion version of the stored manifest
      */
     public Archiver(
             long fencingToken, ArchiveLimits limits, StoredRecord.ArchiveManifest manifest, long manifestVersion) {
@@ -100,10 +101,10 @@
     }
 
     /**
-     * The manifest of an archive that is empty. The salt, which keys the hash of ids, need only differ between installations.
+     * Returns the manifest of an empty archive. The salt is the key of the hash of ids; it only has to differ between installations.
      *
      * @param saltA first half of the salt
-     * @param saltB second half
+     * @param saltB second half of the salt
      * @return a manifest without runs
      */
     public static StoredRecord.ArchiveManifest emptyManifest(long saltA, long saltB) {
@@ -111,26 +112,29 @@
     }
 
     /**
-     * Replaces the candidates by those of a newer copy of the job records.
+     * Replaces the candidates with those found in a newer job cache.
      *
      * @param finished jobs that may be archived or whose record may be deleted
-     * @param manifestVersion version of the manifest that the copy held
-     * @param policy how many jobs are worth a run now
+     * @param manifestVersion version of the archive manifest in that job cache
+     * @param policy how many jobs it takes to start a run now
      */
     public void offerCandidates(Collection<ArchivableJob> finished, long manifestVersion, BatchPolicy policy) {
         recordRemoval.offer(finished, policy, job -> isRecordRemovable(job.id(), manifestVersion));
     }
 
-    /** Guards the order of the two writes: a test that lets records go before their jobs are archived loses jobs. */
+    /**
+     * Returns whether the job's record may be deleted: only if the manifest of the given version names a run with the job. Ensures that a job
+     * is archived before its record is deleted; a test overrides this method to show that jobs are lost otherwise.
+     */
     boolean isRecordRemovable(String id, long manifestVersion) {
         return recordRemoval.isArchivedAt(id, manifestVersion);
     }
 
     /**
-     * The next operation, which is in flight until its outcome is told.
+     * Returns the next operation, which is in flight until its outcome is reported.
      *
-     * @param writeBudget how many writes scheduling rounds leave over now
-     * @return null if there is nothing to do, nothing that fits the budget, or an operation in flight
+     * @param writeBudget number of writes that planning passes leave unused now
+     * @return the operation, or null if there is nothing to do, nothing fits the budget, or an operation is in flight
      */
     public ArchiveOperation nextOperation(int writeBudget) {
         if (isOperationInFlight) {
@@ -162,7 +166,8 @@
         if (unreferencedSegments.isEmpty() || maxWrites < 1) {
             return null;
         }
-        return new ArchiveOperation.Write(new Transaction(List.of(leadership()), unreferencedSegments.planDeletes(maxWrites)));
+        return new ArchiveOperation.Write(
+                new Transaction(List.of(leadership()), unreferencedSegments.planDeletes(maxWrites)));
     }
 
     private Transaction.Condition leadership() {
@@ -212,8 +217,8 @@
     }
 
     /**
-     * The manifest's version is a condition of a segment's write as well: a try without an answer that arrives after its run was named,
-     * merged and removed would bring the segment back.
+     * Returns the transaction that stores the next segment. The manifest's version is one of its conditions: otherwise a request without an
+     * answer that reaches the store after the run was named, merged and deleted would create the segment again.
      */
     private Transaction segmentPut() {
         String key = builder.nextKey();
@@ -222,7 +227,7 @@
                 List.of(new Transaction.Write(key, builder.packNextSegment(), 0)));
     }
 
-    /** Names the finished run in the manifest, in place of those that went into it. */
+    /** Returns the transaction that replaces the merged runs with the complete run in the manifest. */
     private Transaction manifestUpdate() {
         List<StoredRecord.ArchiveRun> runs = new ArrayList<>(manifest.runs());
         runs.removeAll(builder.input().mergedRuns());
@@ -237,7 +242,7 @@
                 List.of(new Transaction.Write(StoreKeys.ARCHIVE_MANIFEST, updated, 0)));
     }
 
-    /** Writes the run anew, in more segments and under a new name. */
+    /** Starts the run again with more segments and a new name. */
     private void restartRun() {
         RunBuilder abandoned = builder;
         abandonRun();
@@ -253,9 +258,9 @@
     // ---- outcomes
 
     /**
-     * Outcome of {@link ArchiveOperation.FindAfter}.
+     * Handles the outcome of {@link ArchiveOperation.FindAfter}.
      *
-     * @param key the first key after the one asked for, null if there is none
+     * @param key the first key after the requested one, or null if there is none
      */
     public void keyFound(String key) {
         isOperationInFlight = false;
@@ -263,10 +268,10 @@
     }
 
     /**
-     * Outcome of {@link ArchiveOperation.ReadSegment}.
+     * Handles the outcome of {@link ArchiveOperation.ReadSegment}: the segment was read.
      *
      * @param key the segment's key
-     * @param jobs its content
+     * @param jobs the segment's content
      */
     public void segmentRead(String key, List<ArchivedJob> jobs) {
         isOperationInFlight = false;
@@ -276,7 +281,7 @@
     }
 
     /**
-     * Outcome of {@link ArchiveOperation.ReadSegment}: the segment is missing or not what was written. Its run stays as it is.
+     * Handles the outcome of {@link ArchiveOperation.ReadSegment}: the segment is missing or damaged. Its run is not merged from now on.
      *
      * @param key the segment's key
      */
@@ -289,9 +294,9 @@
     }
 
     /**
-     * Outcome of {@link ArchiveOperation.Write}: it is stored.
+     * Handles the outcome of {@link ArchiveOperation.Write}: the transaction is stored.
      *
-     * @param revision the store's revision of it, which is the version of every record that it put
+     * @param revision the store's revision of the transaction, which is the version of every record that it put
      */
     public void writeSucceeded(long revision) {
         isOperationInFlight = false;
@@ -306,25 +311,25 @@
     }
 
     /**
-     * Outcome of {@link ArchiveOperation.Write}: some of its conditions do not hold.
+     * Handles the outcome of {@link ArchiveOperation.Write}: some of its conditions do not hold.
      *
-     * @param keys those of the conditions that failed; the leader's is not among them
+     * @param keys keys of the conditions that failed; the leader's key is not among them
      */
     public void writeConflicted(Collection<String> keys) {
         isOperationInFlight = false;
         StoredRecord first = firstRecordInFlight();
         if (first instanceof StoredRecord.ArchiveSegment && !keys.contains(StoreKeys.ARCHIVE_MANIFEST)) {
-            // An earlier try was carried out after all: nobody else uses the name.
+            // An earlier attempt was applied after all: no other process uses the name of this run.
             builder.segmentStored();
         } else if (first != null) {
             isManifestUncertain = true;
         } else {
-            // An earlier try deleted them.
+            // An earlier attempt deleted these keys.
             keys.forEach(this::keyDeleted);
         }
     }
 
-    /** The outcome of the operation in flight is not known, or it was certainly not carried out: it is tried again. */
+    /** Handles an operation whose outcome is unknown or that was certainly not applied: it is retried. */
     public void outcomeUnknown() {
         isOperationInFlight = false;
         isManifestUncertain |=
@@ -332,10 +337,11 @@
     }
 
     /**
-     * Outcome of {@link ArchiveOperation.ReadManifest}. A try of this leader may still arrive, so the manifest is written again until one try is seen.
+     * Handles the outcome of {@link ArchiveOperation.ReadManifest}. An earlier write of this leader may still reach the store, so the manifest is
+     * written again until one of these writes is seen in it.
      *
-     * @param stored the manifest as it is stored
-     * @param version its version
+     * @param stored the stored manifest
+     * @param version version of the stored manifest
      */
     public void manifestRead(StoredRecord.ArchiveManifest stored, long version) {
         isOperationInFlight = false;
@@ -349,9 +355,9 @@
     }
 
     /**
-     * Outcome of {@link ArchiveOperation.Write}: the store does not take it, most likely since its limits fell.
+     * Handles the outcome of {@link ArchiveOperation.Write}: the store rejects the transaction, most likely because its limits were lowered.
      *
-     * @return whether it will be tried in another form
+     * @return whether it will be retried with smaller values or fewer writes
      */
     public boolean writeRejected() {
         isOperationInFlight = false;
@@ -367,7 +373,7 @@
         return false;
     }
 
-    /** The record that the first write in flight puts, null if it deletes. */
+    /** Returns the record that the first write in flight puts, or null if that write is a delete. */
     private StoredRecord firstRecordInFlight() {
         return transactionInFlight.writes().get(0).record();
     }
@@ -391,9 +397,9 @@
     }
 
     /**
-     * The manifest as far as this leader knows it.
+     * Returns the manifest as far as this leader knows it.
      *
-     * @return never null
+     * @return the manifest, never null
      */
     public StoredRecord.ArchiveManifest manifest() {
         return manifest;
--- a/src/main/java/io/micatide/archive/DamagedSegmentException.java
+++ b/src/main/java/io/micatide/archive/DamagedSegmentException.java
@@ -1,6 +1,6 @@
 package io.micatide.archive;
 
-/** Thrown when a stored segment is not what was written; the message names its key and what is wrong. */
+/** Thrown when the content of a stored segment is damaged; the message names the segment's key and the problem. */
 public final class DamagedSegmentException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/micatide/archive/JobRecordRemoval.java
+++ b/src/main/java/io/micatide/archive/JobRecordRemoval.java
@@ -11,17 +11,17 @@
 import java.util.function.Predicate;
 
 /**
- * Finished jobs that still have a record: candidates for the next run, and those whose record may be deleted.
+ * Tracks finished jobs that still have a record: candidates for the next run, and jobs whose record may be deleted.
  *
- * <p>Invariant: a record becomes removable only if its job is in a run that the manifest names, as a copy of the records shows that was
- * read after the manifest named it.
+ * <p>Invariant: a record becomes removable only if its job is in a run that the manifest names, according to a job cache that was read
+ * after the manifest was updated to name that run.
  */
 final class JobRecordRemoval {
-    /** Most jobs in a run of new jobs: as many as a small heap holds easily. */
+    /** Maximum number of jobs in a run of new jobs, so that they fit a small heap. */
     private static final int MAX_JOBS_PER_RUN = 4_096;
 
     private final int batchSize;
-    /** Ids of the jobs that this leader has archived, with the version of the manifest that named them first. */
+    /** Version of the manifest that first named the job's run, by id of each job that this leader has archived. */
     private final Map<String, Long> archivedAtVersion = new HashMap<>();
 
     private final Map<String, Archiver.ArchivableJob> removable = new LinkedHashMap<>();
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Replaces the candidates by those of a newer copy of the records.
+     * Replaces the candidates with those found in a newer job cache.
      *
-     * @param isRemovable whether an archived job's record may be deleted
+     * @param isRemovable tells whether the record of a job may be deleted since the job is archived
      */
     void offer(
             Collection<Archiver.ArchivableJob> finished,
@@ -54,7 +54,7 @@
                 unarchived.size() >= batchSize || (policy == Archiver.BatchPolicy.ANY_SIZE && !unarchived.isEmpty());
     }
 
-    /** Whether the manifest named the job by the given version of it. */
+    /** Returns whether this leader archived the job in a run that the manifest of the given version names. */
     boolean isArchivedAt(String id, long manifestVersion) {
         Long archivedAt = archivedAtVersion.get(id);
         return archivedAt != null && manifestVersion >= archivedAt;
@@ -64,13 +64,13 @@
         return isBatchReady && !candidates.isEmpty();
     }
 
-    /** The jobs of the next run; {@link #hasBatch} is false until candidates are offered again. */
+    /** Returns the jobs of the next run; {@link #hasBatch} is false until candidates are offered again. */
     List<Archiver.ArchivableJob> takeBatch() {
         isBatchReady = false;
         return candidates.subList(0, Math.min(candidates.size(), MAX_JOBS_PER_RUN));
     }
 
-    /** The manifest names a run with these jobs, from this version of it on. */
+    /** Notes that the manifest names a run with the given jobs from the given version on. */
     void jobsArchived(List<Archiver.ArchivableJob> jobs, long manifestVersion) {
         jobs.forEach(job -> archivedAtVersion.put(job.id(), manifestVersion));
         candidates = List.of();
@@ -81,11 +81,12 @@
     }
 
     /**
-     * The deletes of as many records as fit. Dependency records go before the job's record or with it: a job's record without them would
-     * be a job that nobody can read.
+     * Returns the deletes of as many records as fit. Dependency records are deleted before the job's record or together with it: without
+     * them the job's record could not be read.
      *
-     * @param leadership the condition that the leader still leads
-     * @return null if nothing fits
+     * @param leadership the condition that this controller is still the leader
+     * @param maxWrites maximum number of writes in the transaction
+     * @return the transaction, or null if nothing fits
      */
     Transaction planRemoval(Transaction.Condition leadership, int maxWrites) {
         List<Transaction.Condition> conditions = new ArrayList<>(List.of(leadership));
@@ -106,7 +107,7 @@
         return writes.isEmpty() ? null : new Transaction(conditions, writes);
     }
 
-    /** A key under {@link StoreKeys#JOBS} is gone from the store; that of a dependency record changes nothing here. */
+    /** Notes that a key under {@link StoreKeys#JOBS} was deleted from the store; the key of a dependency record has no effect. */
     void keyDeleted(String key) {
         String id = key.substring(StoreKeys.JOBS.length());
         if (id.indexOf('/') < 0) {
--- a/src/main/java/io/micatide/archive/MembershipFilters.java
+++ b/src/main/java/io/micatide/archive/MembershipFilters.java
@@ -11,24 +11,24 @@
 import java.util.Set;
 
 /**
- * Bloom filters of the ids in the archive's runs, so that most look-ups of new ids cost no read. A run's filter is built by reading its
- * segments once, small runs first, and used when it is complete; until then, and where there is no memory for one, the run has to be read
- * for each look-up. One thread at a time.
+ * Bloom filters of the ids in the archive's runs, so that most look-ups of new ids need no read. A run's filter is built by reading its
+ * segments once, small runs first, and is used as soon as it is complete. Until then, and if the memory limit leaves no space for the filter,
+ * each look-up reads the run. Not thread-safe: use by one thread at a time.
  */
 public final class MembershipFilters {
-    /** One look-up in a hundred of an id that a run does not hold costs a read: 9.6 bits a job. */
+    /** Share of look-ups of an id that a run does not hold which need a read all the same; takes 9.6 bits per job. */
     private static final double FALSE_POSITIVE_RATE = 0.01;
 
     private static final int BITS_PER_JOB = 10;
-    /** What a filter takes besides its bits. */
+    /** Memory of a filter in addition to its bits. */
     private static final int FILTER_BYTES = 64;
 
     private final long maxBytes;
     private final Map<String, Filter> byRun = new HashMap<>();
-    /** Names of runs with a segment that could not be read: a look-up there says what is wrong. */
+    /** Names of runs with a segment that could not be read; these get no filter, so that a look-up reads the segment and reports the problem. */
     private final Set<String> unreadableRuns = new HashSet<>();
 
-    /** Null until the first one is set. */
+    /** The current manifest, or null until the first one is set. */
     private StoredRecord.ArchiveManifest manifest;
 
     private HashPartitioner partitioner;
@@ -49,18 +49,18 @@
     }
 
     /**
-     * Makes the filters of an archive whose manifest is not known yet.
+     * Creates the filters of an archive whose manifest is not known yet.
      *
-     * @param maxBytes what all filters together may take of memory
+     * @param maxBytes memory limit of all filters together, in bytes
      */
     public MembershipFilters(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /**
-     * Sets the manifest that look-ups are about from now on; filters of runs that it does not name are dropped.
+     * Sets the manifest that look-ups use from now on; filters of runs that it does not name are discarded.
      *
-     * @param current the manifest as it is stored now
+     * @param current the manifest that is stored now
      */
     public void setManifest(StoredRecord.ArchiveManifest current) {
         if (manifest == null || manifest.saltA() != current.saltA() || manifest.saltB() != current.saltB()) {
@@ -74,7 +74,7 @@
     }
 
     /**
-     * The segments that may hold an id by the present manifest.
+     * Returns the segments that may hold a job according to the current manifest.
      *
      * @param id a job's id
      * @return keys of segments; empty if the job is certainly not archived
@@ -97,9 +97,9 @@
     }
 
     /**
-     * The next segment to be read for a filter.
+     * Returns the next segment to read for a filter.
      *
-     * @return its key, null while there is no filter to build
+     * @return the segment's key, or null if there is no filter to build or no memory for it
      */
     public String nextSegmentToRead() {
         StoredRecord.ArchiveRun run = manifest == null ? null : smallestIncompleteRun();
@@ -139,10 +139,10 @@
     }
 
     /**
-     * Takes in the content of the segment that {@link #nextSegmentToRead} named; that of another is dropped.
+     * Adds the content of the segment that {@link #nextSegmentToRead} returned; the content of any other segment is ignored.
      *
      * @param key the segment's key
-     * @param jobs its content
+     * @param jobs the segment's content
      */
     public void segmentRead(String key, List<ArchivedJob> jobs) {
         for (Filter filter : byRun.values()) {
@@ -155,7 +155,7 @@
     }
 
     /**
-     * A segment is missing or damaged; its run has no filter from now on and is read for each look-up.
+     * Notes that a segment is missing or damaged; its run has no filter from now on and is read for each look-up.
      *
      * @param key the segment's key
      */
@@ -166,9 +166,9 @@
     }
 
     /**
-     * How many runs have a complete filter.
+     * Returns the number of runs that have a complete filter.
      *
-     * @return at most the number of runs
+     * @return the count, at most the number of runs
      */
     public int completeFilterCount() {
         return (int) byRun.values().stream().filter(Filter::isComplete).count();
--- a/src/main/java/io/micatide/archive/MergePolicy.java
+++ b/src/main/java/io/micatide/archive/MergePolicy.java
@@ -9,15 +9,15 @@
 import java.util.TreeMap;
 
 /**
- * Chooses which runs are merged next: runs of like size once there are enough of them, as in a log-structured merge tree, or the
- * smallest ones when the manifest gets too long for a value. Stateless but for its limits.
+ * Chooses which runs are merged next: runs of similar size once there are enough of them, as in a log-structured merge tree, or the
+ * smallest runs when the manifest is about to exceed the size of a value. Holds nothing but its limits.
  */
 final class MergePolicy {
-    /** So many runs of like size become one; a size is this many times the one below. */
+    /** Number of runs of one size level that are merged into one; also the ratio between the sizes of successive levels. */
     private static final int MERGE_FACTOR = 4;
 
     private static final int MAX_RUNS_PER_MERGE = 8;
-    /** What a manifest takes without its runs. */
+    /** Size of a manifest without its runs. */
     private static final int MANIFEST_BYTES = 160;
 
     private static final int MANIFEST_RUN_BYTES = 48;
@@ -31,10 +31,10 @@
     }
 
     /**
-     * The runs to merge, in the order in which the merge reads them; empty if there is nothing to merge.
+     * Returns the runs to merge, in the order in which the merge reads them, or an empty list if there is nothing to merge.
      *
-     * @param runs those that the manifest names
-     * @param damagedRuns names of runs that cannot be read in full; they stay as they are
+     * @param runs runs that the manifest names
+     * @param damagedRuns names of runs that cannot be read in full; these are not merged
      */
     List<StoredRecord.ArchiveRun> selectRuns(List<StoredRecord.ArchiveRun> runs, Set<String> damagedRuns) {
         Map<Integer, List<StoredRecord.ArchiveRun>> byLevel = new TreeMap<>();
--- a/src/main/java/io/micatide/archive/RunBuilder.java
+++ b/src/main/java/io/micatide/archive/RunBuilder.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * A run that is being written, segment by segment.
+ * Builds a run of the archive, segment by segment.
  *
- * <p>Invariant: segments are packed and stored in ascending order, one at a time, and the counts of the finished run are those of the
- * segments that were stored.
+ * <p>Invariant: segments are packed and stored in ascending order, one at a time, and the counts of the complete run are those of the
+ * stored segments.
  */
 final class RunBuilder {
     /**
-     * What goes into a run: either new jobs or the content of older runs.
+     * The input of a run: either new jobs or the content of older runs.
      *
-     * @param mergedRuns runs that the new one replaces
-     * @param newJobs jobs that come from their records
+     * @param mergedRuns runs that the new run replaces
+     * @param newJobs jobs that are archived from their records
      */
     record Input(List<StoredRecord.ArchiveRun> mergedRuns, List<Archiver.ArchivableJob> newJobs) {
         List<ArchivedJob> archivedJobs() {
@@ -55,27 +55,27 @@
         return input;
     }
 
-    /** Whether every segment is stored. */
+    /** Returns whether every segment is stored. */
     boolean isComplete() {
         return nextSegment == segmentCount;
     }
 
-    /** The key of the next segment to store. */
+    /** Returns the key of the next segment to store. */
     String nextKey() {
         return StoreKeys.segment(name, nextSegment);
     }
 
-    /** The segment of an older run that has to be read before the next one can be packed, or null if there is none. */
+    /** Returns the key of a segment of an older run that must be read before the next segment can be packed, or null if there is none. */
     String nextUnreadSegment() {
         return packedSegment == null ? merger.nextUnreadSegment(nextSegment) : null;
     }
 
-    /** The content of a segment of an older run. */
+    /** Adds the content of a segment of an older run. */
     void addSegment(String key, List<ArchivedJob> jobs) {
         merger.addSegment(key, jobs);
     }
 
-    /** The next segment, packed once however often it is asked for. All that it needs must have been read. */
+    /** Returns the next segment, which is packed on the first call only. Requires that {@link #nextUnreadSegment} returned null. */
     StoredRecord.ArchiveSegment packNextSegment() {
         if (packedSegment == null) {
             List<ArchivedJob> jobs = merger.takeSegment(nextSegment);
@@ -85,7 +85,7 @@
         return packedSegment;
     }
 
-    /** The packed segment is in the store. */
+    /** Notes that the packed segment is in the store. */
     void segmentStored() {
         storedJobs += packedJobs;
         storedBytes += packedSegment.packed().length;
@@ -93,12 +93,12 @@
         nextSegment++;
     }
 
-    /** How many segments may be in the store: those stored, and one whose write may have been sent. */
+    /** Returns how many segments may be in the store: the stored ones, and one whose write may have been sent. */
     int possiblyStoredSegments() {
         return Math.min(nextSegment + 1, segmentCount);
     }
 
-    /** The manifest's entry of the finished run. */
+    /** Returns the manifest's entry of the complete run. */
     StoredRecord.ArchiveRun run() {
         return new StoredRecord.ArchiveRun(name, segmentCount, storedJobs, storedBytes);
     }
--- a/src/main/java/io/micatide/archive/SegmentCodec.java
+++ b/src/main/java/io/micatide/archive/SegmentCodec.java
@@ -14,16 +14,16 @@
 import org.apache.commons.codec.digest.Blake3;
 
 /**
- * The format of a segment: jobs in the order of their ids, each id without what it shares with the one before, then the outcomes, all of it
- * deflated. Some 2.5 bytes a job with ids of six digits.
+ * Encodes and decodes segments. A segment holds the ids of its jobs in ascending order, each id without the prefix that it shares with the
+ * previous one, then the outcomes; all of it is deflated. With ids of six digits a job takes about 2.5 bytes.
  */
 public final class SegmentCodec {
-    /** Bytes of a digest; enough that no two values of an archive are taken for each other by chance. */
+    /** Size of a digest, large enough to rule out that two values of an archive have the same digest by chance. */
     private static final int DIGEST_BYTES = 16;
-    /** What unpacking may give at most; a value of 64 KiB cannot hold more in this format but by damage. */
+    /** Limit of the unpacked content; a value of 64 KiB that unpacks to more than this is damaged. */
     private static final int MAX_UNPACKED_BYTES = 8 << 20;
 
-    /** Lowest bits of an outcome's number; the rest is the number of tasks. */
+    /** Number of the lowest bits of an encoded outcome, which hold its kind; the bits above hold the number of tasks. */
     private static final int OUTCOME_BITS = 2;
 
     private static final int OUTCOME_MASK = (1 << OUTCOME_BITS) - 1;
@@ -34,16 +34,16 @@
     private static final int VARINT_MASK = 0x7f;
     private static final int VARINT_CONTINUES = 0x80;
 
-    private static final String MALFORMED_CONTENT = "does not unpack";
+    private static final String MALFORMED_SEGMENT = "malformed segment";
 
     private SegmentCodec() {}
 
     /**
      * Packs jobs into the value of a segment.
      *
-     * @param key under which the value will be stored; its digest covers the key
-     * @param jobs in the order of their ids, each once
-     * @return the value
+     * @param key key under which the value will be stored, which the digest covers as well
+     * @param jobs jobs in ascending order of their ids, without duplicates
+     * @return the value of the segment
      */
     public static StoredRecord.ArchiveSegment pack(String key, List<ArchivedJob> jobs) {
         ByteArrayOutputStream plain = new ByteArrayOutputStream(jobs.size() * 8 + 8);
@@ -87,21 +87,21 @@
     /**
      * Unpacks the jobs of a stored segment.
      *
-     * @param key under which it is stored
-     * @param segment the value
-     * @return jobs in the order of their ids
-     * @throws DamagedSegmentException its digest is wrong, or it does not unpack; the message names the key
+     * @param key key under which the segment is stored
+     * @param segment the stored value
+     * @return jobs in ascending order of their ids
+     * @throws DamagedSegmentException if the digest does not match or the content is malformed; the message names the key
      */
     public static List<ArchivedJob> unpack(String key, StoredRecord.ArchiveSegment segment)
             throws DamagedSegmentException {
         if (!digest(key, segment.packed()).equals(segment.digest())) {
-            throw new DamagedSegmentException(key, "digest is wrong");
+            throw new DamagedSegmentException(key, "digest mismatch");
         }
         byte[] plain = inflate(key, segment.packed());
         Reader in = new Reader(key, plain);
         int count = in.readVarint();
         if (count < 0 || count > plain.length) {
-            throw new DamagedSegmentException(key, MALFORMED_CONTENT);
+            throw new DamagedSegmentException(key, MALFORMED_SEGMENT);
         }
         List<String> ids = new ArrayList<>(count);
         byte[] id = new byte[0];
@@ -119,11 +119,11 @@
     /**
      * Looks up one job in a stored segment.
      *
-     * @param key under which it is stored
-     * @param segment the value
+     * @param key key under which the segment is stored
+     * @param segment the stored value
      * @param id the job's id
-     * @return its outcome, null if the segment does not hold the job
-     * @throws DamagedSegmentException as {@link #unpack}
+     * @return the job's outcome, or null if the segment does not hold the job
+     * @throws DamagedSegmentException under the conditions of {@link #unpack}
      */
     public static JobOutcome find(String key, StoredRecord.ArchiveSegment segment, String id)
             throws DamagedSegmentException {
@@ -180,19 +180,19 @@
                 int inflatedBytes = inflater.inflate(buffer);
                 if ((inflatedBytes == 0 && (inflater.needsInput() || inflater.needsDictionary()))
                         || out.size() > MAX_UNPACKED_BYTES) {
-                    throw new DamagedSegmentException(key, MALFORMED_CONTENT);
+                    throw new DamagedSegmentException(key, MALFORMED_SEGMENT);
                 }
                 out.write(buffer, 0, inflatedBytes);
             }
             return out.toByteArray();
         } catch (DataFormatException e) {
-            throw new DamagedSegmentException(key, MALFORMED_CONTENT);
+            throw new DamagedSegmentException(key, MALFORMED_SEGMENT);
         } finally {
             inflater.end();
         }
     }
 
-    /** Reads the inflated content of a segment; never past its end. */
+    /** Reads the inflated content of a segment with bounds checks; malformed content gives a {@link DamagedSegmentException}. */
     private static final class Reader {
         private final String key;
         private final byte[] content;
@@ -215,14 +215,14 @@
                     return number;
                 }
             }
-            throw new DamagedSegmentException(key, MALFORMED_CONTENT);
+            throw new DamagedSegmentException(key, MALFORMED_SEGMENT);
         }
 
         byte[] readId(byte[] previousId) throws DamagedSegmentException {
             int shared = readVarint();
             int rest = readVarint();
             if (shared < 0 || shared > previousId.length || rest < 0 || rest > content.length - position) {
-                throw new DamagedSegmentException(key, MALFORMED_CONTENT);
+                throw new DamagedSegmentException(key, MALFORMED_SEGMENT);
             }
             byte[] id = new byte[shared + rest];
             System.arraycopy(previousId, 0, id, 0, shared);
--- a/src/main/java/io/micatide/archive/SegmentMerger.java
+++ b/src/main/java/io/micatide/archive/SegmentMerger.java
@@ -7,21 +7,21 @@
 import java.util.TreeMap;
 
 /**
- * Merges the segments of several runs, or jobs that come from their records, into the segments of a new run. It goes in the order of the
- * hash, so that no more than about one segment of each run is in memory at a time.
+ * Merges the segments of several runs, or jobs that are archived from their records, into the segments of a new run. It proceeds in the
+ * order of the hash, so that only about one segment of each run is in memory at a time.
  */
 final class SegmentMerger {
     private final HashPartitioner partitioner;
     private final int segmentCount;
     private final List<Source> sources = new ArrayList<>();
 
-    /** A run to be read, or the jobs that come from their records. */
+    /** An input of the merge: a run to be read, or the jobs that are archived from their records. */
     private static final class Source {
-        /** Null for jobs that come from their records. */
+        /** The run to be read, or null for jobs that are archived from their records. */
         final StoredRecord.ArchiveRun run;
 
         int segmentsRead;
-        /** Read and not taken yet. */
+        /** Jobs that were read and not taken yet. */
         List<ArchivedJob> pendingJobs = new ArrayList<>();
 
         Source(StoredRecord.ArchiveRun run) {
@@ -39,8 +39,8 @@
 
     /**
      * @param segmentCount number of segments of the new run
-     * @param runs what is merged
-     * @param jobs what comes from records
+     * @param runs runs that are merged
+     * @param jobs jobs that are archived from their records
      */
     SegmentMerger(
             HashPartitioner partitioner, int segmentCount, List<StoredRecord.ArchiveRun> runs, List<ArchivedJob> jobs) {
@@ -52,18 +52,19 @@
         sources.add(records);
     }
 
-    /** The key of a segment to be read before segment {@code number} of the new run is known, or null if there is none. */
+    /** Returns the key of a segment that must be read before segment {@code number} of the new run can be taken, or null if there is none. */
     String nextUnreadSegment(int number) {
         for (Source source : sources) {
             if (source.hasUnread()
-                    && HashPartitioner.startsBeforeEnd(source.segmentsRead, source.run.segments(), number, segmentCount)) {
+                    && HashPartitioner.startsBeforeEnd(
+                            source.segmentsRead, source.run.segments(), number, segmentCount)) {
                 return source.nextKey();
             }
         }
         return null;
     }
 
-    /** The content of the segment that {@link #nextUnreadSegment} named; that of another is dropped. */
+    /** Adds the content of the segment that {@link #nextUnreadSegment} returned; the content of any other segment is ignored. */
     void addSegment(String key, List<ArchivedJob> jobs) {
         for (Source source : sources) {
             if (source.hasUnread() && key.equals(source.nextKey())) {
@@ -75,8 +76,8 @@
     }
 
     /**
-     * Takes the jobs of segment {@code number}, in the order of their ids, each once. To be called once for each segment, in the order of
-     * the numbers.
+     * Removes and returns the jobs of segment {@code number}, in ascending order of their ids and without duplicates. Must be called once for
+     * each segment, in ascending order of the numbers.
      */
     List<ArchivedJob> takeSegment(int number) {
         TreeMap<String, ArchivedJob> taken = new TreeMap<>();
--- a/src/main/java/io/micatide/archive/SegmentSizing.java
+++ b/src/main/java/io/micatide/archive/SegmentSizing.java
@@ -4,35 +4,36 @@
 import java.util.List;
 
 /**
- * Decides in how many segments a run is written, so that each fits a value of the store.
+ * Decides how many segments a run has, so that each segment fits a value of the store.
  *
- * <p>Invariant: the room for a segment only ever shrinks, and never below {@link #MIN_SEGMENT_BYTES}.
+ * <p>Invariant: the planned size of a value is never increased; reductions stop at {@link #MIN_SEGMENT_BYTES}.
  */
 final class SegmentSizing {
-    /** What a value takes besides the packed bytes, which base64 makes longer by a third. */
+    /** Size of a value in addition to the packed bytes, which base64 lengthens by a third. */
     private static final int VALUE_OVERHEAD_BYTES = 96;
 
     private static final int MAX_SEGMENT_BYTES = 16 * 1024;
     private static final int MIN_SEGMENT_BYTES = 512;
     /**
-     * Standard deviations of free room in a segment. The segments of a run differ by chance, by the square root of the jobs that one
-     * holds, and one that is too full costs the whole run anew; with this margin one segment in 300,000 is.
+     * Free space of a segment, in standard deviations of its number of jobs. That number varies by chance, with the square root of the expected
+     * number as standard deviation. A run with one segment that is too large has to be written again from the beginning; with this margin one
+     * segment in 300,000 is too large.
      */
     private static final double HEADROOM_DEVIATIONS = 4.5;
 
     private int valueBytes;
 
-    /** @param valueBytes largest value that the store takes */
+    /** @param valueBytes largest value that the store accepts */
     SegmentSizing(int valueBytes) {
         this.valueBytes = Math.min(valueBytes, MAX_SEGMENT_BYTES);
     }
 
-    /** Whether a segment fits a value. */
+    /** Returns whether a segment fits a value of the store. */
     boolean fits(StoredRecord.ArchiveSegment segment) {
         return segment.packed().length <= capacityBytes();
     }
 
-    /** The number of segments for jobs that are at hand, found by packing them. */
+    /** Returns the number of segments for jobs that are in memory, found by packing them. */
     int segmentsForJobs(HashPartitioner partitioner, List<ArchivedJob> jobs) {
         int segments = 1;
         while (!allSegmentsFit(partitioner, jobs, segments)) {
@@ -42,31 +43,31 @@
     }
 
     /**
-     * The number of segments for a merge, estimated.
+     * Estimates the number of segments for a merge.
      *
-     * @param jobs how many jobs the merged runs hold
-     * @param bytes what they take packed
+     * @param jobs number of jobs in the merged runs
+     * @param bytes packed size of the merged runs
      */
     int segmentsForMerge(long jobs, long bytes) {
         if (bytes <= capacityBytes() / 2) {
             return 1;
         }
-        // With m jobs in a segment, m plus the headroom in standard deviations has to fit.
+        // With m jobs expected in a segment, m plus the headroom of HEADROOM_DEVIATIONS * sqrt(m) has to fit.
         double capacityJobs = (double) capacityBytes() * jobs / bytes;
         double root =
                 (Math.sqrt(HEADROOM_DEVIATIONS * HEADROOM_DEVIATIONS + 4 * capacityJobs) - HEADROOM_DEVIATIONS) / 2;
         return (int) Math.max(1, Math.ceil(jobs / Math.max(1, root * root)));
     }
 
-    /** The next number to try after {@code segments} were too few. */
+    /** Returns the next number of segments to try after {@code segments} were too few. */
     static int increase(int segments) {
         return Math.max(segments + 1, segments * 5 / 4);
     }
 
     /**
-     * Plans with smaller values from now on, after the store rejected one.
+     * Reduces the planned size of values after the store rejected one.
      *
-     * @return false if they are as small as they may be
+     * @return false if the size is already at its minimum
      */
     boolean reduce() {
         if (valueBytes <= MIN_SEGMENT_BYTES) {
--- a/src/main/java/io/micatide/archive/UnreferencedSegments.java
+++ b/src/main/java/io/micatide/archive/UnreferencedSegments.java
@@ -9,12 +9,13 @@
 import java.util.List;
 
 /**
- * Segments in the store that the manifest does not name, and the sweep over all keys of the archive that finds those of earlier leaders.
+ * Tracks segments in the store that the manifest does not name and that are to be deleted, and the sweep over all keys of the archive that
+ * finds those which previous leaders left behind.
  *
- * <p>Invariant: a segment is added only when no manifest names its run, now or later: names of runs are never used again.
+ * <p>Invariant: a segment is added only when no manifest names its run, now or later: names of runs are never reused.
  */
 final class UnreferencedSegments {
-    /** Comes after every segment key of a run. */
+    /** Suffix that, appended to the name of a run, sorts after all segment keys of the run. */
     private static final String AFTER_LAST_SEGMENT = "/~";
 
     private final Deque<String> keys = new ArrayDeque<>();
@@ -30,15 +31,16 @@
         return isSweepComplete;
     }
 
-    /** The key after which the sweep goes on. */
+    /** Returns the key after which the sweep continues. */
     String sweepCursor() {
         return sweepCursor;
     }
 
     /**
-     * Takes the sweep one step further.
+     * Advances the sweep by one key; skips the other segments of a run that the manifest names.
      *
-     * @param key the first key after {@link #sweepCursor}, null if there is none
+     * @param key the first key after {@link #sweepCursor}, or null if there is none
+     * @param manifest the current manifest
      */
     void keyFound(String key, StoredRecord.ArchiveManifest manifest) {
         if (key == null || !key.startsWith(StoreKeys.ARCHIVE_SEGMENTS)) {
@@ -55,21 +57,21 @@
         }
     }
 
-    /** The first segments of a run, to be deleted. */
+    /** Adds the first {@code segments} segments of a run. */
     void addRun(String run, int segments) {
         for (int number = 0; number < segments; number++) {
             keys.add(StoreKeys.segment(run, number));
         }
     }
 
-    /** A run was given up: a write of it may still arrive, so there is another sweep after the manifest's next change. */
+    /** Notes that a run was abandoned: one of its writes may still reach the store, so another sweep follows the manifest's next change. */
     void requireSweep() {
         isSweepRequired = true;
     }
 
     /**
-     * The manifest has a new version. Every segment's write has the version as a condition, so what was given up before cannot arrive any
-     * more and a sweep now finds all of it.
+     * Notes that the manifest has a new version and starts the required sweep, if any. Every write of a segment has the manifest's version as
+     * a condition, so late writes of runs abandoned before now fail, and the sweep finds all of their segments.
      */
     void manifestChanged() {
         if (isSweepRequired) {
@@ -79,7 +81,7 @@
         }
     }
 
-    /** Deletes of the segments that were found first. */
+    /** Returns deletes of up to {@code maxWrites} segments, in the order in which the segments were added. */
     List<Transaction.Write> planDeletes(int maxWrites) {
         List<Transaction.Write> writes = new ArrayList<>();
         for (String key : keys) {
@@ -90,7 +92,7 @@
         return writes;
     }
 
-    /** A segment is gone from the store. */
+    /** Notes that a segment was deleted from the store. */
     void segmentDeleted(String key) {
         keys.remove(key);
     }
--- a/src/main/java/io/micatide/snapshot/SnapshotFile.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotFile.java
@@ -30,27 +30,28 @@
 import org.apache.commons.compress.compressors.gzip.GzipCompressorOutputStream;
 
 /**
- * The file format of an image: a compressed tar of parts with one value a line, then a manifest with the counts and the digest of each part, and
- * under an operator's key the manifest's MAC. Any tar reads it. Written beside its name and moved there when it is complete.
+ * Writes and reads snapshot files. A file is a gzip-compressed tar archive, which any tar program can read: parts with one value per line, then
+ * a manifest with the counts and the digest of each part, and, if the operator has a key, the manifest's MAC. A file is written under a
+ * temporary name and renamed when it is complete.
  */
 public final class SnapshotFile {
     /**
-     * What a file says of itself.
+     * Summary of a file's manifest.
      *
-     * @param revision of the store
-     * @param taken the time of day at which it was taken, as it is shown
+     * @param revision the store's revision of the image
+     * @param taken date and time at which the image was taken, as shown to operators
      * @param counts number of values by prefix
      * @param parts number of parts
-     * @param signed whether it has a MAC
+     * @param signed whether the file has a MAC
      */
     public record Summary(long revision, String taken, Map<String, Integer> counts, int parts, boolean signed) {}
 
     /**
-     * A file that was read to its end and found sound.
+     * Content of a file that was read to its end and passed all checks.
      *
-     * @param summary what it says of itself
-     * @param image its values
-     * @param digest of its manifest, in hexadecimal
+     * @param summary summary of the manifest
+     * @param image the image that the file holds
+     * @param digest SHA-256 digest of the manifest, in hexadecimal
      */
     public record Content(Summary summary, StoreImage image, String digest) {}
 
@@ -69,12 +70,12 @@
     /**
      * Writes a file.
      *
-     * @param file its path, which must not exist
-     * @param image what to write
-     * @param key of the MAC, null for none
-     * @param taken the time of day, as it is to be shown
-     * @throws IOException the file cannot be written
-     * @throws SnapshotException the file is there already
+     * @param file path of the file, which must not exist
+     * @param image the image to write
+     * @param key key of the MAC, or null for a file without one
+     * @param taken date and time of the image, as shown to operators
+     * @throws IOException if the file cannot be written
+     * @throws SnapshotException if the file already exists
      */
     public static void write(Path file, StoreImage image, byte[] key, String taken)
             throws IOException, SnapshotException {
@@ -161,10 +162,10 @@
     /**
      * Reads a file and checks every digest and count.
      *
-     * @param file its path
-     * @param key of the MAC; null where none is asked for: a signed file is then read by its digests alone
+     * @param file path of the file
+     * @param key key of the MAC, or null to skip the check of the MAC: a signed file is then checked by its digests alone
      * @return the content
-     * @throws SnapshotException what is wrong, and in which part
+     * @throws SnapshotException if the file cannot be read or a check fails; the message states the problem and the part
      */
     public static Content read(Path file, byte[] key) throws SnapshotException {
         try (InputStream in = Files.newInputStream(file)) {
@@ -177,13 +178,13 @@
     }
 
     /**
-     * As {@link #read(Path, byte[])}, from a stream.
+     * Reads a file from a stream; otherwise like {@link #read(Path, byte[])}.
      *
-     * @param file the name that messages give it
-     * @param in the stream, which is closed
-     * @param key of the MAC, null where none is asked for
+     * @param file name of the file in messages
+     * @param in the stream, which this method closes
+     * @param key key of the MAC, or null to skip the check of the MAC
      * @return the content
-     * @throws SnapshotException what is wrong, and in which part
+     * @throws SnapshotException if the file cannot be read or a check fails; the message states the problem and the part
      */
     public static Content read(String file, InputStream in, byte[] key) throws SnapshotException {
         Map<String, byte[]> entries = readEntries(file, in);
@@ -223,7 +224,7 @@
                 }
                 entries.put(entryName, bytes.toByteArray());
             }
-            // To the end of the compressed stream, whose sum is looked at only there.
+            // Reads to the end of the compressed stream, since its checksum is verified only there.
             decompressed.transferTo(OutputStream.nullOutputStream());
             return entries;
         } catch (IOException | IllegalArgumentException e) {
--- a/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotRestorer.java
@@ -12,19 +12,20 @@
 import java.util.function.Consumer;
 
 /**
- * Writes an image into an empty store. First a marker among the job records, past which no controller of any version can read, so that none
- * serves half of an image; then every value on condition that the marker is there and the value is not; last the marker is removed. A
- * restore that was interrupted is repeated with the same file: what is there already stays. One thread at a time.
+ * Writes an image into an empty store. First it writes a marker among the job records, which no controller of any version can parse, so that
+ * no controller serves an incomplete image; then it writes every value on the condition that the marker exists and the value does not; last
+ * it removes the marker. An interrupted restore is repeated with the same file: values that already exist are kept. Not thread-safe: use by
+ * one thread at a time.
  */
 public final class SnapshotRestorer {
-    /** The marker's key. Job records begin with {@code state}; the marker does not, so it stops whoever reads. */
+    /** The marker's key. Job records begin with {@code state}; the marker does not, so a controller fails to read the job records. */
     static final String MARKER = StoreKeys.JOBS + "being-restored";
-    /** Stays behind, so that a restore which ended without an answer may be repeated as well. */
+    /** Key that remains after a restore, so that a restore whose last write got no answer can be repeated as well. */
     static final String RESTORED = "restored";
 
     private static final int MAX_ATTEMPTS = 50;
     private static final int MAX_TRANSACTION_BYTES = 40_000;
-    /** What a value takes in a transaction besides its content and its key, which stands in its condition as well. */
+    /** Size of a value in a transaction in addition to its content and its key, which is also part of the value's condition. */
     private static final int VALUE_OVERHEAD_BYTES = 64;
 
     private static final int NO_ANSWER = 0;
@@ -35,12 +36,12 @@
     private final Consumer<String> progress;
 
     /**
-     * Makes a restorer.
+     * Creates a restorer.
      *
-     * @param calls of the store
-     * @param maxTransactionWrites what a transaction may hold of writes
-     * @param maxValueBytes what a value may hold now
-     * @param progress is told a line now and then
+     * @param calls calls of the store
+     * @param maxTransactionWrites maximum number of writes in a transaction
+     * @param maxValueBytes current maximum size of a value, in bytes
+     * @param progress receives lines that report the progress
      */
     public SnapshotRestorer(StoreCalls calls, int maxTransactionWrites, int maxValueBytes, Consumer<String> progress) {
         this.calls = calls;
@@ -52,11 +53,11 @@
     /**
      * Restores an image.
      *
-     * @param image what to write
-     * @param digest of the image's manifest, which a repetition has to have as well
-     * @param advance whether the store's revision is brought past the image's, a write for each: agents that run have seen fencing tokens
-     *     up to there and obey no lower one. Otherwise no machine may be left
-     * @throws SnapshotException the store is not empty, does not answer or refuses; the message says which value and why
+     * @param image the image to write
+     * @param digest digest of the image's manifest; a repeated restore must have the same one
+     * @param advance whether to raise the store's revision above the image's, which takes writes in proportion to the difference: running
+     *     workers have seen fencing tokens up to the image's revision and reject lower ones. May be false only if no machine is left
+     * @throws SnapshotException if the store is not empty, does not answer or rejects a write; the message states the value and the cause
      */
     public void restore(StoreImage image, String digest, boolean advance) throws SnapshotException {
         for (RawStoreCodec.Value value : image.values().values()) {
@@ -82,9 +83,11 @@
         List<RawStoreCodec.Value> batch = new ArrayList<>();
         int batchBytes = 0;
         int written = 0;
-        List<RawStoreCodec.Value> valuesByVersion = new ArrayList<>(image.values().values());
-        // Jobs in the order in which they were accepted: those with dependencies come after these.
-        valuesByVersion.sort(Comparator.comparingLong(RawStoreCodec.Value::version).thenComparing(RawStoreCodec.Value::key));
+        List<RawStoreCodec.Value> valuesByVersion =
+                new ArrayList<>(image.values().values());
+        // By version, jobs are in the order in which they were accepted, so that a job follows its dependencies.
+        valuesByVersion.sort(
+                Comparator.comparingLong(RawStoreCodec.Value::version).thenComparing(RawStoreCodec.Value::key));
         for (RawStoreCodec.Value value : valuesByVersion) {
             int bytes = value.json().length() + 2 * value.key().length() + VALUE_OVERHEAD_BYTES;
             boolean isFull = batch.size() == maxTransactionWrites || batchBytes + bytes > MAX_TRANSACTION_BYTES;
@@ -111,7 +114,7 @@
         return stored != null && stored.json().equals(marker(digest).json()) && read(MARKER) == null;
     }
 
-    /** The marker's version: written now, or left by an earlier try with the same image. */
+    /** Returns the version of the marker, which is written now unless an earlier attempt with the same image left it. */
     private long writeMarker(String digest) throws SnapshotException {
         RawStoreCodec.Value stored = read(MARKER);
         if (stored == null) {
@@ -148,7 +151,7 @@
         return null;
     }
 
-    /** The marker is rewritten until its version is past the image's revision. */
+    /** Rewrites the marker until its version is above the image's revision, and returns that version. */
     private long advanceRevision(String digest, long markerVersion, long imageRevision) throws SnapshotException {
         long version = markerVersion;
         for (long count = 0; version <= imageRevision; count++) {
@@ -186,7 +189,7 @@
                 + new String(reply.body(), StandardCharsets.UTF_8));
     }
 
-    /** Some are there already: by an earlier try, in which case they are the same. */
+    /** Writes values of which some already exist; these must be equal, as they are if an earlier attempt wrote them. */
     private void writeOneByOne(List<RawStoreCodec.Value> values, long marker) throws SnapshotException {
         for (RawStoreCodec.Value value : values) {
             Reply reply = post(RawStoreCodec.putNew(List.of(value), MARKER, marker));
@@ -230,7 +233,7 @@
         throw new SnapshotException(path + ": no answer in " + MAX_ATTEMPTS + " tries; repeat the restore later");
     }
 
-    /** Sent again until there is an answer: the conditions make a repetition harmless, and one that was carried out ends in 409. */
+    /** Sends a transaction and retries until there is an answer: its conditions make a retry safe, since a transaction already applied ends in 409. */
     private Reply post(byte[] body) throws SnapshotException {
         for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
             Reply reply = calls.post("/txn", body);
--- a/src/main/java/io/micatide/snapshot/SnapshotTaker.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotTaker.java
@@ -9,10 +9,11 @@
 import java.util.function.Consumer;
 
 /**
- * Takes an image of the store while it serves: reads pages of each prefix, and after each page the changes since the first one, so that the
- * store never compacts what is still to be read. In the end the changes of all prefixes up to one revision make a consistent cut of
- * everything. Rests on the protocol's guarantee that a response holds all changes: one that is younger than the cut is left out, and the
- * one before it is there. To be used once, by one thread.
+ * Takes an image of the store while it serves. It reads the pages of each prefix, and after each page the changes since the previous read of
+ * changes (since the first page at first), so that the store does not compact changes that are still to be read. In the end it applies the
+ * changes of all prefixes up to one revision, which gives a consistent cut of all values. This relies on the protocol's guarantee that a
+ * response holds all changes, also several of one key: a change after the cut can be left out, since the one before it is in the response too.
+ * An instance is used once, by one thread.
  */
 public final class SnapshotTaker {
     private static final int PAGE_VALUES = 500;
@@ -21,17 +22,17 @@
     private final StoreCalls calls;
     private final Consumer<String> progress;
     private final TreeMap<String, RawStoreCodec.Value> values = new TreeMap<>();
-    /** Versions of deletions that were seen: a page that is older may still show the key. */
+    /** Version of the deletion by deleted key: an older page may still contain the key. */
     private final Map<String, Long> deletedVersions = new HashMap<>();
 
-    /** By prefix, the revision up to which its changes were read. */
+    /** Revision up to which the changes were read, by prefix. */
     private final Map<String, Long> readRevisions = new HashMap<>();
 
     /**
-     * Makes a taker.
+     * Creates a snapshot taker.
      *
-     * @param calls of the store
-     * @param progress is told a line now and then
+     * @param calls calls of the store
+     * @param progress receives lines that report the progress
      */
     public SnapshotTaker(StoreCalls calls, Consumer<String> progress) {
         this.calls = calls;
@@ -41,8 +42,8 @@
     /**
      * Takes the image.
      *
-     * @return everything at one revision
-     * @throws SnapshotException the store does not answer, or compacted changes that were needed; nothing was kept then
+     * @return all values at one revision
+     * @throws SnapshotException if the store does not answer or compacted changes that were needed; no image exists then
      */
     public StoreImage take() throws SnapshotException {
         for (String prefix : StoreImage.PREFIXES) {
@@ -76,7 +77,7 @@
             }
             more = page.hasMore() && !page.values().isEmpty();
             if (more) {
-                // All of them are applied: those of keys that are still to come are read again with their pages.
+                // All changes are applied; keys on later pages are read again with these pages.
                 RawStoreCodec.Page changes = readChanges(prefix);
                 apply(changes, Long.MAX_VALUE);
                 readRevisions.put(prefix, changes.revision());
--- a/src/main/java/io/micatide/snapshot/StoreCalls.java
+++ b/src/main/java/io/micatide/snapshot/StoreCalls.java
@@ -2,25 +2,25 @@
 
 import io.micatide.net.Reply;
 
-/** Blocking calls of the store, one after the other, at the pace that the implementation keeps to. */
+/** Blocking calls of the store, one at a time; the implementation limits their rate. */
 public interface StoreCalls {
     /**
      * Sends a GET and waits for its answer.
      *
-     * @param path with its query
-     * @return the answer, or that there was none
+     * @param path path with its query
+     * @return the answer, or a reply that marks a missing answer
      */
     Reply get(String path);
 
     /**
      * Sends a POST and waits for its answer.
      *
-     * @param path with its query
-     * @param body JSON
-     * @return the answer, or that there was none
+     * @param path path with its query
+     * @param body JSON body of the request
+     * @return the answer, or a reply that marks a missing answer
      */
     Reply post(String path, byte[] body);
 
-    /** Waits for a while, after an answer that asks for a later try or none at all. */
+    /** Waits before a retry, after a missing answer or an answer that requests a later attempt. */
     void pause();
 }
--- a/src/main/java/io/micatide/snapshot/StoreImage.java
+++ b/src/main/java/io/micatide/snapshot/StoreImage.java
@@ -8,14 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * Everything that micatide keeps in a store at one revision, but for the leader and the registrations of controllers: those are bound to
+ * All values that micatide keeps in a store at one revision, except for the leader and the registrations of controllers, which are bound to
  * leases.
  *
- * @param revision of the store
- * @param values all values by key
+ * @param revision the store's revision
+ * @param values values by key
  */
 public record StoreImage(long revision, SortedMap<String, RawStoreCodec.Value> values) {
-    /** The prefixes of an image, one for each owner of the writes. */
+    /** Prefixes of the keys of an image, one for each component that writes such keys. */
     static final List<String> PREFIXES = List.of(
             StoreKeys.PROVISIONING_REQUESTS,
             StoreKeys.PROVISIONING_FENCE,
@@ -28,9 +28,9 @@
             StoreKeys.MACHINE_TYPES);
 
     /**
-     * How many values there are of each prefix.
+     * Returns the number of values of each prefix.
      *
-     * @return by prefix, also of those without values
+     * @return counts by prefix, including prefixes without values
      */
     public Map<String, Integer> counts() {
         Map<String, Integer> counts = new TreeMap<>();
