--- a/src/main/java/io/micatide/snapshot/SnapshotFile.java
+++ b/src/main/java/io/micatide/snapshot/SnapshotFile.java
@@ -30,27 +30,28 @@
 import org.apache.commons.compress.compressors.gzip.GzipCompressorOutputStream;
 
 /**
- * The file format of an image: a compressed tar of parts with one value a line, then a manifest with the counts and the digest of each part, and
- * under an operator's key the manifest's MAC. Any tar reads it. Written beside its name and moved there when it is complete.
+ * Writes and reads snapshot files. A file is a gzip-compressed tar archive, which any tar program can read: parts with one value per line, then
+ * a manifest with the counts and the digest of each part, and, if the operator has a key, the manifest's MAC. A file is written under a
+ * temporary name and renamed when it is complete.
  */
 public final class SnapshotFile {
     /**
-     * What a file says of itself.
+     * Summary of a file's manifest.
      *
-     * @param revision of the store
-     * @param taken the time of day at which it was taken, as it is shown
+     * @param revision the store's revision of the image
+     * @param taken date and time at which the image was taken, as shown to operators
      * @param counts number of values by prefix
      * @param parts number of parts
-     * @param signed whether it has a MAC
+     * @param signed whether the file has a MAC
      */
     public record Summary(long revision, String taken, Map<String, Integer> counts, int parts, boolean signed) {}
 
     /**
-     * A file that was read to its end and found sound.
+     * Content of a file that was read to its end and passed all checks.
      *
-     * @param summary what it says of itself
-     * @param image its values
-     * @param digest of its manifest, in hexadecimal
+     * @param summary summary of the manifest
+     * @param image the image that the file holds
+     * @param digest SHA-256 digest of the manifest, in hexadecimal
      */
     public record Content(Summary summary, StoreImage image, String digest) {}
 
@@ -69,20 +70,20 @@
     /**
      * Writes a file.
      *
-     * @param file its path, which must not exist
-     * @param image what to write
-     * @param key of the MAC, null for none
-     * @param taken the time of day, as it is to be shown
-     * @throws IOException the file cannot be written
-     * @throws SnapshotException the file is there already
+     * @param file path of the file, which must not exist
+     * @param image the image to write
+     * @param key key of the MAC, or null for a file without one
+     * @param taken date and time of the image, as shown to operators
+     * @throws IOException if the file cannot be written
+     * @throws SnapshotException if the file already exists
      */
     public static void write(Path file, StoreImage image, byte[] key, String taken)
             throws IOException, SnapshotException {
         if (Files.exists(file)) {
             throw new SnapshotException(file + ": is there already");
         }
-        Path half = file.resolveSibling(file.getFileName() + ".part");
-        try (OutputStream raw = Files.newOutputStream(half);
+        Path partialFile = file.resolveSibling(file.getFileName() + ".part");
+        try (OutputStream raw = Files.newOutputStream(partialFile);
                 TarArchiveOutputStream tar = new TarArchiveOutputStream(new GzipCompressorOutputStream(raw), "UTF-8")) {
             List<Part> parts = new ArrayList<>();
             StringBuilder lines = new StringBuilder();
@@ -105,9 +106,9 @@
             }
         }
         try {
-            Files.move(half, file, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(partialFile, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (AtomicMoveNotSupportedException e) {
-            Files.move(half, file);
+            Files.move(partialFile, file);
         }
     }
 
@@ -135,8 +136,8 @@
             out.writeStringField("taken", taken);
             out.writeBooleanField("signed", signed);
             out.writeObjectFieldStart("counts");
-            for (Map.Entry<String, Integer> each : image.counts().entrySet()) {
-                out.writeNumberField(each.getKey(), each.getValue());
+            for (Map.Entry<String, Integer> count : image.counts().entrySet()) {
+                out.writeNumberField(count.getKey(), count.getValue());
             }
             out.writeEndObject();
             out.writeArrayFieldStart("parts");
@@ -161,10 +162,10 @@
     /**
      * Reads a file and checks every digest and count.
      *
-     * @param file its path
-     * @param key of the MAC; null where none is asked for: a signed file is then read by its digests alone
+     * @param file path of the file
+     * @param key key of the MAC, or null to skip the check of the MAC: a signed file is then checked by its digests alone
      * @return the content
-     * @throws SnapshotException what is wrong, and in which part
+     * @throws SnapshotException if the file cannot be read or a check fails; the message states the problem and the part
      */
     public static Content read(Path file, byte[] key) throws SnapshotException {
         try (InputStream in = Files.newInputStream(file)) {
@@ -177,13 +178,13 @@
     }
 
     /**
-     * As {@link #read(Path, byte[])}, from a stream.
+     * Reads a file from a stream; otherwise like {@link #read(Path, byte[])}.
      *
-     * @param file the name that messages give it
-     * @param in the stream, which is closed
-     * @param key of the MAC, null where none is asked for
+     * @param file name of the file in messages
+     * @param in the stream, which this method closes
+     * @param key key of the MAC, or null to skip the check of the MAC
      * @return the content
-     * @throws SnapshotException what is wrong, and in which part
+     * @throws SnapshotException if the file cannot be read or a check fails; the message states the problem and the part
      */
     public static Content read(String file, InputStream in, byte[] key) throws SnapshotException {
         Map<String, byte[]> entries = readEntries(file, in);
@@ -208,26 +209,26 @@
 
     private static Map<String, byte[]> readEntries(String file, InputStream in) throws SnapshotException {
         Map<String, byte[]> entries = new TreeMap<>();
-        String at = "its beginning";
-        try (GzipCompressorInputStream plain = new GzipCompressorInputStream(new BufferedInputStream(in));
-                TarArchiveInputStream tar = new TarArchiveInputStream(plain, "UTF-8")) {
+        String entryName = "its beginning";
+        try (GzipCompressorInputStream decompressed = new GzipCompressorInputStream(new BufferedInputStream(in));
+                TarArchiveInputStream tar = new TarArchiveInputStream(decompressed, "UTF-8")) {
             for (TarArchiveEntry entry = tar.getNextEntry(); entry != null; entry = tar.getNextEntry()) {
-                at = entry.getName();
+                entryName = entry.getName();
                 if (entry.getSize() > MAX_PART_BYTES) {
-                    throw new SnapshotException(file + ": " + at + " is larger than a part may be");
+                    throw new SnapshotException(file + ": " + entryName + " is larger than a part may be");
                 }
                 ByteArrayOutputStream bytes = new ByteArrayOutputStream();
                 tar.transferTo(bytes);
                 if (bytes.size() != entry.getSize()) {
-                    throw new SnapshotException(file + ": is cut off in " + at);
+                    throw new SnapshotException(file + ": is cut off in " + entryName);
                 }
-                entries.put(at, bytes.toByteArray());
+                entries.put(entryName, bytes.toByteArray());
             }
-            // To the end of the compressed stream, whose sum is looked at only there.
-            plain.transferTo(OutputStream.nullOutputStream());
+            // Reads to the end of the compressed stream, since its checksum is verified only there.
+            decompressed.transferTo(OutputStream.nullOutputStream());
             return entries;
         } catch (IOException | IllegalArgumentException e) {
-            throw new SnapshotException(file + ": cannot be read after " + at + ": " + e.getMessage());
+            throw new SnapshotException(file + ": cannot be read after " + entryName + ": " + e.getMessage());
         }
     }
 
@@ -264,7 +265,7 @@
         Map<String, Integer> counts = new TreeMap<>();
         tree.path("counts")
                 .properties()
-                .forEach(each -> counts.put(each.getKey(), each.getValue().asInt()));
+                .forEach(count -> counts.put(count.getKey(), count.getValue().asInt()));
         StoreImage image = new StoreImage(tree.path("revision").asLong(), values);
         if (!counts.equals(image.counts())) {
             throw new SnapshotException(file + ": holds " + image.counts() + " and not " + counts);
