--- a/src/main/java/io/micatide/controller/Actor.java
+++ b/src/main/java/io/micatide/controller/Actor.java
@@ -32,7 +32,7 @@
 
     /**
      * Sends a message to this actor, which handles it after the messages sent before. An exception thrown by the handler is logged, and the
-     * actor goes on with the next message.
+     * actor continues with the next message.
      */
     final void tell(M message) {
         executor.execute(() -> {
--- a/src/main/java/io/micatide/controller/ArchiveReader.java
+++ b/src/main/java/io/micatide/controller/ArchiveReader.java
@@ -25,7 +25,7 @@
  * and the number of reads in flight is bounded. While there is no archive, neither filters nor cache exist.
  */
 final class ArchiveReader extends Actor<ArchiveReader.Message> {
-    /** What this actor receives. */
+    /** A message to this actor. */
     sealed interface Message {}
 
     /** The archive has this manifest from now on. */
@@ -37,7 +37,7 @@
     /** The store answered the read of the segment at the given key. */
     record SegmentRead(Reply reply, String key) implements Message {}
 
-    /** It is time to read the next segment for a filter. */
+    /** The read of the next segment for a filter is due. */
     record FilterReadDue() implements Message {}
 
     /** Result of a lookup, by the manifest that was current when the lookup began. */
--- a/src/main/java/io/micatide/controller/ArchiverActor.java
+++ b/src/main/java/io/micatide/controller/ArchiverActor.java
@@ -22,7 +22,7 @@
  * leave over. An answer that arrives after the end of the term in which the request was sent is dropped.
  */
 final class ArchiverActor extends Actor<ArchiverActor.Message> {
-    /** What this actor receives. */
+    /** A message to this actor. */
     sealed interface Message {}
 
     /** A term starts with an archive, or the archive is created during a term. */
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Whether the status says that the store refused the operation, and a retry of the same request would fail as well. */
+    /** Returns whether the status means that the store refused the operation, so that a retry of the same request would fail as well. */
     private static boolean isRefusal(int status) {
         return status == CONFLICT || status == NOT_FOUND || status == BAD_REQUEST;
     }
--- a/src/main/java/io/micatide/controller/CancellationExchange.java
+++ b/src/main/java/io/micatide/controller/CancellationExchange.java
@@ -49,7 +49,7 @@
      * Sends the jobs of a peer's digest to the job cache. The horizon counts the digest in {@link #digestRecorded}, after they are recorded.
      *
      * @param digest null from a version that sends none
-     * @param requestSentMicros when the status was sent that the peer answered
+     * @param requestSentMicros time at which the status was sent that the peer answered
      */
     void digestReceived(int peer, CancellationDigest digest, long requestSentMicros, long now) {
         if (digest != null) {
--- a/src/main/java/io/micatide/controller/CloudCalls.java
+++ b/src/main/java/io/micatide/controller/CloudCalls.java
@@ -157,7 +157,7 @@
      *
      * @param after name of the last machine of the page before, null for the first page
      * @param fencingToken the term's fencing token
-     * @param requestSentMicros when the first page was requested
+     * @param requestSentMicros time at which the first page was requested
      * @param earlierPages the machines of the pages before
      */
     private void requestListPage(
--- a/src/main/java/io/micatide/controller/FailoverLoader.java
+++ b/src/main/java/io/micatide/controller/FailoverLoader.java
@@ -50,20 +50,24 @@
     private final StoreClient store;
     private final LeaderActor leader;
     /** Null if the operator has disabled standbys. */
-    private final StandbyActor standby;
+    private final StandbyActor standbyActor;
 
     private final long fencingToken;
     private boolean areJobsLoaded;
     /** The standby's answer for the ledgers while the jobs are not loaded; null before it has come and after it was delivered. */
     private ReplicaLoaded pendingLedgers;
 
-    /** @param standby null if the operator has disabled standbys */
+    /** @param standbyActor null if the operator has disabled standbys */
     FailoverLoader(
-            ActorExecutor executor, StoreClient store, LeaderActor leader, StandbyActor standby, long fencingToken) {
+            ActorExecutor executor,
+            StoreClient store,
+            LeaderActor leader,
+            StandbyActor standbyActor,
+            long fencingToken) {
         super(executor);
         this.store = store;
         this.leader = leader;
-        this.standby = standby;
+        this.standbyActor = standbyActor;
         this.fencingToken = fencingToken;
     }
 
@@ -88,8 +92,8 @@
         tell(new ReadDue(StoreKeys.PROVISIONING_FENCE, null));
         tell(new ReadDue(StoreKeys.LEARNED_STATE, null));
         tell(new ReadDue(StoreKeys.MACHINE_DELETIONS, null));
-        if (standby != null) {
-            standby.tell(new StandbyActor.ProvideReplicas(fencingToken, this));
+        if (standbyActor != null) {
+            standbyActor.tell(new StandbyActor.ProvideReplicas(fencingToken, this));
         } else {
             tell(new ReplicaLoaded(StoreKeys.PROVISIONING_REQUESTS, null));
             tell(new ReplicaLoaded(StoreKeys.LEDGERS, null));
--- a/src/main/java/io/micatide/controller/GracefulHandover.java
+++ b/src/main/java/io/micatide/controller/GracefulHandover.java
@@ -31,7 +31,7 @@
      *
      * @param term the term that ends; null if this controller does not lead
      * @param successor the label of the warm standby that is to take over; null for none
-     * @param notifySuccessor asks the successor to catch up
+     * @param notifySuccessor requests that the successor catches up
      * @param releaseLease ends the term and its lease; run once, as the last step
      */
     GracefulHandover(
--- a/src/main/java/io/micatide/controller/HeartbeatHandler.java
+++ b/src/main/java/io/micatide/controller/HeartbeatHandler.java
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Redirects the worker to the leader, or names no leader if none is known that workers reach, so that the worker looks for one itself. */
+    /** Redirects the worker to the leader, or names no leader if none is known that workers reach, so that the worker searches for one itself. */
     private void redirect(Heartbeat heartbeat, Request request) {
         String leader = election.leader();
         long now = owner.now();
--- a/src/main/java/io/micatide/controller/JobCacheRefresher.java
+++ b/src/main/java/io/micatide/controller/JobCacheRefresher.java
@@ -81,7 +81,7 @@
                 (settings.peers().size() + 1) * Micros.ofSeconds(3 / settings.storeRequestsPerSecond()));
     }
 
-    /** Whether the full read of the job records is complete. */
+    /** Returns whether the full read of the job records is complete. */
     boolean isLoaded() {
         return isLoaded;
     }
--- a/src/main/java/io/micatide/controller/LeaderActor.java
+++ b/src/main/java/io/micatide/controller/LeaderActor.java
@@ -86,7 +86,7 @@
      * enabled.
      */
     void observeReplicaRecords(BiConsumer<String, List<StoreCodec.Item>> observer) {
-        collaborators.standbyCoordinator().standby().setReplicaObserver(observer);
+        collaborators.standbyCoordinator().standbyActor().setReplicaObserver(observer);
     }
 
     /** Returns the current term, null while this controller does not lead. Not an Optional, since it is called for each heartbeat. */
--- a/src/main/java/io/micatide/controller/LeaderLease.java
+++ b/src/main/java/io/micatide/controller/LeaderLease.java
@@ -22,7 +22,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeaderActor.class);
     private static final long WATCH_RETRY_MICROS = 300 * Micros.MILLISECOND;
     private static final long RETRY_MICROS = 200 * Micros.MILLISECOND;
-    /** Delay before a claim that was not executed is retried. Shorter than for other requests, since there is no leader meanwhile. */
+    /** Delay before a claim that was not executed is retried. Shorter than for other requests, since there is no leader until then. */
     private static final long CLAIM_RETRY_MICROS = 100 * Micros.MILLISECOND;
 
     private static final long MALFORMED_RETRY_MICROS = Micros.SECOND;
--- a/src/main/java/io/micatide/controller/LeaderMessage.java
+++ b/src/main/java/io/micatide/controller/LeaderMessage.java
@@ -120,7 +120,7 @@
     record PeerStatusAnswered(Reply reply, long fencingToken, int peer, long requestSentMicros)
             implements PeerMessage {}
 
-    /** A peer that could claim the leader record, but is cold or receives no heartbeats, asks how ready this controller is to lead. */
+    /** A peer that could claim the leader record, but is cold or receives no heartbeats, requests the readiness of this controller. */
     record ReadinessRequested(Request request) implements PeerMessage {}
 
     /**
--- a/src/main/java/io/micatide/controller/LeaderTerm.java
+++ b/src/main/java/io/micatide/controller/LeaderTerm.java
@@ -242,7 +242,7 @@
 
     // ---- loading
 
-    /** Remembers the given jobs as cancelled until loading is complete; the jobs themselves may not be known yet. */
+    /** Keeps the ids of the given jobs as cancelled until loading is complete; the jobs themselves may not be known yet. */
     private void cancellationsObserved(List<String> jobs) {
         if (!isLoaded()) {
             cancelledJobs.addAll(jobs);
--- a/src/main/java/io/micatide/controller/LeaderTermFactory.java
+++ b/src/main/java/io/micatide/controller/LeaderTermFactory.java
@@ -58,7 +58,7 @@
                 services.executor(),
                 services.store(),
                 owner,
-                collaborators.standbyCoordinator().standby(),
+                collaborators.standbyCoordinator().standbyActor(),
                 fencingToken);
     }
 
--- a/src/main/java/io/micatide/controller/LeadershipTransfer.java
+++ b/src/main/java/io/micatide/controller/LeadershipTransfer.java
@@ -9,7 +9,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives up leadership while the lease still lasts: in favour of a peer that the workers reach, or because this process shuts down. In both
+ * Gives up leadership while the lease still lasts: in favor of a peer that the workers reach, or because this process shuts down. In both
  * cases the election forgets the lease before the store is asked to end it, so that nothing is done in the name of the term afterwards. Part
  * of the leader's actor.
  */
--- a/src/main/java/io/micatide/controller/LearnedStateWriter.java
+++ b/src/main/java/io/micatide/controller/LearnedStateWriter.java
@@ -48,7 +48,7 @@
     /** Index in {@link #KEYS} of the key to compare next. */
     private int nextKeyIndex;
 
-    /** When changes were last searched for. */
+    /** Time of the last search for changes. */
     private long lastAttemptMicros = NEVER_MICROS;
 
     LearnedStateWriter(
@@ -64,7 +64,7 @@
         this.participant = participant;
     }
 
-    /** Notes the content of a record in the store. */
+    /** Records the content of a record in the store. */
     void recordObserved(String key, StoredRecord.LearnedState record) {
         storedRecords.put(key, record);
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /** The record for a key, with as many hints as fit into a value of the store; a later leader learns the others again. */
+    /** Returns the record for a key, with as many hints as fit into a value of the store; a later leader learns the others again. */
     private StoredRecord.LearnedState recordFor(String key, List<Hint> durable) {
         List<Hint> hints = new ArrayList<>();
         int bytes = RECORD_OVERHEAD_BYTES;
@@ -107,7 +107,7 @@
         return new StoredRecord.LearnedState(List.copyOf(hints));
     }
 
-    /** The key of the record that holds a hint. */
+    /** Returns the key of the record that holds a hint. */
     private static String keyOf(Hint hint) {
         if (hint instanceof Hint.JobClassHint) {
             return CLASSES_KEY;
--- a/src/main/java/io/micatide/controller/LedgerCommitter.java
+++ b/src/main/java/io/micatide/controller/LedgerCommitter.java
@@ -44,12 +44,12 @@
         this.users = users;
     }
 
-    /** Whether a transaction was sent that has not been answered. False while the keys of a transaction of unknown outcome are read back. */
+    /** Returns whether a transaction was sent that has not been answered. False while the keys of a transaction of unknown outcome are read back. */
     boolean isWriteInFlight() {
         return isWriteInFlight;
     }
 
-    /** Store revision of the last confirmed transaction, 0 if there is none. */
+    /** Returns the store revision of the last confirmed transaction, 0 if there is none. */
     long lastRevision() {
         return lastRevision;
     }
--- a/src/main/java/io/micatide/controller/RolloutDriver.java
+++ b/src/main/java/io/micatide/controller/RolloutDriver.java
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives the roll-out of features during a leader's term: reads the registrations of the controllers and the operators' requests, and
+ * Drives the rollout of features during a leader's term: reads the registrations of the controllers and the operators' requests, and
  * writes the next transition, one at a time, on condition of the fencing token and of the version of the record that it changes. The marks
  * (layout and archive manifest), which versions without feature stages read too, come first; the stages of the other features follow.
  * Part of the leader's actor.
@@ -70,15 +70,15 @@
     private boolean isWriteInFlight;
     /** Whether a step is left to do or blocked, by the last read of the registrations. */
     private boolean hasPendingSteps = true;
-    /** When the last read was sent, or when a write failed if that was later; {@link #NEVER_MICROS} if a read is due at once. */
+    /** Time at which the last read was sent, or at which a write failed if that was later; {@link #NEVER_MICROS} if a read is due at once. */
     private long lastReadMicros = NEVER_MICROS;
-    /** When the last write of this driver was answered; the start of the term before. */
+    /** Time at which the last write of this driver was answered; before the first one, the start of the term. */
     private long lastWriteAnswerMicros;
 
-    /** When blockers were last logged. */
+    /** Time at which blockers were last logged. */
     private long blockersLoggedMicros;
 
-    /** What the roll-out waited for at the last check, empty if nothing. */
+    /** The conditions that the rollout waited for at the last check, empty if there were none. */
     private String lastLoggedBlockers = "";
 
     RolloutDriver(
@@ -98,7 +98,7 @@
         this.participant = participant;
         this.lastWriteAnswerMicros = owner.now();
         controllerLabels.add(settings.label());
-        settings.peers().forEach(sibling -> controllerLabels.add(sibling.label()));
+        settings.peers().forEach(peer -> controllerLabels.add(peer.label()));
     }
 
     /** Marks all records that a leader needs as loaded. */
@@ -127,7 +127,7 @@
         doesArchiveExist = true;
     }
 
-    /** Reads the records under the roll-out keys when a read is due and no request is in flight; called on each tick of the leader. */
+    /** Reads the records under the rollout keys when a read is due and no request is in flight; called on each tick of the leader. */
     void tick(long nowMicros) {
         boolean isBusy = isReadInFlight || isWriteInFlight;
         if (!participant.supportsRegistration()
@@ -188,14 +188,14 @@
         }
     }
 
-    /** Whether every controller supports a feature; logs those that do not. */
+    /** Returns whether every controller supports a feature; logs those that do not. */
     private boolean isKnownToAll(Feature feature, ControllerRegistry registry) {
         List<String> missing = registry.blockers(feature);
         logBlockers(missing.isEmpty() ? "" : feature.key() + " waits: " + String.join(", ", missing));
         return missing.isEmpty();
     }
 
-    /** Logs what the roll-out waits for when that changes, and once a minute while it does not. */
+    /** Logs what the rollout waits for when that changes, and once a minute while it does not. */
     private void logBlockers(String blockers) {
         long now = owner.now();
         if (!blockers.isEmpty()
@@ -206,7 +206,7 @@
         lastLoggedBlockers = blockers;
     }
 
-    /** The conditions of a transition: the fencing token, the given ones, and those on registrations up to the store's limit. */
+    /** Returns the conditions of a transition: the fencing token, the given ones, and those on registrations up to the store's limit. */
     private List<Transaction.Condition> conditions(ControllerRegistry registry, Transaction.Condition... own) {
         List<Transaction.Condition> conditions =
                 new ArrayList<>(List.of(new Transaction.Condition(StoreKeys.LEADER, scheduler.fencingToken())));
--- a/src/main/java/io/micatide/controller/RolloutParticipant.java
+++ b/src/main/java/io/micatide/controller/RolloutParticipant.java
@@ -74,24 +74,24 @@
         return featureFlags;
     }
 
-    /** Whether this version takes part in roll-outs. */
+    /** Returns whether this version takes part in rollouts. */
     boolean supportsRegistration() {
         return capabilities.supportsRegistration();
     }
 
-    /** Whether the stored forms allow this controller to lead: the stages are known and this version supports all of them. */
+    /** Returns whether the stored forms allow this controller to lead: the stages are known and this version supports all of them. */
     boolean mayLead() {
         return !capabilities.supportsRegistration() || (featureFlags.isKnown() && !hasUnsupportedFeatures);
     }
 
-    /** The conditions on the feature stages for a claim of the leader lease. */
+    /** Returns the conditions on the feature stages for a claim of the leader lease. */
     List<Transaction.Condition> claimConditions() {
         return capabilities.supportsRegistration()
                 ? List.of(new Transaction.Condition(StoreKeys.FEATURE_STAGES, featureFlags.version()))
                 : List.of();
     }
 
-    /** Notes a version that the stages may have reached: a claim or registration was refused because of them, or a peer reported it. */
+    /** Records a version that the stages may have reached: a claim or registration was refused because of them, or a peer reported it. */
     void newerVersionReported(long version) {
         newestReportedVersion = Math.max(newestReportedVersion, version);
     }
@@ -119,7 +119,7 @@
      * Reads the stages and registers this controller when either is due, and logs regularly while features are unsupported.
      *
      * @param leaseId the lease of this controller, 0 if it has none
-     * @param nowMicros the time, on the steady clock
+     * @param nowMicros current time on the steady clock
      */
     void advance(long leaseId, long nowMicros) {
         if (!capabilities.supportsRegistration()) {
--- a/src/main/java/io/micatide/controller/StandbyCoordinator.java
+++ b/src/main/java/io/micatide/controller/StandbyCoordinator.java
@@ -18,7 +18,7 @@
 /**
  * Coordinates designated standbys. On a leader it selects the standbys and sends them hints; on a follower it keeps whether the follower is
  * designated, how ready it is to lead and how long it leaves a claimable leader record to peers. Where standbys are switched off (see
- * {@link #standby()}), this controller selects none, does not report its readiness, and delays its claim as versions without standbys do.
+ * {@link #standbyActor()}), this controller selects none, does not report its readiness, and delays its claim as versions without standbys do.
  * Part of the leader's actor.
  */
 final class StandbyCoordinator {
@@ -32,29 +32,29 @@
     private final PeerClients peers;
     private final LeaderLease lease;
     /** Null where the operator has switched standbys off. */
-    private final StandbyActor standby;
+    private final StandbyActor standbyActor;
 
     private final ElectionDelay electionDelay;
     private final StandbySelector selector;
     /** Sends the hints of the current term; null before this controller's first term. */
     private HintSender hintSender;
 
-    /** @param standby null where the operator has switched standbys off */
+    /** @param standbyActor null where the operator has switched standbys off */
     StandbyCoordinator(
-            LeaderActor owner, Settings settings, PeerClients peers, LeaderLease lease, StandbyActor standby) {
+            LeaderActor owner, Settings settings, PeerClients peers, LeaderLease lease, StandbyActor standbyActor) {
         this.owner = owner;
         this.settings = settings;
         this.peers = peers;
         this.lease = lease;
-        this.standby = standby;
+        this.standbyActor = standbyActor;
         this.electionDelay =
                 new ElectionDelay(settings.label(), settings.peers().size(), owner.now());
         this.selector = new StandbySelector(settings);
     }
 
-    /** The actor that replicates the leader's records, null where the operator has switched standbys off. */
-    StandbyActor standby() {
-        return standby;
+    /** Returns the actor that replicates the leader's records, null where the operator has switched standbys off. */
+    StandbyActor standbyActor() {
+        return standbyActor;
     }
 
     /**
@@ -87,7 +87,7 @@
      * @param hasWorkers whether workers reach this controller
      */
     long claimDelayMicros(boolean hasWorkers, long now) {
-        if (standby == null) {
+        if (standbyActor == null) {
             return ElectionDelay.delayWithoutStandbys(hasWorkers);
         }
         long claimableForMicros = lease.claimableForMicros(now);
@@ -104,8 +104,8 @@
     /** Applies the designation in a status of the controller with the highest fencing token. */
     void leaderStatusReceived(PeerCodec.LeaderStatus status, long now) {
         electionDelay.standbysDesignated(status.designatedStandbys(), now);
-        if (standby != null) {
-            standby.tell(new StandbyActor.DesignationChanged(electionDelay.isDesignated()));
+        if (standbyActor != null) {
+            standbyActor.tell(new StandbyActor.DesignationChanged(electionDelay.isDesignated()));
         }
     }
 
@@ -121,7 +121,7 @@
 
     /** Returns how ready this controller is to lead, null where the operator has switched standbys off. */
     StandbyReadiness readiness(long now) {
-        return standby == null ? null : electionDelay.readiness(now);
+        return standbyActor == null ? null : electionDelay.readiness(now);
     }
 
     /**
@@ -150,10 +150,10 @@
     }
 
     private void hintsReceived(Request request) {
-        if (standby == null) {
+        if (standbyActor == null) {
             request.answer(404, NOT_A_STANDBY);
         } else {
-            standby.tell(new StandbyActor.HintsReceived(request));
+            standbyActor.tell(new StandbyActor.HintsReceived(request));
         }
     }
 
@@ -161,11 +161,11 @@
     private void handoverRequested(Request request, boolean isLeader, long now) {
         try {
             long revision = PeerCodec.handoverRevision(request.body());
-            if (standby == null || isLeader) {
+            if (standbyActor == null || isLeader) {
                 request.answer(409, NOT_A_STANDBY);
             } else {
                 electionDelay.handoverReceived(now);
-                standby.tell(new StandbyActor.HandoverRequested(request, revision));
+                standbyActor.tell(new StandbyActor.HandoverRequested(request, revision));
             }
         } catch (MalformedException e) {
             request.answer(400, Json.error(e.field(), e.getMessage()));
@@ -191,7 +191,7 @@
      * standbys are switched off.
      */
     List<String> selectStandbys(long now) {
-        return standby == null ? null : selector.selectStandbys(now);
+        return standbyActor == null ? null : selector.selectStandbys(now);
     }
 
     /** Returns the index among the peers of the first designated standby that could lead at once, or -1. */
--- a/src/main/java/io/micatide/controller/TermArchiving.java
+++ b/src/main/java/io/micatide/controller/TermArchiving.java
@@ -33,7 +33,7 @@
     private boolean isArchiving;
 
     private long lastSearchMicros;
-    /** When the present wait for a full batch began. */
+    /** Time at which the current wait for a full batch began. */
     private long smallBatchSinceMicros;
 
     TermArchiving(LeaderActor owner, Tuning tuning, Scheduler scheduler, UsersActor users, ArchiverActor archiver) {
--- a/src/main/java/io/micatide/election/CancellationHorizon.java
+++ b/src/main/java/io/micatide/election/CancellationHorizon.java
@@ -121,7 +121,7 @@
     /**
      * Returns whether the leader may answer workers and so extend the tasks that run on them.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return false before the first read of the store, and if cancellations of any peer may have been unknown for too long
      */
     public boolean mayAnswerWorkers(long nowMicros) {
@@ -139,7 +139,7 @@
     /**
      * Returns the peers whose cancellations may have been unknown for too long, for the log.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return labels of the peers, in the order of the settings
      */
     public List<String> laggingPeers(long nowMicros) {
--- a/src/main/java/io/micatide/election/LeaderElection.java
+++ b/src/main/java/io/micatide/election/LeaderElection.java
@@ -134,7 +134,7 @@
      * Returns the request to send to the store now. The caller has to report the outcome of every action except
      * {@link Action#NOTHING}; until then no other action is returned.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @param claimDelayMicros time for which a claimable record is left to controllers that would be better leaders; affects the duration
      *     of the election, never its safety
      * @return the action that is due
@@ -152,7 +152,7 @@
     /**
      * Returns for how long the leader record has been claimable.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return the duration in microseconds, -1 if the record is not claimable
      */
     public long claimableForMicros(long nowMicros) {
@@ -195,7 +195,7 @@
     /**
      * Records that the request in flight failed. The next request is sent after a pause.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @param pauseMicros duration of the pause
      */
     public void requestFailed(long nowMicros, long pauseMicros) {
@@ -259,7 +259,7 @@
     /**
      * Records that the claim was not answered. The store may have executed it, so the leader record is read next.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void claimOutcomeUnknown(long nowMicros) {
         requestFailed(nowMicros, OUTCOME_UNKNOWN_PAUSE_MICROS);
@@ -334,7 +334,7 @@
     /**
      * Resigns in favor of controllers that can serve better, and does not claim leadership again during a pause.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @param pauseMicros duration of the pause
      * @return identifier of the lease that the caller has to revoke, which deletes the leader record; 0 if there is none
      */
--- a/src/main/java/io/micatide/election/StoreConnectivity.java
+++ b/src/main/java/io/micatide/election/StoreConnectivity.java
@@ -24,7 +24,7 @@
     /**
      * Records that the store answered this controller.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void storeAnswered(long nowMicros) {
         ownAnswerMicros = nowMicros;
@@ -33,7 +33,7 @@
     /**
      * Records a peer's report that the store answers it.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void peerReachedStore(long nowMicros) {
         peerAnswerMicros = nowMicros;
@@ -42,7 +42,7 @@
     /**
      * Returns whether the store answered this controller within the last two seconds.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return false also if no request was sent to the store within that time
      */
     public boolean isConnected(long nowMicros) {
@@ -52,7 +52,7 @@
     /**
      * Returns whether the store answers a peer but not this controller, so that another controller serves users better.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return false in an outage of the store, and if no peer is reachable
      */
     public boolean isOnlyControllerPartitioned(long nowMicros) {
--- a/src/main/java/io/micatide/election/WorkerConnectivity.java
+++ b/src/main/java/io/micatide/election/WorkerConnectivity.java
@@ -75,7 +75,7 @@
      * Creates the state of a controller that has just started and knows of no worker.
      *
      * @param settings the interval of heartbeats is used
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public WorkerConnectivity(Settings settings, long nowMicros) {
         startedMicros = nowMicros;
@@ -93,7 +93,7 @@
      *
      * @param heartbeat the heartbeat, with the highest fencing token that the worker knows
      * @param leaderToken the highest fencing token that this controller knows, 0 for none
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void heartbeatRedirected(Heartbeat heartbeat, long leaderToken, long nowMicros) {
         Redirection previous = redirections.get(heartbeat.machine());
@@ -120,7 +120,7 @@
      * Records the leader's report of how long it has received no heartbeat.
      *
      * @param silentMicros the duration that the leader reported
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void leaderReportedSilence(long silentMicros, long nowMicros) {
         leaderStatusMicros = nowMicros;
@@ -131,7 +131,7 @@
      * Returns whether workers should search for a leader themselves instead of being redirected to the leader that is known here. A
      * connection to a leader that is partitioned from the workers hangs for 4 s of a lease of 10 s.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return true if several workers have just lost the leader, or if one has and the leader itself reports silence
      */
     public boolean isLeaderUnreachable(long nowMicros) {
@@ -145,7 +145,7 @@
     /**
      * Returns how long ago a worker that had lost the leader last contacted this controller.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return the duration in microseconds, -1 if no worker did so within the last two seconds
      */
     public long workerLostLeaderAgoMicros(long nowMicros) {
@@ -158,7 +158,7 @@
      * lead. After a leader fails, all workers search for another one, so a controller that receives no heartbeats is partitioned from the
      * workers, or there are no workers. A process that has just started has not had the time to receive any.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return whether a heartbeat was received, or the process was started, within the last two seconds
      */
     public boolean isConnected(long nowMicros) {
@@ -171,7 +171,7 @@
     /**
      * Begins a term of this controller. Silence counts only after a grace period in which workers find the new leader.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void termStarted(long nowMicros) {
         hasReceivedHeartbeat = false;
@@ -184,7 +184,7 @@
     /**
      * Records that this controller received a heartbeat while it leads.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void heartbeatReceived(long nowMicros) {
         hasReceivedHeartbeat = true;
@@ -203,7 +203,7 @@
     /**
      * Returns for how long this leader has received no heartbeat.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return the duration in microseconds, 0 during the grace period of a new leader
      */
     public long silentMicros(long nowMicros) {
@@ -213,7 +213,7 @@
     /**
      * Returns whether to ask peers immediately whether workers have contacted them, instead of with the next regular status request.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return false while heartbeats are received, and if there most likely are no workers
      */
     public boolean shouldAskPeers(long nowMicros) {
@@ -226,7 +226,7 @@
      * Records a peer's report of how long ago a worker that had lost this leader contacted the peer.
      *
      * @param agoMicros the reported duration, -1 if no worker did so recently
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void peerReportedWorkerLostLeader(long agoMicros, long nowMicros) {
         if (agoMicros >= 0) {
@@ -241,7 +241,7 @@
      * then and the partition may end before the outage does.
      *
      * @param isStoreConnected whether the store answers this controller
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return whether another controller would serve the workers better
      */
     public boolean shouldResign(boolean isStoreConnected, long nowMicros) {
--- a/src/main/java/io/micatide/scheduler/Autoscaler.java
+++ b/src/main/java/io/micatide/scheduler/Autoscaler.java
@@ -46,7 +46,7 @@
         this.reconciliation = new CloudReconciliation(settings, fleet, requests);
     }
 
-    /** Marks the term as the first one: no earlier leader has placed anything. */
+    /** Marks the term as the first one: no previous leader has placed anything. */
     void markFirstTerm() {
         isFirstTerm = true;
     }
@@ -117,7 +117,7 @@
      * Applies the end of the call for the list of machines.
      *
      * @param machines the whole list, or null after a failed call
-     * @param requestSentMicros when the list was requested
+     * @param requestSentMicros time at which the list was requested
      */
     void machinesListed(List<ListedMachine> machines, long requestSentMicros, long nowMicros) {
         cloudCalls.listEnded();
--- a/src/main/java/io/micatide/scheduler/CloudRecords.java
+++ b/src/main/java/io/micatide/scheduler/CloudRecords.java
@@ -10,7 +10,7 @@
 /**
  * Adds the records of calls to the cloud to write batches: provisioning requests with their fence, and machines that are to be deleted.
  *
- * <p>Invariant: whatever is written on condition of a record's version is also written on condition of the version of the feature stages, which
+ * <p>Invariant: every write on condition of a record's version is also conditional on the version of the feature stages, which
  * determine for all versions of the program how these records are written.
  */
 final class CloudRecords {
@@ -60,7 +60,7 @@
      *
      * @param machines the fleet
      * @param otherWrites first writes of the batch
-     * @param limit greatest number of writes of the whole batch
+     * @param limit maximum number of writes of the whole batch
      */
     BatchPart nextBatchPart(
             Collection<Machine> machines, List<Transaction.Write> otherWrites, int limit, long nowMicros) {
--- a/src/main/java/io/micatide/scheduler/ConflictedKeys.java
+++ b/src/main/java/io/micatide/scheduler/ConflictedKeys.java
@@ -17,7 +17,7 @@
                 .add(key);
     }
 
-    /** Whether a key of this job is still to be read back. */
+    /** Returns whether a key of this job is still to be read back. */
     boolean containsKeyOf(String jobId) {
         return keysByJob.containsKey(jobId);
     }
--- a/src/main/java/io/micatide/scheduler/DagInheritance.java
+++ b/src/main/java/io/micatide/scheduler/DagInheritance.java
@@ -29,7 +29,7 @@
     private record Demand(Priority priority, long neededByMicros) {
         private static final Demand NONE = new Demand(Priority.LOW, Long.MAX_VALUE);
 
-        /** The higher priority and the earlier due time of both. */
+        /** Returns the higher priority and the earlier due time of both. */
         Demand mergedWith(Demand other) {
             return new Demand(
                     priority.isAbove(other.priority) ? priority : other.priority,
@@ -63,7 +63,7 @@
         openJobAdded = true;
     }
 
-    /** Notes that an open job was added, from which waiting jobs may require something. */
+    /** Records that an open job was added, from which waiting jobs may require something. */
     void openJobAdded() {
         openJobAdded |= !waitingJobs.isEmpty();
     }
--- a/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
+++ b/src/main/java/io/micatide/scheduler/DeadlineFeasibility.java
@@ -79,7 +79,7 @@
      * @param startMicros time that a task needs before it runs, for the fetch of its image
      * @param lateMicros time within which a job that is already late should finish; also the most time that is planned for any
      *     job above the lowest priority, unless its slowest task takes longer
-     * @param nowMicros the time
+     * @param nowMicros current time
      * @return thousandths of a CPU
      */
     static double requiredCpus(List<JobEstimate> estimates, long startMicros, long lateMicros, long nowMicros) {
--- a/src/main/java/io/micatide/scheduler/FailoverRecovery.java
+++ b/src/main/java/io/micatide/scheduler/FailoverRecovery.java
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Loads a ledger of an earlier leader. A ledger without an open job belongs to a job that was cancelled while there was no leader: its tasks may
+     * Loads a ledger of a previous leader. A ledger without an open job belongs to a job that was cancelled while there was no leader: its tasks may
      * still run, must be stopped, and count towards the usage of their team until then. Of completed jobs only pages after the first can be left in
      * the store.
      *
@@ -102,7 +102,7 @@
                 nowMicros);
     }
 
-    /** Marks the machine as reconciled: it sent a heartbeat under this term, so no start of an earlier leader can take effect on it. */
+    /** Marks the machine as reconciled: it sent a heartbeat under this term, so no start of a previous leader can take effect on it. */
     void markReconciled(Machine machine, long nowMicros) {
         machine.isReconciled = true;
         if (machine.isAwaitedAfterFailover) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Releases the jobs that waited for the machine, on which no start of an earlier leader can take effect any more. */
+    /** Releases the jobs that waited for the machine, on which no start of a previous leader can take effect any more. */
     void reconcileLedgers(String machineName, long nowMicros) {
         // Marks only jobs that wait for no further machine: rewriting a ledger for each of its machines
         // used up the write rate for seconds.
@@ -131,7 +131,7 @@
     }
 
     /**
-     * Adds hints of an earlier leader and applies them once all records have been read.
+     * Adds hints of a previous leader and applies them once all records have been read.
      *
      * @param isStored whether the hints come from the store; these are older than the hints sent to a standby and don't replace them
      */
--- a/src/main/java/io/micatide/scheduler/FailureAttribution.java
+++ b/src/main/java/io/micatide/scheduler/FailureAttribution.java
@@ -30,7 +30,7 @@
     private static final int JOBS_TO_QUARANTINE_MACHINE = 2;
     /** Number of failures of such jobs since the last success on the machine after which it is quarantined. */
     private static final int FAILURES_TO_QUARANTINE_MACHINE = 3;
-    /** Number of failed jobs without any success after which a machine is quarantined: so many jobs are unlikely to be all faulty. */
+    /** Number of failed jobs without any success after which a machine is quarantined: that all of these jobs are faulty is unlikely. */
     private static final int UNATTRIBUTED_JOBS_TO_QUARANTINE_MACHINE = 4;
 
     /** Number of machines on which a job without any success has to fail before the job is quarantined. */
@@ -45,11 +45,11 @@
     /** Run time after which a service replica counts as a success. */
     private static final long REPLICA_SUCCESS_MICROS = 5 * Micros.SECOND;
 
-    private final RuntimeEstimator runTimes;
+    private final RuntimeEstimator runtimeEstimator;
     private long lastCheckMicros = Long.MIN_VALUE / 2;
 
-    FailureAttribution(RuntimeEstimator runTimes) {
-        this.runTimes = runTimes;
+    FailureAttribution(RuntimeEstimator runtimeEstimator) {
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     /** Records a success, which clears the suspicion of both the machine and the job. A machine that is quarantined already stays so. */
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Returns whether the run time of the task says how fast its machine is. Of an adopted task, the start is not known. */
+    /** Returns whether the run time of the task indicates the speed of its machine. It does not for an adopted task, whose start is unknown. */
     private static boolean isPaceSample(Placement placement) {
         return placement.job.spec.kind() == JobKind.ARRAY
                 && placement.runningSinceMicros >= 0
@@ -90,7 +90,8 @@
 
     /** Returns the ratio of the task's run time so far to the expected one, within the limits. */
     private double runtimeRatio(Placement placement, long nowMicros) {
-        double ratio = (nowMicros - placement.runningSinceMicros) / (double) runTimes.expectedMicros(placement.job);
+        double ratio =
+                (nowMicros - placement.runningSinceMicros) / (double) runtimeEstimator.expectedMicros(placement.job);
         return Math.max(MIN_RATIO, Math.min(MAX_RATIO, ratio));
     }
 
--- a/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
+++ b/src/main/java/io/micatide/scheduler/FreeCapacityIndex.java
@@ -104,7 +104,7 @@
      * Returns the machines with capacity for one task.
      *
      * @param request the requested capacity
-     * @param nowMicros current time, steady clock
+     * @param nowMicros current time on the steady clock
      * @return machines in the order in which they were added; a copy, so that the caller may place tasks while
      *     iterating
      */
--- a/src/main/java/io/micatide/scheduler/GangPlacement.java
+++ b/src/main/java/io/micatide/scheduler/GangPlacement.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Gang scheduling.
+ * Places the tasks of gangs, which start together.
  *
  * <p>Invariant: either all missing tasks of a gang are placed at once or none, since a partially placed gang would
  * occupy its machines without making progress.
--- a/src/main/java/io/micatide/scheduler/Hints.java
+++ b/src/main/java/io/micatide/scheduler/Hints.java
@@ -22,15 +22,16 @@
     /** Steps to which values are rounded while they grow by the factor e, so that small changes cause no message. */
     private static final double STEPS_PER_E_FOLD = 20;
 
-    /** Time for which a machine counts as slow after a hint says so. */
+    /** Time for which a machine counts as slow after a hint that reports it as slow. */
     private static final long SLOW_DURATION_MICROS = 30 * Micros.SECOND;
 
     private final Map<String, Hint.MachineHint> machineHints = new HashMap<>();
     private final Map<String, Hint.JobHint> jobHints = new HashMap<>();
 
     /** Returns hints for the next leader about job classes, jobs, machines and deleted machines. */
-    static List<Hint> snapshot(Fleet fleet, Collection<Job> openJobs, RuntimeEstimator runTimes, long nowMicros) {
-        List<Hint> result = new ArrayList<>(runTimes.hints());
+    static List<Hint> snapshot(
+            Fleet fleet, Collection<Job> openJobs, RuntimeEstimator runtimeEstimator, long nowMicros) {
+        List<Hint> result = new ArrayList<>(runtimeEstimator.hints());
         for (Job job : openJobs) {
             if (result.size() < MAX_HINTS && (job.quarantined || job.completedTasks > 0)) {
                 long mean = job.completedTasks == 0 ? 0 : job.completedRuntimeMicros / job.completedTasks;
@@ -70,8 +71,8 @@
      * jobs that are not quarantined.
      */
     static List<Hint> durableSnapshot(
-            Fleet fleet, Collection<Job> openJobs, RuntimeEstimator runTimes, long nowMicros) {
-        List<Hint> result = new ArrayList<>(runTimes.hints());
+            Fleet fleet, Collection<Job> openJobs, RuntimeEstimator runtimeEstimator, long nowMicros) {
+        List<Hint> result = new ArrayList<>(runtimeEstimator.hints());
         for (Job job : openJobs) {
             if (job.quarantined) {
                 result.add(new Hint.JobHint(job.id(), 0, 0, true, job.failedProbes));
@@ -99,16 +100,16 @@
      * Adds hints of a previous leader.
      *
      * @param keepsKnown whether hints about the same machine or job that were added before are kept, not replaced
-     * @param runTimes receives the hints about job classes
+     * @param runtimeEstimator receives the hints about job classes
      */
-    void add(List<Hint> hints, boolean keepsKnown, RuntimeEstimator runTimes) {
+    void add(List<Hint> hints, boolean keepsKnown, RuntimeEstimator runtimeEstimator) {
         for (Hint hint : hints) {
             if (hint instanceof Hint.MachineHint machineHint) {
                 machineHints.merge(machineHint.name(), machineHint, (known, received) -> keepsKnown ? known : received);
             } else if (hint instanceof Hint.JobHint jobHint) {
                 jobHints.merge(jobHint.name(), jobHint, (known, received) -> keepsKnown ? known : received);
             } else if (hint instanceof Hint.JobClassHint classHint) {
-                runTimes.hintReceived(classHint);
+                runtimeEstimator.hintReceived(classHint);
             }
         }
     }
--- a/src/main/java/io/micatide/scheduler/Job.java
+++ b/src/main/java/io/micatide/scheduler/Job.java
@@ -130,7 +130,7 @@
         return spec.id();
     }
 
-    /** The higher of the priorities of the job and of the jobs that depend on it. */
+    /** Returns the higher of the priorities of the job and of the jobs that depend on it. */
     Priority priority() {
         return priority;
     }
@@ -189,18 +189,18 @@
         return spec.kind() != JobKind.SERVICE && finishedCount >= spec.taskCount();
     }
 
-    /** Number of tasks that are neither finished nor have a live attempt; 0 once the job is cancelled. */
+    /** Returns the number of tasks that are neither finished nor have a live attempt; 0 once the job is cancelled. */
     int pendingCount() {
         return cancelled ? 0 : Math.max(0, unfinishedCount() - liveUnfinishedCount);
     }
 
-    /** Whether any task of the job is known to have succeeded. */
+    /** Returns whether any task of the job is known to have succeeded. */
     boolean hasSucceeded() {
         return finishedCount > 0;
     }
 
     /**
-     * Number of tasks that may be placed now. Of a quarantined job this is one task (or one gang) at a time, as a probe
+     * Returns the number of tasks that may be placed now. Of a quarantined job this is one task (or one gang) at a time, as a probe
      * of whether it still fails.
      */
     int placeableCount() {
@@ -213,7 +213,7 @@
         return spec.kind() == JobKind.GANG ? pendingCount() : 1;
     }
 
-    /** Index of the next task that may be placed, or -1. */
+    /** Returns the index of the next task that may be placed, or -1. */
     int nextPendingTask() {
         int index = finishedOrLiveTasks.nextClearBit(0);
         return index < spec.taskCount() ? index : -1;
@@ -243,14 +243,14 @@
         }
     }
 
-    /** A copy of all live attempts, grouped by task; attempts may be removed from the job while iterating over it. */
+    /** Returns a copy of all live attempts, grouped by task; attempts may be removed from the job while iterating over it. */
     List<Placement> livePlacements() {
         List<Placement> result = new ArrayList<>();
         liveAttempts.values().forEach(result::addAll);
         return result;
     }
 
-    /** Number of tasks that a heartbeat has reported with their image fetched. */
+    /** Returns the number of tasks that a heartbeat has reported with their image fetched. */
     int runningCount() {
         int running = 0;
         for (List<Placement> attempts : liveAttempts.values()) {
@@ -273,7 +273,7 @@
         attemptCount++;
     }
 
-    /** The attempt that all tasks of a gang share, or 0 when none is live. */
+    /** Returns the attempt that all tasks of a gang share, or 0 when none is live. */
     long liveGangAttempt() {
         for (List<Placement> placements : liveAttempts.values()) {
             return placements.get(0).attempt;
@@ -281,20 +281,20 @@
         return 0;
     }
 
-    /** Whether an unreported task of a previous leader may still be on a machine that is not reconciled. */
+    /** Returns whether an unreported task of a previous leader may still be on a machine that is not reconciled. */
     boolean hasUnreconciledMachines() {
         return !unreconciledMachines.isEmpty();
     }
 
     /**
-     * Whether a task of the job can be on a machine: an attempt of this leader, or one of a previous leader on a machine
+     * Returns whether a task of the job can be on a machine: an attempt of this leader, or one of a previous leader on a machine
      * that is not reconciled.
      */
     boolean mayBeRunning() {
         return !liveAttempts.isEmpty() || hasUnreconciledMachines();
     }
 
-    /** Deadline on the steady clock, or {@code MAX_VALUE} if the job has none. */
+    /** Returns the deadline on the steady clock, or {@code MAX_VALUE} if the job has none. */
     long deadlineMicros() {
         return spec.deadlineMicros() < 0 ? Long.MAX_VALUE : submittedMicros + spec.deadlineMicros();
     }
--- a/src/main/java/io/micatide/scheduler/JobLedgers.java
+++ b/src/main/java/io/micatide/scheduler/JobLedgers.java
@@ -58,12 +58,12 @@
         return jobs.all();
     }
 
-    /** Number of jobs of this class that this leader has seen, open or not. */
+    /** Returns the number of jobs of this class that this leader has seen, open or not. */
     int jobsSeenOfClass(String jobClass) {
         return jobs.seenOfClass(jobClass);
     }
 
-    /** The open job of this id, or null. */
+    /** Returns the open job of this id, or null. */
     Job get(String id) {
         return jobs.get(id);
     }
@@ -78,7 +78,7 @@
         jobs.remove(job);
     }
 
-    /** Whether a finished job needs no further work: none of its tasks can run, and no ledger of it is stored. */
+    /** Returns whether a finished job needs no further work: none of its tasks can run, and no ledger of it is stored. */
     boolean mayBeArchived(String id) {
         return !jobs.contains(id) && !dependencyCancellations.contains(id);
     }
@@ -137,7 +137,7 @@
     /**
      * Marks a machine as reconciled: no task that a previous leader sent can still appear on it.
      *
-     * <p>Jobs are indexed by machine for this. Checking every job for every machine took a million look-ups in the
+     * <p>Jobs are indexed by machine for this. Checking every job for every machine took a million lookups in the
      * seconds after a failover with a thousand machines.
      *
      * @return the open jobs for which this was the last machine to be reconciled
@@ -174,17 +174,17 @@
         format.layoutMarked(version, tasksPerPage);
     }
 
-    /** Number of tasks of a ledger page. */
+    /** Returns the number of tasks of a ledger page. */
     int pageTasks() {
         return format.pageTasks();
     }
 
-    /** Whether the job may be placed on the machine: its ledger names the machine or has space for the name. */
+    /** Returns whether the job may be placed on the machine: its ledger names the machine or has space for the name. */
     boolean mayRecordMachine(Job job, Machine machine, long nowMicros) {
         return ledgerMachines.canName(job, machine, nowMicros);
     }
 
-    /** Whether a job with pending tasks uses as many machines as its ledger can name. */
+    /** Returns whether a job with pending tasks uses as many machines as its ledger can name. */
     boolean isMachineListFull(Job job) {
         return ledgerMachines.isFull(job);
     }
@@ -202,7 +202,7 @@
     /**
      * Composes the next batch. Its jobs are in flight until the outcome is reported.
      *
-     * @param nowMicros the time, steady clock
+     * @param nowMicros current time on the steady clock
      * @param wallMicros the time of day, which the records of completed jobs keep
      * @param limits the numbers of writes that the rate limit of the store allows
      * @param additionalWrites writes of the same transaction that do not concern jobs with ledgers
@@ -292,7 +292,7 @@
         }
     }
 
-    /** The keys of a batch that must be read back before its jobs are written again, if the outcome is unknown. */
+    /** Returns the keys of a batch that must be read back before its jobs are written again, if the outcome is unknown. */
     List<String> unresolvedKeys(WriteBatch batch) {
         List<String> keys = new ArrayList<>();
         for (Transaction.Condition condition : batch.transaction().conditions()) {
@@ -373,7 +373,7 @@
         return List.copyOf(keys);
     }
 
-    /** Applies that a key in conflict was read back. The job may be written again when all its keys in conflict were. */
+    /** Records that a key in conflict was read back. The job may be written again when all its keys in conflict were. */
     void keyReadBack(String key, long nowMicros) {
         if (conflictedKeys.remove(key)) {
             Job job = jobs.get(StoreKeys.jobIdOf(key));
--- a/src/main/java/io/micatide/scheduler/JobQueue.java
+++ b/src/main/java/io/micatide/scheduler/JobQueue.java
@@ -43,13 +43,13 @@
     private final Settings settings;
     private final Fleet fleet;
     private final JobLedgers ledgers;
-    private final RuntimeEstimator runtimes;
+    private final RuntimeEstimator runtimeEstimator;
 
-    JobQueue(Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runtimes) {
+    JobQueue(Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runtimeEstimator) {
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
-        this.runtimes = runtimes;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     /**
@@ -172,7 +172,7 @@
         List<DeadlineFeasibility.JobEstimate> result = new ArrayList<>();
         for (Job job : ledgers.jobs()) {
             if (!job.cancelled && !job.quarantined && job.spec.kind() != JobKind.SERVICE && job.unfinishedCount() > 0) {
-                long slowestTaskMicros = runtimes.slowestMicros(job);
+                long slowestTaskMicros = runtimeEstimator.slowestMicros(job);
                 result.add(new DeadlineFeasibility.JobEstimate(
                         job,
                         remainingWork(job),
@@ -188,7 +188,7 @@
     private double remainingWork(Job job) {
         int pending = job.pendingCount();
         return job.spec.taskResources().cpus()
-                * (double) runtimes.expectedMicros(job)
+                * (double) runtimeEstimator.expectedMicros(job)
                 * (pending + REMAINING_SHARE_OF_RUNNING_TASK * (job.unfinishedCount() - pending));
     }
 
--- a/src/main/java/io/micatide/scheduler/JobReconciler.java
+++ b/src/main/java/io/micatide/scheduler/JobReconciler.java
@@ -30,7 +30,7 @@
      * Applies a job after its record was read or its dependencies changed.
      *
      * @param wallMicros time of day, used only for the ages of jobs
-     * @param nowMicros current time of the steady clock
+     * @param nowMicros current time on the steady clock
      */
     void jobChanged(JobCache.View view, long wallMicros, long nowMicros) {
         String id = view.id();
--- a/src/main/java/io/micatide/scheduler/LedgerFormat.java
+++ b/src/main/java/io/micatide/scheduler/LedgerFormat.java
@@ -10,7 +10,7 @@
     private static final int VALUE_OVERHEAD_BYTES = 64;
     /** Bytes of an uncompressed name besides its characters: two quotes and a comma. */
     private static final int NAME_OVERHEAD_BYTES = 3;
-    /** Upper bound of the bytes that a compressed name adds to a list, even with thousands of machines between neighbours. */
+    /** Upper bound of the bytes that a compressed name adds to a list, even with thousands of machines between neighbors. */
     private static final int MAX_COMPRESSED_NAME_BYTES = 5;
     /** A list of names counts as full if fewer bytes than this are left. */
     private static final int FULL_MARGIN_BYTES = 16;
@@ -49,22 +49,22 @@
         return layoutVersion > 0;
     }
 
-    /** Bytes of a value that machine names and finished ranges share. */
+    /** Returns the number of bytes of a value that machine names and finished ranges share. */
     int contentBytes() {
         return settings.maxWritableValueBytes() - VALUE_OVERHEAD_BYTES;
     }
 
-    /** Bytes of the first page that machine names may use. Finished ranges may use all that the names do not. */
+    /** Returns the number of bytes of the first page that machine names may use. Finished ranges may use all that the names do not. */
     int maxNameBytes() {
         return contentBytes() * 5 / 8;
     }
 
-    /** Bytes of the first page that are guaranteed to finished ranges, given the bytes of the required machine names. */
+    /** Returns the number of bytes of the first page that are guaranteed to finished ranges, given the bytes of the required machine names. */
     int firstPageRangeBytes(int requiredNameBytes) {
         return contentBytes() - Math.max(requiredNameBytes, Math.min(maxNameBytes(), contentBytes() / 4));
     }
 
-    /** Bytes of these names in a ledger. */
+    /** Returns the number of bytes that these names take in a ledger. */
     int encodedBytes(Collection<String> names) {
         if (compressesNames()) {
             return MachineNameCodec.compressedBytes(names);
@@ -76,17 +76,17 @@
         return bytes;
     }
 
-    /** Upper bound of the bytes that one more name adds. */
+    /** Returns an upper bound of the bytes that one more name adds. */
     int maxBytesOf(String name) {
         return compressesNames() ? MAX_COMPRESSED_NAME_BYTES : name.length() + NAME_OVERHEAD_BYTES;
     }
 
-    /** Whether a list of names of this size cannot take another name. */
+    /** Returns whether a list of names of this size cannot take another name. */
     boolean isFull(int nameBytes) {
         return nameBytes > maxNameBytes() - FULL_MARGIN_BYTES;
     }
 
-    /** Upper bound of the number of candidate machines that can fit, whatever their names are. */
+    /** Returns an upper bound of the number of candidate machines that can fit; it holds for any names. */
     int maxCandidateMachines() {
         return maxNameBytes() / (compressesNames() ? 2 : 8);
     }
--- a/src/main/java/io/micatide/scheduler/LedgerMachines.java
+++ b/src/main/java/io/micatide/scheduler/LedgerMachines.java
@@ -17,7 +17,7 @@
         this.format = format;
     }
 
-    /** Machines that the ledger must name. Returns a new set that the caller may change. */
+    /** Returns the machines that the ledger must name, as a new set that the caller may change. */
     Set<String> requiredMachines(Job job) {
         Set<String> machines = new HashSet<>(job.machinesToRecord);
         machines.addAll(job.unreconciledMachines);
@@ -25,7 +25,7 @@
         return machines;
     }
 
-    /** Whether the ledger names the machine or has space for its name, so that the job may be placed there. */
+    /** Returns whether the ledger names the machine or has space for its name, so that the job may be placed there. */
     boolean canName(Job job, Machine machine, long nowMicros) {
         if (job.ledgerMachines.contains(machine.name) || job.machinesToRecord.contains(machine.name)) {
             return true;
@@ -50,7 +50,7 @@
         return job.ledgerNameBytes + bytesPerName * job.machinesToRecord.size() <= maxBytes;
     }
 
-    /** Whether a job with pending tasks uses as many machines as its ledger can name. */
+    /** Returns whether a job with pending tasks uses as many machines as its ledger can name. */
     boolean isFull(Job job) {
         return job.pendingCount() > 0 && format.isFull(format.encodedBytes(requiredMachines(job)));
     }
--- a/src/main/java/io/micatide/scheduler/LedgerPages.java
+++ b/src/main/java/io/micatide/scheduler/LedgerPages.java
@@ -60,16 +60,14 @@
         BitSet firstPage = finishedTasksOfPage(job, 0, format.firstPageRangeBytes(format.encodedBytes(machines)));
         if (firstPage != null && pageLimit <= 0) {
             // Checked before the candidates are collected: with hundreds of jobs to write, collecting thousands of
-            // names
-            // for each job that does not fit into a full batch took most of a leader's CPU time.
+            // names for each job that does not fit into a full batch took most of a leader's CPU time.
             return new Deferred();
         }
         if (firstPage != null) {
             addCandidateMachines(job, machines, firstPage, candidates);
         } else {
             // The ledger was written by a previous leader under a larger limit and no longer fits. It shrinks as
-            // machines
-            // are reconciled and tasks end; until then it cannot name further machines.
+            // machines are reconciled and tasks end; until then it cannot name further machines.
             machines = new HashSet<>(job.ledgerMachines);
             job.ledgerFull |= !job.machinesToRecord.isEmpty();
         }
@@ -138,14 +136,14 @@
                 : new StoredRecord.Ledger(List.of(), 0, ranges, false);
     }
 
-    /** The finished tasks that a page can hold in {@code maxBytes}, or null if not even the recorded ones fit. */
+    /** Returns the finished tasks that a page can hold in {@code maxBytes}, or null if not even the recorded ones fit. */
     private BitSet finishedTasksOfPage(Job job, int page, int maxBytes) {
         int pageTasks = format.pageTasks();
         return TaskRanges.truncateToLength(
                 job.finishedTasks, job.recordedTasks, page * pageTasks, (page + 1) * pageTasks, maxBytes);
     }
 
-    /** Whether the stored page has this content already; false for a first page that was never written. */
+    /** Returns whether the stored page has this content already; false for a first page that was never written. */
     private static boolean isAlreadyStored(Job job, int page, BitSet finished, Set<String> machines) {
         BitSet unrecordedTasks = (BitSet) finished.clone();
         unrecordedTasks.andNot(job.recordedTasks);
--- a/src/main/java/io/micatide/scheduler/Machine.java
+++ b/src/main/java/io/micatide/scheduler/Machine.java
@@ -39,7 +39,7 @@
      * heartbeat while no start reaches it, and each start that was sent to it was lost until the worker's lease expired.
      */
     boolean receivesResponses;
-    /** Whether a heartbeat of the machine carried the fencing token of this term, so that no start of an earlier leader can take effect on it. */
+    /** Whether a heartbeat of the machine carried the fencing token of this term, so that no start of a previous leader can take effect on it. */
     boolean isReconciled;
     /** Time of receipt of the newest heartbeat that was applied in this term, or -1. */
     long lastHeartbeatMicros = -1;
--- a/src/main/java/io/micatide/scheduler/MachineDeletions.java
+++ b/src/main/java/io/micatide/scheduler/MachineDeletions.java
@@ -25,7 +25,7 @@
 final class MachineDeletions {
     /** Time for which a record stays after the deletion of all its machines was answered. */
     private static final long RETENTION_MICROS = 60 * Micros.SECOND;
-    /** Least time between records for machines that no job waits for, so that idle machines found one by one share a record. */
+    /** Minimum time between records for machines that no job waits for, so that idle machines found one by one share a record. */
     private static final long BATCH_WINDOW_MICROS = 500 * Micros.MILLISECOND;
     /** The cloud's limit for the machines of one deletion call. */
     static final int MAX_MACHINES_PER_CALL = 100;
@@ -85,7 +85,7 @@
         requiresRecord = isRequired;
     }
 
-    /** Adds a record of an earlier leader, whether or not the feature flags require records now. */
+    /** Adds a record of a previous leader, whether or not the feature flags require records now. */
     void load(String key, List<String> names, long version) {
         DeletionRecord deletionRecord = new DeletionRecord(names);
         deletionRecord.version = version;
@@ -116,7 +116,7 @@
      * Returns what the next transaction writes: at most one new record of machines to delete, and the deletion of at most one old record.
      *
      * @param machines the fleet
-     * @param limit greatest number of writes
+     * @param limit maximum number of writes
      */
     List<Transaction.Write> nextWrites(Collection<Machine> machines, int limit, long nowMicros) {
         List<Transaction.Write> writes = new ArrayList<>();
--- a/src/main/java/io/micatide/scheduler/OpenJobs.java
+++ b/src/main/java/io/micatide/scheduler/OpenJobs.java
@@ -19,7 +19,7 @@
         return jobs.values();
     }
 
-    /** The open job of this id, or null. */
+    /** Returns the open job of this id, or null. */
     Job get(String id) {
         return jobs.get(id);
     }
@@ -83,9 +83,8 @@
     List<Job> writableJobs() {
         // A cancelled job stays open, and its ledger stored, until no task of it can be on a machine, even if the
         // job is dirty for another reason. If its ledger were deleted with the next batch, tasks that still run on a
-        // hung or partitioned
-        // machine would count for no team, neither for this leader nor for the next one, and teams at their limit
-        // would start more tasks than their quota allows.
+        // hung or partitioned machine would count for no team, neither for this leader nor for the next one, and teams
+        // at their limit would start more tasks than their quota allows.
         dirtyJobs.values().removeIf(job -> job.cancelled && job.mayBeRunning());
         return List.copyOf(dirtyJobs.values());
     }
--- a/src/main/java/io/micatide/scheduler/PlacementActions.java
+++ b/src/main/java/io/micatide/scheduler/PlacementActions.java
@@ -12,7 +12,7 @@
      * Returns whether the ledger of the job names the machine or has space for its name. Otherwise no task of the job
      * may start there.
      *
-     * @param nowMicros current time, steady clock
+     * @param nowMicros current time on the steady clock
      */
     boolean mayRecordMachine(Job job, Machine machine, long nowMicros);
 
@@ -20,7 +20,7 @@
      * Places a task on the machine. The start is sent once the ledger of the job names the machine.
      *
      * @param taskIndex index, from 0, of a task that is neither finished nor live
-     * @param nowMicros current time, steady clock
+     * @param nowMicros current time on the steady clock
      */
     void placeTask(Job job, int taskIndex, Machine machine, long nowMicros);
 
@@ -31,7 +31,7 @@
      * Requests a stop. Of two stops of one placement the shorter grace period applies.
      *
      * @param graceMicros how long the task may continue in order to save its work; 0 stops it immediately
-     * @param nowMicros current time, steady clock
+     * @param nowMicros current time on the steady clock
      */
     void stop(Placement placement, long graceMicros, long nowMicros);
 
--- a/src/main/java/io/micatide/scheduler/PlacementListener.java
+++ b/src/main/java/io/micatide/scheduler/PlacementListener.java
@@ -1,7 +1,7 @@
 package io.micatide.scheduler;
 
 /**
- * Receives events that may change a decision of the planner, which until then keeps what it found to be unschedulable.
+ * Receives the events after which the planner has to discard or recheck cached results, such as the classes of jobs that did not fit.
  */
 interface PlacementListener {
     /** A placement was added to the machine; the free capacity of the machine already reflects it. */
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -35,11 +35,15 @@
     private CandidateMachines candidateMachines;
 
     PlacementPlanner(
-            PlacementActions scheduler, Settings settings, Fleet fleet, JobLedgers ledgers, RuntimeEstimator runtimes) {
+            PlacementActions scheduler,
+            Settings settings,
+            Fleet fleet,
+            JobLedgers ledgers,
+            RuntimeEstimator runtimeEstimator) {
         this.settings = settings;
         this.fleet = fleet;
         this.ledgers = ledgers;
-        this.queue = new JobQueue(settings, fleet, ledgers, runtimes);
+        this.queue = new JobQueue(settings, fleet, ledgers, runtimeEstimator);
         this.pass = new PlanningPass(settings.cores());
         this.quota = new TeamQuota(scheduler, settings, ledgers);
         this.selection = new MachineSelection(scheduler, settings, fleet);
@@ -170,7 +174,7 @@
      *
      * @param job the job whose ledger is written
      * @param limit maximum number of names returned
-     * @param nowMicros current time, steady clock
+     * @param nowMicros current time on the steady clock
      * @return machine names; empty unless the job is an array with pending tasks that is not quarantined
      */
     List<String> candidateMachines(Job job, int limit, long nowMicros) {
--- a/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
+++ b/src/main/java/io/micatide/scheduler/ProvisioningRequests.java
@@ -31,7 +31,7 @@
         SUBMITTED,
         /** Its outcome is known, or it was given up before its call was sent; its record is to be deleted. */
         DONE,
-        /** Its call got no answer, or an earlier leader may have sent it: it may or may not have been executed. */
+        /** Its call got no answer, or a previous leader may have sent it: it may or may not have been executed. */
         UNKNOWN
     }
 
@@ -213,7 +213,7 @@
         return request;
     }
 
-    /** Adds a request of an earlier leader, of which it is unknown whether its call was sent. */
+    /** Adds a request of a previous leader, of which it is unknown whether its call was sent. */
     void load(String name, StoredRecord.Provisioning storedRecord, long version, long nowMicros) {
         Request request = new Request(
                 name, storedRecord.type(), storedRecord.zone(), storedRecord.spot(), storedRecord.count(), nowMicros);
@@ -269,7 +269,7 @@
     /**
      * Marks requests of unknown outcome as done if a list of machines is recent enough to show the machines that they gave.
      *
-     * @param requestSentMicros when the list was requested; the state that it shows is at most twice the configured list lag older than that
+     * @param requestSentMicros time at which the list was requested; the state that it shows is at most twice the configured list lag older than that
      */
     void resolveUnknownRequests(long requestSentMicros) {
         for (Request request : requests.values()) {
--- a/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
+++ b/src/main/java/io/micatide/scheduler/RuntimeEstimator.java
@@ -36,7 +36,7 @@
         return result;
     }
 
-    /** Applies the hint of an earlier leader about a job class, unless a factor is known for the class already. */
+    /** Applies the hint of a previous leader about a job class, unless a factor is known for the class already. */
     void hintReceived(Hint.JobClassHint hint) {
         factors.putIfAbsent(
                 hint.name(),
--- a/src/main/java/io/micatide/scheduler/ScaleOut.java
+++ b/src/main/java/io/micatide/scheduler/ScaleOut.java
@@ -73,7 +73,7 @@
         return !missing.isEmpty();
     }
 
-    /** Requests as many CPUs as the jobs that end need to be done in time. */
+    /** Requests as many CPUs as the jobs other than services need to finish in time. */
     private boolean requestForFiniteJobs(Resources expected, long nowMicros) {
         List<DeadlineFeasibility.JobEstimate> jobs = planner.queue().finiteJobs(nowMicros);
         double available = planner.queue().cpusForFiniteJobs(nowMicros) + expected.cpus();
--- a/src/main/java/io/micatide/scheduler/StoredStateListener.java
+++ b/src/main/java/io/micatide/scheduler/StoredStateListener.java
@@ -22,7 +22,7 @@
     void jobChanged(JobCache.View view, long wallMicros, long nowMicros);
 
     /**
-     * Loads a ledger page of an earlier leader. All records of jobs have been read before.
+     * Loads a ledger page of a previous leader. All records of jobs have been read before.
      *
      * @param key key of the ledger page
      * @param ledger stored value
@@ -32,7 +32,7 @@
     void ledgerLoaded(String key, StoredRecord.Ledger ledger, long version, long nowMicros);
 
     /**
-     * Loads a provisioning request of an earlier leader.
+     * Loads a provisioning request of a previous leader.
      *
      * @param name name of the request
      * @param record stored value
@@ -59,7 +59,7 @@
     void featureFlagsChanged(long version, boolean fencesRequests, boolean recordsDeletions);
 
     /**
-     * Loads the names of machines that an earlier leader was deleting. No task is placed on them, and their deletion is requested again.
+     * Loads the names of machines that a previous leader was deleting. No task is placed on them, and their deletion is requested again.
      *
      * @param key key of the record
      * @param record stored value
@@ -81,9 +81,9 @@
     void archiveEnabled();
 
     /**
-     * Adds hints of an earlier leader.
+     * Adds hints of a previous leader.
      *
-     * @param previousHints hints of the earlier leader
+     * @param previousHints hints of the previous leader
      * @param isStored whether the hints come from the store; these are older than the hints sent to a standby and don't replace them
      * @param nowMicros current time
      */
--- a/src/main/java/io/micatide/scheduler/WriteBatchBuilder.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchBuilder.java
@@ -56,7 +56,7 @@
         return jobWrites;
     }
 
-    /** Whether this many more bytes fit. Into an empty batch anything fits, so that a job larger than a batch can be written. */
+    /** Returns whether this many more bytes fit. Into an empty batch anything fits, so that a job larger than a batch can be written. */
     boolean fits(int bytes) {
         return writes.isEmpty() || bytes <= MAX_BYTES - estimatedBytes;
     }
--- a/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchPlanner.java
@@ -60,7 +60,7 @@
      * Adds the writes of open jobs that are due to the batch.
      *
      * @param batch the batch to be added to
-     * @param nowMicros the time, steady clock
+     * @param nowMicros current time on the steady clock
      * @param wallMicros the time of day, which the records of completed jobs keep
      * @param limits the numbers of writes that the rate limit of the store allows
      * @param candidates source of machines to name in advance, so that later starts need not wait for a write
--- a/src/main/java/io/micatide/scheduler/WriteBatchSource.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchSource.java
@@ -15,7 +15,7 @@
     /**
      * Composes the next transaction to send. Only one is in flight at a time, and its outcome must be reported.
      *
-     * @param nowMicros the time
+     * @param nowMicros current time
      * @param wallMicros the time of day, which the records of completed jobs keep
      * @return the transaction, or null if there is nothing to write now
      */
@@ -25,7 +25,7 @@
      * Reports that the store executed the transaction.
      *
      * @param revision the revision of the store after the transaction
-     * @param nowMicros the time
+     * @param nowMicros current time
      */
     void writeConfirmed(long revision, long nowMicros);
 
@@ -39,21 +39,21 @@
     /**
      * Reports that all keys of a transaction of unknown outcome were read back.
      *
-     * @param nowMicros the time
+     * @param nowMicros current time
      */
     void writeResolved(long nowMicros);
 
     /**
      * Reports that the store will never accept this transaction.
      *
-     * @param nowMicros the time
+     * @param nowMicros current time
      */
     void writeRejected(long nowMicros);
 
     /**
      * Reports that the transaction was certainly not executed; no key needs to be read back.
      *
-     * @param nowMicros the time
+     * @param nowMicros current time
      */
     void writeNotExecuted(long nowMicros);
 
@@ -63,7 +63,7 @@
      * controllers at 1.5 times the fleet, 80 batches of a day were refused as a whole, each read back with some 30 requests.)
      *
      * @param failedKeys the keys whose versions are not the expected ones
-     * @param nowMicros the time
+     * @param nowMicros current time
      * @return the keys to be read back, each to be followed by {@link #keyReadBack}
      */
     List<String> writeConflicted(List<String> failedKeys, long nowMicros);
@@ -72,7 +72,7 @@
      * Reports that a key for which a transaction was refused was read back and applied.
      *
      * @param key the key that was read
-     * @param nowMicros the time
+     * @param nowMicros current time
      */
     void keyReadBack(String key, long nowMicros);
 
@@ -100,7 +100,7 @@
      * @param id id of the job
      * @param record the record as stored
      * @param version version of the record
-     * @param nowMicros the time
+     * @param nowMicros current time
      */
     void jobReadBack(String id, StoredRecord.JobRecord record, long version, long nowMicros);
 
@@ -114,7 +114,7 @@
     /**
      * Returns how many writes of the leader's share of the write rate are available for other purposes now.
      *
-     * @param nowMicros the time
+     * @param nowMicros current time
      * @return the writes above four fifths of those of one second, at least 0
      */
     int spareWriteBudget(long nowMicros);
--- a/src/main/java/io/micatide/scheduler/WriteBatches.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatches.java
@@ -44,7 +44,7 @@
         orphanedLedgerDeletions.add(new Transaction.Write(key, null, 0));
     }
 
-    /** Number of writes that are available for other purposes now; 0 while a batch is in flight. */
+    /** Returns the number of writes that are available for other purposes now; 0 while a batch is in flight. */
     int spareWrites(long nowMicros) {
         budget.refill(nowMicros);
         return inFlight != null ? 0 : budget.spareWrites();
@@ -58,7 +58,7 @@
     /**
      * Composes the next transaction to send.
      *
-     * @param nowMicros the time, steady clock
+     * @param nowMicros current time on the steady clock
      * @param wallMicros the time of day, which the records of completed jobs keep
      * @return the transaction, or null if there is nothing to write, no budget for it, or a batch in flight
      */
@@ -94,7 +94,7 @@
         return batch.transaction();
     }
 
-    /** Applies that the store executed the batch in flight, with this revision. */
+    /** Records that the store executed the batch in flight, with this revision. */
     void confirmed(long revision, long nowMicros) {
         WriteBatch batch = takeInFlight();
         for (Transaction.Write write : batch.transaction().writes()) {
@@ -122,25 +122,25 @@
         }
     }
 
-    /** The keys of the batch in flight that must be read back if its outcome is unknown. */
+    /** Returns the keys of the batch in flight that must be read back if its outcome is unknown. */
     List<String> unresolvedKeys() {
         return ledgers.unresolvedKeys(inFlight);
     }
 
-    /** Applies that the store will never accept the batch in flight. */
+    /** Records that the store will never accept the batch in flight. */
     void rejected(long nowMicros) {
         budget.transactionRejected(inFlight.transaction().writes().size());
         ledgers.writeRejected(inFlight, nowMicros);
         notExecuted(nowMicros);
     }
 
-    /** Applies that the batch in flight was certainly not executed; no key needs to be read back. */
+    /** Records that the batch in flight was certainly not executed; no key needs to be read back. */
     void notExecuted(long nowMicros) {
         cloudRecords.deletionsNotWritten(inFlight);
         resolved(nowMicros);
     }
 
-    /** Applies that all keys of the batch in flight were read back. */
+    /** Records that all keys of the batch in flight were read back. */
     void resolved(long nowMicros) {
         WriteBatch batch = takeInFlight();
         cloudRecords.requestsResolved(batch);
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Applies that the batch was refused because the records of these keys have other versions than expected. It was not executed; the next one may be
+     * Records that the batch was refused because the records of these keys have other versions than expected. It was not executed; the next one may be
      * sent at once, without the jobs that own the keys.
      *
      * @return the keys to be read back
--- a/src/main/java/io/micatide/scheduler/WriteBudget.java
+++ b/src/main/java/io/micatide/scheduler/WriteBudget.java
@@ -46,20 +46,20 @@
         availableWrites -= writes;
     }
 
-    /** Number of writes that the next transaction may have; none if below 1. */
+    /** Returns the number of writes that the next transaction may have; none if below 1. */
     int transactionLimit() {
         return (int) Math.min(availableWrites, maxTransactionWrites);
     }
 
     /**
-     * Number of writes of the next transaction that may be deferrable. Half of the writes of one second are reserved for starts and ends of jobs. The
+     * Returns the number of writes of the next transaction that may be deferrable. Half of the writes of one second are reserved for starts and ends of jobs. The
      * reserve is not computed from the transaction limit: with a limit of five it would be two, so that finished tasks would use writes for which starts wait.
      */
     int deferrableLimit() {
         return (int) Math.max(0, Math.min(maxTransactionWrites, availableWrites - writesPerSecond / 2));
     }
 
-    /** Number of writes that batches and users leave over: those above four fifths of one second, at least 0. */
+    /** Returns the number of writes that batches and users leave over: those above four fifths of one second, at least 0. */
     int spareWrites() {
         return (int) Math.max(0, availableWrites - writesPerSecond * RESERVED_SHARE);
     }
--- a/src/main/java/io/micatide/standby/ElectionDelay.java
+++ b/src/main/java/io/micatide/standby/ElectionDelay.java
@@ -58,7 +58,7 @@
      *
      * @param label label of this controller
      * @param peerCount number of other controllers in the deployment
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public ElectionDelay(String label, int peerCount, long nowMicros) {
         this.label = label;
@@ -82,7 +82,7 @@
     /**
      * Returns whether a peer has recently reported that it is not cold.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return whether a cold controller should leave the lease to a peer
      */
     public boolean hasWarmerPeer(long nowMicros) {
@@ -99,7 +99,7 @@
      *
      * @param labels labels of the standbys, best rank first; null if the leader has not designated standbys yet, or is of a previous
      *     version that never does. With null, an earlier designation stays until it expires.
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void standbysDesignated(List<String> labels, long nowMicros) {
         hasSeenLeader = true;
@@ -131,7 +131,7 @@
      * Records that the leader is shutting down and has chosen this controller as its successor. Workers had no reason to contact this
      * controller so far, so missing heartbeats do not delay its candidacy.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void handoverReceived(long nowMicros) {
         handoverMicros = nowMicros;
@@ -140,7 +140,7 @@
     /**
      * Returns whether the leader has recently handed over to this controller.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return whether this controller claims the lease without delay
      */
     public boolean hasRecentHandover(long nowMicros) {
@@ -159,7 +159,7 @@
     /**
      * Returns the readiness of this controller for a failover.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return the readiness, never null
      */
     public StandbyReadiness readiness(long nowMicros) {
@@ -173,10 +173,10 @@
      * Records a peer's report of its readiness. For a peer of a previous version that answers, the caller reports {@code SEASONED}; for a
      * peer whose port is closed, {@code COLD} and not reached by workers.
      *
-     * @param peerIndex the peer's index in {@code Settings.siblings()}
+     * @param peerIndex the peer's index in {@code Settings.peers()}
      * @param readiness the readiness that the peer reports
      * @param isReachedByWorkers whether workers that lost the leader have recently contacted the peer
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void peerReadinessReported(
             int peerIndex, StandbyReadiness readiness, boolean isReachedByWorkers, long nowMicros) {
@@ -191,7 +191,7 @@
      *
      * @param claimableMicros duration for which the lease has been free already
      * @param isReachedByWorkers whether workers reach this controller
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return the delay in microseconds, 0 for none
      */
     public long delayMicros(long claimableMicros, boolean isReachedByWorkers, long nowMicros) {
--- a/src/main/java/io/micatide/standby/HintSender.java
+++ b/src/main/java/io/micatide/standby/HintSender.java
@@ -76,7 +76,7 @@
     /**
      * Returns the batches that update a standby to the current snapshot.
      *
-     * @param peerIndex the standby's index in {@code Settings.siblings()}
+     * @param peerIndex the standby's index in {@code Settings.peers()}
      * @return the batches, empty if there is no snapshot yet or the standby holds the current one
      */
     public List<HintBatch> batchesFor(int peerIndex) {
@@ -106,7 +106,7 @@
     /**
      * Records which of this term's snapshots a standby holds.
      *
-     * @param peerIndex the standby's index in {@code Settings.siblings()}
+     * @param peerIndex the standby's index in {@code Settings.peers()}
      * @param heldSnapshot number of the snapshot, 0 for none, -1 if the standby did not answer
      */
     public void snapshotAcknowledged(int peerIndex, long heldSnapshot) {
--- a/src/main/java/io/micatide/standby/StandbySelector.java
+++ b/src/main/java/io/micatide/standby/StandbySelector.java
@@ -58,7 +58,7 @@
     /**
      * Begins a new term of this controller and discards the state of its previous term.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public final void termStarted(long nowMicros) {
         termStartedMicros = nowMicros;
@@ -74,7 +74,7 @@
      * @param newReadiness the readiness that the peer reports; null if it cannot follow a leader, because it is of a previous version or
      *     its settings disable this
      * @param isStoreReachable whether the store answers the peer
-     * @param nowMicros the present time
+     * @param nowMicros current time
      */
     public void peerAnswered(int peerIndex, StandbyReadiness newReadiness, boolean isStoreReachable, long nowMicros) {
         reportedReadiness[peerIndex] = newReadiness;
@@ -99,7 +99,7 @@
     /**
      * Selects the standbys that are designated from now on.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return labels of the standbys, best rank first; null while a new leader still waits for the peers' first answers, so that the
      *     standbys of the previous leader keep their designation and replicas
      */
@@ -143,7 +143,7 @@
     /**
      * Returns the first designated standby that is warm and has recently answered.
      *
-     * @param nowMicros the present time
+     * @param nowMicros current time
      * @return its index in {@link Settings#peers()}, -1 if there is none
      */
     public int firstWarmStandby(long nowMicros) {
--- a/src/main/java/io/micatide/store/MachineNameCodec.java
+++ b/src/main/java/io/micatide/store/MachineNameCodec.java
@@ -12,9 +12,8 @@
  * fleet differ only in their trailing number, often by one: such names form a group that holds the differences between the numbers. 505
  * names without two consecutive numbers take about one kilobyte instead of 5.5.
  *
- * <p>A group has the form {@code prefix/digits/differences}. Each difference is relative to the preceding number (the first
- * one to 0), and {@code +n} means
- * that n consecutive numbers follow: {@code i-/6/231+29,2} stands for i-000231 to i-000260 and i-000262.
+ * <p>A group has the form {@code prefix/digits/differences}. Each difference is relative to the preceding number (the first one to 0),
+ * and {@code +n} means that n consecutive numbers follow: {@code i-/6/231+29,2} stands for i-000231 to i-000260 and i-000262.
  */
 public final class MachineNameCodec {
     /** Any number of this many digits fits into an int. */
