--- a/src/main/java/io/micatide/scheduler/WriteBatchSource.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatchSource.java
@@ -58,9 +58,9 @@
     void writeNotExecuted(long nowMicros);
 
     /**
-     * Reports that the transaction was refused for the given keys and so was not executed. The next one may be sent at once, without the jobs that own the
-     * keys: a user who cancels one job must not delay the other fifteen of a batch, and the keys of those need not be read. (After a restart of all
-     * controllers at 1.5 times the fleet, 80 batches of a day were refused as a whole, each read back with some 30 requests.)
+     * Reports that the transaction was refused for the given keys and so was not executed. The next one may be sent at once, without the jobs that
+     * own the keys: a user who cancels one job must not delay the other fifteen of a batch, and the keys of those need not be read. (After a restart
+     * of all controllers at 1.5 times the fleet, 80 batches of a day were refused as a whole, each read back with some 30 requests.)
      *
      * @param failedKeys the keys whose versions are not the expected ones
      * @param nowMicros current time
--- a/src/main/java/io/micatide/scheduler/WriteBatches.java
+++ b/src/main/java/io/micatide/scheduler/WriteBatches.java
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Records that the batch was refused because the records of these keys have other versions than expected. It was not executed; the next one may be
-     * sent at once, without the jobs that own the keys.
+     * Records that the batch was refused because the records of these keys have other versions than expected. It was not executed; the next one may
+     * be sent at once, without the jobs that own the keys.
      *
      * @return the keys to be read back
      */
--- a/src/main/java/io/micatide/scheduler/WriteBudget.java
+++ b/src/main/java/io/micatide/scheduler/WriteBudget.java
@@ -52,8 +52,9 @@
     }
 
     /**
-     * Returns the number of writes of the next transaction that may be deferrable. Half of the writes of one second are reserved for starts and ends of jobs. The
-     * reserve is not computed from the transaction limit: with a limit of five it would be two, so that finished tasks would use writes for which starts wait.
+     * Returns the number of writes of the next transaction that may be deferrable. Half of the writes of one second are reserved for starts and ends
+     * of jobs. The reserve is not computed from the transaction limit: with a limit of five it would be two, so that finished tasks would use writes
+     * for which starts wait.
      */
     int deferrableLimit() {
         return (int) Math.max(0, Math.min(maxTransactionWrites, availableWrites - writesPerSecond / 2));
