--- a/src/main/java/io/micatide/cli/LocalCommand.java
+++ b/src/main/java/io/micatide/cli/LocalCommand.java
@@ -17,7 +17,7 @@
         description =
                 "Run a deployment on this machine to try out, with stand-ins of state service, cloud and workers.")
 final class LocalCommand implements Callable<Integer> {
-    private static final int PATIENCE_S = 20;
+    private static final int STARTUP_TIMEOUT_S = 20;
 
     @Option(names = "--controllers", defaultValue = "1", paramLabel = "N", description = "how many controllers, 1 to 9")
     private int controllers;
@@ -40,8 +40,8 @@
         }
         try (LocalDeployment service = LocalDeployment.start(controllers, port, true)) {
             for (String endpoint : service.endpoints()) {
-                if (!healthy(endpoint)) {
-                    System.err.println(endpoint + ": does not serve within " + PATIENCE_S + " s");
+                if (!awaitHealthy(endpoint)) {
+                    System.err.println(endpoint + ": does not serve within " + STARTUP_TIMEOUT_S + " s");
                     return 1;
                 }
                 System.out.println("http://" + endpoint);
@@ -56,8 +56,8 @@
         }
     }
 
-    private static boolean healthy(String endpoint) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+    private static boolean awaitHealthy(String endpoint) throws InterruptedException {
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(STARTUP_TIMEOUT_S);
         while (System.nanoTime() < end) {
             try {
                 HttpURLConnection ask = (HttpURLConnection)
--- a/src/main/java/io/micatide/cli/RateLimitedCalls.java
+++ b/src/main/java/io/micatide/cli/RateLimitedCalls.java
@@ -13,32 +13,32 @@
 
 /** Calls of a state service from a command line: one after the other, no more than so many a second. */
 final class RateLimitedCalls implements StoreCalls, AutoCloseable {
-    private static final long PATIENCE_MICROS = 10 * Micros.SECOND;
-    private static final long PAUSE_MILLIS = 500;
+    private static final long REQUEST_TIMEOUT_MICROS = 10 * Micros.SECOND;
+    private static final long RETRY_DELAY_MILLIS = 500;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final HttpClient http;
-    private final long gapNanos;
-    private long nextNanos = System.nanoTime();
+    private final long intervalNanos;
+    private long nextCallNanos = System.nanoTime();
 
     RateLimitedCalls(String endpoint, double callsASecond) {
         this.http = new HttpClient(group.next(), endpoint, 1);
-        this.gapNanos = (long) (1e9 / callsASecond);
+        this.intervalNanos = (long) (1e9 / callsASecond);
     }
 
     @Override
     public Reply get(String path) {
-        return call(then -> http.get(path, PATIENCE_MICROS, then));
+        return call(then -> http.get(path, REQUEST_TIMEOUT_MICROS, then));
     }
 
     @Override
     public Reply post(String path, byte[] body) {
-        return call(then -> http.post(path, body, PATIENCE_MICROS, then));
+        return call(then -> http.post(path, body, REQUEST_TIMEOUT_MICROS, then));
     }
 
     private Reply call(Consumer<Consumer<Reply>> what) {
-        sleepNanos(nextNanos - System.nanoTime());
-        nextNanos = Math.max(System.nanoTime(), nextNanos) + gapNanos;
+        sleepNanos(nextCallNanos - System.nanoTime());
+        nextCallNanos = Math.max(System.nanoTime(), nextCallNanos) + intervalNanos;
         CompletableFuture<Reply> answer = new CompletableFuture<>();
         group.next().execute(() -> what.accept(answer::complete));
         return answer.join();
@@ -46,7 +46,7 @@
 
     @Override
     public void pause() {
-        sleepNanos(TimeUnit.MILLISECONDS.toNanos(PAUSE_MILLIS));
+        sleepNanos(TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS));
     }
 
     private static void sleepNanos(long nanos) {
--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -34,8 +34,8 @@
     /** The state service does not answer, or what is asked for cannot be. */
     static final int EXIT_ROLLOUT = 4;
 
-    private static final double CALLS_A_SECOND = 5;
-    private static final int TRIES = 5;
+    private static final double CALLS_PER_SECOND = 5;
+    private static final int MAX_ATTEMPTS = 5;
 
     @Mixin
     private SettingsFiles files;
@@ -51,7 +51,7 @@
 
     /** What a command does with the state service. */
     @FunctionalInterface
-    private interface Work {
+    private interface StoreOperation {
         void run(StoreCalls calls, Settings settings) throws RefusedException, MalformedException;
     }
 
@@ -69,7 +69,7 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.RequestedAction.HOLD, System.out));
+        return run(config, (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.HOLD, System.out));
     }
 
     @Command(description = "Let a feature go on that was held or taken back.", mixinStandardHelpOptions = true)
@@ -77,7 +77,7 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.RequestedAction.NONE, System.out));
+        return run(config, (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.NONE, System.out));
     }
 
     @Command(
@@ -87,15 +87,15 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> ask(calls, feature, StoredRecord.RequestedAction.BACK, System.out));
+        return run(config, (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.BACK, System.out));
     }
 
-    private int run(Path config, Work work) {
+    private int run(Path config, StoreOperation work) {
         SettingsFiles.Loaded loaded = files.load(config);
         if (loaded == null) {
             return Main.EXIT_SETTINGS;
         }
-        try (RateLimitedCalls calls = new RateLimitedCalls(loaded.settings().storeEndpoint(), CALLS_A_SECOND)) {
+        try (RateLimitedCalls calls = new RateLimitedCalls(loaded.settings().storeEndpoint(), CALLS_PER_SECOND)) {
             work.run(calls, loaded.settings());
             return 0;
         } catch (RefusedException | MalformedException e) {
@@ -107,7 +107,7 @@
     private static Reply get(StoreCalls calls, String path) throws RefusedException {
         Reply reply = calls.get(path);
         for (int tries = 1; reply.status() != 200 && reply.status() != 404; tries++) {
-            if (tries == TRIES) {
+            if (tries == MAX_ATTEMPTS) {
                 throw new RefusedException("the state service does not answer: " + reply.status());
             }
             calls.pause();
@@ -116,14 +116,14 @@
         return reply;
     }
 
-    private static StoreCodec.Item item(StoreCalls calls, String key) throws RefusedException, MalformedException {
+    private static StoreCodec.Item readItem(StoreCalls calls, String key) throws RefusedException, MalformedException {
         Reply reply = get(calls, "/store/" + key);
         return reply.ok() ? StoreCodec.item(reply.body()) : new StoreCodec.Item(key, null, 0);
     }
 
-    private static FeatureFlags switches(StoreCalls calls) throws RefusedException, MalformedException {
+    private static FeatureFlags featureFlags(StoreCalls calls) throws RefusedException, MalformedException {
         FeatureFlags switches = new FeatureFlags(Capabilities.ALL);
-        StoreCodec.Item item = item(calls, StoreKeys.FEATURE_STAGES);
+        StoreCodec.Item item = readItem(calls, StoreKeys.FEATURE_STAGES);
         switches.update(
                 item.version(),
                 item.record() == null
@@ -137,14 +137,14 @@
         List<String> labels = new ArrayList<>(List.of(settings.label()));
         settings.peers().forEach(sibling -> labels.add(sibling.label()));
         labels.sort(null);
-        FeatureFlags switches = switches(calls);
+        FeatureFlags switches = featureFlags(calls);
         ControllerRegistry roster = new ControllerRegistry(labels);
         for (StoreCodec.Item item : StoreCodec.page(get(calls, "/store?starts=" + StoreKeys.ROLLOUT + "&most=1000")
                         .body())
                 .items()) {
             roster.add(item.key(), item.record(), item.version());
         }
-        StoreCodec.Item leader = item(calls, StoreKeys.LEADER);
+        StoreCodec.Item leader = readItem(calls, StoreKeys.LEADER);
         String leads = leader.record() == null ? "" : ((StoredRecord.Leader) leader.record()).owner();
         for (String label : labels) {
             StoredRecord.RegisteredController here =
@@ -160,12 +160,12 @@
                                             ? ""
                                             : ", has not taken in the last step")));
         }
-        boolean needs = item(calls, StoreKeys.LAYOUT).record() != null;
-        boolean history = item(calls, StoreKeys.ARCHIVE_MANIFEST).record() != null;
+        boolean needs = readItem(calls, StoreKeys.LAYOUT).record() != null;
+        boolean history = readItem(calls, StoreKeys.ARCHIVE_MANIFEST).record() != null;
         for (Feature feature : Feature.values()) {
             FeatureStage stage = feature == Feature.NEEDS
-                    ? marked(needs)
-                    : feature == Feature.HISTORY ? marked(history) : switches.stage(feature);
+                    ? stageOfMark(needs)
+                    : feature == Feature.HISTORY ? stageOfMark(history) : switches.stage(feature);
             StoredRecord.RequestedAction wish = roster.requestedAction(feature);
             List<String> missing = feature.stageAfter(stage) == null ? List.of() : roster.blockers(feature);
             out.println(feature.key() + ": " + stage
@@ -177,7 +177,7 @@
         switches.unsupportedFeatures().forEach(each -> out.println(each + ": in use, and not known to this version"));
     }
 
-    private static FeatureStage marked(boolean there) {
+    private static FeatureStage stageOfMark(boolean there) {
         return there ? FeatureStage.CLEAN : FeatureStage.OFF;
     }
 
@@ -185,11 +185,11 @@
      * On condition of the row as it was read, and the row never goes: what an operator asked for first and that arrives minutes late must not
      * undo what was asked for since.
      */
-    private static void write(StoreCalls calls, String name, StoredRecord.RequestedAction wish)
+    private static void writeRequest(StoreCalls calls, String name, StoredRecord.RequestedAction wish)
             throws RefusedException, MalformedException {
         String key = StoreKeys.featureRequest(name);
-        for (int tries = 0; tries < TRIES; tries++) {
-            StoreCodec.Item there = item(calls, key);
+        for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
+            StoreCodec.Item there = readItem(calls, key);
             if (there.record() instanceof StoredRecord.FeatureRequest ask && ask.action() == wish) {
                 return;
             }
@@ -205,7 +205,7 @@
                 "the state service does not take it; nothing is known to have changed, ask for the status");
     }
 
-    static void ask(StoreCalls calls, String name, StoredRecord.RequestedAction wish, PrintStream out)
+    static void requestAction(StoreCalls calls, String name, StoredRecord.RequestedAction wish, PrintStream out)
             throws RefusedException, MalformedException {
         Feature feature = Feature.forKey(name);
         if (feature == null) {
@@ -215,11 +215,11 @@
         if (feature.isMark()) {
             throw new RefusedException(name + " comes with the layout: it can be neither held nor taken back");
         }
-        FeatureStage stage = switches(calls).stage(feature);
+        FeatureStage stage = featureFlags(calls).stage(feature);
         if (wish == StoredRecord.RequestedAction.BACK && stage == FeatureStage.CLEAN) {
             throw new RefusedException(name + " cannot go back: its former form is gone");
         }
-        write(calls, name, wish);
+        writeRequest(calls, name, wish);
         out.println(name + " is at " + stage + ": "
                 + switch (wish) {
                     case HOLD -> "it stays there until it is released";
--- a/src/main/java/io/micatide/cli/ScaleCommand.java
+++ b/src/main/java/io/micatide/cli/ScaleCommand.java
@@ -17,11 +17,11 @@
         mixinStandardHelpOptions = true,
         description = "Run real controllers beside many hollow workers on loopback and measure what control costs.")
 final class ScaleCommand implements Callable<Integer> {
-    private static final int EXIT_BROKEN = 1;
+    private static final int EXIT_FAILED = 1;
     /** The size that the default rate of starts belongs to. */
-    private static final double PLANNED_WORKERS = 2_800;
+    private static final double REFERENCE_WORKERS = 2_800;
 
-    private static final double PLANNED_STARTS = 470;
+    private static final double REFERENCE_STARTS_PER_SECOND = 470;
 
     @Option(
             names = "--workers",
@@ -97,25 +97,25 @@
             if (json != null) {
                 report.write(json.toFile());
             }
-            return report.broken() ? EXIT_BROKEN : 0;
+            return report.broken() ? EXIT_FAILED : 0;
         } catch (ScalePlan.InvalidPlanException e) {
             System.err.println(e.getMessage());
             return Main.EXIT_SETTINGS;
         } catch (IOException e) {
             System.err.println("the scale run could not be played: " + e.getMessage());
-            return EXIT_BROKEN;
+            return EXIT_FAILED;
         }
     }
 
     private List<ScalePlan> plans() throws ScalePlan.InvalidPlanException {
         List<ScalePlan> plans = new ArrayList<>();
         for (int size : workers) {
-            double rate = startsAt(size);
+            double rate = startsPerSecond(size);
             plans.add(new ScalePlan(
                     size,
                     controllers,
                     rate,
-                    tasksAt(rate),
+                    tasksPerJob(rate),
                     taskSeconds,
                     gangs,
                     teams,
@@ -126,14 +126,14 @@
         return plans;
     }
 
-    private double startsAt(int size) {
+    private double startsPerSecond(int size) {
         if (starts != null) {
             return starts;
         }
-        return jobs != null && tasks != null ? jobs * tasks : PLANNED_STARTS * size / PLANNED_WORKERS;
+        return jobs != null && tasks != null ? jobs * tasks : REFERENCE_STARTS_PER_SECOND * size / REFERENCE_WORKERS;
     }
 
-    private int tasksAt(double rate) throws ScalePlan.InvalidPlanException {
+    private int tasksPerJob(double rate) throws ScalePlan.InvalidPlanException {
         if (starts != null && jobs != null && tasks != null) {
             throw new ScalePlan.InvalidPlanException("--starts, --jobs and --tasks: two of them give the third");
         }
--- a/src/main/java/io/micatide/cli/ServeCommand.java
+++ b/src/main/java/io/micatide/cli/ServeCommand.java
@@ -11,7 +11,7 @@
 @Command(name = "serve", description = "Run a controller until it is killed.", mixinStandardHelpOptions = true)
 final class ServeCommand implements Callable<Integer> {
     /** What a stop waits for at most: a round, an heir and the lease, with room for a slow state service. */
-    private static final long END_MICROS = 2_000_000;
+    private static final long SHUTDOWN_LIMIT_MICROS = 2_000_000;
 
     @Option(names = "--config", required = true, paramLabel = "FILE", description = "the platform's settings (TOML)")
     private Path config;
@@ -28,7 +28,7 @@
         try (ControllerServer node = new ControllerServer(loaded.settings(), loaded.tuning())) {
             node.start();
             if (loaded.tuning().standbyEnabled()) {
-                Runtime.getRuntime().addShutdownHook(new Thread(() -> end(node), "end"));
+                Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(node), "end"));
             }
             node.awaitTermination();
             return 0;
@@ -38,9 +38,9 @@
         }
     }
 
-    private static void end(ControllerServer node) {
+    private static void shutDown(ControllerServer node) {
         try {
-            node.shutDown(END_MICROS);
+            node.shutDown(SHUTDOWN_LIMIT_MICROS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/io/micatide/cli/SnapshotCommand.java
+++ b/src/main/java/io/micatide/cli/SnapshotCommand.java
@@ -25,14 +25,14 @@
     /** A snapshot that is not sound, cannot be taken or cannot be restored ends a command with this code. */
     private static final int EXIT_SNAPSHOT = 3;
 
-    private static final int SHARE_OF_RATE = 10;
+    private static final int RATE_DIVISOR = 10;
 
     @Mixin
     private SettingsFiles files;
 
     /** What a command does. */
     @FunctionalInterface
-    private interface Work {
+    private interface SnapshotOperation {
         void run() throws SnapshotException, IOException;
     }
 
@@ -47,8 +47,8 @@
         Settings settings = settings(config);
         return settings == null
                 ? Main.EXIT_SETTINGS
-                : ended(() -> {
-                    byte[] secret = secret(key);
+                : exitCodeOf(() -> {
+                    byte[] secret = readKey(key);
                     if (Files.exists(file)) {
                         throw new SnapshotException(file + ": is there already");
                     }
@@ -67,7 +67,7 @@
 
     @Command(description = "Say what a file holds.", mixinStandardHelpOptions = true)
     int show(@Parameters(paramLabel = "FILE") Path file) {
-        return ended(() -> show(SnapshotFile.read(file, null).summary()));
+        return exitCodeOf(() -> show(SnapshotFile.read(file, null).summary()));
     }
 
     @Command(
@@ -76,8 +76,8 @@
     int verify(
             @Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--key", paramLabel = "FILE", description = "the key that it was signed with") Path key) {
-        return ended(() -> {
-            SnapshotFile.read(file, secret(key));
+        return exitCodeOf(() -> {
+            SnapshotFile.read(file, readKey(key));
             System.out.println(file + ": sound" + (key == null ? "" : ", signed with this key"));
         });
     }
@@ -99,8 +99,8 @@
         Settings settings = settings(config);
         return settings == null
                 ? Main.EXIT_SETTINGS
-                : ended(() -> {
-                    SnapshotFile.Content content = SnapshotFile.read(file, secret(key));
+                : exitCodeOf(() -> {
+                    SnapshotFile.Content content = SnapshotFile.read(file, readKey(key));
                     if (machinesGone == advance) {
                         throw new SnapshotException(
                                 "say either --machines-gone or --advance: workers that have seen the former service's tokens,"
@@ -128,10 +128,10 @@
                 ? asked
                 : Math.max(
                         1,
-                        Math.min(settings.storeRequestsPerSecond(), settings.storeWritesPerSecond()) / SHARE_OF_RATE);
+                        Math.min(settings.storeRequestsPerSecond(), settings.storeWritesPerSecond()) / RATE_DIVISOR);
     }
 
-    private static byte[] secret(Path key) throws SnapshotException, IOException {
+    private static byte[] readKey(Path key) throws SnapshotException, IOException {
         if (key == null) {
             return null;
         }
@@ -148,7 +148,7 @@
         summary.counts().forEach((prefix, count) -> System.out.println("  " + prefix + " " + count));
     }
 
-    private static int ended(Work work) {
+    private static int exitCodeOf(SnapshotOperation work) {
         try {
             work.run();
             return 0;
--- a/src/main/java/io/micatide/cli/WarmUp.java
+++ b/src/main/java/io/micatide/cli/WarmUp.java
@@ -26,9 +26,9 @@
  * Its only use is that the classes of the ordinary path get loaded.
  */
 final class WarmUp {
-    private static final long PATIENCE_MICROS = 2_000_000;
+    private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
     /** Whether the controller has claimed the lead. */
-    private static volatile boolean claimed;
+    private static volatile boolean hasClaimedLeadership;
 
     private WarmUp() {}
 
@@ -36,7 +36,7 @@
         int[] ports = freePorts(4);
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try {
-            new HttpServer(WarmUp::canned, 100)
+            new HttpServer(WarmUp::sendCannedAnswer, 100)
                     .bind(group.next(), "127.0.0.1:" + ports[0])
                     .sync();
             String settings = resource("/warm-up-settings.toml")
@@ -50,19 +50,19 @@
                 node.start();
                 HttpClient client = new HttpClient(group.next(), "127.0.0.1:" + ports[1], 1);
                 for (int round = 0; round < 8; round++) {
-                    ask(group, client, "/healthz", null);
-                    ask(group, client, "/v1/jobs", resource("/warm-up-job.json"));
-                    ask(
+                    sendAndAwait(group, client, "/healthz", null);
+                    sendAndAwait(group, client, "/v1/jobs", resource("/warm-up-job.json"));
+                    sendAndAwait(
                             group,
                             client,
                             "/v1/jobs",
                             resource("/warm-up-job.json")
                                     .replace("wk-1", "wk-3")
                                     .replace("\"ground\"", "\"awaits\":[\"wk-1\"],\"ground\""));
-                    ask(group, client, "/v1/jobs", "{\"nameId\":\"wk-2\"}");
-                    ask(group, client, "/v1/jobs/wk-1", null);
-                    ask(group, client, "/v1/jobs/wk-7/abort", "");
-                    ask(
+                    sendAndAwait(group, client, "/v1/jobs", "{\"nameId\":\"wk-2\"}");
+                    sendAndAwait(group, client, "/v1/jobs/wk-1", null);
+                    sendAndAwait(group, client, "/v1/jobs/wk-7/abort", "");
+                    sendAndAwait(
                             group,
                             client,
                             "/v1/report",
@@ -73,7 +73,7 @@
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(2, TimeUnit.SECONDS);
         }
-        if (!claimed) {
+        if (!hasClaimedLeadership) {
             System.err.println(
                     "warm-up: the controller never claimed the lead, so the archive would lack most of what a start loads");
             return 1;
@@ -81,24 +81,24 @@
         return 0;
     }
 
-    private static void ask(EventLoopGroup group, HttpClient client, String path, String body)
+    private static void sendAndAwait(EventLoopGroup group, HttpClient client, String path, String body)
             throws InterruptedException {
         CountDownLatch answered = new CountDownLatch(1);
         group.next().execute(() -> {
             java.util.function.Consumer<Reply> then = reply -> answered.countDown();
             if (body == null) {
-                client.get(path, PATIENCE_MICROS, then);
+                client.get(path, REQUEST_TIMEOUT_MICROS, then);
             } else {
-                client.post(path, body.getBytes(StandardCharsets.UTF_8), PATIENCE_MICROS, then);
+                client.post(path, body.getBytes(StandardCharsets.UTF_8), REQUEST_TIMEOUT_MICROS, then);
             }
         });
         answered.await(3, TimeUnit.SECONDS);
     }
 
-    private static void canned(Request request) {
+    private static void sendCannedAnswer(Request request) {
         String path = request.path();
         String body = "{\"ledger\":9}";
-        claimed |= path.equals("/txn")
+        hasClaimedLeadership |= path.equals("/txn")
                 && new String(request.body(), StandardCharsets.UTF_8).contains("\"put\":\"leader\"");
         if (path.equals("/store/leader")
                 || path.equals("/store/types")
