--- a/src/main/java/io/micatide/cli/CheckCommand.java
+++ b/src/main/java/io/micatide/cli/CheckCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Says whether the settings are good. */
+/** The command {@code check}: reads the settings files and reports whether they are valid. */
 @Command(name = "check", description = "Check settings files.", mixinStandardHelpOptions = true)
 final class CheckCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "the platform's settings (TOML)")
--- a/src/main/java/io/micatide/cli/LocalCommand.java
+++ b/src/main/java/io/micatide/cli/LocalCommand.java
@@ -10,13 +10,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A deployment to try out: controllers and stand-ins of everything they need, until it is interrupted. */
+/**
+ * The command {@code local}: runs controllers, with simulated store, cloud and workers, on this machine until the process is interrupted.
+ */
 @Command(
         name = "local",
         mixinStandardHelpOptions = true,
         description =
                 "Run a deployment on this machine to try out, with stand-ins of state service, cloud and workers.")
 final class LocalCommand implements Callable<Integer> {
+    /** Time within which a controller must answer its health check, in seconds. */
     private static final int STARTUP_TIMEOUT_S = 20;
 
     @Option(names = "--controllers", defaultValue = "1", paramLabel = "N", description = "how many controllers, 1 to 9")
@@ -38,8 +41,8 @@
                             : "--port: must be from 0 to 65535");
             return Main.EXIT_SETTINGS;
         }
-        try (LocalDeployment service = LocalDeployment.start(controllers, port, true)) {
-            for (String endpoint : service.endpoints()) {
+        try (LocalDeployment deployment = LocalDeployment.start(controllers, port, true)) {
+            for (String endpoint : deployment.endpoints()) {
                 if (!awaitHealthy(endpoint)) {
                     System.err.println(endpoint + ": does not serve within " + STARTUP_TIMEOUT_S + " s");
                     return 1;
@@ -56,19 +59,20 @@
         }
     }
 
+    /** Polls the health check of the given endpoint; returns false when it has not answered 200 within the startup timeout. */
     private static boolean awaitHealthy(String endpoint) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(STARTUP_TIMEOUT_S);
-        while (System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(STARTUP_TIMEOUT_S);
+        while (System.nanoTime() < deadlineNanos) {
             try {
-                HttpURLConnection ask = (HttpURLConnection)
+                HttpURLConnection connection = (HttpURLConnection)
                         URI.create("http://" + endpoint + "/healthz").toURL().openConnection();
-                ask.setConnectTimeout(500);
-                ask.setReadTimeout(1_000);
-                if (ask.getResponseCode() == 200) {
+                connection.setConnectTimeout(500);
+                connection.setReadTimeout(1_000);
+                if (connection.getResponseCode() == 200) {
                     return true;
                 }
             } catch (IOException e) {
-                // Not up yet.
+                // The controller does not accept connections yet: the loop retries until the deadline.
             }
             TimeUnit.MILLISECONDS.sleep(20);
         }
--- a/src/main/java/io/micatide/cli/Main.java
+++ b/src/main/java/io/micatide/cli/Main.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Entry point. */
+/** Entry point of the program: configures logging and runs the command that the arguments name. */
 @Command(
         name = "micatide",
         description = "A cluster scheduler: serves users and workers, rents machines.",
@@ -20,7 +20,7 @@
             WarmUpCommand.class
         })
 public final class Main implements Runnable {
-    /** Wrong settings end a start with this code. */
+    /** Exit code of a command whose settings or options are invalid. */
     static final int EXIT_SETTINGS = 2;
 
     @CommandLine.Spec
@@ -31,7 +31,7 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
     }
 
-    /** Reads the version that the build wrote. */
+    /** Provides the version that the build wrote to a resource, and the current layout. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() throws Exception {
@@ -44,18 +44,26 @@
         }
     }
 
+    /**
+     * Runs the command that the arguments name and exits with its exit code.
+     *
+     * @param args the arguments of the command line
+     */
     public static void main(String[] args) {
         configureLogging(System.getenv("LOG_LEVEL"));
         System.exit(commandLine(args).execute(args));
     }
 
-    /** A service's start loads and inspects every class named here, so what measures from outside is added only when it is asked for. */
+    /**
+     * Returns the command line for the given arguments. Each registered command class is loaded and inspected at every start of a controller, so
+     * the measuring command {@code scale} is registered only when the arguments name it.
+     */
     private static CommandLine commandLine(String[] args) {
         CommandLine commandLine = new CommandLine(new Main());
         if (args.length > 0 && args[0].equals("scale")) {
             commandLine.addSubcommand(new ScaleCommand());
-            commandLine.setParameterExceptionHandler((wrong, given) -> {
-                System.err.println(wrong.getMessage());
+            commandLine.setParameterExceptionHandler((exception, givenArguments) -> {
+                System.err.println(exception.getMessage());
                 return EXIT_SETTINGS;
             });
         }
@@ -63,14 +71,14 @@
     }
 
     private static void configureLogging(String level) {
-        String known = level == null ? "info" : level.toLowerCase(Locale.ROOT);
+        String lowerCaseLevel = level == null ? "info" : level.toLowerCase(Locale.ROOT);
         System.setProperty(
                 "org.slf4j.simpleLogger.defaultLogLevel",
-                known.equals("error") || known.equals("debug") ? known : "info");
+                lowerCaseLevel.equals("error") || lowerCaseLevel.equals("debug") ? lowerCaseLevel : "info");
         System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
-        // Without these Netty spends start time on what a controller does not use.
+        // With its defaults Netty spends start-up time on features that a controller does not use.
         System.setProperty("io.netty.noUnsafe", System.getProperty("io.netty.noUnsafe", "false"));
         System.setProperty("io.netty.machineId", "00:00:00:00:00:00:00:01");
         System.setProperty("io.netty.processId", "1");
--- a/src/main/java/io/micatide/cli/RateLimitedCalls.java
+++ b/src/main/java/io/micatide/cli/RateLimitedCalls.java
@@ -11,37 +11,42 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Calls of a state service from a command line: one after the other, no more than so many a second. */
+/** Blocking requests of a command to the store: one at a time, and at most a given number a second. */
 final class RateLimitedCalls implements StoreCalls, AutoCloseable {
+    /** Time after which a request without an answer has failed. */
     private static final long REQUEST_TIMEOUT_MICROS = 10 * Micros.SECOND;
+
     private static final long RETRY_DELAY_MILLIS = 500;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final HttpClient http;
+    /** Minimum time between the starts of two requests. */
     private final long intervalNanos;
+    /** Earliest time of the next request, on the clock of {@link System#nanoTime}. */
     private long nextCallNanos = System.nanoTime();
 
-    RateLimitedCalls(String endpoint, double callsASecond) {
+    RateLimitedCalls(String endpoint, double callsPerSecond) {
         this.http = new HttpClient(group.next(), endpoint, 1);
-        this.intervalNanos = (long) (1e9 / callsASecond);
+        this.intervalNanos = (long) (1e9 / callsPerSecond);
     }
 
     @Override
     public Reply get(String path) {
-        return call(then -> http.get(path, REQUEST_TIMEOUT_MICROS, then));
+        return call(callback -> http.get(path, REQUEST_TIMEOUT_MICROS, callback));
     }
 
     @Override
     public Reply post(String path, byte[] body) {
-        return call(then -> http.post(path, body, REQUEST_TIMEOUT_MICROS, then));
+        return call(callback -> http.post(path, body, REQUEST_TIMEOUT_MICROS, callback));
     }
 
-    private Reply call(Consumer<Consumer<Reply>> what) {
+    /** Sends a request on the event loop when the rate limit permits, and waits for its reply. */
+    private Reply call(Consumer<Consumer<Reply>> request) {
         sleepNanos(nextCallNanos - System.nanoTime());
         nextCallNanos = Math.max(System.nanoTime(), nextCallNanos) + intervalNanos;
-        CompletableFuture<Reply> answer = new CompletableFuture<>();
-        group.next().execute(() -> what.accept(answer::complete));
-        return answer.join();
+        CompletableFuture<Reply> reply = new CompletableFuture<>();
+        group.next().execute(() -> request.accept(reply::complete));
+        return reply.join();
     }
 
     @Override
--- a/src/main/java/io/micatide/cli/RolloutCommand.java
+++ b/src/main/java/io/micatide/cli/RolloutCommand.java
@@ -25,22 +25,27 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Shows how far changes of the stored state have come, holds them back and takes them back. Works on the state service itself. */
+/**
+ * The command {@code rollout}: shows the stages of the features that change the stored state, and holds, releases or reverts a feature. It reads
+ * and writes the store directly, without a controller.
+ */
 @Command(
         name = "rollout",
         description = "Show, hold back or take back changes of the stored state.",
         mixinStandardHelpOptions = true)
 final class RolloutCommand {
-    /** The state service does not answer, or what is asked for cannot be. */
+    /** Exit code when the store does not answer or sends a malformed answer, or when the request is refused. */
     static final int EXIT_ROLLOUT = 4;
 
+    /** Rate limit of the requests to the store, per second. */
     private static final double CALLS_PER_SECOND = 5;
+    /** Number of attempts of a read or write before the command fails. */
     private static final int MAX_ATTEMPTS = 5;
 
     @Mixin
     private SettingsFiles files;
 
-    /** What cannot be done, with the reason. */
+    /** Thrown when the command cannot be carried out; the message is the reason shown to the operator. */
     private static final class RefusedException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -49,7 +54,7 @@
         }
     }
 
-    /** What a command does with the state service. */
+    /** What a subcommand does with the store. */
     @FunctionalInterface
     private interface StoreOperation {
         void run(StoreCalls calls, Settings settings) throws RefusedException, MalformedException;
@@ -69,7 +74,9 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.HOLD, System.out));
+        return run(
+                config,
+                (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.HOLD, System.out));
     }
 
     @Command(description = "Let a feature go on that was held or taken back.", mixinStandardHelpOptions = true)
@@ -77,7 +84,9 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.NONE, System.out));
+        return run(
+                config,
+                (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.NONE, System.out));
     }
 
     @Command(
@@ -87,16 +96,18 @@
             @Parameters(paramLabel = "FEATURE") String feature,
             @Option(names = "--config", required = true, paramLabel = "FILE", description = "a controller's settings")
                     Path config) {
-        return run(config, (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.BACK, System.out));
+        return run(
+                config,
+                (calls, settings) -> requestAction(calls, feature, StoredRecord.RequestedAction.BACK, System.out));
     }
 
-    private int run(Path config, StoreOperation work) {
+    private int run(Path config, StoreOperation operation) {
         SettingsFiles.Loaded loaded = files.load(config);
         if (loaded == null) {
             return Main.EXIT_SETTINGS;
         }
         try (RateLimitedCalls calls = new RateLimitedCalls(loaded.settings().storeEndpoint(), CALLS_PER_SECOND)) {
-            work.run(calls, loaded.settings());
+            operation.run(calls, loaded.settings());
             return 0;
         } catch (RefusedException | MalformedException e) {
             System.err.println(e.getMessage());
@@ -104,10 +115,11 @@
         }
     }
 
+    /** Reads a path; retries other answers than 200 and 404 until the attempts are used up. */
     private static Reply get(StoreCalls calls, String path) throws RefusedException {
         Reply reply = calls.get(path);
-        for (int tries = 1; reply.status() != 200 && reply.status() != 404; tries++) {
-            if (tries == MAX_ATTEMPTS) {
+        for (int attempts = 1; reply.status() != 200 && reply.status() != 404; attempts++) {
+            if (attempts == MAX_ATTEMPTS) {
                 throw new RefusedException("the state service does not answer: " + reply.status());
             }
             calls.pause();
@@ -116,86 +128,91 @@
         return reply;
     }
 
+    /** Reads a key; the item of a missing key has a null record and version 0. */
     private static StoreCodec.Item readItem(StoreCalls calls, String key) throws RefusedException, MalformedException {
         Reply reply = get(calls, "/store/" + key);
         return reply.ok() ? StoreCodec.item(reply.body()) : new StoreCodec.Item(key, null, 0);
     }
 
     private static FeatureFlags featureFlags(StoreCalls calls) throws RefusedException, MalformedException {
-        FeatureFlags switches = new FeatureFlags(Capabilities.ALL);
+        FeatureFlags flags = new FeatureFlags(Capabilities.ALL);
         StoreCodec.Item item = readItem(calls, StoreKeys.FEATURE_STAGES);
-        switches.update(
+        flags.update(
                 item.version(),
                 item.record() == null
                         ? new StoredRecord.FeatureStages(Map.of())
                         : (StoredRecord.FeatureStages) item.record());
-        return switches;
+        return flags;
     }
 
+    /** Prints the registered controllers and the stage of each feature, with what blocks its next stage. */
     static void status(StoreCalls calls, Settings settings, PrintStream out)
             throws RefusedException, MalformedException {
         List<String> labels = new ArrayList<>(List.of(settings.label()));
-        settings.peers().forEach(sibling -> labels.add(sibling.label()));
+        settings.peers().forEach(peer -> labels.add(peer.label()));
         labels.sort(null);
-        FeatureFlags switches = featureFlags(calls);
-        ControllerRegistry roster = new ControllerRegistry(labels);
+        FeatureFlags flags = featureFlags(calls);
+        ControllerRegistry registry = new ControllerRegistry(labels);
         for (StoreCodec.Item item : StoreCodec.page(get(calls, "/store?starts=" + StoreKeys.ROLLOUT + "&most=1000")
                         .body())
                 .items()) {
-            roster.add(item.key(), item.record(), item.version());
+            registry.add(item.key(), item.record(), item.version());
         }
         StoreCodec.Item leader = readItem(calls, StoreKeys.LEADER);
-        String leads = leader.record() == null ? "" : ((StoredRecord.Leader) leader.record()).owner();
+        String leaderLabel = leader.record() == null ? "" : ((StoredRecord.Leader) leader.record()).owner();
         for (String label : labels) {
-            StoredRecord.RegisteredController here =
-                    roster.registeredControllers().get(label);
-            out.println(label + (label.equals(leads) ? ", leads" : "") + ": "
-                    + (here == null
+            StoredRecord.RegisteredController controller =
+                    registry.registeredControllers().get(label);
+            out.println(label + (label.equals(leaderLabel) ? ", leads" : "") + ": "
+                    + (controller == null
                             ? "not registered"
-                            : "build " + here.build() + ", knows " + String.join(" ", here.knownFeatures()) + ", since "
+                            : "build " + controller.build() + ", knows " + String.join(" ", controller.knownFeatures())
+                                    + ", since "
                                     + Instant.EPOCH
-                                            .plus(here.startedWall(), ChronoUnit.MICROS)
+                                            .plus(controller.startedWall(), ChronoUnit.MICROS)
                                             .truncatedTo(ChronoUnit.SECONDS)
-                                    + (here.actingOnVersion() == switches.version()
+                                    + (controller.actingOnVersion() == flags.version()
                                             ? ""
                                             : ", has not taken in the last step")));
         }
-        boolean needs = readItem(calls, StoreKeys.LAYOUT).record() != null;
-        boolean history = readItem(calls, StoreKeys.ARCHIVE_MANIFEST).record() != null;
+        boolean hasLayoutMark = readItem(calls, StoreKeys.LAYOUT).record() != null;
+        boolean hasArchiveManifest = readItem(calls, StoreKeys.ARCHIVE_MANIFEST).record() != null;
         for (Feature feature : Feature.values()) {
             FeatureStage stage = feature == Feature.NEEDS
-                    ? stageOfMark(needs)
-                    : feature == Feature.HISTORY ? stageOfMark(history) : switches.stage(feature);
-            StoredRecord.RequestedAction wish = roster.requestedAction(feature);
-            List<String> missing = feature.stageAfter(stage) == null ? List.of() : roster.blockers(feature);
+                    ? stageOfMark(hasLayoutMark)
+                    : feature == Feature.HISTORY ? stageOfMark(hasArchiveManifest) : flags.stage(feature);
+            StoredRecord.RequestedAction action = registry.requestedAction(feature);
+            List<String> blockers = feature.stageAfter(stage) == null ? List.of() : registry.blockers(feature);
             out.println(feature.key() + ": " + stage
-                    + (wish == StoredRecord.RequestedAction.NONE
+                    + (action == StoredRecord.RequestedAction.NONE
                             ? ""
-                            : ", asked to " + (wish == StoredRecord.RequestedAction.HOLD ? "stay" : "go back"))
-                    + (missing.isEmpty() ? "" : ", waits: " + String.join(", ", missing)));
+                            : ", asked to " + (action == StoredRecord.RequestedAction.HOLD ? "stay" : "go back"))
+                    + (blockers.isEmpty() ? "" : ", waits: " + String.join(", ", blockers)));
         }
-        switches.unsupportedFeatures().forEach(each -> out.println(each + ": in use, and not known to this version"));
+        flags.unsupportedFeatures()
+                .forEach(feature -> out.println(feature + ": in use, and not known to this version"));
     }
 
-    private static FeatureStage stageOfMark(boolean there) {
-        return there ? FeatureStage.CLEAN : FeatureStage.OFF;
+    /** Returns the stage of a feature that is switched by the presence of a record alone. */
+    private static FeatureStage stageOfMark(boolean isPresent) {
+        return isPresent ? FeatureStage.CLEAN : FeatureStage.OFF;
     }
 
     /**
-     * On condition of the row as it was read, and the row never goes: what an operator asked for first and that arrives minutes late must not
-     * undo what was asked for since.
+     * Writes the requested action of a feature on condition that its record still has the version that was read. The record is never
+     * deleted: otherwise a first request that reaches the store minutes late would find the key missing again and undo what was requested since.
      */
-    private static void writeRequest(StoreCalls calls, String name, StoredRecord.RequestedAction wish)
+    private static void writeRequest(StoreCalls calls, String name, StoredRecord.RequestedAction action)
             throws RefusedException, MalformedException {
         String key = StoreKeys.featureRequest(name);
-        for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
-            StoreCodec.Item there = readItem(calls, key);
-            if (there.record() instanceof StoredRecord.FeatureRequest ask && ask.action() == wish) {
+        for (int attempts = 0; attempts < MAX_ATTEMPTS; attempts++) {
+            StoreCodec.Item current = readItem(calls, key);
+            if (current.record() instanceof StoredRecord.FeatureRequest request && request.action() == action) {
                 return;
             }
             byte[] body = StoreCodec.transaction(new Transaction(
-                    List.of(new Transaction.Condition(key, there.version())),
-                    List.of(new Transaction.Write(key, new StoredRecord.FeatureRequest(wish), 0))));
+                    List.of(new Transaction.Condition(key, current.version())),
+                    List.of(new Transaction.Write(key, new StoredRecord.FeatureRequest(action), 0))));
             if (calls.post("/txn", body).ok()) {
                 return;
             }
@@ -205,7 +222,8 @@
                 "the state service does not take it; nothing is known to have changed, ask for the status");
     }
 
-    static void requestAction(StoreCalls calls, String name, StoredRecord.RequestedAction wish, PrintStream out)
+    /** Stores the requested action of the named feature and prints its effect; refuses unknown features, marks and impossible reverts. */
+    static void requestAction(StoreCalls calls, String name, StoredRecord.RequestedAction action, PrintStream out)
             throws RefusedException, MalformedException {
         Feature feature = Feature.forKey(name);
         if (feature == null) {
@@ -216,12 +234,12 @@
             throw new RefusedException(name + " comes with the layout: it can be neither held nor taken back");
         }
         FeatureStage stage = featureFlags(calls).stage(feature);
-        if (wish == StoredRecord.RequestedAction.BACK && stage == FeatureStage.CLEAN) {
+        if (action == StoredRecord.RequestedAction.BACK && stage == FeatureStage.CLEAN) {
             throw new RefusedException(name + " cannot go back: its former form is gone");
         }
-        writeRequest(calls, name, wish);
+        writeRequest(calls, name, action);
         out.println(name + " is at " + stage + ": "
-                + switch (wish) {
+                + switch (action) {
                     case HOLD -> "it stays there until it is released";
                     case BACK -> "it goes back, stage by stage, and stays off until it is released";
                     case NONE -> "it goes on";
--- a/src/main/java/io/micatide/cli/ScaleCommand.java
+++ b/src/main/java/io/micatide/cli/ScaleCommand.java
@@ -11,14 +11,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What control costs at a size: real controllers beside hollow workers, on this machine. */
+/** The command {@code scale}: measures the cost of control at a given size with real controllers and simulated workers on this machine. */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
         description = "Run real controllers beside many hollow workers on loopback and measure what control costs.")
 final class ScaleCommand implements Callable<Integer> {
+    /** Exit code when the run could not be carried out or a rule was broken in it. */
     private static final int EXIT_FAILED = 1;
-    /** The size that the default rate of starts belongs to. */
+    /** Number of workers for which the default rate of task starts is defined; other sizes get a rate in proportion. */
     private static final double REFERENCE_WORKERS = 2_800;
 
     private static final double REFERENCE_STARTS_PER_SECOND = 470;
@@ -109,13 +110,13 @@
 
     private List<ScalePlan> plans() throws ScalePlan.InvalidPlanException {
         List<ScalePlan> plans = new ArrayList<>();
-        for (int size : workers) {
-            double rate = startsPerSecond(size);
+        for (int workerCount : workers) {
+            double startRate = startsPerSecond(workerCount);
             plans.add(new ScalePlan(
-                    size,
+                    workerCount,
                     controllers,
-                    rate,
-                    tasksPerJob(rate),
+                    startRate,
+                    tasksPerJob(startRate),
                     taskSeconds,
                     gangs,
                     teams,
@@ -126,14 +127,16 @@
         return plans;
     }
 
-    private double startsPerSecond(int size) {
+    private double startsPerSecond(int workerCount) {
         if (starts != null) {
             return starts;
         }
-        return jobs != null && tasks != null ? jobs * tasks : REFERENCE_STARTS_PER_SECOND * size / REFERENCE_WORKERS;
+        return jobs != null && tasks != null
+                ? jobs * tasks
+                : REFERENCE_STARTS_PER_SECOND * workerCount / REFERENCE_WORKERS;
     }
 
-    private int tasksPerJob(double rate) throws ScalePlan.InvalidPlanException {
+    private int tasksPerJob(double startRate) throws ScalePlan.InvalidPlanException {
         if (starts != null && jobs != null && tasks != null) {
             throw new ScalePlan.InvalidPlanException("--starts, --jobs and --tasks: two of them give the third");
         }
@@ -143,6 +146,6 @@
         if (tasks != null) {
             return tasks;
         }
-        return jobs == null ? 47 : (int) Math.max(1, Math.round(rate / jobs));
+        return jobs == null ? 47 : (int) Math.max(1, Math.round(startRate / jobs));
     }
 }
--- a/src/main/java/io/micatide/cli/ServeCommand.java
+++ b/src/main/java/io/micatide/cli/ServeCommand.java
@@ -7,10 +7,13 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Runs a controller until it is stopped (SIGTERM, in order) or killed. */
+/** The command {@code serve}: runs a controller until it is killed or, with the standby enabled, shut down gracefully by SIGTERM. */
 @Command(name = "serve", description = "Run a controller until it is killed.", mixinStandardHelpOptions = true)
 final class ServeCommand implements Callable<Integer> {
-    /** What a stop waits for at most: a round, an heir and the lease, with room for a slow state service. */
+    /**
+     * Maximum duration of a graceful shutdown. It covers the write in flight, the handover to a successor and the release of the lease, with a
+     * margin for a slow store.
+     */
     private static final long SHUTDOWN_LIMIT_MICROS = 2_000_000;
 
     @Option(names = "--config", required = true, paramLabel = "FILE", description = "the platform's settings (TOML)")
@@ -25,12 +28,12 @@
         if (loaded == null) {
             return Main.EXIT_SETTINGS;
         }
-        try (ControllerServer node = new ControllerServer(loaded.settings(), loaded.tuning())) {
-            node.start();
+        try (ControllerServer server = new ControllerServer(loaded.settings(), loaded.tuning())) {
+            server.start();
             if (loaded.tuning().standbyEnabled()) {
-                Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(node), "end"));
+                Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(server), "end"));
             }
-            node.awaitTermination();
+            server.awaitTermination();
             return 0;
         } catch (IllegalStateException e) {
             System.err.println(config + ": " + e.getMessage());
@@ -38,9 +41,9 @@
         }
     }
 
-    private static void shutDown(ControllerServer node) {
+    private static void shutDown(ControllerServer server) {
         try {
-            node.shutDown(SHUTDOWN_LIMIT_MICROS);
+            server.shutDown(SHUTDOWN_LIMIT_MICROS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/io/micatide/cli/SettingsFiles.java
+++ b/src/main/java/io/micatide/cli/SettingsFiles.java
@@ -9,15 +9,15 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The files that {@code serve} and {@code check} read, and how they complain. */
+/** Loads the settings files that a command names, and prints errors in them to standard error. */
 final class SettingsFiles {
     @Option(names = "--tuning", paramLabel = "FILE", description = "the operator's own settings (TOML)")
     private Path tuningFile;
 
-    /** What was read. */
+    /** The settings that were read; the tuning has default values when no tuning file is given. */
     record Loaded(Settings settings, Tuning tuning) {}
 
-    /** Both files, or null after one line on standard error that names file and field. */
+    /** Returns the contents of both files, or null after printing one line to standard error that names the invalid file and field. */
     Loaded load(Path config) {
         Path file = config;
         try {
--- a/src/main/java/io/micatide/cli/SnapshotCommand.java
+++ b/src/main/java/io/micatide/cli/SnapshotCommand.java
@@ -16,21 +16,22 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Saves what the state service holds, checks what was saved, and restores it. */
+/** The command {@code snapshot}: saves the contents of the store to a file, shows or verifies the file, and restores it. */
 @Command(
         name = "snapshot",
         description = "Save, show, verify or restore what the state service holds.",
         mixinStandardHelpOptions = true)
 final class SnapshotCommand {
-    /** A snapshot that is not sound, cannot be taken or cannot be restored ends a command with this code. */
+    /** Exit code when a snapshot is invalid, or cannot be taken or restored. */
     private static final int EXIT_SNAPSHOT = 3;
 
+    /** Divisor of the rate allowed by the settings that gives the default rate of requests. */
     private static final int RATE_DIVISOR = 10;
 
     @Mixin
     private SettingsFiles files;
 
-    /** What a command does. */
+    /** What a subcommand does. */
     @FunctionalInterface
     private interface SnapshotOperation {
         void run() throws SnapshotException, IOException;
@@ -118,19 +119,21 @@
                 });
     }
 
+    /** Returns the settings, or null when they are invalid and the error has been printed. */
     private Settings settings(Path config) {
         SettingsFiles.Loaded loaded = files.load(config);
         return loaded == null ? null : loaded.settings();
     }
 
-    private static double rate(Double asked, Settings settings) {
-        return asked != null
-                ? asked
+    /** Returns the requested rate in requests a second or, when none is given, the default, which is at least 1. */
+    private static double rate(Double requestedRate, Settings settings) {
+        return requestedRate != null
+                ? requestedRate
                 : Math.max(
-                        1,
-                        Math.min(settings.storeRequestsPerSecond(), settings.storeWritesPerSecond()) / RATE_DIVISOR);
+                        1, Math.min(settings.storeRequestsPerSecond(), settings.storeWritesPerSecond()) / RATE_DIVISOR);
     }
 
+    /** Returns the bytes of the given key file, or null when no key is given. */
     private static byte[] readKey(Path key) throws SnapshotException, IOException {
         if (key == null) {
             return null;
@@ -148,9 +151,10 @@
         summary.counts().forEach((prefix, count) -> System.out.println("  " + prefix + " " + count));
     }
 
-    private static int exitCodeOf(SnapshotOperation work) {
+    /** Runs the given operation, prints its error if it fails, and returns the exit code of the command. */
+    private static int exitCodeOf(SnapshotOperation operation) {
         try {
-            work.run();
+            operation.run();
             return 0;
         } catch (SnapshotException e) {
             System.err.println(e.getMessage());
--- a/src/main/java/io/micatide/cli/WarmUp.java
+++ b/src/main/java/io/micatide/cli/WarmUp.java
@@ -22,16 +22,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A short life of a controller on loopback against canned answers: it claims, takes a job, answers a worker and rents.
- * Its only use is that the classes of the ordinary path get loaded.
+ * Runs a controller on loopback for a short time against canned answers: it becomes leader, accepts a job, answers a heartbeat and rents machines.
+ * The only purpose is to load the classes that normal operation needs.
  */
 final class WarmUp {
+    /** Time limit of a request to the controller. */
     private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
-    /** Whether the controller has claimed the lead. */
+    /** Whether the controller has sent the transaction that claims leadership. */
     private static volatile boolean hasClaimedLeadership;
 
     private WarmUp() {}
 
+    /** Runs the warm-up and returns the exit code: 1 when the controller did not claim leadership, else 0. */
     static int run() throws InterruptedException, MalformedException {
         int[] ports = freePorts(4);
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -44,12 +46,13 @@
                     .replace("@peer@", "127.0.0.1:" + ports[2])
                     .replace("@sibling@", "127.0.0.1:" + ports[2])
                     .replace("@services@", "127.0.0.1:" + ports[0]);
-            Settings parsed = SettingsReader.parse(settings);
-            try (ControllerServer node = new ControllerServer(
-                    parsed, TuningReader.parse("idle_s = 20.0\nstandby = true\nrollout = true", parsed))) {
-                node.start();
+            Settings parsedSettings = SettingsReader.parse(settings);
+            try (ControllerServer server = new ControllerServer(
+                    parsedSettings,
+                    TuningReader.parse("idle_s = 20.0\nstandby = true\nrollout = true", parsedSettings))) {
+                server.start();
                 HttpClient client = new HttpClient(group.next(), "127.0.0.1:" + ports[1], 1);
-                for (int round = 0; round < 8; round++) {
+                for (int iteration = 0; iteration < 8; iteration++) {
                     sendAndAwait(group, client, "/healthz", null);
                     sendAndAwait(group, client, "/v1/jobs", resource("/warm-up-job.json"));
                     sendAndAwait(
@@ -66,7 +69,7 @@
                             group,
                             client,
                             "/v1/report",
-                            resource("/warm-up-report.json").replace("@tally@", String.valueOf(round + 1)));
+                            resource("/warm-up-report.json").replace("@tally@", String.valueOf(iteration + 1)));
                     TimeUnit.MILLISECONDS.sleep(150);
                 }
             }
@@ -81,20 +84,22 @@
         return 0;
     }
 
+    /** Sends a GET, or a POST when a body is given, and waits for the answer for at most 3 s. */
     private static void sendAndAwait(EventLoopGroup group, HttpClient client, String path, String body)
             throws InterruptedException {
         CountDownLatch answered = new CountDownLatch(1);
         group.next().execute(() -> {
-            java.util.function.Consumer<Reply> then = reply -> answered.countDown();
+            java.util.function.Consumer<Reply> callback = reply -> answered.countDown();
             if (body == null) {
-                client.get(path, REQUEST_TIMEOUT_MICROS, then);
+                client.get(path, REQUEST_TIMEOUT_MICROS, callback);
             } else {
-                client.post(path, body.getBytes(StandardCharsets.UTF_8), REQUEST_TIMEOUT_MICROS, then);
+                client.post(path, body.getBytes(StandardCharsets.UTF_8), REQUEST_TIMEOUT_MICROS, callback);
             }
         });
         answered.await(3, TimeUnit.SECONDS);
     }
 
+    /** Answers a request of the controller to the store or cloud; a watch of changes to keys other than jobs stays without an answer. */
     private static void sendCannedAnswer(Request request) {
         String path = request.path();
         String body = "{\"ledger\":9}";
@@ -108,8 +113,8 @@
             return;
         }
         if (path.equals("/store/job/features")) {
-            // Without an answer that it can read it would not claim, and most of what a start needs would be loaded
-            // anew each time.
+            // Without a readable answer the controller would not claim leadership, and most classes that a start needs
+            // would be missing from the archive and be loaded from scratch at each start.
             body =
                     "{\"k\":\"job/features\",\"data\":{\"features\":{\"booking-fence\":\"ON\",\"learned\":\"ON\",\"returns\":\"ON\"}},\"stamp\":4}";
         } else if (path.startsWith("/store?starts=rollout")) {
@@ -143,6 +148,7 @@
         }
     }
 
+    /** Returns distinct ports that were free a moment ago: all are bound before any is released. */
     private static int[] freePorts(int count) {
         int[] ports = new int[count];
         ServerSocket[] sockets = new ServerSocket[count];
--- a/src/main/java/io/micatide/cli/WarmUpCommand.java
+++ b/src/main/java/io/micatide/cli/WarmUpCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Loads what a controller needs, so that the build can keep the loaded classes in an archive. */
+/** The command {@code warm-up}: loads the classes that a controller needs, so that the build can store them in a class data archive. */
 @Command(name = "warm-up", hidden = true)
 final class WarmUpCommand implements Callable<Integer> {
     @Override
