--- a/src/test/java/io/micatide/archive/ArchiveFailureTest.java
+++ b/src/test/java/io/micatide/archive/ArchiveFailureTest.java
@@ -16,33 +16,33 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The archive while controllers are killed between any two of its steps and answers are lost or late: every answer that a user ever
- * gets agrees with the ones before it and with where tasks ran, and what is stored in the end is what users were told.
+ * Tests the archive while controllers are killed between any two of its steps and responses are lost or late. Every answer to a user
+ * must agree with the earlier answers and with the tasks that ran, and the stored jobs must match the answers in the end.
  */
 class ArchiveFailureTest {
-    /** What is wrong with a day on which the controller that does this interaction with the state service is killed. */
-    private static List<String> killed(
+    /** Returns the violations of a run in which the controller of the given interaction with the store is killed (0: none is killed). */
+    private static List<String> violationsAfterKill(
             long seed,
             int interaction,
-            boolean afterwards,
+            boolean killAfterResponse,
             double losses,
             int valueBytes,
             int changes,
             Archiver.Factory factory) {
         try {
-            ArchiveScenario day = new ArchiveScenario(seed, valueBytes, changes, factory);
-            day.network.setLossRates(losses, losses);
-            day.killAfterwards = afterwards;
-            day.killAt = interaction;
-            day.users.busy(30);
-            day.users.settle();
-            new StoredJobs(day).check();
-            List<String> broken = new ArrayList<>(day.broken);
-            if (interaction > 0 && interaction <= 380 && day.kills == 0) {
-                broken.add("nothing was killed");
+            ArchiveScenario scenario = new ArchiveScenario(seed, valueBytes, changes, factory);
+            scenario.network.setLossRates(losses, losses);
+            scenario.killAfterResponse = killAfterResponse;
+            scenario.killAt = interaction;
+            scenario.users.runRequests(30);
+            scenario.users.awaitFinished();
+            new StoredJobs(scenario).check();
+            List<String> violations = new ArrayList<>(scenario.violations);
+            if (interaction > 0 && interaction <= 380 && scenario.kills == 0) {
+                violations.add("no controller was killed");
             }
-            return broken.stream()
-                    .map(each -> "seed " + seed + " interaction " + interaction + ": " + each)
+            return violations.stream()
+                    .map(violation -> "seed " + seed + " interaction " + interaction + ": " + violation)
                     .limit(5)
                     .toList();
         } catch (Exception e) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** At random points and between every two steps of a stretch: interactions until the kill, with lost and late requests. */
+    /** A controller is killed at a random interaction with the store, on networks with and without lost requests and responses. */
     @ParameterizedTest
     @CsvSource({
         "300, 0, 16384, 16",
@@ -59,11 +59,11 @@
         "200, 0.05, 2048, 5",
     })
     void recoversFromAKillAtARandomInteraction(int seeds, double losses, int valueBytes, int changes) {
-        // Outside CI: -Dhistory.seeds=100000.
-        List<String> broken = IntStream.range(0, Integer.getInteger("history.seeds", seeds))
+        // For longer runs outside CI: -Dhistory.seeds=100000.
+        List<String> violations = IntStream.range(0, Integer.getInteger("history.seeds", seeds))
                 .parallel()
                 .boxed()
-                .flatMap(seed -> killed(
+                .flatMap(seed -> violationsAfterKill(
                         seed,
                         60 + new Random(seed).nextInt(320),
                         seed % 2 == 0,
@@ -73,156 +73,162 @@
                         Archiver::new)
                         .stream())
                 .toList();
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
     }
 
-    /** Each interaction of one day, one after the other: what a controller asks of the state service while rows move. */
+    /** A controller is killed at each interaction with the store of one run in turn, while records are moved to the archive. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void recoversFromAKillAtEveryInteraction(boolean afterwards) {
-        List<String> broken = IntStream.rangeClosed(1, 380)
+    void recoversFromAKillAtEveryInteraction(boolean killAfterResponse) {
+        List<String> violations = IntStream.rangeClosed(1, 380)
                 .parallel()
                 .boxed()
-                .flatMap(at -> killed(11, at, afterwards, 0, 2048, 5, Archiver::new).stream())
+                .flatMap(at -> violationsAfterKill(11, at, killAfterResponse, 0, 2048, 5, Archiver::new).stream())
                 .toList();
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
     }
 
     /**
-     * Rows that a former version wrote without asking the archive: one of a job that was archived, which must not run again and
-     * whose user must not hear of it, and one of a new job, which must run. Such a write may arrive minutes after its sender ended.
+     * A previous version writes job records without consulting the archive, and such a write may arrive minutes after its sender ended.
+     * The record of an archived job must not make the job run again or change the answers to its user; the record of a new job must run.
      */
     @Test
-    void lateWritesOfAFormerVersionStartNoArchivedJob() throws Exception {
+    void lateWritesOfAPreviousVersionStartNoArchivedJob() throws Exception {
         for (int seed = 0; seed < 10; seed++) {
-            ArchiveScenario day = new ArchiveScenario(seed, 16384, 16, Archiver::new);
-            day.users.busy(20);
-            day.users.settle();
-            ArchiveUsers.Job old = day.users.jobs.values().stream()
-                    .filter(job -> "done".equals(job.end) && !day.state.values().containsKey("job/" + job.id))
+            ArchiveScenario scenario = new ArchiveScenario(seed, 16384, 16, Archiver::new);
+            scenario.users.runRequests(20);
+            scenario.users.awaitFinished();
+            ArchiveUsers.Job archived = scenario.users.jobs.values().stream()
+                    .filter(job -> "done".equals(job.finalState)
+                            && !scenario.store.values().containsKey("job/" + job.id))
                     .findFirst()
                     .orElseThrow();
-            ArchiveUsers.Job fresh = day.users.describe("wk-new" + seed);
-            fresh.accepted = true;
-            new StoredJobs(day).writeAsFormerVersion(old);
-            new StoredJobs(day).writeAsFormerVersion(fresh);
-            day.time.run(200 * Micros.MILLISECOND);
-            day.users.poll(old);
-            day.users.poll(fresh);
-            day.users.trySubmit(old);
-            day.time.run(20 * Micros.SECOND);
-            day.users.settle();
-            assertEquals(List.of(), day.broken, "seed " + seed);
-            assertEquals("done", fresh.end);
-            assertFalse(day.state.values().containsKey("job/" + old.id), "its row goes again");
+            ArchiveUsers.Job fresh = scenario.users.createJob("wk-new" + seed);
+            fresh.wasAccepted = true;
+            new StoredJobs(scenario).writeAsPreviousVersion(archived);
+            new StoredJobs(scenario).writeAsPreviousVersion(fresh);
+            scenario.time.run(200 * Micros.MILLISECOND);
+            scenario.users.poll(archived);
+            scenario.users.poll(fresh);
+            scenario.users.trySubmit(archived);
+            scenario.time.run(20 * Micros.SECOND);
+            scenario.users.awaitFinished();
+            assertEquals(List.of(), scenario.violations, "seed " + seed);
+            assertEquals("done", fresh.finalState);
+            assertFalse(
+                    scenario.store.values().containsKey("job/" + archived.id),
+                    "the record of the archived job was not deleted");
         }
     }
 
-    /** What earlier landings left in rows is taken in, and told as before, also to who submits it again or needs it. */
+    /**
+     * Finished jobs that earlier releases left as records are archived. Their users get the same answers as before, and jobs that await them
+     * are started or cancelled accordingly.
+     */
     @Test
     void archivesRecordsFromBeforeTheArchive() throws Exception {
-        ArchiveScenario day = new ArchiveScenario(3, 2048, 5, Archiver::new);
+        ArchiveScenario scenario = new ArchiveScenario(3, 2048, 5, Archiver::new);
         for (int i = 0; i < 400; i++) {
-            ArchiveUsers.Job job = day.users.describe(String.format("wk-old%04d", i));
-            job.accepted = true;
-            job.end = i % 3 == 0 ? "withdrawn" : "done";
-            job.cancelAsked = i % 3 == 0;
-            new StoredJobs(day).presetEnded(job);
+            ArchiveUsers.Job job = scenario.users.createJob(String.format("wk-old%04d", i));
+            job.wasAccepted = true;
+            job.finalState = i % 3 == 0 ? "withdrawn" : "done";
+            job.wasCancelRequested = i % 3 == 0;
+            new StoredJobs(scenario).presetFinished(job);
         }
-        day.users.busy(20);
-        day.time.run(60 * Micros.SECOND);
-        ArchiveUsers.Job after = day.users.submit(1, 5, List.of("wk-old0001", "wk-old0002"));
-        ArchiveUsers.Job never = day.users.submit(1, 5, List.of("wk-old0003"));
-        day.users.settle();
-        new StoredJobs(day).check();
-        assertEquals(List.of(), day.broken);
-        assertEquals("done", after.end);
-        assertEquals("withdrawn", never.end);
+        scenario.users.runRequests(20);
+        scenario.time.run(60 * Micros.SECOND);
+        ArchiveUsers.Job startable = scenario.users.submit(1, 5, List.of("wk-old0001", "wk-old0002"));
+        ArchiveUsers.Job unstartable = scenario.users.submit(1, 5, List.of("wk-old0003"));
+        scenario.users.awaitFinished();
+        new StoredJobs(scenario).check();
+        assertEquals(List.of(), scenario.violations);
+        assertEquals("done", startable.finalState);
+        assertEquals("withdrawn", unstartable.finalState);
     }
 
-    /** A value that is not what was written is answered 503, never 404, and the jobs beside it are answered as before. */
+    /** Jobs in a damaged segment are answered 503, never 404; jobs in other segments are answered as before. */
     @Test
     void damagedSegmentIsNotAnUnknownJob() throws Exception {
-        ArchiveScenario day = new ArchiveScenario(5, 16384, 16, Archiver::new);
-        day.users.busy(30);
-        day.users.settle();
-        List<String> segments = day.state.values().keySet().stream()
+        ArchiveScenario scenario = new ArchiveScenario(5, 16384, 16, Archiver::new);
+        scenario.users.runRequests(30);
+        scenario.users.awaitFinished();
+        List<String> segments = scenario.store.values().keySet().stream()
                 .filter(key -> key.startsWith(StoreKeys.ARCHIVE_SEGMENTS))
                 .toList();
-        new StoredJobs(day).damage(segments.get(0));
+        new StoredJobs(scenario).damage(segments.get(0));
         for (int i = 0; i < 3; i++) {
-            day.kill(i, 1);
+            scenario.kill(i, 1);
         }
-        day.time.run(15 * Micros.SECOND);
+        scenario.time.run(15 * Micros.SECOND);
         int unavailable = 0;
-        int told = 0;
-        for (ArchiveUsers.Job job : List.copyOf(day.users.jobs.values())) {
-            int status = day.users.status(job);
+        int answered = 0;
+        for (ArchiveUsers.Job job : List.copyOf(scenario.users.jobs.values())) {
+            int status = scenario.users.status(job);
             assertTrue(status == 200 || status == 503, job.id + " " + status);
             unavailable += status == 503 ? 1 : 0;
-            told += status == 200 ? 1 : 0;
+            answered += status == 200 ? 1 : 0;
         }
-        assertTrue(unavailable > 0 && told > 0, unavailable + " and " + told);
-        assertEquals(List.of(), day.broken);
+        assertTrue(unavailable > 0 && answered > 0, unavailable + " and " + answered);
+        assertEquals(List.of(), scenario.violations);
     }
 
-    /** Controllers end one after the other, also all at once, while rows move. */
+    /** Controllers are killed one after the other or all at once while records are moved to the archive. */
     @Test
     void recoversFromManyKills() {
-        List<String> broken = LongStream.range(0, 40)
+        List<String> violations = LongStream.range(0, 40)
                 .parallel()
                 .boxed()
                 .flatMap(seed -> {
-                    ArchiveScenario day = new ArchiveScenario(seed, 4096, 8, Archiver::new);
+                    ArchiveScenario scenario = new ArchiveScenario(seed, 4096, 8, Archiver::new);
                     Random random = new Random(seed);
-                    day.network.setLossRates(0.01, 0.005);
+                    scenario.network.setLossRates(0.01, 0.005);
                     for (int round = 0; round < 8; round++) {
-                        day.users.busy(6);
+                        scenario.users.runRequests(6);
                         for (int i = 0; i < 3; i++) {
                             if (random.nextInt(3) == 0) {
-                                day.kill(i, 1 + random.nextInt(4));
+                                scenario.kill(i, 1 + random.nextInt(4));
                             }
                         }
                     }
-                    day.users.settle();
+                    scenario.users.awaitFinished();
                     try {
-                        new StoredJobs(day).check();
+                        new StoredJobs(scenario).check();
                     } catch (Exception e) {
                         throw new IllegalStateException(e);
                     }
-                    return day.broken.stream().map(each -> "seed " + seed + ": " + each);
+                    return scenario.violations.stream().map(violation -> "seed " + seed + ": " + violation);
                 })
                 .limit(10)
                 .toList();
-        assertEquals(List.of(), broken);
+        assertEquals(List.of(), violations);
     }
 
-    /** One seed, one day: otherwise a failure found could not be looked at again. */
+    /** Two runs with the same seed do the same; otherwise a failure could not be reproduced. */
     @Test
-    void sameSeedGivesTheSameDay() {
-        List<Integer> first = new ArrayList<>();
+    void sameSeedGivesTheSameRun() {
+        List<Integer> counts = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            ArchiveScenario day = new ArchiveScenario(7, 2048, 5, Archiver::new);
-            day.network.setLossRates(0.02, 0.02);
-            day.killAt = 400;
-            day.users.busy(30);
-            first.add(day.interactions);
-            first.add((int) day.state.changeCount());
+            ArchiveScenario scenario = new ArchiveScenario(7, 2048, 5, Archiver::new);
+            scenario.network.setLossRates(0.02, 0.02);
+            scenario.killAt = 400;
+            scenario.users.runRequests(30);
+            counts.add(scenario.interactions);
+            counts.add((int) scenario.store.changeCount());
         }
-        assertEquals(first.subList(0, 2), first.subList(2, 4));
+        assertEquals(counts.subList(0, 2), counts.subList(2, 4));
     }
 
-    /** The guard of the order of two writes: with it taken out, jobs that users were told of are lost. */
+    /** Checks that the test finds the loss of jobs when records are deleted before they are archived, by removing that guard. */
     @Test
     void deletingRecordsBeforeTheyAreArchivedLosesJobs() {
-        Archiver.Factory hasty =
+        Archiver.Factory withoutGuard =
                 (fencingToken, limits, manifest, version) -> new Archiver(fencingToken, limits, manifest, version) {
                     @Override
                     boolean isRecordRemovable(String id, long copyOfVersion) {
                         return id.hashCode() % 4 == 0;
                     }
                 };
-        assertFalse(killed(1, 0, false, 0, 16384, 16, hasty).isEmpty());
-        assertTrue(killed(1, 0, false, 0, 16384, 16, Archiver::new).isEmpty());
+        assertFalse(violationsAfterKill(1, 0, false, 0, 16384, 16, withoutGuard).isEmpty());
+        assertTrue(violationsAfterKill(1, 0, false, 0, 16384, 16, Archiver::new).isEmpty());
     }
 }
--- a/src/test/java/io/micatide/archive/ArchiveScenario.java
+++ b/src/test/java/io/micatide/archive/ArchiveScenario.java
@@ -26,9 +26,9 @@
 import java.util.Set;
 
 /**
- * A short day of the whole service in virtual time, with small batches so that jobs are archived all the time: {@link ArchiveUsers} submit,
- * cancel, poll and submit again long after, controllers are killed. What users are told, where tasks run and what {@link StoredJobs} finds
- * is held against the invariants.
+ * A short run of the whole service in virtual time, with small batches so that jobs are archived all the time. {@link ArchiveUsers} submit,
+ * cancel and poll jobs and submit them again long after; controllers are killed. The answers to users, the tasks that run and the jobs that
+ * {@link StoredJobs} finds are checked against the invariants.
  */
 public final class ArchiveScenario {
     static final MachineType TYPE =
@@ -38,17 +38,17 @@
     final VirtualTime time = new VirtualTime();
     final Random random;
     final VirtualNetwork network;
-    final SimulatedStore state;
-    final List<String> broken = new ArrayList<>();
+    final SimulatedStore store;
+    final List<String> violations = new ArrayList<>();
     final List<VirtualTime.Process> processes = new ArrayList<>();
     int kills;
     int interactions;
-    /** The interaction with the state service at which its controller is killed; 0: never. */
+    /** Number of the interaction with the store at which the calling controller is killed; 0: never. */
     int killAt;
-    /** Whether what is killed had its request carried out already. */
-    boolean killAfterwards;
+    /** Whether the controller is killed when the store has executed the request, not when the request is sent. */
+    boolean killAfterResponse;
 
-    final VirtualTime.Process world = time.new Process();
+    final VirtualTime.Process environment = time.new Process();
     final ArchiveUsers users = new ArchiveUsers(this);
     final Set<String> finished = new HashSet<>();
     private final SimulatedCloud cloud;
@@ -62,22 +62,27 @@
         this(seed, valueBytes, changes, factory, true);
     }
 
-    /** A state service, a cloud and a network, and nobody there yet. */
+    /** Returns a scenario with a store, a cloud and a network, in which no controller has been started. */
     static ArchiveScenario withoutControllers(long seed, int valueBytes, int changes) {
         return new ArchiveScenario(seed, valueBytes, changes, Archiver::new, false);
     }
 
-    /** An ordinary day from a seed, on a network that the recorder hears. */
-    public static void play(long seed, VirtualNetwork.Recorder recorder) {
-        ArchiveScenario day = new ArchiveScenario(seed, 2048, 5, Archiver::new);
-        day.network.record(recorder);
-        day.users.busy(30);
-        day.time.run(30 * Micros.SECOND);
+    /**
+     * Runs a scenario without injected failures and records its network traffic.
+     *
+     * @param seed the seed of the scenario
+     * @param recorder receives the traffic of the network
+     */
+    public static void runRecorded(long seed, VirtualNetwork.Recorder recorder) {
+        ArchiveScenario scenario = new ArchiveScenario(seed, 2048, 5, Archiver::new);
+        scenario.network.record(recorder);
+        scenario.users.runRequests(30);
+        scenario.time.run(30 * Micros.SECOND);
     }
 
-    /** The controllers start with what is stored; users know what they were told by another service. */
-    void goesOnAs(ArchiveScenario other) {
-        users.goOnAs(other.users);
+    /** Starts the controllers on the stored records; users keep the answers that they got in the given scenario. */
+    void startControllersAfter(ArchiveScenario other) {
+        users.copyKnowledge(other.users);
         finished.addAll(other.finished);
         for (int i = 0; i < CONTROLLERS; i++) {
             boot(i);
@@ -85,45 +90,45 @@
         time.run(5 * Micros.SECOND);
     }
 
-    private ArchiveScenario(long seed, int valueBytes, int changes, Archiver.Factory factory, boolean controllers) {
-
+    private ArchiveScenario(
+            long seed, int valueBytes, int changes, Archiver.Factory factory, boolean startsControllers) {
         this.random = new Random(seed);
         this.valueBytes = valueBytes;
         this.changes = changes;
         this.factory = factory;
         network = new VirtualNetwork(time, random);
-        state = new SimulatedStore(world, new SimulatedStore.Limits(400, 120, valueBytes, changes));
-        cloud = new SimulatedCloud(world, List.of(TYPE), 6, this::up, name -> {
+        store = new SimulatedStore(environment, new SimulatedStore.Limits(400, 120, valueBytes, changes));
+        cloud = new SimulatedCloud(environment, List.of(TYPE), 6, this::startWorker, name -> {
             if (workers.containsKey(name)) {
                 workers.remove(name).delete();
             }
         });
-        network.listen("state", world, state::handle);
-        network.listen("cloud", world, cloud::handle);
+        network.listen("state", environment, store::handle);
+        network.listen("cloud", environment, cloud::handle);
         network.observe(new VirtualNetwork.Observer() {
             @Override
             public void requestSent(VirtualTime.Process from, String endpoint, String path) {
-                if (endpoint.equals("state") && !killAfterwards) {
-                    interaction(from);
+                if (endpoint.equals("state") && !killAfterResponse) {
+                    countInteraction(from);
                 }
             }
 
             @Override
             public void responseSent(VirtualTime.Process from, String endpoint, String path) {
-                if (endpoint.equals("state") && killAfterwards) {
-                    interaction(from);
+                if (endpoint.equals("state") && killAfterResponse) {
+                    countInteraction(from);
                 }
             }
         });
         for (int i = 0; i < CONTROLLERS; i++) {
             processes.add(null);
-            if (controllers) {
+            if (startsControllers) {
                 boot(i);
             }
         }
     }
 
-    private void interaction(VirtualTime.Process from) {
+    private void countInteraction(VirtualTime.Process from) {
         if (++interactions == killAt && processes.contains(from)) {
             kill(processes.indexOf(from), 1 + random.nextInt(5));
         }
@@ -132,10 +137,10 @@
     private Settings settings(int number) {
         Map<String, Team> teams = new LinkedHashMap<>();
         teams.put("blue", new Team("blue", 0, 0, 0, 0));
-        List<Settings.Peer> siblings = new ArrayList<>();
+        List<Settings.Peer> peers = new ArrayList<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             if (i != number) {
-                siblings.add(new Settings.Peer("c" + i, "a", "p" + i));
+                peers.add(new Settings.Peer("c" + i, "a", "p" + i));
             }
         }
         return new Settings(
@@ -143,7 +148,7 @@
                 "a",
                 "c" + number,
                 "p" + number,
-                siblings,
+                peers,
                 "cloud",
                 "state",
                 List.of("a", "b"),
@@ -176,7 +181,7 @@
                 settings,
                 new Tuning(defaults.leaderLeaseMicros(), 60 * Micros.SECOND, true, 4, false, false, true),
                 process,
-                (endpoint, most) -> network.from(process, endpoint),
+                (endpoint, maxConnections) -> network.from(process, endpoint),
                 ControllerComponents.withArchiver(factory));
         network.listen("c" + number, process, controller::handleRequest);
         network.listen("p" + number, process, controller::handlePeerRequest);
@@ -196,35 +201,35 @@
 
     // ---- workers
 
-    private void up(SimulatedCloud.RentedMachine machine) {
+    private void startWorker(SimulatedCloud.RentedMachine machine) {
         Map<String, Http> controllers = new LinkedHashMap<>();
         for (int i = 0; i < CONTROLLERS; i++) {
-            controllers.put("c" + i, network.from(world, "c" + i));
+            controllers.put("c" + i, network.from(environment, "c" + i));
         }
         SimulatedWorker worker = new SimulatedWorker(
-                world,
+                environment,
                 settings(0),
                 machine,
                 controllers,
-                users::described,
-                new GangRendezvous(world, settings(0)),
+                users::submittedSpec,
+                new GangRendezvous(environment, settings(0)),
                 new SimulatedWorker.Witness() {
                     @Override
                     public void taskStarted(String task, long attempt, String name) {
                         String other = running.putIfAbsent(task, name);
                         if (other != null) {
-                            broken.add("ran_twice " + task + " on " + other + " and " + name);
+                            violations.add("ran_twice " + task + " on " + other + " and " + name);
                         }
                         ArchiveUsers.Job job = users.jobs.get(task.substring(0, task.indexOf('/')));
                         for (String need : job.needs) {
                             for (int i = 0; i < users.jobs.get(need).tasks; i++) {
                                 if (!finished.contains(need + "/" + i)) {
-                                    broken.add("too_early " + task + " before " + need);
+                                    violations.add("too_early " + task + " before " + need);
                                 }
                             }
                         }
-                        if (finished.contains(task) && "done".equals(job.end)) {
-                            broken.add("ran again " + task);
+                        if (finished.contains(task) && "done".equals(job.finalState)) {
+                            violations.add("ran again after it was done " + task);
                         }
                     }
 
--- a/src/test/java/io/micatide/archive/ArchiveUsers.java
+++ b/src/test/java/io/micatide/archive/ArchiveUsers.java
@@ -18,17 +18,17 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Users of an {@link ArchiveScenario}: what they ask, what they are told, and whether that agrees with what they were told before. */
+/** Users of an {@link ArchiveScenario}: sends their requests and checks that each answer agrees with the earlier answers. */
 final class ArchiveUsers {
-    /** What a job's user knows. */
+    /** What the user of a job knows about it. */
     static final class Job {
         final String id;
         final List<String> needs;
         final int tasks;
-        boolean accepted;
-        boolean cancelAsked;
-        String last;
-        String end;
+        boolean wasAccepted;
+        boolean wasCancelRequested;
+        String lastAnsweredState;
+        String finalState;
 
         Job(String id, List<String> needs, int tasks) {
             this.id = id;
@@ -37,18 +37,18 @@
         }
     }
 
-    private final ArchiveScenario day;
+    private final ArchiveScenario scenario;
     private final VirtualTime.Process process;
     final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, byte[]> submitted = new HashMap<>();
-    private final Set<String> unknownAsked = new LinkedHashSet<>();
+    private final Set<String> neverSubmittedIds = new LinkedHashSet<>();
 
-    ArchiveUsers(ArchiveScenario day) {
-        this.day = day;
-        this.process = day.time.new Process();
+    ArchiveUsers(ArchiveScenario scenario) {
+        this.scenario = scenario;
+        this.process = scenario.time.new Process();
     }
 
-    long wall() {
+    long wallClockMicros() {
         return process.wallClockMicros();
     }
 
@@ -56,15 +56,15 @@
         return submitted.get(job.id);
     }
 
-    /** Users know what they were told by another service. */
-    void goOnAs(ArchiveUsers other) {
+    /** Takes over the jobs and the answers that the users of another scenario got. */
+    void copyKnowledge(ArchiveUsers other) {
         jobs.putAll(other.jobs);
         submitted.putAll(other.submitted);
-        unknownAsked.addAll(other.unknownAsked);
+        neverSubmittedIds.addAll(other.neverSubmittedIds);
     }
 
-    /** The specification of a job as it was submitted, null if it is not known. */
-    JobSpec described(String id) {
+    /** Returns the specification of a job as it was submitted, or null if the job is unknown. */
+    JobSpec submittedSpec(String id) {
         byte[] body = submitted.get(id);
         try {
             return body == null
@@ -77,26 +77,26 @@
     }
 
     private Http anyController() {
-        return day.network.from(process, "c" + day.random.nextInt(ArchiveScenario.CONTROLLERS));
+        return scenario.network.from(process, "c" + scenario.random.nextInt(ArchiveScenario.CONTROLLERS));
     }
 
-    /** Submits a job, again until it is told; its id is drawn so that ids come in no order. */
-    Job submit(int tasks, int tenths, List<String> needs) {
+    /** Submits a job and retries until it is answered. The id is random, so that ids are not in the order of submission. */
+    Job submit(int tasks, int runtimeTenths, List<String> needs) {
         String id;
         do {
-            id = String.format("wk-%06d", day.random.nextInt(1_000_000));
-        } while (jobs.containsKey(id) || unknownAsked.contains(id));
-        Job job = describe(id, tasks, tenths, needs);
+            id = String.format("wk-%06d", scenario.random.nextInt(1_000_000));
+        } while (jobs.containsKey(id) || neverSubmittedIds.contains(id));
+        Job job = createJob(id, tasks, runtimeTenths, needs);
         trySubmit(job);
         return job;
     }
 
-    /** A job of one short task that nobody submits. */
-    Job describe(String id) {
-        return describe(id, 1, 5, List.of());
+    /** Creates a job of one short task without submitting it. */
+    Job createJob(String id) {
+        return createJob(id, 1, 5, List.of());
     }
 
-    private Job describe(String id, int tasks, int tenths, List<String> needs) {
+    private Job createJob(String id, int tasks, int runtimeTenths, List<String> needs) {
         Job job = new Job(id, needs, tasks);
         jobs.put(id, job);
         String awaits = needs.isEmpty() ? "" : ",\"awaits\":[\"" + String.join("\",\"", needs) + "\"]";
@@ -106,33 +106,33 @@
                                 + "\"legs\":" + tasks
                                 + ",\"cpus\":1.0,\"cards\":0.0,\"memGb\":1.0,\"kit\":\"i\",\"sizeGb\":0.0,\"builds\":null,"
                                 + "\"ground\":null,\"samePlace\":false,\"scatter\":false,\"loaners\":true,\"runtimeS\":"
-                                + tenths / 10.0
+                                + runtimeTenths / 10.0
                                 + ",\"halftimeS\":0.0,\"stowS\":0.0,\"whistleS\":null" + awaits + "}")
                         .getBytes(StandardCharsets.UTF_8));
         return job;
     }
 
-    /** What a poll of a job is answered with. */
+    /** Returns the status code with which a poll of the given job is answered. */
     int status(Job job) {
         int[] status = new int[1];
         anyController().get("/v1/jobs/" + job.id, 2 * Micros.SECOND, reply -> status[0] = reply.status());
-        day.time.run(300 * Micros.MILLISECOND);
+        scenario.time.run(300 * Micros.MILLISECOND);
         return status[0];
     }
 
-    /** Also long after the job is over. */
+    /** Submits the given job and retries until it is answered; the job may have finished long before. */
     void trySubmit(Job job) {
-        boolean before = job.accepted;
-        String end = job.end;
+        boolean wasAccepted = job.wasAccepted;
+        String finalState = job.finalState;
         anyController().post("/v1/jobs", submitted.get(job.id), 5 * Micros.SECOND, reply -> {
             if (reply.status() == 200 || reply.status() == 201) {
-                job.accepted = true;
-                told(job, end, reply);
-                if (reply.status() == 201 && before) {
-                    day.broken.add("accepted anew " + job.id);
+                job.wasAccepted = true;
+                checkAnswer(job, finalState, reply);
+                if (reply.status() == 201 && wasAccepted) {
+                    scenario.violations.add("accepted again as a new job " + job.id);
                 }
             } else if (reply.status() == 400 || reply.status() == 422) {
-                day.broken.add((before ? "forgotten " : "refused ") + job.id + " " + reply.status());
+                scenario.violations.add((wasAccepted ? "forgotten " : "refused ") + job.id + " " + reply.status());
             } else {
                 process.executeLater(() -> trySubmit(job), Micros.SECOND);
             }
@@ -140,14 +140,14 @@
     }
 
     void cancel(Job job) {
-        job.cancelAsked = true;
-        boolean accepted = job.accepted;
-        String end = job.end;
+        job.wasCancelRequested = true;
+        boolean wasAccepted = job.wasAccepted;
+        String finalState = job.finalState;
         anyController().post("/v1/jobs/" + job.id + "/abort", new byte[0], 5 * Micros.SECOND, reply -> {
             if (reply.ok()) {
-                told(job, end, reply);
-            } else if (reply.status() == 404 && accepted) {
-                day.broken.add("forgotten by abort " + job.id);
+                checkAnswer(job, finalState, reply);
+            } else if (reply.status() == 404 && wasAccepted) {
+                scenario.violations.add("forgotten by abort " + job.id);
             } else if (reply.status() != 404) {
                 process.executeLater(() -> cancel(job), Micros.SECOND);
             }
@@ -155,140 +155,146 @@
     }
 
     void poll(Job job) {
-        boolean accepted = job.accepted;
-        String end = job.end;
+        boolean wasAccepted = job.wasAccepted;
+        String finalState = job.finalState;
         anyController().get("/v1/jobs/" + job.id, 2 * Micros.SECOND, reply -> {
             if (reply.ok()) {
-                told(job, end, reply);
-            } else if (reply.status() == 404 && accepted) {
-                day.broken.add("forgotten " + job.id + " told before: " + end);
+                checkAnswer(job, finalState, reply);
+            } else if (reply.status() == 404 && wasAccepted) {
+                scenario.violations.add("forgotten " + job.id + " answered before: " + finalState);
             }
         });
     }
 
-    /** An id that nobody submits. */
+    /** Polls an id that is never submitted. */
     void pollUnknown() {
-        String id = String.format("wk-%06d", day.random.nextInt(1_000_000));
+        String id = String.format("wk-%06d", scenario.random.nextInt(1_000_000));
         if (jobs.containsKey(id)) {
             return;
         }
-        unknownAsked.add(id);
+        neverSubmittedIds.add(id);
         anyController().get("/v1/jobs/" + id, 2 * Micros.SECOND, reply -> {
             if (reply.ok()) {
-                day.broken.add("invented " + id);
+                scenario.violations.add("invented " + id);
             }
         });
     }
 
-    /** @param endBefore the end that the user had been told when they asked: answers on their way may overtake each other */
-    private void told(Job job, String endBefore, Reply reply) {
-        JsonNode said;
+    /**
+     * Checks an answer against the earlier answers and the tasks that ran.
+     *
+     * @param finalStateBefore the final state that the user knew when the request was sent, or null; answers in flight may overtake each other
+     */
+    private void checkAnswer(Job job, String finalStateBefore, Reply reply) {
+        JsonNode answer;
         try {
-            said = Json.tree(reply.body());
+            answer = Json.tree(reply.body());
         } catch (MalformedException e) {
             throw new IllegalStateException(e);
         }
-        String standing = said.path("standing").asText();
-        job.last = standing;
-        boolean over = standing.equals("done") || standing.equals("withdrawn");
-        if ((endBefore != null && !endBefore.equals(standing))
-                || (over && job.end != null && !job.end.equals(standing))) {
-            day.broken.add("went_back " + job.id + " from " + job.end + " to " + standing);
+        String state = answer.path("standing").asText();
+        job.lastAnsweredState = state;
+        boolean isFinished = state.equals("done") || state.equals("withdrawn");
+        if ((finalStateBefore != null && !finalStateBefore.equals(state))
+                || (isFinished && job.finalState != null && !job.finalState.equals(state))) {
+            scenario.violations.add("went_back " + job.id + " from " + job.finalState + " to " + state);
         }
-        if (over) {
-            job.end = standing;
+        if (isFinished) {
+            job.finalState = state;
         }
-        if (standing.equals("done")) {
+        if (state.equals("done")) {
             for (int i = 0; i < job.tasks; i++) {
-                if (!day.finished.contains(job.id + "/" + i)) {
-                    day.broken.add("not_done " + job.id + "/" + i);
+                if (!scenario.finished.contains(job.id + "/" + i)) {
+                    scenario.violations.add("not_done " + job.id + "/" + i);
                 }
             }
-            if (said.has("done") && said.path("done").asInt() != job.tasks) {
-                day.broken.add("counts " + job.id + " " + said);
+            if (answer.has("done") && answer.path("done").asInt() != job.tasks) {
+                scenario.violations.add("wrong count of tasks " + job.id + " " + answer);
             }
         }
-        if (standing.equals("withdrawn") && !mayBeWithdrawn(job)) {
-            day.broken.add("withdrawn by nobody " + job.id);
+        if (state.equals("withdrawn") && !mayBeCancelled(job)) {
+            scenario.violations.add("withdrawn without a cancellation " + job.id);
         }
     }
 
-    private boolean mayBeWithdrawn(Job job) {
-        return job.cancelAsked || job.needs.stream().anyMatch(need -> mayBeWithdrawn(jobs.get(need)));
+    private boolean mayBeCancelled(Job job) {
+        return job.wasCancelRequested || job.needs.stream().anyMatch(need -> mayBeCancelled(jobs.get(need)));
     }
 
-    /** Everybody does what they do for so long. */
-    void busy(int seconds) {
+    /** Submits, cancels and polls jobs for the given time while virtual time passes. */
+    void runRequests(int seconds) {
         for (int second = 0; second < seconds; second++) {
-            for (int i = day.random.nextInt(3); i > 0; i--) {
+            for (int i = scenario.random.nextInt(3); i > 0; i--) {
                 List<String> needs = new ArrayList<>();
                 List<Job> known =
-                        jobs.values().stream().filter(job -> job.accepted).toList();
-                if (!known.isEmpty() && day.random.nextInt(4) == 0) {
-                    needs.add(known.get(day.random.nextInt(known.size())).id);
+                        jobs.values().stream().filter(job -> job.wasAccepted).toList();
+                if (!known.isEmpty() && scenario.random.nextInt(4) == 0) {
+                    needs.add(known.get(scenario.random.nextInt(known.size())).id);
                 }
-                Job job = submit(1 + day.random.nextInt(2), 1 + day.random.nextInt(12), needs);
-                if (day.random.nextInt(5) == 0) {
-                    process.executeLater(() -> cancel(job), day.random.nextInt(4_000) * Micros.MILLISECOND);
+                Job job = submit(1 + scenario.random.nextInt(2), 1 + scenario.random.nextInt(12), needs);
+                if (scenario.random.nextInt(5) == 0) {
+                    process.executeLater(() -> cancel(job), scenario.random.nextInt(4_000) * Micros.MILLISECOND);
                 }
             }
             List<Job> all = List.copyOf(jobs.values());
             for (int i = 0; i < 4 && !all.isEmpty(); i++) {
-                poll(all.get(day.random.nextInt(all.size())));
+                poll(all.get(scenario.random.nextInt(all.size())));
             }
-            if (!all.isEmpty() && day.random.nextInt(2) == 0) {
-                trySubmit(all.get(day.random.nextInt(all.size())));
+            if (!all.isEmpty() && scenario.random.nextInt(2) == 0) {
+                trySubmit(all.get(scenario.random.nextInt(all.size())));
             }
             pollUnknown();
-            day.time.run(Micros.SECOND);
+            scenario.time.run(Micros.SECOND);
         }
     }
 
-    /** Users submit, cancel and poll for so many seconds while somebody else lets time pass. */
-    void later(int seconds) {
+    /** Schedules submissions, cancellations and polls for the given time; the caller advances virtual time. */
+    void scheduleRequests(int seconds) {
         for (int second = 0; second < seconds; second++) {
             process.executeLater(
                     () -> {
-                        Job job = submit(1, 1 + day.random.nextInt(12), List.of());
-                        if (day.random.nextInt(4) == 0) {
-                            process.executeLater(() -> cancel(job), day.random.nextInt(3_000) * Micros.MILLISECOND);
+                        Job job = submit(1, 1 + scenario.random.nextInt(12), List.of());
+                        if (scenario.random.nextInt(4) == 0) {
+                            process.executeLater(
+                                    () -> cancel(job), scenario.random.nextInt(3_000) * Micros.MILLISECOND);
                         }
                         submit(1, 2, List.of(job.id));
                         List<Job> all = List.copyOf(jobs.values());
-                        poll(all.get(day.random.nextInt(all.size())));
+                        poll(all.get(scenario.random.nextInt(all.size())));
                     },
                     second * Micros.SECOND);
         }
     }
 
-    /** Until every job is over and told, then once more by every controller. */
-    void settle() {
-        day.network.setLossRates(0, 0);
-        day.killAt = 0;
-        for (int i = 0; i < 60 && jobs.values().stream().anyMatch(job -> job.end == null); i++) {
-            jobs.values().stream().filter(job -> job.end == null).forEach(this::poll);
-            day.time.run(Micros.SECOND);
+    /** Ends all failures, waits until every job is answered as finished, and then checks the answer of every controller for every job. */
+    void awaitFinished() {
+        scenario.network.setLossRates(0, 0);
+        scenario.killAt = 0;
+        for (int i = 0; i < 60 && jobs.values().stream().anyMatch(job -> job.finalState == null); i++) {
+            jobs.values().stream().filter(job -> job.finalState == null).forEach(this::poll);
+            scenario.time.run(Micros.SECOND);
         }
-        day.time.run(20 * Micros.SECOND);
+        scenario.time.run(20 * Micros.SECOND);
         for (Job job : jobs.values()) {
-            if (job.end == null) {
-                day.broken.add("never over " + job.id + " " + job.last + " " + job.accepted + " needs " + job.needs);
+            if (job.finalState == null) {
+                scenario.violations.add("never finished " + job.id + " " + job.lastAnsweredState + " " + job.wasAccepted
+                        + " needs " + job.needs);
             }
         }
         List<Job> all = new ArrayList<>(jobs.values());
         for (int i = 0; i < ArchiveScenario.CONTROLLERS; i++) {
             for (Job job : all) {
                 int number = i;
-                day.network.from(process, "c" + i).get("/v1/jobs/" + job.id, 2 * Micros.SECOND, reply -> {
+                scenario.network.from(process, "c" + i).get("/v1/jobs/" + job.id, 2 * Micros.SECOND, reply -> {
                     if (reply.ok()) {
-                        told(job, job.end, reply);
+                        checkAnswer(job, job.finalState, reply);
                     } else {
-                        day.broken.add("c" + number + " does not tell " + job.id + ": " + reply.status());
+                        scenario.violations.add("c" + number + " has no answer for " + job.id + ": " + reply.status());
                     }
                 });
-                day.time.run(50 * Micros.MILLISECOND);
+                scenario.time.run(50 * Micros.MILLISECOND);
             }
         }
-        day.time.run(3 * Micros.SECOND);
+        scenario.time.run(3 * Micros.SECOND);
     }
 }
--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -22,12 +22,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a long history comes to: values, reads for a look-up, changes; and what is damaged or refused. */
+/** Tests the number of values, writes and reads per look-up of a large archive, and how damaged and rejected values are handled. */
 class ArchiverTest {
-    /** Values by key as the state service would hold them; carries out the steps of an archiver. */
+    /** A store in memory that executes the operations of an archiver. */
     private static final class Store {
         final TreeMap<String, StoredRecord> values = new TreeMap<>();
-        final List<Archiver.ArchivableJob> rows = new ArrayList<>();
+        final List<Archiver.ArchivableJob> jobRecords = new ArrayList<>();
         StoredRecord.ArchiveManifest manifest = Archiver.emptyManifest(3, 5);
         long version = 1;
         int changes;
@@ -40,7 +40,7 @@
             values.put(StoreKeys.ARCHIVE_MANIFEST, manifest);
         }
 
-        void carryOut(Archiver archiver, ArchiveOperation operation) throws DamagedSegmentException {
+        void execute(Archiver archiver, ArchiveOperation operation) throws DamagedSegmentException {
             if (operation instanceof ArchiveOperation.Write write) {
                 write(archiver, write.transaction());
             } else if (operation instanceof ArchiveOperation.FindAfter find) {
@@ -57,45 +57,45 @@
         }
 
         private void write(Archiver archiver, Transaction transaction) {
-            for (Transaction.Write each : transaction.writes()) {
-                if (each.record() != null && StoreCodec.encodedBytes(each.record()) > limit) {
+            for (Transaction.Write write : transaction.writes()) {
+                if (write.record() != null && StoreCodec.encodedBytes(write.record()) > limit) {
                     refusals++;
                     assertTrue(archiver.writeRejected());
                     return;
                 }
             }
             version++;
-            for (Transaction.Write each : transaction.writes()) {
+            for (Transaction.Write write : transaction.writes()) {
                 changes++;
-                if (each.record() != null) {
-                    values.put(each.key(), each.record());
-                } else if (each.key().startsWith(StoreKeys.JOBS)) {
-                    rows.removeIf(row -> StoreKeys.job(row.id()).equals(each.key()));
+                if (write.record() != null) {
+                    values.put(write.key(), write.record());
+                } else if (write.key().startsWith(StoreKeys.JOBS)) {
+                    jobRecords.removeIf(job -> StoreKeys.job(job.id()).equals(write.key()));
                 } else {
-                    values.remove(each.key());
+                    values.remove(write.key());
                 }
             }
-            if (transaction.writes().get(0).record() instanceof StoredRecord.ArchiveManifest history) {
-                manifest = history;
+            if (transaction.writes().get(0).record() instanceof StoredRecord.ArchiveManifest written) {
+                manifest = written;
             }
             archiver.writeSucceeded(version);
         }
 
-        /** Until there is nothing left to do. */
+        /** Offers the job records and executes operations until the archiver has none left. */
         void drain(Archiver archiver, Archiver.BatchPolicy policy) throws DamagedSegmentException {
             for (int idle = 0; idle < 3; ) {
-                archiver.offerCandidates(List.copyOf(rows), version, policy);
+                archiver.offerCandidates(List.copyOf(jobRecords), version, policy);
 
                 ArchiveOperation operation = archiver.nextOperation(16);
                 idle = operation == null ? idle + 1 : 0;
                 for (; operation != null; operation = archiver.nextOperation(16)) {
-                    carryOut(archiver, operation);
+                    execute(archiver, operation);
                 }
             }
         }
     }
 
-    private static Archiver.ArchivableJob ended(int number, int idLength) {
+    private static Archiver.ArchivableJob finishedJob(int number, int idLength) {
         StringBuilder id = new StringBuilder(String.format("wk-%06d", number * 7_919L % 1_000_000));
         for (Random random = new Random(number); id.length() < idLength; ) {
             id.append((char) ('a' + random.nextInt(26)));
@@ -109,31 +109,34 @@
                 : new JobOutcome(JobState.DONE, false, 1 + number % 300);
     }
 
-    /** Jobs, value limit, length of ids; most values, runs and hundredths of a change for each job beside the removal of its row. */
+    /**
+     * Bounds what a large archive costs: values, runs, writes and reads per look-up. The columns are the number of jobs, the byte limit of a
+     * value, the length of ids, and the upper limits of values, runs and hundredths of a write per job besides the deletion of its record.
+     */
     @ParameterizedTest
     @CsvSource({
         "20000, 16384, 9, 12, 10, 6",
         "20000, 2048, 9, 110, 10, 10",
-        "20000, 1024, 9, 300, 10, 25", // As long as ids may be: some forty bytes of each cannot be packed.
+        "20000, 1024, 9, 300, 10, 25", // Ids of the maximum length: some forty bytes of each cannot be compressed.
         "5000, 2048, 63, 400, 9, 40",
     })
     void longHistoryTakesFewValuesAndFewWrites(
-            int jobs, int limit, int idLength, int mostValues, int mostRuns, int mostChanges)
+            int jobs, int limit, int idLength, int maxValues, int maxRuns, int maxChanges)
             throws DamagedSegmentException {
         Store store = new Store(limit);
         Archiver archiver = new Archiver(7, new ArchiveLimits(limit, 16, 256), store.manifest, 1);
         for (int from = 0; from < jobs; from += 256) {
             for (int number = from; number < Math.min(jobs, from + 256); number++) {
-                store.rows.add(ended(number, idLength));
+                store.jobRecords.add(finishedJob(number, idLength));
             }
             store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
         }
         assertEquals(0, store.refusals);
-        assertEquals(List.of(), store.rows);
-        assertTrue(store.values.size() - 1 <= mostValues, store.values.size() + " values");
+        assertEquals(List.of(), store.jobRecords);
+        assertTrue(store.values.size() - 1 <= maxValues, store.values.size() + " values");
         assertTrue(
-                store.manifest.runs().size() <= mostRuns, store.manifest.runs().size() + " runs");
-        assertTrue(store.changes <= jobs * (100 + mostChanges) / 100, store.changes + " changes");
+                store.manifest.runs().size() <= maxRuns, store.manifest.runs().size() + " runs");
+        assertTrue(store.changes <= jobs * (100 + maxChanges) / 100, store.changes + " changes");
 
         MembershipFilters filters = new MembershipFilters(1 << 20);
         filters.setManifest(store.manifest);
@@ -142,36 +145,37 @@
         }
         int reads = 0;
         for (int number = 0; number < jobs; number++) {
-            Archiver.ArchivableJob job = ended(number, idLength);
+            Archiver.ArchivableJob job = finishedJob(number, idLength);
             JobOutcome found = null;
             for (String key : filters.candidateSegments(job.id())) {
                 reads++;
-                JobOutcome here = SegmentCodec.find(key, (StoredRecord.ArchiveSegment) store.values.get(key), job.id());
-                found = here == null ? found : here;
+                JobOutcome outcome =
+                        SegmentCodec.find(key, (StoredRecord.ArchiveSegment) store.values.get(key), job.id());
+                found = outcome == null ? found : outcome;
             }
             assertEquals(job.outcome(), found, job.id());
         }
         assertTrue(reads < jobs * 1.2, reads + " reads for " + jobs);
-        int mistaken = 0;
+        int falsePositives = 0;
         for (int number = 0; number < 10_000; number++) {
-            mistaken += filters.candidateSegments("wk-x" + number).size();
+            falsePositives += filters.candidateSegments("wk-x" + number).size();
         }
-        assertTrue(mistaken < 10_000 * 0.2, mistaken + " reads for 10000 ids that nobody submitted");
+        assertTrue(falsePositives < 10_000 * 0.2, falsePositives + " reads for 10000 ids that were never submitted");
     }
 
-    /** The limit of a value falls below what was planned with: what does not fit is packed again, in more values. */
+    /** The store rejects values because its limit is below the one that the archiver was given: the jobs are packed again in more values. */
     @ParameterizedTest
     @CsvSource({"1500", "900", "640"})
     void repacksSegmentsWhenLimitsFall(int limit) throws DamagedSegmentException {
         Store store = new Store(16384);
         Archiver archiver = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         for (int number = 0; number < 3000; number++) {
-            store.rows.add(ended(number, 9));
+            store.jobRecords.add(finishedJob(number, 9));
         }
         store.limit = limit;
         store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
         assertTrue(store.refusals > 0);
-        assertEquals(List.of(), store.rows);
+        assertEquals(List.of(), store.jobRecords);
         assertEquals(
                 3000,
                 store.manifest.runs().stream()
@@ -190,7 +194,7 @@
                         .keySet()));
     }
 
-    /** A damaged run is never merged, so nothing of it is lost that could still be mended; the others go on. */
+    /** A damaged run is never merged, so that its remaining content can still be repaired; other runs are still merged. */
     @Test
     void damagedRunIsNeverMerged() throws DamagedSegmentException {
         Store store = new Store(16384);
@@ -198,7 +202,7 @@
         String damaged = null;
         for (int round = 0; round < 12; round++) {
             for (int number = round * 256; number < (round + 1) * 256; number++) {
-                store.rows.add(ended(number, 9));
+                store.jobRecords.add(finishedJob(number, 9));
             }
             store.drain(archiver, Archiver.BatchPolicy.ANY_SIZE);
             if (round == 0) {
@@ -206,8 +210,8 @@
                 String key = StoreKeys.segment(damaged, 0);
                 StoredRecord.ArchiveSegment segment = (StoredRecord.ArchiveSegment) store.values.get(key);
                 segment.packed()[20] ^= 1;
-                StoredRecord.ArchiveSegment changed = segment;
-                assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack(key, changed));
+                StoredRecord.ArchiveSegment damagedSegment = segment;
+                assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack(key, damagedSegment));
             }
         }
         String name = damaged;
@@ -220,13 +224,13 @@
         assertTrue(store.manifest.runs().size() < 9);
     }
 
-    /** What an archiver that was killed left behind goes, and nothing else does. */
+    /** Segments that a killed archiver left behind are deleted, and no others. */
     @Test
     void removesSegmentsThatTheManifestDoesNotName() throws DamagedSegmentException {
         Store store = new Store(16384);
         Archiver first = new Archiver(7, new ArchiveLimits(16384, 16, 256), store.manifest, 1);
         for (int number = 0; number < 600; number++) {
-            store.rows.add(ended(number, 9));
+            store.jobRecords.add(finishedJob(number, 9));
         }
         store.drain(first, Archiver.BatchPolicy.ANY_SIZE);
         Set<String> named = Set.copyOf(store.values.keySet());
@@ -240,7 +244,7 @@
         assertEquals(named, store.values.keySet());
     }
 
-    /** A packed segment with any byte changed, or read under another key, is told from a sound one. */
+    /** A packed segment that is truncated, has any byte changed, or is read under another key is reported as damaged. */
     @Test
     void detectsAnyDamagedByte() throws DamagedSegmentException {
         List<ArchivedJob> jobs = new ArrayList<>();
@@ -258,8 +262,8 @@
             assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000000", damaged));
         }
         assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000001", segment));
-        StoredRecord.ArchiveSegment half =
+        StoredRecord.ArchiveSegment truncated =
                 new StoredRecord.ArchiveSegment(segment.digest(), java.util.Arrays.copyOf(segment.packed(), 20));
-        assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000000", half));
+        assertThrows(DamagedSegmentException.class, () -> SegmentCodec.unpack("history/a/000000", truncated));
     }
 }
--- a/src/test/java/io/micatide/archive/SnapshotTest.java
+++ b/src/test/java/io/micatide/archive/SnapshotTest.java
@@ -30,39 +30,39 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Snapshots taken while users go on, files that are not what was written, and what a restored service answers. */
+/** Tests snapshots taken while users send requests, damaged snapshot files, and the answers of a restored service. */
 class SnapshotTest {
     private static final byte[] KEY = "a key of sixteen bytes".getBytes(StandardCharsets.UTF_8);
 
-    /** Calls over a day's network; time passes while one waits, and everybody else goes on. */
+    /** Blocking calls over the network of a scenario. Virtual time advances while a call waits, so that the other processes continue. */
     private static final class Calls implements StoreCalls {
-        private final ArchiveScenario day;
+        private final ArchiveScenario scenario;
         private final Http http;
-        int left = Integer.MAX_VALUE;
-        int page = 7;
+        int remainingCalls = Integer.MAX_VALUE;
+        int pageSize = 7;
         long gapMicros = 100 * Micros.MILLISECOND;
 
-        Calls(ArchiveScenario day) {
-            this.day = day;
-            this.http = day.network.from(day.time.new Process(), "state");
+        Calls(ArchiveScenario scenario) {
+            this.scenario = scenario;
+            this.http = scenario.network.from(scenario.time.new Process(), "state");
         }
 
         private Reply answer(Reply[] reply) {
-            if (--left < 0) {
+            if (--remainingCalls < 0) {
                 throw new IllegalStateException("killed");
             }
             while (reply[0] == null) {
-                day.time.run(Micros.MILLISECOND);
+                scenario.time.run(Micros.MILLISECOND);
             }
-            day.time.run(gapMicros);
+            scenario.time.run(gapMicros);
             return reply[0];
         }
 
         @Override
         public Reply get(String path) {
             Reply[] reply = new Reply[1];
-            // As pages of a long history come: a few values at a time.
-            http.get(path.replace("most=500", "most=" + page), 2 * Micros.SECOND, r -> reply[0] = r);
+            // Small pages, so that a snapshot of few keys takes several reads, as one of a large store does.
+            http.get(path.replace("most=500", "most=" + pageSize), 2 * Micros.SECOND, r -> reply[0] = r);
             return answer(reply);
         }
 
@@ -75,11 +75,11 @@
 
         @Override
         public void pause() {
-            day.time.run(300 * Micros.MILLISECOND);
+            scenario.time.run(300 * Micros.MILLISECOND);
         }
     }
 
-    private static Map<String, String> stored(SimulatedStore state) {
+    private static Map<String, String> storeContent(SimulatedStore state) {
         Map<String, String> values = new TreeMap<>();
         state.values().forEach((key, value) -> {
             if (!key.equals(StoreKeys.LEADER) && !key.startsWith(StoreKeys.CONTROLLERS) && !key.equals("restored")) {
@@ -89,100 +89,104 @@
         return values;
     }
 
-    private static Map<String, String> held(StoreImage image) {
+    private static Map<String, String> imageContent(StoreImage image) {
         Map<String, String> values = new TreeMap<>();
         image.values().forEach((key, value) -> values.put(key, value.json()));
         return values;
     }
 
-    /** While everything moves, the image is what the service held at its revision, not before and not after in any part. */
+    /** An image taken while records change must hold exactly the content of the store at the revision of the image, in every part. */
     @ParameterizedTest
     @CsvSource({"1, 0", "2, 0", "3, 0.05", "4, 0.05", "5, 0.2"})
     void anImageIsOfOneRevision(int seed, double losses) throws SnapshotException {
-        ArchiveScenario day = new ArchiveScenario(seed, 2048, 5, Archiver::new);
-        day.users.busy(20);
-        Map<Long, Map<String, String>> then = new TreeMap<>();
-        day.state.onEachChange(revision -> then.put(revision, stored(day.state)));
-        day.network.setLossRates(losses, 0);
-        day.users.later(40);
-        Calls calls = new Calls(day);
-        calls.page = 2;
+        ArchiveScenario scenario = new ArchiveScenario(seed, 2048, 5, Archiver::new);
+        scenario.users.runRequests(20);
+        Map<Long, Map<String, String>> contentByRevision = new TreeMap<>();
+        scenario.store.onEachChange(revision -> contentByRevision.put(revision, storeContent(scenario.store)));
+        scenario.network.setLossRates(losses, 0);
+        scenario.users.scheduleRequests(40);
+        Calls calls = new Calls(scenario);
+        calls.pageSize = 2;
         calls.gapMicros = 700 * Micros.MILLISECOND;
         StoreImage image = new SnapshotTaker(calls, line -> {}).take();
-        assertTrue(then.size() > 20, then.size() + " changes meanwhile");
+        assertTrue(contentByRevision.size() > 20, contentByRevision.size() + " changes during the snapshot");
         assertEquals(
-                ((TreeMap<Long, Map<String, String>>) then)
+                ((TreeMap<Long, Map<String, String>>) contentByRevision)
                         .floorEntry(image.revision())
                         .getValue(),
-                held(image));
+                imageContent(image));
     }
 
-    /** Every poll, repeated submission and abort is answered by the restored service as the first would have. */
+    /** The restored service answers every poll, repeated submission and abort as the original would have. */
     @ParameterizedTest
     @CsvSource({"1, true", "2, false"})
     void aRestoredServiceAnswersAsTheFirst(int seed, boolean advance, @TempDir Path folder) throws Exception {
         ArchiveScenario first = new ArchiveScenario(seed, 2048, 5, Archiver::new);
-        first.users.busy(30);
-        first.users.settle();
+        first.users.runRequests(30);
+        first.users.awaitFinished();
         new StoredJobs(first).check();
         Path file = folder.resolve("a.snapshot");
         SnapshotFile.write(file, new SnapshotTaker(new Calls(first), line -> {}).take(), KEY, "then");
         SnapshotFile.Content content = SnapshotFile.read(file, KEY);
-        assertEquals(stored(first.state), held(content.image()));
+        assertEquals(storeContent(first.store), imageContent(content.image()));
 
         ArchiveScenario second = ArchiveScenario.withoutControllers(seed, 2048, 5);
         new SnapshotRestorer(new Calls(second), 5, 2048, line -> {})
                 .restore(content.image(), content.digest(), advance);
-        assertEquals(stored(first.state), stored(second.state));
-        assertEquals(advance, second.state.revision() > content.image().revision());
-        second.goesOnAs(first);
-        second.users.busy(20);
-        second.users.settle();
+        assertEquals(storeContent(first.store), storeContent(second.store));
+        assertEquals(advance, second.store.revision() > content.image().revision());
+        second.startControllersAfter(first);
+        second.users.runRequests(20);
+        second.users.awaitFinished();
         new StoredJobs(second).check();
-        assertEquals(java.util.List.of(), first.broken);
-        assertEquals(java.util.List.of(), second.broken);
+        assertEquals(java.util.List.of(), first.violations);
+        assertEquals(java.util.List.of(), second.violations);
     }
 
-    /** A restore that is killed after any of its calls is repeated, and ends as one that was not; meanwhile nobody can serve. */
+    /**
+     * A restore that is killed after any of its calls and then repeated ends with the same content. Until then a marker record keeps
+     * controllers from serving, and a restore of another snapshot is refused.
+     */
     @Test
     void aRestoreMayBeKilledAnywhere() throws Exception {
         ArchiveScenario first = new ArchiveScenario(9, 2048, 5, Archiver::new);
-        first.users.busy(15);
-        first.users.settle();
+        first.users.runRequests(15);
+        first.users.awaitFinished();
         StoreImage image = new SnapshotTaker(new Calls(first), line -> {}).take();
         for (int kill = 1; kill < 60; kill++) {
             ArchiveScenario second = ArchiveScenario.withoutControllers(kill, 2048, 5);
             Calls calls = new Calls(second);
-            calls.left = kill;
+            calls.remainingCalls = kill;
             boolean killed = false;
             try {
                 new SnapshotRestorer(calls, 5, 2048, line -> {}).restore(image, "digest", false);
             } catch (IllegalStateException e) {
                 killed = true;
-                boolean begun = !second.state.values().isEmpty();
-                assertEquals(begun, second.state.values().containsKey("job/being-restored"));
+                boolean hasBegun = !second.store.values().isEmpty();
+                assertEquals(hasBegun, second.store.values().containsKey("job/being-restored"));
                 SnapshotRestorer other = new SnapshotRestorer(new Calls(second), 5, 2048, line -> {});
-                if (begun) {
+                if (hasBegun) {
                     assertThrows(SnapshotException.class, () -> other.restore(image, "another digest", false));
                 }
                 other.restore(image, "digest", false);
             }
-            assertEquals(stored(first.state), stored(second.state), "killed after " + kill + " calls");
+            assertEquals(storeContent(first.store), storeContent(second.store), "killed after " + kill + " calls");
             if (!killed) {
                 return;
             }
         }
     }
 
+    /** A restore is refused if the store holds other records, or if a value of the image exceeds the limit of the store. */
     @Test
     void aServiceThatHoldsSomethingIsNotTouched() throws Exception {
-        ArchiveScenario day = new ArchiveScenario(1, 2048, 5, Archiver::new);
-        day.users.busy(10);
-        StoreImage image = new SnapshotTaker(new Calls(day), line -> {}).take();
-        Map<String, String> before = stored(day.state);
+        ArchiveScenario scenario = new ArchiveScenario(1, 2048, 5, Archiver::new);
+        scenario.users.runRequests(10);
+        StoreImage image = new SnapshotTaker(new Calls(scenario), line -> {}).take();
+        Map<String, String> before = storeContent(scenario.store);
         SnapshotException e = assertThrows(SnapshotException.class, () -> {
             ArchiveScenario other = ArchiveScenario.withoutControllers(2, 2048, 5);
-            other.state.preset("booking/r-1", "{}".getBytes(StandardCharsets.UTF_8));
+            other.store.preset("booking/r-1", "{}".getBytes(StandardCharsets.UTF_8));
             new SnapshotRestorer(new Calls(other), 5, 2048, line -> {}).restore(image, "digest", false);
         });
         assertTrue(e.getMessage().contains("booking/r-1"), e.getMessage());
@@ -205,34 +209,38 @@
         return new StoreImage(400, values);
     }
 
-    /** Half a file, any changed byte, another key: told, and nothing is read from it. */
+    /** A file that is truncated, has a changed byte, or is signed with another key or none is refused as a whole. */
     @Test
     void aFileThatIsNotWhatWasWrittenIsRefused(@TempDir Path folder) throws IOException, SnapshotException {
         Path file = folder.resolve("a.snapshot");
         SnapshotFile.write(file, image(), KEY, "then");
-        assertEquals(held(image()), held(SnapshotFile.read(file, KEY).image()));
-        assertEquals(held(image()), held(SnapshotFile.read(file, null).image()));
-        byte[] whole = Files.readAllBytes(file);
-        for (int length = 0; length < whole.length; length += 11) {
-            InputStream half = new ByteArrayInputStream(whole, 0, length);
-            assertThrows(SnapshotException.class, () -> SnapshotFile.read("half", half, KEY), "cut at " + length);
+        assertEquals(
+                imageContent(image()), imageContent(SnapshotFile.read(file, KEY).image()));
+        assertEquals(
+                imageContent(image()),
+                imageContent(SnapshotFile.read(file, null).image()));
+        byte[] complete = Files.readAllBytes(file);
+        for (int length = 0; length < complete.length; length += 11) {
+            InputStream truncated = new ByteArrayInputStream(complete, 0, length);
+            assertThrows(
+                    SnapshotException.class, () -> SnapshotFile.read("half", truncated, KEY), "truncated at " + length);
         }
-        int harmless = 0;
-        for (int at = 0; at < whole.length; at++) {
-            byte[] changed = whole.clone();
+        int ignoredChanges = 0;
+        for (int at = 0; at < complete.length; at++) {
+            byte[] changed = complete.clone();
             changed[at] ^= 0x10;
             try {
-                // Gzip's own header and the bits that fill up its last byte say nothing of the content.
+                // Some bits of the gzip header and the padding of the last byte don't affect the content.
                 assertEquals(
-                        held(image()),
-                        held(SnapshotFile.read("changed", new ByteArrayInputStream(changed), KEY)
+                        imageContent(image()),
+                        imageContent(SnapshotFile.read("changed", new ByteArrayInputStream(changed), KEY)
                                 .image()));
-                harmless++;
+                ignoredChanges++;
             } catch (SnapshotException e) {
                 assertTrue(e.getMessage().startsWith("changed: "), e.getMessage());
             }
         }
-        assertTrue(harmless < 12, harmless + " changes were not missed");
+        assertTrue(ignoredChanges < 12, ignoredChanges + " changed bytes did not affect the content");
         assertThrows(
                 SnapshotException.class,
                 () -> SnapshotFile.read(file, "another key of sixteen".getBytes(StandardCharsets.UTF_8)));
@@ -240,7 +248,9 @@
         SnapshotFile.write(unsigned, image(), null, "then");
         assertThrows(SnapshotException.class, () -> SnapshotFile.read(unsigned, KEY));
         assertThrows(
-                SnapshotException.class, () -> SnapshotFile.write(unsigned, image(), null, "then"), "is there already");
+                SnapshotException.class,
+                () -> SnapshotFile.write(unsigned, image(), null, "then"),
+                "the file exists already");
         assertThrows(SnapshotException.class, () -> SnapshotFile.read(folder.resolve("none"), null));
     }
 }
--- a/src/test/java/io/micatide/archive/StoredJobs.java
+++ b/src/test/java/io/micatide/archive/StoredJobs.java
@@ -13,59 +13,65 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** What the store of an {@link ArchiveScenario} holds of jobs: checks it, and changes it as others than this version would. */
+/** Checks the jobs in the store of an {@link ArchiveScenario}, and writes records there as a previous version or a fault would. */
 final class StoredJobs {
-    private final ArchiveScenario day;
+    private final ArchiveScenario scenario;
     private final SimulatedStore store;
 
-    StoredJobs(ArchiveScenario day) {
-        this.day = day;
-        this.store = day.state;
+    StoredJobs(ArchiveScenario scenario) {
+        this.scenario = scenario;
+        this.store = scenario.store;
     }
 
-    /** What the manifest names is all there and all that is there, and holds what users were told, each job once in records or runs. */
+    /**
+     * Checks that the store holds exactly the segments that the manifest names, and that each finished job is stored with the state that
+     * its user was answered, in its record or in the runs of the archive. At most 12 job records may not be archived yet.
+     */
     void check() throws MalformedException, DamagedSegmentException {
         Map<String, Outcomes> found = new TreeMap<>();
         SimulatedStore.Value manifest = store.values().get(StoreKeys.ARCHIVE_MANIFEST);
         if (manifest == null) {
-            day.broken.add("no archive");
+            scenario.violations.add("no archive manifest");
             return;
         }
-        Set<String> named = new HashSet<>();
-        for (StoredRecord.ArchiveRun run : ((StoredRecord.ArchiveManifest) row(StoreKeys.ARCHIVE_MANIFEST)).runs()) {
+        Set<String> namedSegments = new HashSet<>();
+        for (StoredRecord.ArchiveRun run :
+                ((StoredRecord.ArchiveManifest) storedRecord(StoreKeys.ARCHIVE_MANIFEST)).runs()) {
             for (int number = 0; number < run.segments(); number++) {
                 String key = StoreKeys.segment(run.name(), number);
-                named.add(key);
+                namedSegments.add(key);
                 if (!store.values().containsKey(key)) {
-                    day.broken.add("missing " + key);
+                    scenario.violations.add("missing segment " + key);
                     continue;
                 }
-                for (ArchivedJob each : SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) row(key))) {
-                    found.computeIfAbsent(each.id(), k -> new Outcomes())
-                            .add(each.outcome().state().name());
+                for (ArchivedJob job : SegmentCodec.unpack(key, (StoredRecord.ArchiveSegment) storedRecord(key))) {
+                    found.computeIfAbsent(job.id(), k -> new Outcomes())
+                            .add(job.outcome().state().name());
                 }
             }
         }
-        int rows = 0;
+        int recordCount = 0;
         for (String key : store.values().keySet()) {
-            if (key.startsWith(StoreKeys.ARCHIVE_SEGMENTS) && !named.contains(key)) {
-                day.broken.add("unnamed " + key);
+            if (key.startsWith(StoreKeys.ARCHIVE_SEGMENTS) && !namedSegments.contains(key)) {
+                scenario.violations.add("segment not named by the manifest " + key);
             }
             if (key.startsWith("job/wk-") && key.indexOf('/', 4) < 0) {
-                rows++;
+                recordCount++;
                 found.computeIfAbsent(key.substring(4), k -> new Outcomes())
-                        .add(((StoredRecord.JobRecord) row(key)).state().name());
+                        .add(((StoredRecord.JobRecord) storedRecord(key))
+                                .state()
+                                .name());
             }
         }
-        for (ArchiveUsers.Job job : day.users.jobs.values()) {
-            String expected = "done".equals(job.end) ? "[DONE]" : "[CANCELLED]";
+        for (ArchiveUsers.Job job : scenario.users.jobs.values()) {
+            String expected = "done".equals(job.finalState) ? "[DONE]" : "[CANCELLED]";
             String stored = String.valueOf(found.get(job.id));
-            if (job.end != null && !stored.equals(expected)) {
-                day.broken.add("stored " + job.id + " " + stored + " and told " + job.end);
+            if (job.finalState != null && !stored.equals(expected)) {
+                scenario.violations.add("stored " + job.id + " " + stored + " but answered " + job.finalState);
             }
         }
-        if (rows > 12) {
-            day.broken.add(rows + " rows are left");
+        if (recordCount > 12) {
+            scenario.violations.add(recordCount + " job records were not archived");
         }
     }
 
@@ -73,7 +79,7 @@
         private static final long serialVersionUID = 1L;
     }
 
-    private StoredRecord row(String key) throws MalformedException {
+    private StoredRecord storedRecord(String key) throws MalformedException {
         SimulatedStore.Value value = store.values().get(key);
         return StoreCodec.item(("{\"k\":\"" + key + "\",\"data\":" + new String(value.json(), StandardCharsets.UTF_8)
                                 + ",\"stamp\":" + value.version() + "}")
@@ -81,38 +87,39 @@
                 .record();
     }
 
-    /** A record of an open job as a former version puts it: on condition of the record alone. */
-    void writeAsFormerVersion(ArchiveUsers.Job job) {
-        String row = "{\"state\":\"OPEN\",\"tasks\":" + job.tasks + ",\"submitted\":" + day.users.wall() + ",\"spec\":"
-                + new String(day.users.submitted(job), StandardCharsets.UTF_8) + "}";
-        day.network
-                .from(day.world, "state")
+    /** Writes the record of an open job as a previous version does: on the sole condition that the record does not exist. */
+    void writeAsPreviousVersion(ArchiveUsers.Job job) {
+        String json =
+                "{\"state\":\"OPEN\",\"tasks\":" + job.tasks + ",\"submitted\":" + scenario.users.wallClockMicros()
+                        + ",\"spec\":" + new String(scenario.users.submitted(job), StandardCharsets.UTF_8) + "}";
+        scenario.network
+                .from(scenario.environment, "state")
                 .post(
                         "/txn",
                         ("{\"if\":[{\"k\":\"job/" + job.id + "\",\"stamp\":0}],\"writes\":[{\"put\":\"job/" + job.id
-                                        + "\",\"data\":" + row + "}]}")
+                                        + "\",\"data\":" + json + "}]}")
                                 .getBytes(StandardCharsets.UTF_8),
                         Micros.SECOND,
                         reply -> {
                             if (!reply.ok()) {
-                                throw new IllegalStateException("not written " + reply.status());
+                                throw new IllegalStateException("record not written: status " + reply.status());
                             }
                         });
     }
 
-    /** A record of a job that is over, from before the archive. */
-    void presetEnded(ArchiveUsers.Job job) {
-        String state = job.end.equals("done") ? "DONE" : "CANCELLED";
+    /** Stores the record of a finished job as releases without an archive left it. */
+    void presetFinished(ArchiveUsers.Job job) {
+        String state = job.finalState.equals("done") ? "DONE" : "CANCELLED";
         store.preset(
                 "job/" + job.id,
                 ("{\"state\":\"" + state + "\",\"tasks\":" + job.tasks + ",\"submitted\":5}")
                         .getBytes(StandardCharsets.UTF_8));
         for (int i = 0; i < job.tasks; i++) {
-            day.finished.add(job.id + "/" + i);
+            scenario.finished.add(job.id + "/" + i);
         }
     }
 
-    /** Changes a letter of a packed value. */
+    /** Changes one character of the packed jobs of a segment. */
     void damage(String key) {
         String text = new String(store.values().get(key).json(), StandardCharsets.UTF_8);
         int at = text.indexOf("packed") + 20;
--- a/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
+++ b/src/test/java/io/micatide/simulation/BehaviorDigestTest.java
@@ -40,7 +40,7 @@
                     recorded(roll.scenario, digester);
                     RolloutTest.play(roll);
                 }
-                case ARCHIVE -> ArchiveScenario.play(seed, digester);
+                case ARCHIVE -> ArchiveScenario.runRecorded(seed, digester);
                 case COLD_START -> coldStart(recorded(FailoverScenario.atQuota(seed, 3, 0), digester));
                 case SMALL_JOBS -> smallJobs(recorded(FailoverScenario.withStoreLimits(seed, 3, 80, 30), digester));
             }
