--- a/src/test/java/io/micatide/archive/ArchiverTest.java
+++ b/src/test/java/io/micatide/archive/ArchiverTest.java
@@ -112,12 +112,13 @@
     /**
      * Bounds what a large archive costs: values, runs, writes and reads per look-up. The columns are the number of jobs, the byte limit of a
      * value, the length of ids, and the upper limits of values, runs and hundredths of a write per job besides the deletion of its record.
+     * The ids of the last row have the maximum length; some forty bytes of each cannot be compressed.
      */
     @ParameterizedTest
     @CsvSource({
         "20000, 16384, 9, 12, 10, 6",
         "20000, 2048, 9, 110, 10, 10",
-        "20000, 1024, 9, 300, 10, 25", // Ids of the maximum length: some forty bytes of each cannot be compressed.
+        "20000, 1024, 9, 300, 10, 25",
         "5000, 2048, 63, 400, 9, 40",
     })
     void longHistoryTakesFewValuesAndFewWrites(
