--- a/src/main/java/io/micatide/model/Micros.java
+++ b/src/main/java/io/micatide/model/Micros.java
@@ -16,14 +16,17 @@
     }
 
     /**
-     * Returns the longest time that may pass on this clock while another machine's clock counts {@code micros}. Clocks drift by up to 0.05%, so two
-     * of them differ by up to 0.1%; the 0.2% added here leave a safety factor of two.
+     * Returns the longest time that may pass on this clock while another machine's clock counts {@code micros}. The steady clocks of different
+     * machines drift apart by up to 0.05%; the 0.2% allowed here is more than that.
      */
     public static long longestWithDrift(long micros) {
         return micros + micros / 500;
     }
 
-    /** Returns the shortest time that may pass on this clock while another machine's clock counts {@code micros}, with the same allowance of 0.2%. */
+    /**
+     * Returns the shortest time that may pass on this clock while another machine's clock counts {@code micros}. The steady clocks of different
+     * machines drift apart by up to 0.05%; the 0.2% allowed here is more than that.
+     */
     public static long shortestWithDrift(long micros) {
         return micros - micros / 500;
     }
--- a/src/main/java/io/micatide/scheduler/PlacementPlanner.java
+++ b/src/main/java/io/micatide/scheduler/PlacementPlanner.java
@@ -130,7 +130,7 @@
         unschedulable.capacityFreed();
     }
 
-    /** Records that a task was placed or stopped, so that work which could not be preempted may be preemptible now. */
+    /** Records that a placement was requested to stop, so that work which could not be preempted may be preemptible now. */
     @Override
     public void usageChanged() {
         unschedulable.usageChanged();
--- a/src/main/java/io/micatide/scheduler/PlanningPass.java
+++ b/src/main/java/io/micatide/scheduler/PlanningPass.java
@@ -14,7 +14,7 @@
 final class PlanningPass {
     /**
      * Machines that a plan may examine for each core of the controller. At 0.255 of a core, examining 6,000 machines
-     * took 0.1 to 0.2 s (vision scenario, 2,800 workers, simulated machines), so a plan of {@code 0.255 *
+     * took 0.1 to 0.2 s (corrmhor-vision deployment, 2,800 workers, simulated machines), so a plan of {@code 0.255 *
      * MACHINES_EXAMINED_PER_CORE} machines stays below 0.5 s.
      */
     static final long MACHINES_EXAMINED_PER_CORE = 60_000;
--- a/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
+++ b/src/test/java/io/micatide/scheduler/FailureAttributionTest.java
@@ -36,11 +36,11 @@
     })
     void slowMachinesAreDetectedFromAllTheirTasks(
             int tasks, int outliers, int longSeconds, int usualSeconds, boolean isSlow) {
-        RuntimeEstimator runTimes = new RuntimeEstimator();
-        FailureAttribution attribution = new FailureAttribution(runTimes);
+        RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
+        FailureAttribution attribution = new FailureAttribution(runtimeEstimator);
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
         for (int i = 0; i < 10; i++) {
-            runTimes.taskFinished(job, 10 * Micros.SECOND);
+            runtimeEstimator.taskFinished(job, 10 * Micros.SECOND);
         }
         long now = 100 * Micros.SECOND;
         Machine machine = new Machine("i-1", 0);
--- a/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
+++ b/src/test/java/io/micatide/scheduler/RuntimeEstimatorTest.java
@@ -18,13 +18,13 @@
     @ParameterizedTest
     @CsvSource({"0, 0, 10", "2, 30, 20", "18, 30, 28", "18, 3, 4"})
     void completedTasksCorrectTheEstimate(int tasks, int seconds, long expected) {
-        RuntimeEstimator runTimes = new RuntimeEstimator();
+        RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
         Job job = new Job(SchedulerHarness.job("wk-1", JobKind.ARRAY, "blue", Priority.NORMAL, 50, 10), 1, 0, 0, 0);
         for (int i = 0; i < tasks; i++) {
-            runTimes.taskFinished(job, seconds * Micros.SECOND);
+            runtimeEstimator.taskFinished(job, seconds * Micros.SECOND);
         }
-        assertEquals(expected, runTimes.expectedMicros(job) / Micros.SECOND, 1.0);
-        assertTrue(runTimes.slowestMicros(job) > runTimes.expectedMicros(job));
+        assertEquals(expected, runtimeEstimator.expectedMicros(job) / Micros.SECOND, 1.0);
+        assertTrue(runtimeEstimator.slowestMicros(job) > runtimeEstimator.expectedMicros(job));
     }
 
     /**
